--- a/org.berylwick.node/src/org/berylwick/node/call/Backend.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Backend.java
@@ -7,7 +7,7 @@
 /** One incarnation of the backend server beside this node, as its owner knows it; confined to the event loop. */
 public final class Backend {
     /** A request that must run once takes no connection that has been idle longer: the server may be closing it. */
-    private static final long FRESH_NANOS = 2_500_000_000L;
+    private static final long DEFAULT_MAX_IDLE_NANOS = 2_500_000_000L;
     /** The least of that, once a backend server was seen to drop idle connections. */
     private static final long LEAST_FRESH_NANOS = 100_000_000L;
 
@@ -16,7 +16,7 @@
     private final ServerConnections pool;
     private final ServiceTimes times = new ServiceTimes();
     private final LossShare losses = new LossShare();
-    private long freshNanos = FRESH_NANOS;
+    private long freshNanos = DEFAULT_MAX_IDLE_NANOS;
     private int slots;
     private BackendState state;
     private long sequence;
