--- a/org.berylwick.node/src/org/berylwick/node/call/Backend.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Backend.java
@@ -9,7 +9,7 @@
     /** A request that must run once takes no connection that has been idle longer: the server may be closing it. */
     private static final long DEFAULT_MAX_IDLE_NANOS = 2_500_000_000L;
     /** The least of that, once a backend server was seen to drop idle connections. */
-    private static final long LEAST_FRESH_NANOS = 100_000_000L;
+    private static final long MIN_MAX_IDLE_NANOS = 100_000_000L;
 
     private final String incarnation;
     private final String service;
@@ -82,7 +82,7 @@
 
     /** A request on a connection that had been idle was reset: the server drops them sooner than it says. */
     void onIdleDropped(long idleNanos) {
-        freshNanos = Math.max(LEAST_FRESH_NANOS, Math.min(freshNanos, idleNanos / 2));
+        freshNanos = Math.max(MIN_MAX_IDLE_NANOS, Math.min(freshNanos, idleNanos / 2));
     }
 
     LossShare losses() {
