--- a/org.berylwick.node/src/org/berylwick/node/call/Backend.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Backend.java
@@ -16,7 +16,7 @@
     private final ServerConnections pool;
     private final ServiceTimes times = new ServiceTimes();
     private final LossShare losses = new LossShare();
-    private long freshNanos = DEFAULT_MAX_IDLE_NANOS;
+    private long maxIdleNanos = DEFAULT_MAX_IDLE_NANOS;
     private int slots;
     private BackendState state;
     private long sequence;
@@ -77,12 +77,12 @@
 
     /** How long a connection may have been idle that a request takes which must run once. */
     long freshNanos() {
-        return freshNanos;
+        return maxIdleNanos;
     }
 
     /** A request on a connection that had been idle was reset: the server drops them sooner than it says. */
     void onIdleDropped(long idleNanos) {
-        freshNanos = Math.max(MIN_MAX_IDLE_NANOS, Math.min(freshNanos, idleNanos / 2));
+        maxIdleNanos = Math.max(MIN_MAX_IDLE_NANOS, Math.min(maxIdleNanos, idleNanos / 2));
     }
 
     LossShare losses() {
