--- a/org.berylwick.node/src/org/berylwick/node/call/Backend.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Backend.java
@@ -76,7 +76,7 @@
     }
 
     /** How long a connection may have been idle that a request takes which must run once. */
-    long freshNanos() {
+    long maxIdleNanos() {
         return maxIdleNanos;
     }
 
