--- a/org.berylwick.node/src/org/berylwick/node/call/Backend.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Backend.java
@@ -14,7 +14,7 @@
     private final String incarnation;
     private final String service;
     private final ServerConnections pool;
-    private final ServiceTimes times = new ServiceTimes();
+    private final ServiceTimes serviceTimes = new ServiceTimes();
     private final LossShare losses = new LossShare();
     private long maxIdleNanos = DEFAULT_MAX_IDLE_NANOS;
     private int slots;
@@ -96,7 +96,7 @@
     }
 
     ServiceTimes times() {
-        return times;
+        return serviceTimes;
     }
 
     /** Takes over a report; true if anything but its number changed. */
