--- a/org.berylwick.node/src/org/berylwick/node/call/Backend.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Backend.java
@@ -95,7 +95,7 @@
         answeredAt = now;
     }
 
-    ServiceTimes times() {
+    ServiceTimes serviceTimes() {
         return serviceTimes;
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -111,7 +111,7 @@
                         running.size(),
                         waiting(),
                         b.slots(),
-                        b.times().meanNanos(),
+                        b.serviceTimes().meanNanos(),
                         lostPerMille(b, now),
                         link.incoming().busyNanos(),
                         link.outgoing().busyNanos()))
@@ -124,7 +124,7 @@
 
     /** How long it takes for each kind of request that it has seen. */
     public List<KindTime> times() {
-        return backend.map(b -> b.times().times()).orElse(List.of());
+        return backend.map(b -> b.serviceTimes().times()).orElse(List.of());
     }
 
     /**
@@ -321,7 +321,7 @@
             return Optional.of(Refusal.Reason.NOT_HERE);
         }
         Backend b = backend.orElseThrow();
-        run.expect(b.times().time(call));
+        run.expect(b.serviceTimes().time(call));
         long now = clock.now();
         if (!run.canMeetDeadline(now)) {
             return Optional.of(Refusal.Reason.EXPIRED);
@@ -354,7 +354,7 @@
     }
 
     private static long waitBehind(int ahead, Backend b) {
-        return new OwnerLoad(0, 0, b.slots(), b.times().meanNanos()).waitNanos(ahead);
+        return new OwnerLoad(0, 0, b.slots(), b.serviceTimes().meanNanos()).waitNanos(ahead);
     }
 
     private void dispatch() {
