--- a/org.berylwick.node/src/org/berylwick/node/call/Backend.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Backend.java
@@ -20,7 +20,7 @@
     private int slots;
     private BackendState state;
     private long sequence;
-    private long warmAt;
+    private long warmUpEndsAt;
     private long reportedAt;
     private long answeredAt;
 
@@ -63,7 +63,7 @@
 
     /** How much longer it is slow after its start. */
     public long warmUpNanos(long now) {
-        return Math.max(0, warmAt - now);
+        return Math.max(0, warmUpEndsAt - now);
     }
 
     /** Connections opened to it since it joined. */
@@ -110,7 +110,7 @@
         }
         slots = Math.max(1, report.slots());
         sequence = report.sequence();
-        warmAt = now + report.warmUpNanos();
+        warmUpEndsAt = now + report.warmUpNanos();
         reportedAt = now;
         return changed;
     }
