--- a/org.berylwick.node/src/org/berylwick/node/call/Backend.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Backend.java
@@ -21,7 +21,7 @@
     private BackendState state;
     private long sequence;
     private long warmUpEndsAt;
-    private long reportedAt;
+    private long lastReportAt;
     private long answeredAt;
 
     Backend(BackendReport report, ServerConnections pool, long now) {
@@ -58,7 +58,7 @@
 
     /** When it last reported or answered a request: heartbeats alone may be held up on the way. */
     public long heardAt() {
-        return Math.max(reportedAt, answeredAt);
+        return Math.max(lastReportAt, answeredAt);
     }
 
     /** How much longer it is slow after its start. */
@@ -111,7 +111,7 @@
         slots = Math.max(1, report.slots());
         sequence = report.sequence();
         warmUpEndsAt = now + report.warmUpNanos();
-        reportedAt = now;
+        lastReportAt = now;
         return changed;
     }
 
@@ -132,6 +132,6 @@
         return sequence >= 0
                 && state == BackendState.READY
                 && report.sequence() > sequence
-                && now - reportedAt < spanNanos;
+                && now - lastReportAt < spanNanos;
     }
 }
