--- a/org.berylwick.node/src/org/berylwick/node/call/Backend.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Backend.java
@@ -22,7 +22,7 @@
     private long sequence;
     private long warmUpEndsAt;
     private long lastReportAt;
-    private long answeredAt;
+    private long lastResponseAt;
 
     Backend(BackendReport report, ServerConnections pool, long now) {
         this.incarnation = report.incarnation();
@@ -58,7 +58,7 @@
 
     /** When it last reported or answered a request: heartbeats alone may be held up on the way. */
     public long heardAt() {
-        return Math.max(lastReportAt, answeredAt);
+        return Math.max(lastReportAt, lastResponseAt);
     }
 
     /** How much longer it is slow after its start. */
@@ -92,7 +92,7 @@
     /** It answered a request. */
     void onAnswered(long now) {
         losses.onAnswered(now);
-        answeredAt = now;
+        lastResponseAt = now;
     }
 
     ServiceTimes serviceTimes() {
