--- a/org.berylwick.node/src/org/berylwick/node/call/Backend.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Backend.java
@@ -57,7 +57,7 @@
     }
 
     /** When it last reported or answered a request: heartbeats alone may be held up on the way. */
-    public long heardAt() {
+    public long lastActivityAt() {
         return Math.max(lastReportAt, lastResponseAt);
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -227,7 +227,7 @@
             return;
         }
         long missed = stuck ? MISSED_WHEN_OVERDUE : MISSED_HEARTBEATS;
-        if (now - known.heardAt() > missed * heartbeatNanos) {
+        if (now - known.lastActivityAt() > missed * heartbeatNanos) {
             known.fallSilent();
             tellChange(known);
             dispatch();
