--- a/org.berylwick.node/src/org/berylwick/node/call/Backend.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Backend.java
@@ -81,7 +81,7 @@
     }
 
     /** A request on a connection that had been idle was reset: the server drops them sooner than it says. */
-    void onIdleDropped(long idleNanos) {
+    void onIdleConnectionReset(long idleNanos) {
         maxIdleNanos = Math.max(MIN_MAX_IDLE_NANOS, Math.min(maxIdleNanos, idleNanos / 2));
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -300,7 +300,7 @@
     public void onFailure(String cause) {
         connection = null;
         if (idleNanos > 0 && !headPassed && clock.now() - sentAt < DROPPED_NANOS) {
-            backend.onIdleDropped(idleNanos);
+            backend.onIdleConnectionReset(idleNanos);
         }
         lose(cause);
     }
