--- a/org.berylwick.node/src/org/berylwick/node/call/Backend.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Backend.java
@@ -90,7 +90,7 @@
     }
 
     /** It answered a request. */
-    void onAnswered(long now) {
+    void onResponse(long now) {
         losses.onAnswered(now);
         lastResponseAt = now;
     }
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -289,7 +289,7 @@
         }
         long now = clock.now();
         backend.serviceTimes().learn(call, now - sentAt);
-        backend.onAnswered(now);
+        backend.onResponse(now);
         connection = null;
         finish();
         owner.counters().add(NodeMetricNames.OWNER_ANSWERED);
