--- a/org.berylwick.node/src/org/berylwick/node/call/Backend.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Backend.java
@@ -28,7 +28,7 @@
         this.incarnation = report.incarnation();
         this.service = report.service();
         this.pool = pool;
-        update(report, now);
+        applyReport(report, now);
     }
 
     /** Id of this start of the backend server. */
@@ -100,7 +100,7 @@
     }
 
     /** Takes over a report; true if anything but its number changed. */
-    boolean update(BackendReport report, long now) {
+    boolean applyReport(BackendReport report, long now) {
         boolean changed = state != report.state() || slots != report.slots();
         // Once it drains it never takes work again: a report that says otherwise is older than it looks.
         if (state == BackendState.DRAINING) {
--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -158,7 +158,7 @@
                 log.write(Event.BACKEND_REPORT_IGNORED, "incarnation", report.incarnation(), "why", "older");
                 return;
             }
-            boolean changed = known.update(report, clock.now());
+            boolean changed = known.applyReport(report, clock.now());
             if (changed) {
                 tellChange(known);
             }
