--- a/org.berylwick.node/src/org/berylwick/node/call/Backend.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Backend.java
@@ -115,7 +115,7 @@
         return changed;
     }
 
-    void drain() {
+    void startDraining() {
         state = BackendState.DRAINING;
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -185,7 +185,7 @@
         if (known == null || !known.incarnation().equals(incarnation)) {
             return;
         }
-        known.drain();
+        known.startDraining();
         tellChange(known);
         dispatch();
     }
