--- a/org.berylwick.node/src/org/berylwick/node/call/Backend.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Backend.java
@@ -119,7 +119,7 @@
         state = BackendState.DRAINING;
     }
 
-    void fallSilent() {
+    void markAbsent() {
         state = BackendState.ABSENT;
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -228,7 +228,7 @@
         }
         long missed = stuck ? MISSED_WHEN_OVERDUE : MISSED_HEARTBEATS;
         if (now - known.lastActivityAt() > missed * heartbeatNanos) {
-            known.fallSilent();
+            known.markAbsent();
             tellChange(known);
             dispatch();
         }
