--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -165,7 +165,7 @@
             dispatch();
             return;
         }
-        if (known != null && known.supersedes(report, 2 * heartbeatNanos, clock.now())) {
+        if (known != null && known.isMoreRecentThan(report, 2 * heartbeatNanos, clock.now())) {
             log.write(Event.BACKEND_REPORT_IGNORED, "incarnation", report.incarnation(), "why", "earlier incarnation");
             return;
         }
