--- a/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
@@ -31,7 +31,7 @@
     private static final long TIMEOUT_MILLIS = 400;
     private static final long RETRY_MILLIS = 100;
     /** After these a heartbeat is due anyway. */
-    private static final int MOST_TRIES = 5;
+    private static final int MAX_TRIES = 5;
     /** Older than the number of any heartbeat. */
     private static final long BEFORE_ANY_REPORT = -1;
 
@@ -73,7 +73,7 @@
     }
 
     private void ask(String path) {
-        if (owner.backend().isPresent() || tries >= MOST_TRIES) {
+        if (owner.backend().isPresent() || tries >= MAX_TRIES) {
             return;
         }
         tries++;
