--- a/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
@@ -33,7 +33,7 @@
     /** After these a heartbeat is due anyway. */
     private static final int MAX_TRIES = 5;
     /** Older than the number of any heartbeat. */
-    private static final long BEFORE_ANY_REPORT = -1;
+    private static final long SEQUENCE_BEFORE_FIRST_REPORT = -1;
 
     private static final int CONNECT_MILLIS = 300;
     private static final long IDLE_NANOS = 1_000_000_000L;
@@ -119,7 +119,7 @@
                 settings.zone(),
                 slots,
                 BackendState.READY,
-                BEFORE_ANY_REPORT,
+                SEQUENCE_BEFORE_FIRST_REPORT,
                 0));
     }
 
