--- a/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
@@ -37,7 +37,7 @@
 
     private static final int CONNECT_TIMEOUT_MILLIS = 300;
     private static final long MAX_IDLE_NANOS = 1_000_000_000L;
-    private static final byte[] NO_BODY = new byte[0];
+    private static final byte[] EMPTY_BODY = new byte[0];
 
     private final EventLoop loop;
     private final NodeSettings settings;
@@ -80,7 +80,7 @@
         HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path);
         head.headers().set(HttpHeaderNames.HOST, settings.backend().getHostString());
         ConnectionPool pool = new ConnectionPool(loop, settings.backend(), CONNECT_TIMEOUT_MILLIS, MAX_IDLE_NANOS);
-        SmallHttpCall.start(loop, pool, head, NO_BODY, TIMEOUT_MILLIS, result -> {
+        SmallHttpCall.start(loop, pool, head, EMPTY_BODY, TIMEOUT_MILLIS, result -> {
             pool.close();
             onResult(path, result);
         });
