--- a/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
@@ -29,7 +29,7 @@
  */
 public final class BackendProbe {
     private static final long TIMEOUT_MILLIS = 400;
-    private static final long RETRY_MILLIS = 100;
+    private static final long RETRY_DELAY_MILLIS = 100;
     /** After these a heartbeat is due anyway. */
     private static final int MAX_TRIES = 5;
     /** Older than the number of any heartbeat. */
@@ -100,7 +100,7 @@
             owner.onReport(found.get());
             return;
         }
-        loop.schedule(() -> ask(path), RETRY_MILLIS, TimeUnit.MILLISECONDS);
+        loop.schedule(() -> ask(path), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private Optional<BackendReport> read(SmallHttpCall.Result result) {
