--- a/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
@@ -45,7 +45,7 @@
     private final Owner owner;
     private final EventLog log;
     private int tries;
-    private boolean asking;
+    private boolean started;
 
     /**
      * @param loop all runs on it
@@ -65,10 +65,10 @@
     /** Asks if no backend server is known yet; called with each version, as that tells where to ask. */
     public void ask(MeshVersion version) {
         Optional<String> path = version.healthPath(settings.service());
-        if (asking || path.isEmpty() || settings.backend().getPort() == 0) {
+        if (started || path.isEmpty() || settings.backend().getPort() == 0) {
             return;
         }
-        asking = true;
+        started = true;
         ask(path.get());
     }
 
