--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -314,7 +314,7 @@
             case FAR -> gossip.tellZoneNow(settings.zone());
             case NEAR -> {}
         }
-        versions.version().ifPresent(probe::ask);
+        versions.version().ifPresent(probe::startOnce);
         tellReadiness();
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
@@ -63,7 +63,7 @@
     }
 
     /** Asks if no backend server is known yet; called with each version, as that tells where to ask. */
-    public void ask(MeshVersion version) {
+    public void startOnce(MeshVersion version) {
         Optional<String> path = version.healthPath(settings.service());
         if (started || path.isEmpty() || settings.backend().getPort() == 0) {
             return;
