--- a/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
@@ -69,10 +69,10 @@
             return;
         }
         started = true;
-        ask(path.get());
+        sendProbe(path.get());
     }
 
-    private void ask(String path) {
+    private void sendProbe(String path) {
         if (owner.backend().isPresent() || tries >= MAX_TRIES) {
             return;
         }
@@ -100,7 +100,7 @@
             owner.onReport(found.get());
             return;
         }
-        loop.schedule(() -> ask(path), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
+        loop.schedule(() -> sendProbe(path), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private Optional<BackendReport> read(SmallHttpCall.Result result) {
