--- a/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
@@ -87,7 +87,7 @@
     }
 
     private void onResult(String path, SmallHttpCall.Result result) {
-        Optional<BackendReport> found = read(result);
+        Optional<BackendReport> found = parseReport(result);
         log.write(
                 Event.BACKEND_PROBED,
                 "try",
@@ -103,7 +103,7 @@
         loop.schedule(() -> sendProbe(path), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private Optional<BackendReport> read(SmallHttpCall.Result result) {
+    private Optional<BackendReport> parseReport(SmallHttpCall.Result result) {
         if (!(result instanceof SmallHttpCall.Result.Answered answered) || answered.status() != 200) {
             return Optional.empty();
         }
