--- a/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
@@ -108,7 +108,7 @@
             return Optional.empty();
         }
         String incarnation = answered.headers().get(names.instance(), "");
-        int slots = slots(answered.headers().get(names.load(), ""));
+        int slots = parseSlots(answered.headers().get(names.load(), ""));
         if (incarnation.isBlank() || slots < 1) {
             return Optional.empty();
         }
@@ -124,7 +124,7 @@
     }
 
     /** The third of running, waiting and slots; 0 if it is not told. */
-    private static int slots(String load) {
+    private static int parseSlots(String load) {
         String[] fields = load.split(",");
         if (fields.length != 3) {
             return 0;
