--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -31,7 +31,7 @@
  */
 public final class Owner {
     /** Requests that may wait for a slot, for each slot. */
-    private static final int QUEUE_PER_SLOT = 8;
+    private static final int MAX_QUEUED_PER_SLOT = 8;
     /** Incarnations remembered after they left, so that a late heartbeat does not bring them back. */
     private static final int REMEMBERED_LEAVES = 64;
     /**
@@ -331,7 +331,7 @@
             return Optional.empty();
         }
         long wait = Math.max(Math.max(waitFor(run, b), linkWait), gate.aheadNanos(call.body()));
-        boolean full = waiting() >= QUEUE_PER_SLOT * b.slots() || !(isTimely(run) || queue.takesLate(b.slots()));
+        boolean full = waiting() >= MAX_QUEUED_PER_SLOT * b.slots() || !(isTimely(run) || queue.takesLate(b.slots()));
         if (full || wait > call.maxWaitNanos() || !run.canMeetDeadline(now + wait + gate.comingNanos(call.body()))) {
             return Optional.of(Refusal.Reason.BUSY);
         }
