--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -33,7 +33,7 @@
     /** Requests that may wait for a slot, for each slot. */
     private static final int MAX_QUEUED_PER_SLOT = 8;
     /** Incarnations remembered after they left, so that a late heartbeat does not bring them back. */
-    private static final int REMEMBERED_LEAVES = 64;
+    private static final int MAX_DEPARTED_INCARNATIONS = 64;
     /**
      * A backend server that reports and answers nothing for this many of its intervals is no longer believed to be
      * there.
@@ -62,7 +62,7 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-            return size() > REMEMBERED_LEAVES;
+            return size() > MAX_DEPARTED_INCARNATIONS;
         }
     };
     private Optional<Backend> backend = Optional.empty();
