--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -38,7 +38,7 @@
      * A backend server that reports and answers nothing for this many of its intervals is no longer believed to be
      * there.
      */
-    private static final int MISSED_HEARTBEATS = 6;
+    private static final int MAX_MISSED_HEARTBEATS = 6;
     /** The same for one at which requests are overdue: either sign alone may be chance, both together are not. */
     private static final int MISSED_WHEN_OVERDUE = 2;
     /** One overdue request among few tells little: the part is taken of this many at least. */
@@ -226,7 +226,7 @@
         if (!stuck && !running.isEmpty()) {
             return;
         }
-        long missed = stuck ? MISSED_WHEN_OVERDUE : MISSED_HEARTBEATS;
+        long missed = stuck ? MISSED_WHEN_OVERDUE : MAX_MISSED_HEARTBEATS;
         if (now - known.lastActivityAt() > missed * heartbeatNanos) {
             known.markAbsent();
             tellChange(known);
