--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -42,7 +42,7 @@
     /** The same for one at which requests are overdue: either sign alone may be chance, both together are not. */
     private static final int MAX_MISSED_HEARTBEATS_WHEN_OVERDUE = 2;
     /** One overdue request among few tells little: the part is taken of this many at least. */
-    private static final int LEAST_RUNNING = 4;
+    private static final int MIN_RUNNING_FOR_LOSS_RATE = 4;
 
     private final Clock clock;
     private final Function<InetSocketAddress, ServerConnections> connector;
@@ -132,7 +132,7 @@
      * falls silent would else be sent all that its slots hold, and answer none.
      */
     private int lostPerMille(Backend b, long now) {
-        int overdue = 1_000 * overdue(now) / Math.max(LEAST_RUNNING, running.size());
+        int overdue = 1_000 * overdue(now) / Math.max(MIN_RUNNING_FOR_LOSS_RATE, running.size());
         return Math.max(b.losses().perMille(now), overdue);
     }
 
