--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -46,7 +46,7 @@
 
     private final Clock clock;
     private final Function<InetSocketAddress, ServerConnections> connector;
-    private final HeaderNames names;
+    private final HeaderNames headerNames;
     private final VmLink link;
     private final long heartbeatNanos;
     private final Counters counters;
@@ -90,7 +90,7 @@
             Runnable onChange) {
         this.clock = clock;
         this.connector = connector;
-        this.names = names;
+        this.headerNames = names;
         this.link = link;
         this.gate = new BodyGate(link.incoming());
         this.heartbeatNanos = heartbeatNanos;
@@ -380,7 +380,7 @@
         }
         running.add(run);
         shares.onStarted(run.call(), clock.now());
-        run.start(b, names);
+        run.start(b, headerNames);
     }
 
     private void refuseQueue(Refusal.Reason reason) {
