--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -51,7 +51,7 @@
     private final long heartbeatNanos;
     private final Counters counters;
     private final EventLog log;
-    private final Runnable onChange;
+    private final Runnable onBackendChange;
     private final RunQueue queue = new RunQueue();
     private final BodyGate gate;
 
@@ -96,7 +96,7 @@
         this.heartbeatNanos = heartbeatNanos;
         this.counters = counters;
         this.log = log;
-        this.onChange = onChange;
+        this.onBackendChange = onChange;
     }
 
     /** The backend server as last reported. */
@@ -211,7 +211,7 @@
                 known.sequence(),
                 "warmUpMs",
                 known.warmUpNanos(clock.now()) / 1_000_000);
-        onChange.run();
+        onBackendChange.run();
     }
 
     /** Notices a backend server that fell silent; called about once a second. */
