--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -53,7 +53,7 @@
     private final EventLog log;
     private final Runnable onBackendChange;
     private final RunQueue queue = new RunQueue();
-    private final BodyGate gate;
+    private final BodyGate bodyAdmission;
 
     private final ServedShares shares = new ServedShares();
     private final Set<OwnerRun> running = new HashSet<>();
@@ -92,7 +92,7 @@
         this.connector = connector;
         this.headerNames = names;
         this.link = link;
-        this.gate = new BodyGate(link.incoming());
+        this.bodyAdmission = new BodyGate(link.incoming());
         this.heartbeatNanos = heartbeatNanos;
         this.counters = counters;
         this.log = log;
@@ -119,7 +119,7 @@
     }
 
     private int waiting() {
-        return queue.size() + gate.size();
+        return queue.size() + bodyAdmission.size();
     }
 
     /** How long it takes for each kind of request that it has seen. */
@@ -285,19 +285,19 @@
             enqueue(run);
         } else {
             run.awaitBody();
-            gate.add(run, isTimely(run), clock.now());
+            bodyAdmission.add(run, isTimely(run), clock.now());
         }
         return run;
     }
 
     /** A part of a request's body has come. */
     void onPart() {
-        gate.askOn(clock.now());
+        bodyAdmission.askOn(clock.now());
     }
 
     /** All of a request is there. */
     void onArrived(OwnerRun run) {
-        if (gate.remove(run, clock.now())) {
+        if (bodyAdmission.remove(run, clock.now())) {
             enqueue(run);
         }
     }
@@ -330,9 +330,9 @@
         if (running.size() < b.slots() && call.body().isWhole() && linkWait == 0) {
             return Optional.empty();
         }
-        long wait = Math.max(Math.max(waitFor(run, b), linkWait), gate.aheadNanos(call.body()));
+        long wait = Math.max(Math.max(waitFor(run, b), linkWait), bodyAdmission.aheadNanos(call.body()));
         boolean full = waiting() >= MAX_QUEUED_PER_SLOT * b.slots() || !(isTimely(run) || queue.takesLate(b.slots()));
-        if (full || wait > call.maxWaitNanos() || !run.canMeetDeadline(now + wait + gate.comingNanos(call.body()))) {
+        if (full || wait > call.maxWaitNanos() || !run.canMeetDeadline(now + wait + bodyAdmission.comingNanos(call.body()))) {
             return Optional.of(Refusal.Reason.BUSY);
         }
         return Optional.empty();
@@ -343,7 +343,7 @@
         Backend b = backend.orElseThrow();
         int ahead = running.size() + queue.timelyBefore(run);
         RequestBody body = run.call().body();
-        long slotWait = Math.max(waitBehind(ahead, b), gate.aheadNanos(body) + gate.comingNanos(body));
+        long slotWait = Math.max(waitBehind(ahead, b), bodyAdmission.aheadNanos(body) + bodyAdmission.comingNanos(body));
         long wait = Math.max(slotWait, run.waitForLink());
         return run.canMeetObjective(clock.now() + wait);
     }
@@ -385,7 +385,7 @@
 
     private void refuseQueue(Refusal.Reason reason) {
         List<OwnerRun> refused = queue.drain();
-        refused.addAll(gate.drain());
+        refused.addAll(bodyAdmission.drain());
         for (OwnerRun run : refused) {
             run.refuse(reason, false);
         }
@@ -393,7 +393,7 @@
 
     void onOver(OwnerRun run) {
         queue.remove(run);
-        gate.remove(run, clock.now());
+        bodyAdmission.remove(run, clock.now());
         if (running.remove(run)) {
             // Later, since one that ends may do so while others are being started.
             clock.soon(this::dispatch);
