--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -55,7 +55,7 @@
     private final RunQueue queue = new RunQueue();
     private final BodyGate bodyAdmission;
 
-    private final ServedShares shares = new ServedShares();
+    private final ServedShares servedShares = new ServedShares();
     private final Set<OwnerRun> running = new HashSet<>();
     private final Map<String, Boolean> left = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
@@ -271,7 +271,7 @@
      * @param listener hears what becomes of it
      */
     public Attempt offer(CallSpec call, AttemptListener listener) {
-        long forward = shares.onOffered(call, clock.now());
+        long forward = servedShares.onOffered(call, clock.now());
         OwnerRun run = new OwnerRun(this, call, listener, forward);
         Optional<Refusal.Reason> reason = reasonAgainst(run);
         if (reason.isPresent()) {
@@ -379,7 +379,7 @@
             return;
         }
         running.add(run);
-        shares.onStarted(run.call(), clock.now());
+        servedShares.onStarted(run.call(), clock.now());
         run.start(b, headerNames);
     }
 
