--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -57,7 +57,7 @@
 
     private final ServedShares servedShares = new ServedShares();
     private final Set<OwnerRun> running = new HashSet<>();
-    private final Map<String, Boolean> left = new LinkedHashMap<>() {
+    private final Map<String, Boolean> departedIncarnations = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
@@ -148,7 +148,7 @@
 
     /** Takes a heartbeat; one that is older than what is known changes nothing. */
     public void onReport(BackendReport report) {
-        if (left.containsKey(report.incarnation())) {
+        if (departedIncarnations.containsKey(report.incarnation())) {
             log.write(Event.BACKEND_REPORT_IGNORED, "incarnation", report.incarnation(), "why", "it has left");
             return;
         }
@@ -180,7 +180,7 @@
 
     /** The backend server says that it is gone, or will be in a moment. */
     public void onLeave(String incarnation) {
-        left.put(incarnation, Boolean.TRUE);
+        departedIncarnations.put(incarnation, Boolean.TRUE);
         Backend known = backend.orElse(null);
         if (known == null || !known.incarnation().equals(incarnation)) {
             return;
@@ -191,7 +191,7 @@
     }
 
     private void retire(Backend known, String why) {
-        left.put(known.incarnation(), Boolean.TRUE);
+        departedIncarnations.put(known.incarnation(), Boolean.TRUE);
         log.write(Event.BACKEND_CHANGED, "incarnation", known.incarnation(), "state", "RETIRED", "why", why);
         known.pool().close();
     }
