--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -67,7 +67,7 @@
     };
     private Optional<Backend> backend = Optional.empty();
     private boolean stopping;
-    private long lastNumber;
+    private long lastSequenceNumber;
 
     /**
      * @param clock tells the time; all runs where its tasks do
@@ -401,7 +401,7 @@
     }
 
     long nextNumber() {
-        return ++lastNumber;
+        return ++lastSequenceNumber;
     }
 
     OutgoingLink outgoing() {
