--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -109,7 +109,7 @@
         long now = clock.now();
         return backend.map(b -> new OwnerLoad(
                         running.size(),
-                        waiting(),
+                        queuedCount(),
                         b.slots(),
                         b.serviceTimes().meanNanos(),
                         lostPerMille(b, now),
@@ -118,7 +118,7 @@
                 .orElse(OwnerLoad.NONE);
     }
 
-    private int waiting() {
+    private int queuedCount() {
         return queue.size() + bodyAdmission.size();
     }
 
@@ -253,7 +253,7 @@
 
     /** Requests that run or wait here. */
     public int pending() {
-        return running.size() + waiting();
+        return running.size() + queuedCount();
     }
 
     /** Whether requests of a service can be run here now. */
@@ -331,7 +331,7 @@
             return Optional.empty();
         }
         long wait = Math.max(Math.max(waitFor(run, b), linkWait), bodyAdmission.aheadNanos(call.body()));
-        boolean full = waiting() >= MAX_QUEUED_PER_SLOT * b.slots() || !(isTimely(run) || queue.takesLate(b.slots()));
+        boolean full = queuedCount() >= MAX_QUEUED_PER_SLOT * b.slots() || !(isTimely(run) || queue.takesLate(b.slots()));
         if (full || wait > call.maxWaitNanos() || !run.canMeetDeadline(now + wait + bodyAdmission.comingNanos(call.body()))) {
             return Optional.of(Refusal.Reason.BUSY);
         }
