--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedNode.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedNode.java
@@ -177,7 +177,7 @@
                 owner.backend().map(b -> b.state()).orElse(BackendState.ABSENT),
                 0,
                 owner.load(),
-                owner.times());
+                owner.serviceTimes());
         for (EmulatedNode other : emulation.nodes()) {
             if (other != this) {
                 emulation
--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -300,7 +300,7 @@
                 backend.map(Backend::state).orElse(BackendState.ABSENT),
                 backend.map(b -> b.warmUpNanos(System.nanoTime())).orElse(0L),
                 owner.load(),
-                owner.times());
+                owner.serviceTimes());
     }
 
     private void onBackendChange() {
--- a/org.berylwick.node/src/org/berylwick/node/call/Candidates.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Candidates.java
@@ -114,7 +114,7 @@
         return new Candidate(
                 Optional.empty(),
                 load,
-                owner.times(),
+                owner.serviceTimes(),
                 ahead,
                 warmUp,
                 LinkLoad.NONE,
--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -123,7 +123,7 @@
     }
 
     /** How long it takes for each kind of request that it has seen. */
-    public List<KindTime> times() {
+    public List<KindTime> serviceTimes() {
         return backend.map(b -> b.serviceTimes().times()).orElse(List.of());
     }
 
