--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -132,11 +132,11 @@
      * falls silent would else be sent all that its slots hold, and answer none.
      */
     private int lostPerMille(Backend b, long now) {
-        int overdue = 1_000 * overdue(now) / Math.max(MIN_RUNNING_FOR_LOSS_RATE, running.size());
+        int overdue = 1_000 * overdueCount(now) / Math.max(MIN_RUNNING_FOR_LOSS_RATE, running.size());
         return Math.max(b.losses().perMille(now), overdue);
     }
 
-    private int overdue(long now) {
+    private int overdueCount(long now) {
         int count = 0;
         for (OwnerRun run : running) {
             if (run.isOverdue(now)) {
@@ -222,7 +222,7 @@
         if (known == null || known.state() == BackendState.ABSENT) {
             return;
         }
-        boolean stuck = !running.isEmpty() && overdue(now) == running.size();
+        boolean stuck = !running.isEmpty() && overdueCount(now) == running.size();
         if (!stuck && !running.isEmpty()) {
             return;
         }
