--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -160,7 +160,7 @@
             }
             boolean changed = known.applyReport(report, clock.now());
             if (changed) {
-                tellChange(known);
+                notifyBackendChange(known);
             }
             dispatch();
             return;
@@ -174,7 +174,7 @@
         }
         Backend fresh = new Backend(report, connector.apply(report.address()), clock.now());
         backend = Optional.of(fresh);
-        tellChange(fresh);
+        notifyBackendChange(fresh);
         dispatch();
     }
 
@@ -186,7 +186,7 @@
             return;
         }
         known.startDraining();
-        tellChange(known);
+        notifyBackendChange(known);
         dispatch();
     }
 
@@ -196,7 +196,7 @@
         known.pool().close();
     }
 
-    private void tellChange(Backend known) {
+    private void notifyBackendChange(Backend known) {
         log.write(
                 Event.BACKEND_CHANGED,
                 "incarnation",
@@ -229,7 +229,7 @@
         long missed = stuck ? MAX_MISSED_HEARTBEATS_WHEN_OVERDUE : MAX_MISSED_HEARTBEATS;
         if (now - known.lastActivityAt() > missed * heartbeatNanos) {
             known.markAbsent();
-            tellChange(known);
+            notifyBackendChange(known);
             dispatch();
         }
     }
