--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -202,7 +202,7 @@
 
     private void gauges() {
         counters.gauge(NodeMetricNames.OWNER_RUNNING, () -> owner.load().running());
-        counters.gauge(NodeMetricNames.OWNER_ANSWERING, owner::answering);
+        counters.gauge(NodeMetricNames.OWNER_ANSWERING, owner::respondingCount);
         counters.gauge(NodeMetricNames.PEERS_UNSENT_BYTES, peers::unsentBytes);
         counters.gauge(
                 NodeMetricNames.LINK_OUTGOING_BUSY_MS, () -> link.outgoing().busyNanos() / 1_000_000);
--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -241,7 +241,7 @@
     }
 
     /** Requests that run here and whose answer has begun. */
-    public int answering() {
+    public int respondingCount() {
         int count = 0;
         for (OwnerRun run : running) {
             if (run.isAnswering()) {
