--- a/org.berylwick.node/src/org/berylwick/node/NodeStop.java
+++ b/org.berylwick.node/src/org/berylwick/node/NodeStop.java
@@ -117,7 +117,7 @@
         if (now >= endAt - LAST_REQUESTS_MILLIS * 1_000_000) {
             entry.refuseNew();
         }
-        if (listening && (owner.pending() == 0 || late)) {
+        if (listening && (owner.pendingCount() == 0 || late)) {
             listening = false;
             entry.stopListening();
         }
@@ -130,6 +130,6 @@
     }
 
     private boolean isQuiet() {
-        return owner.pending() + entry.pending() == 0 && !peers.isSending();
+        return owner.pendingCount() + entry.pending() == 0 && !peers.isSending();
     }
 }
--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -252,7 +252,7 @@
     }
 
     /** Requests that run or wait here. */
-    public int pending() {
+    public int pendingCount() {
         return running.size() + queuedCount();
     }
 
