--- a/org.berylwick.node/src/org/berylwick/node/call/Candidates.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Candidates.java
@@ -81,7 +81,7 @@
             }
         }
         List<Candidate> found = new ArrayList<>(2 * DRAWN + DRAWN_FAR + 1);
-        if (owner.takesWork(service) && !tried.contains(Candidate.SELF_KEY)) {
+        if (owner.acceptsRequestsFor(service) && !tried.contains(Candidate.SELF_KEY)) {
             found.add(self(now));
         }
         int missing = draw(near, DRAWN, now, found);
--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -257,7 +257,7 @@
     }
 
     /** Whether requests of a service can be run here now. */
-    public boolean takesWork(String service) {
+    public boolean acceptsRequestsFor(String service) {
         return !stopping
                 && backend.filter(b ->
                                 b.state() == BackendState.READY && b.service().equals(service))
@@ -317,7 +317,7 @@
         if (stopping) {
             return Optional.of(Refusal.Reason.LEAVING);
         }
-        if (!takesWork(call.service())) {
+        if (!acceptsRequestsFor(call.service())) {
             return Optional.of(Refusal.Reason.NOT_HERE);
         }
         Backend b = backend.orElseThrow();
--- a/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
@@ -183,7 +183,7 @@
         tickEverySecond();
         callEvery(700 * MS);
         clock.runUntil(30 * SECOND);
-        assertTrue(owner.takesWork("work"), "answered " + answered);
+        assertTrue(owner.acceptsRequestsFor("work"), "answered " + answered);
         assertEquals(43, answered);
     }
 
@@ -193,8 +193,8 @@
         report();
         tickEverySecond();
         clock.runUntil(8 * SECOND);
-        assertTrue(owner.takesWork("work"));
+        assertTrue(owner.acceptsRequestsFor("work"));
         clock.runUntil(11 * SECOND);
-        assertTrue(!owner.takesWork("work"));
+        assertTrue(!owner.acceptsRequestsFor("work"));
     }
 }
