--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -291,7 +291,7 @@
     }
 
     /** A part of a request's body has come. */
-    void onPart() {
+    void onBodyPart() {
         bodyAdmission.askOn(clock.now());
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -157,7 +157,7 @@
     @Override
     public void onPart(ByteBuf part) {
         part.release();
-        owner.onPart();
+        owner.onBodyPart();
     }
 
     @Override
