--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -296,7 +296,7 @@
     }
 
     /** All of a request is there. */
-    void onArrived(OwnerRun run) {
+    void onBodyComplete(OwnerRun run) {
         if (bodyAdmission.remove(run, clock.now())) {
             enqueue(run);
         }
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -167,7 +167,7 @@
         }
         expiry.cancel();
         queuedAt = clock.now();
-        owner.onArrived(this);
+        owner.onBodyComplete(this);
     }
 
     /** Waits for a slot no longer than its entry said is better than another way. */
