--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -273,7 +273,7 @@
     public Attempt offer(CallSpec call, AttemptListener listener) {
         long forward = servedShares.onOffered(call, clock.now());
         OwnerRun run = new OwnerRun(this, call, listener, forward);
-        Optional<Refusal.Reason> reason = reasonAgainst(run);
+        Optional<Refusal.Reason> reason = refusalReason(run);
         if (reason.isPresent()) {
             counters.add(NodeMetricNames.OWNER_REFUSED_BY_REASON + reason.get());
             // Told later, so that the caller has the attempt in hand before it hears of its end.
@@ -312,7 +312,7 @@
         run.waitForSlot();
     }
 
-    private Optional<Refusal.Reason> reasonAgainst(OwnerRun run) {
+    private Optional<Refusal.Reason> refusalReason(OwnerRun run) {
         CallSpec call = run.call();
         if (stopping) {
             return Optional.of(Refusal.Reason.LEAVING);
