--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -330,7 +330,7 @@
         if (running.size() < b.slots() && call.body().isWhole() && linkWait == 0) {
             return Optional.empty();
         }
-        long wait = Math.max(Math.max(waitFor(run, b), linkWait), bodyAdmission.aheadNanos(call.body()));
+        long wait = Math.max(Math.max(expectedWaitNanos(run, b), linkWait), bodyAdmission.aheadNanos(call.body()));
         boolean full = queuedCount() >= MAX_QUEUED_PER_SLOT * b.slots() || !(isTimely(run) || queue.takesLate(b.slots()));
         if (full || wait > call.maxWaitNanos() || !run.canMeetDeadline(now + wait + bodyAdmission.comingNanos(call.body()))) {
             return Optional.of(Refusal.Reason.BUSY);
@@ -348,7 +348,7 @@
         return run.canMeetObjective(clock.now() + wait);
     }
 
-    private long waitFor(OwnerRun run, Backend b) {
+    private long expectedWaitNanos(OwnerRun run, Backend b) {
         int waiting = isTimely(run) ? queue.timelyBefore(run) : queue.size();
         return waitBehind(running.size() + waiting, b);
     }
