--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -343,17 +343,17 @@
         Backend b = backend.orElseThrow();
         int ahead = running.size() + queue.timelyBefore(run);
         RequestBody body = run.call().body();
-        long slotWait = Math.max(waitBehind(ahead, b), bodyAdmission.aheadNanos(body) + bodyAdmission.comingNanos(body));
+        long slotWait = Math.max(slotWaitNanos(ahead, b), bodyAdmission.aheadNanos(body) + bodyAdmission.comingNanos(body));
         long wait = Math.max(slotWait, run.waitForLink());
         return run.canMeetObjective(clock.now() + wait);
     }
 
     private long expectedWaitNanos(OwnerRun run, Backend b) {
         int waiting = isTimely(run) ? queue.timelyBefore(run) : queue.size();
-        return waitBehind(running.size() + waiting, b);
+        return slotWaitNanos(running.size() + waiting, b);
     }
 
-    private static long waitBehind(int ahead, Backend b) {
+    private static long slotWaitNanos(int ahead, Backend b) {
         return new OwnerLoad(0, 0, b.slots(), b.serviceTimes().meanNanos()).waitNanos(ahead);
     }
 
