--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -369,11 +369,11 @@
             if (next.isEmpty()) {
                 return;
             }
-            begin(next.get(), b);
+            startRun(next.get(), b);
         }
     }
 
-    private void begin(OwnerRun run, Backend b) {
+    private void startRun(OwnerRun run, Backend b) {
         if (!run.call().service().equals(b.service())) {
             run.refuse(Refusal.Reason.NOT_HERE, false);
             return;
