--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -237,7 +237,7 @@
     /** Refuses new work from now on; what runs goes on. */
     public void stop() {
         stopping = true;
-        refuseQueue(Refusal.Reason.LEAVING);
+        refuseQueued(Refusal.Reason.LEAVING);
     }
 
     /** Requests that run here and whose answer has begun. */
@@ -360,7 +360,7 @@
     private void dispatch() {
         Backend b = backend.orElse(null);
         if (b == null || b.state() != BackendState.READY || stopping) {
-            refuseQueue(stopping ? Refusal.Reason.LEAVING : Refusal.Reason.NOT_HERE);
+            refuseQueued(stopping ? Refusal.Reason.LEAVING : Refusal.Reason.NOT_HERE);
             return;
         }
         long now = clock.now();
@@ -383,7 +383,7 @@
         run.start(b, headerNames);
     }
 
-    private void refuseQueue(Refusal.Reason reason) {
+    private void refuseQueued(Refusal.Reason reason) {
         List<OwnerRun> refused = queue.drain();
         refused.addAll(bodyAdmission.drain());
         for (OwnerRun run : refused) {
