--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -391,7 +391,7 @@
         }
     }
 
-    void onOver(OwnerRun run) {
+    void onFinished(OwnerRun run) {
         queue.remove(run);
         bodyAdmission.remove(run, clock.now());
         if (running.remove(run)) {
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -343,7 +343,7 @@
             expiry.cancel();
         }
         call.body().unfollow(this);
-        owner.onOver(this);
+        owner.onFinished(this);
     }
 
     private void closeConnection() {
