--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -400,7 +400,7 @@
         }
     }
 
-    long nextNumber() {
+    long nextSequenceNumber() {
         return ++lastSequenceNumber;
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -66,7 +66,7 @@
         this.listener = listener;
         this.dueAt = call.objectiveAt() + call.priority() * RunQueue.RANK_NANOS - forwardNanos;
         this.queuedAt = clock.now();
-        this.number = owner.nextNumber();
+        this.number = owner.nextSequenceNumber();
         if (owner.outgoing().isLarge(call.answerBytes())) {
             this.answerNanos = owner.outgoing().nanosOf(call.answerBytes());
         }
