--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -404,7 +404,7 @@
         return ++lastSequenceNumber;
     }
 
-    OutgoingLink outgoing() {
+    OutgoingLink outgoingLink() {
         return link.outgoing();
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -67,8 +67,8 @@
         this.dueAt = call.objectiveAt() + call.priority() * RunQueue.RANK_NANOS - forwardNanos;
         this.queuedAt = clock.now();
         this.number = owner.nextSequenceNumber();
-        if (owner.outgoing().isLarge(call.answerBytes())) {
-            this.answerNanos = owner.outgoing().nanosOf(call.answerBytes());
+        if (owner.outgoingLink().isLarge(call.answerBytes())) {
+            this.answerNanos = owner.outgoingLink().nanosOf(call.answerBytes());
         }
     }
 
@@ -97,20 +97,20 @@
         if (answerNanos == 0) {
             return 0;
         }
-        long others = owner.outgoing().busyNanos() - owner.outgoing().nanosOf(expectedBytes);
+        long others = owner.outgoingLink().busyNanos() - owner.outgoingLink().nanosOf(expectedBytes);
         return Math.max(0, others - medianNanos);
     }
 
     /** It is taken: others have its answer before them. */
     void announceAnswer() {
         expectedBytes = answerNanos == 0 ? 0 : call.answerBytes();
-        owner.outgoing().onExpected(expectedBytes);
+        owner.outgoingLink().onExpected(expectedBytes);
     }
 
     /** So many bytes of the answer are still to be read. */
     private void correctAnswer(long bytes) {
         long announced = answerNanos == 0 ? 0 : bytes;
-        owner.outgoing().onExpected(announced - expectedBytes);
+        owner.outgoingLink().onExpected(announced - expectedBytes);
         expectedBytes = announced;
     }
 
