--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -21,7 +21,7 @@
 /** One request at its owner, waiting or running; confined to the event loop. */
 final class OwnerRun implements Attempt, HttpExchange, RequestBody.Follower {
     /** A reused connection that breaks within this had been dropped by the server while it was idle. */
-    private static final long DROPPED_NANOS = 50_000_000L;
+    private static final long IDLE_RESET_WINDOW_NANOS = 50_000_000L;
     /** What the answer needs from the backend server to the entry. */
     private static final long RETURN_NANOS = 5_000_000L;
 
@@ -299,7 +299,7 @@
     @Override
     public void onFailure(String cause) {
         connection = null;
-        if (idleNanos > 0 && !headPassed && clock.now() - sentAt < DROPPED_NANOS) {
+        if (idleNanos > 0 && !headPassed && clock.now() - sentAt < IDLE_RESET_WINDOW_NANOS) {
             backend.onIdleConnectionReset(idleNanos);
         }
         lose(cause);
