--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -23,7 +23,7 @@
     /** A reused connection that breaks within this had been dropped by the server while it was idle. */
     private static final long IDLE_RESET_WINDOW_NANOS = 50_000_000L;
     /** What the answer needs from the backend server to the entry. */
-    private static final long RETURN_NANOS = 5_000_000L;
+    private static final long RESPONSE_RETURN_NANOS = 5_000_000L;
 
     /**
      * Multiple of the usual time after which an answer is overdue; the tail of a sound server is five times as long.
@@ -220,7 +220,7 @@
             return;
         }
         long now = clock.now();
-        long left = (call.deadlineAt() - RETURN_NANOS - now) / 1_000_000;
+        long left = (call.deadlineAt() - RESPONSE_RETURN_NANOS - now) / 1_000_000;
         if (left <= 0) {
             to.giveBack();
             refuse(Refusal.Reason.EXPIRED, false);
