--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -28,7 +28,7 @@
     /**
      * Multiple of the usual time after which an answer is overdue; the tail of a sound server is five times as long.
      */
-    private static final int OVERDUE = 5;
+    private static final int OVERDUE_FACTOR = 5;
 
     private static final long LEAST_OVERDUE_NANOS = 300_000_000L;
 
@@ -120,7 +120,7 @@
 
     /** Whether the backend server has had it for much longer than usual without a word. */
     boolean isOverdue(long now) {
-        long usual = Math.max(LEAST_OVERDUE_NANOS, OVERDUE * expectedNanos);
+        long usual = Math.max(LEAST_OVERDUE_NANOS, OVERDUE_FACTOR * expectedNanos);
         return sentAt != 0 && !headPassed && now - sentAt > usual;
     }
 
