--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -30,7 +30,7 @@
      */
     private static final int OVERDUE_FACTOR = 5;
 
-    private static final long LEAST_OVERDUE_NANOS = 300_000_000L;
+    private static final long MIN_OVERDUE_NANOS = 300_000_000L;
 
     private final Owner owner;
     private final Clock clock;
@@ -120,7 +120,7 @@
 
     /** Whether the backend server has had it for much longer than usual without a word. */
     boolean isOverdue(long now) {
-        long usual = Math.max(LEAST_OVERDUE_NANOS, OVERDUE_FACTOR * expectedNanos);
+        long usual = Math.max(MIN_OVERDUE_NANOS, OVERDUE_FACTOR * expectedNanos);
         return sentAt != 0 && !headPassed && now - sentAt > usual;
     }
 
