--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -36,7 +36,7 @@
     private final Clock clock;
     private final CallSpec call;
     private final AttemptListener listener;
-    private final long dueAt;
+    private final long effectiveObjectiveAt;
     private final long number;
     private long queuedAt;
     private long expectedNanos;
@@ -64,7 +64,7 @@
         this.clock = owner.clock();
         this.call = call;
         this.listener = listener;
-        this.dueAt = call.objectiveAt() + call.priority() * RunQueue.RANK_NANOS - forwardNanos;
+        this.effectiveObjectiveAt = call.objectiveAt() + call.priority() * RunQueue.RANK_NANOS - forwardNanos;
         this.queuedAt = clock.now();
         this.number = owner.nextSequenceNumber();
         if (owner.outgoingLink().isLarge(call.answerBytes())) {
@@ -78,7 +78,7 @@
 
     /** When it should be answered, put off for its rank. */
     long dueAt() {
-        return dueAt;
+        return effectiveObjectiveAt;
     }
 
     /** Tells apart requests that are due at the same time. */
