--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -77,7 +77,7 @@
     }
 
     /** When it should be answered, put off for its rank. */
-    long dueAt() {
+    long effectiveObjectiveAt() {
         return effectiveObjectiveAt;
     }
 
