--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -37,7 +37,7 @@
     private final CallSpec call;
     private final AttemptListener listener;
     private final long effectiveObjectiveAt;
-    private final long number;
+    private final long sequenceNumber;
     private long queuedAt;
     private long expectedNanos;
     private long medianNanos;
@@ -66,7 +66,7 @@
         this.listener = listener;
         this.effectiveObjectiveAt = call.objectiveAt() + call.priority() * RunQueue.RANK_NANOS - forwardNanos;
         this.queuedAt = clock.now();
-        this.number = owner.nextSequenceNumber();
+        this.sequenceNumber = owner.nextSequenceNumber();
         if (owner.outgoingLink().isLarge(call.answerBytes())) {
             this.answerNanos = owner.outgoingLink().nanosOf(call.answerBytes());
         }
@@ -83,7 +83,7 @@
 
     /** Tells apart requests that are due at the same time. */
     long number() {
-        return number;
+        return sequenceNumber;
     }
 
     /** Sets what it is expected to take. */
