--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -82,7 +82,7 @@
     }
 
     /** Tells apart requests that are due at the same time. */
-    long number() {
+    long sequenceNumber() {
         return sequenceNumber;
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/RunQueue.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RunQueue.java
@@ -21,7 +21,7 @@
     private static final double LATE_PER_SLOT = 0.5;
 
     private static final Comparator<OwnerRun> ORDER =
-            Comparator.comparingLong(OwnerRun::effectiveObjectiveAt).thenComparingLong(OwnerRun::number);
+            Comparator.comparingLong(OwnerRun::effectiveObjectiveAt).thenComparingLong(OwnerRun::sequenceNumber);
 
     private final TreeSet<OwnerRun> timely = new TreeSet<>(ORDER);
     private final TreeSet<OwnerRun> late = new TreeSet<>(ORDER);
