--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -39,7 +39,7 @@
     private final long effectiveObjectiveAt;
     private final long sequenceNumber;
     private long queuedAt;
-    private long expectedNanos;
+    private long meanServiceNanos;
     private long medianNanos;
     private long answerNanos;
     private long expectedBytes;
@@ -88,7 +88,7 @@
 
     /** Sets what it is expected to take. */
     void expect(KindTime time) {
-        expectedNanos = time.meanNanos();
+        meanServiceNanos = time.meanNanos();
         medianNanos = time.medianNanos();
     }
 
@@ -120,7 +120,7 @@
 
     /** Whether the backend server has had it for much longer than usual without a word. */
     boolean isOverdue(long now) {
-        long usual = Math.max(MIN_OVERDUE_NANOS, OVERDUE_FACTOR * expectedNanos);
+        long usual = Math.max(MIN_OVERDUE_NANOS, OVERDUE_FACTOR * meanServiceNanos);
         return sentAt != 0 && !headPassed && now - sentAt > usual;
     }
 
