--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -40,7 +40,7 @@
     private final long sequenceNumber;
     private long queuedAt;
     private long meanServiceNanos;
-    private long medianNanos;
+    private long medianServiceNanos;
     private long answerNanos;
     private long expectedBytes;
     private Clock.Alarm expiry;
@@ -89,7 +89,7 @@
     /** Sets what it is expected to take. */
     void expect(KindTime time) {
         meanServiceNanos = time.meanNanos();
-        medianNanos = time.medianNanos();
+        medianServiceNanos = time.medianNanos();
     }
 
     /** How long it would wait for the link behind the large answers that go before its own. */
@@ -98,7 +98,7 @@
             return 0;
         }
         long others = owner.outgoingLink().busyNanos() - owner.outgoingLink().nanosOf(expectedBytes);
-        return Math.max(0, others - medianNanos);
+        return Math.max(0, others - medianServiceNanos);
     }
 
     /** It is taken: others have its answer before them. */
@@ -129,11 +129,11 @@
     }
 
     boolean canMeetObjective(long now) {
-        return now + medianNanos + answerNanos <= call.objectiveAt();
+        return now + medianServiceNanos + answerNanos <= call.objectiveAt();
     }
 
     boolean canMeetDeadline(long now) {
-        return now + medianNanos + answerNanos <= call.deadlineAt();
+        return now + medianServiceNanos + answerNanos <= call.deadlineAt();
     }
 
     /** Waits until its body is whole; if that is kept back, no longer for its turn than its entry said. */
