--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -41,7 +41,7 @@
     private long queuedAt;
     private long meanServiceNanos;
     private long medianServiceNanos;
-    private long answerNanos;
+    private long responseTransferNanos;
     private long expectedBytes;
     private Clock.Alarm expiry;
     private ServerConnection connection;
@@ -68,7 +68,7 @@
         this.queuedAt = clock.now();
         this.sequenceNumber = owner.nextSequenceNumber();
         if (owner.outgoingLink().isLarge(call.answerBytes())) {
-            this.answerNanos = owner.outgoingLink().nanosOf(call.answerBytes());
+            this.responseTransferNanos = owner.outgoingLink().nanosOf(call.answerBytes());
         }
     }
 
@@ -94,7 +94,7 @@
 
     /** How long it would wait for the link behind the large answers that go before its own. */
     long waitForLink() {
-        if (answerNanos == 0) {
+        if (responseTransferNanos == 0) {
             return 0;
         }
         long others = owner.outgoingLink().busyNanos() - owner.outgoingLink().nanosOf(expectedBytes);
@@ -103,13 +103,13 @@
 
     /** It is taken: others have its answer before them. */
     void announceAnswer() {
-        expectedBytes = answerNanos == 0 ? 0 : call.answerBytes();
+        expectedBytes = responseTransferNanos == 0 ? 0 : call.answerBytes();
         owner.outgoingLink().onExpected(expectedBytes);
     }
 
     /** So many bytes of the answer are still to be read. */
     private void correctAnswer(long bytes) {
-        long announced = answerNanos == 0 ? 0 : bytes;
+        long announced = responseTransferNanos == 0 ? 0 : bytes;
         owner.outgoingLink().onExpected(announced - expectedBytes);
         expectedBytes = announced;
     }
@@ -129,11 +129,11 @@
     }
 
     boolean canMeetObjective(long now) {
-        return now + medianServiceNanos + answerNanos <= call.objectiveAt();
+        return now + medianServiceNanos + responseTransferNanos <= call.objectiveAt();
     }
 
     boolean canMeetDeadline(long now) {
-        return now + medianServiceNanos + answerNanos <= call.deadlineAt();
+        return now + medianServiceNanos + responseTransferNanos <= call.deadlineAt();
     }
 
     /** Waits until its body is whole; if that is kept back, no longer for its turn than its entry said. */
