--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -42,7 +42,7 @@
     private long meanServiceNanos;
     private long medianServiceNanos;
     private long responseTransferNanos;
-    private long expectedBytes;
+    private long announcedBytes;
     private Clock.Alarm expiry;
     private ServerConnection connection;
     private Backend backend;
@@ -97,21 +97,21 @@
         if (responseTransferNanos == 0) {
             return 0;
         }
-        long others = owner.outgoingLink().busyNanos() - owner.outgoingLink().nanosOf(expectedBytes);
+        long others = owner.outgoingLink().busyNanos() - owner.outgoingLink().nanosOf(announcedBytes);
         return Math.max(0, others - medianServiceNanos);
     }
 
     /** It is taken: others have its answer before them. */
     void announceAnswer() {
-        expectedBytes = responseTransferNanos == 0 ? 0 : call.answerBytes();
-        owner.outgoingLink().onExpected(expectedBytes);
+        announcedBytes = responseTransferNanos == 0 ? 0 : call.answerBytes();
+        owner.outgoingLink().onExpected(announcedBytes);
     }
 
     /** So many bytes of the answer are still to be read. */
     private void correctAnswer(long bytes) {
         long announced = responseTransferNanos == 0 ? 0 : bytes;
-        owner.outgoingLink().onExpected(announced - expectedBytes);
-        expectedBytes = announced;
+        owner.outgoingLink().onExpected(announced - announcedBytes);
+        announcedBytes = announced;
     }
 
     private void withdrawAnswer() {
@@ -264,7 +264,7 @@
             return;
         }
         headPassed = true;
-        correctAnswer(HttpUtil.getContentLength(head, expectedBytes));
+        correctAnswer(HttpUtil.getContentLength(head, announcedBytes));
         listener.onHead(status, Headers.endToEnd(headers), owner.load());
     }
 
@@ -275,7 +275,7 @@
             return;
         }
         // From here on its bytes count as waiting for the link.
-        correctAnswer(Math.max(0, expectedBytes - part.readableBytes()));
+        correctAnswer(Math.max(0, announcedBytes - part.readableBytes()));
         listener.onBody(part);
     }
 
