--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -43,7 +43,7 @@
     private long medianServiceNanos;
     private long responseTransferNanos;
     private long announcedBytes;
-    private Clock.Alarm expiry;
+    private Clock.Alarm timeout;
     private ServerConnection connection;
     private Backend backend;
     private HeaderNames names;
@@ -139,7 +139,7 @@
     /** Waits until its body is whole; if that is kept back, no longer for its turn than its entry said. */
     void awaitBody() {
         boolean keptBack = call.body().isKeptBack();
-        expiry = clock.at(keptBack ? longestWait() : call.deadlineAt(), this::onWaitedEnough);
+        timeout = clock.at(keptBack ? longestWait() : call.deadlineAt(), this::onWaitedEnough);
         call.body().follow(this);
     }
 
@@ -149,8 +149,8 @@
 
     /** It is its body's turn to come over the link. */
     void askForBody() {
-        expiry.cancel();
-        expiry = clock.at(call.deadlineAt(), this::onWaitedEnough);
+        timeout.cancel();
+        timeout = clock.at(call.deadlineAt(), this::onWaitedEnough);
         call.body().ask();
     }
 
@@ -165,7 +165,7 @@
         if (over) {
             return;
         }
-        expiry.cancel();
+        timeout.cancel();
         queuedAt = clock.now();
         owner.onBodyComplete(this);
     }
@@ -175,7 +175,7 @@
         if (over || backend != null) {
             return;
         }
-        expiry = clock.at(longestWait(), this::onWaitedEnough);
+        timeout = clock.at(longestWait(), this::onWaitedEnough);
     }
 
     private void onWaitedEnough() {
@@ -198,10 +198,10 @@
     void start(Backend to, HeaderNames headerNames) {
         backend = to;
         names = headerNames;
-        if (expiry != null) {
-            expiry.cancel();
+        if (timeout != null) {
+            timeout.cancel();
         }
-        expiry = clock.at(call.deadlineAt(), this::expire);
+        timeout = clock.at(call.deadlineAt(), this::expire);
         long freshest = call.kind().isRepeatable() ? Long.MAX_VALUE : to.maxIdleNanos();
         to.pool().acquire(freshest, this::send, this::onUnreachable);
     }
@@ -339,8 +339,8 @@
     private void finish() {
         over = true;
         withdrawAnswer();
-        if (expiry != null) {
-            expiry.cancel();
+        if (timeout != null) {
+            timeout.cancel();
         }
         call.body().unfollow(this);
         owner.onFinished(this);
