--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -46,7 +46,7 @@
     private Clock.Alarm timeout;
     private ServerConnection connection;
     private Backend backend;
-    private HeaderNames names;
+    private HeaderNames headerNames;
     private long sentAt;
     private long idleNanos;
     private boolean over;
@@ -197,7 +197,7 @@
     /** Sends it to the backend server. */
     void start(Backend to, HeaderNames headerNames) {
         backend = to;
-        names = headerNames;
+        headerNames = headerNames;
         if (timeout != null) {
             timeout.cancel();
         }
@@ -230,9 +230,9 @@
         sentAt = now;
         idleNanos = to.served() == 0 ? 0 : now - to.idleSince();
         HttpHeaders headers = Headers.copy(call.headers());
-        headers.set(names.deadline(), left);
-        headers.set(names.target(), backend.incarnation());
-        headers.set(names.callerService(), call.callerService());
+        headers.set(headerNames.deadline(), left);
+        headers.set(headerNames.target(), backend.incarnation());
+        headers.set(headerNames.callerService(), call.callerService());
         HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, call.method(), call.uri(), headers);
         HttpConnection.setLength(head, call.body().length());
         to.send(head, call.body(), this);
@@ -240,7 +240,7 @@
 
     @Override
     public boolean owns(HttpResponse head) {
-        String id = head.headers().get(names.requestId());
+        String id = head.headers().get(headerNames.requestId());
         if (id == null || id.equals(call.id())) {
             return true;
         }
@@ -253,13 +253,13 @@
     public void onHead(HttpResponse head) {
         int status = head.status().code();
         HttpHeaders headers = head.headers();
-        if (headers.contains(names.notRun()) || status == 421) {
+        if (headers.contains(headerNames.notRun()) || status == 421) {
             notRun = true;
             return;
         }
-        boolean anonymous = headers.get(names.requestId()) == null;
+        boolean anonymous = headers.get(headerNames.requestId()) == null;
         if (status < 300
-                && (anonymous || !headers.contains(names.signature()) || headers.contains("Content-Encoding"))) {
+                && (anonymous || !headers.contains(headerNames.signature()) || headers.contains("Content-Encoding"))) {
             lose("answer without id, signature or plain body");
             return;
         }
