--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -48,7 +48,7 @@
     private Backend backend;
     private HeaderNames headerNames;
     private long sentAt;
-    private long idleNanos;
+    private long connectionIdleNanos;
     private boolean over;
     private boolean headPassed;
     private boolean notRun;
@@ -228,7 +228,7 @@
         }
         connection = to;
         sentAt = now;
-        idleNanos = to.served() == 0 ? 0 : now - to.idleSince();
+        connectionIdleNanos = to.served() == 0 ? 0 : now - to.idleSince();
         HttpHeaders headers = Headers.copy(call.headers());
         headers.set(headerNames.deadline(), left);
         headers.set(headerNames.target(), backend.incarnation());
@@ -299,8 +299,8 @@
     @Override
     public void onFailure(String cause) {
         connection = null;
-        if (idleNanos > 0 && !headPassed && clock.now() - sentAt < IDLE_RESET_WINDOW_NANOS) {
-            backend.onIdleConnectionReset(idleNanos);
+        if (connectionIdleNanos > 0 && !headPassed && clock.now() - sentAt < IDLE_RESET_WINDOW_NANOS) {
+            backend.onIdleConnectionReset(connectionIdleNanos);
         }
         lose(cause);
     }
