--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -49,7 +49,7 @@
     private HeaderNames headerNames;
     private long sentAt;
     private long connectionIdleNanos;
-    private boolean over;
+    private boolean finished;
     private boolean headPassed;
     private boolean notRun;
 
@@ -162,7 +162,7 @@
 
     @Override
     public void onWhole() {
-        if (over) {
+        if (finished) {
             return;
         }
         timeout.cancel();
@@ -172,7 +172,7 @@
 
     /** Waits for a slot no longer than its entry said is better than another way. */
     void waitForSlot() {
-        if (over || backend != null) {
+        if (finished || backend != null) {
             return;
         }
         timeout = clock.at(longestWait(), this::onWaitedEnough);
@@ -184,7 +184,7 @@
     }
 
     private void expire() {
-        if (over) {
+        if (finished) {
             return;
         }
         if (sentAt == 0) {
@@ -207,7 +207,7 @@
     }
 
     private void onUnreachable(String cause) {
-        if (over) {
+        if (finished) {
             return;
         }
         owner.log().write(Event.RUN_FAILED, "id", call.id(), "incarnation", backend.incarnation(), "cause", cause);
@@ -215,7 +215,7 @@
     }
 
     private void send(ServerConnection to) {
-        if (over) {
+        if (finished) {
             to.giveBack();
             return;
         }
@@ -307,7 +307,7 @@
 
     /** Ends it as not run. */
     void refuse(Refusal.Reason reason, boolean offered) {
-        if (over) {
+        if (finished) {
             return;
         }
         finish();
@@ -315,7 +315,7 @@
     }
 
     private void lose(String cause) {
-        if (over) {
+        if (finished) {
             return;
         }
         backend.losses().onLost(clock.now());
@@ -337,7 +337,7 @@
     }
 
     private void finish() {
-        over = true;
+        finished = true;
         withdrawAnswer();
         if (timeout != null) {
             timeout.cancel();
@@ -355,7 +355,7 @@
 
     @Override
     public void cancel() {
-        if (over) {
+        if (finished) {
             return;
         }
         if (sentAt != 0 && call.kind() == RouteKind.NON_IDEMPOTENT && !headPassed) {
