--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -50,7 +50,7 @@
     private long sentAt;
     private long connectionIdleNanos;
     private boolean finished;
-    private boolean headPassed;
+    private boolean headForwarded;
     private boolean notRun;
 
     /**
@@ -121,11 +121,11 @@
     /** Whether the backend server has had it for much longer than usual without a word. */
     boolean isOverdue(long now) {
         long usual = Math.max(MIN_OVERDUE_NANOS, OVERDUE_FACTOR * meanServiceNanos);
-        return sentAt != 0 && !headPassed && now - sentAt > usual;
+        return sentAt != 0 && !headForwarded && now - sentAt > usual;
     }
 
     boolean isAnswering() {
-        return headPassed;
+        return headForwarded;
     }
 
     boolean canMeetObjective(long now) {
@@ -263,14 +263,14 @@
             lose("answer without id, signature or plain body");
             return;
         }
-        headPassed = true;
+        headForwarded = true;
         correctAnswer(HttpUtil.getContentLength(head, announcedBytes));
         listener.onHead(status, Headers.endToEnd(headers), owner.load());
     }
 
     @Override
     public void onBody(ByteBuf part) {
-        if (!headPassed) {
+        if (!headForwarded) {
             part.release();
             return;
         }
@@ -299,7 +299,7 @@
     @Override
     public void onFailure(String cause) {
         connection = null;
-        if (connectionIdleNanos > 0 && !headPassed && clock.now() - sentAt < IDLE_RESET_WINDOW_NANOS) {
+        if (connectionIdleNanos > 0 && !headForwarded && clock.now() - sentAt < IDLE_RESET_WINDOW_NANOS) {
             backend.onIdleConnectionReset(connectionIdleNanos);
         }
         lose(cause);
@@ -358,7 +358,7 @@
         if (finished) {
             return;
         }
-        if (sentAt != 0 && call.kind() == RouteKind.NON_IDEMPOTENT && !headPassed) {
+        if (sentAt != 0 && call.kind() == RouteKind.NON_IDEMPOTENT && !headForwarded) {
             // It may have changed something already: let it finish, and drop the answer.
             return;
         }
