--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -51,7 +51,7 @@
     private long connectionIdleNanos;
     private boolean finished;
     private boolean headForwarded;
-    private boolean notRun;
+    private boolean notExecuted;
 
     /**
      * @param owner that it is offered to
@@ -254,7 +254,7 @@
         int status = head.status().code();
         HttpHeaders headers = head.headers();
         if (headers.contains(headerNames.notRun()) || status == 421) {
-            notRun = true;
+            notExecuted = true;
             return;
         }
         boolean anonymous = headers.get(headerNames.requestId()) == null;
@@ -281,7 +281,7 @@
 
     @Override
     public void onEnd() {
-        if (notRun) {
+        if (notExecuted) {
             backend.losses().onLost(clock.now());
             connection = null;
             refuse(Refusal.Reason.TURNED_AWAY, true);
