--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -321,7 +321,7 @@
             return Optional.of(Refusal.Reason.NOT_HERE);
         }
         Backend b = backend.orElseThrow();
-        run.expect(b.serviceTimes().time(call));
+        run.setServiceTime(b.serviceTimes().time(call));
         long now = clock.now();
         if (!run.canMeetDeadline(now)) {
             return Optional.of(Refusal.Reason.EXPIRED);
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -87,7 +87,7 @@
     }
 
     /** Sets what it is expected to take. */
-    void expect(KindTime time) {
+    void setServiceTime(KindTime time) {
         meanServiceNanos = time.meanNanos();
         medianServiceNanos = time.medianNanos();
     }
