--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -326,7 +326,7 @@
         if (!run.canMeetDeadline(now)) {
             return Optional.of(Refusal.Reason.EXPIRED);
         }
-        long linkWait = run.waitForLink();
+        long linkWait = run.linkWaitNanos();
         if (running.size() < b.slots() && call.body().isWhole() && linkWait == 0) {
             return Optional.empty();
         }
@@ -344,7 +344,7 @@
         int ahead = running.size() + queue.timelyBefore(run);
         RequestBody body = run.call().body();
         long slotWait = Math.max(slotWaitNanos(ahead, b), bodyAdmission.aheadNanos(body) + bodyAdmission.comingNanos(body));
-        long wait = Math.max(slotWait, run.waitForLink());
+        long wait = Math.max(slotWait, run.linkWaitNanos());
         return run.canMeetObjective(clock.now() + wait);
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -93,7 +93,7 @@
     }
 
     /** How long it would wait for the link behind the large answers that go before its own. */
-    long waitForLink() {
+    long linkWaitNanos() {
         if (responseTransferNanos == 0) {
             return 0;
         }
