--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -280,7 +280,7 @@
             clock.soon(() -> run.refuse(reason.get(), false));
             return run;
         }
-        run.announceAnswer();
+        run.announceResponse();
         if (call.body().isWhole()) {
             enqueue(run);
         } else {
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -102,7 +102,7 @@
     }
 
     /** It is taken: others have its answer before them. */
-    void announceAnswer() {
+    void announceResponse() {
         announcedBytes = responseTransferNanos == 0 ? 0 : call.answerBytes();
         owner.outgoingLink().onExpected(announcedBytes);
     }
