--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -108,14 +108,14 @@
     }
 
     /** So many bytes of the answer are still to be read. */
-    private void correctAnswer(long bytes) {
+    private void updateAnnouncedBytes(long bytes) {
         long announced = responseTransferNanos == 0 ? 0 : bytes;
         owner.outgoingLink().onExpected(announced - announcedBytes);
         announcedBytes = announced;
     }
 
     private void withdrawAnswer() {
-        correctAnswer(0);
+        updateAnnouncedBytes(0);
     }
 
     /** Whether the backend server has had it for much longer than usual without a word. */
@@ -264,7 +264,7 @@
             return;
         }
         headForwarded = true;
-        correctAnswer(HttpUtil.getContentLength(head, announcedBytes));
+        updateAnnouncedBytes(HttpUtil.getContentLength(head, announcedBytes));
         listener.onHead(status, Headers.endToEnd(headers), owner.load());
     }
 
@@ -275,7 +275,7 @@
             return;
         }
         // From here on its bytes count as waiting for the link.
-        correctAnswer(Math.max(0, announcedBytes - part.readableBytes()));
+        updateAnnouncedBytes(Math.max(0, announcedBytes - part.readableBytes()));
         listener.onBody(part);
     }
 
