--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -114,7 +114,7 @@
         announcedBytes = announced;
     }
 
-    private void withdrawAnswer() {
+    private void withdrawAnnouncedBytes() {
         updateAnnouncedBytes(0);
     }
 
@@ -338,7 +338,7 @@
 
     private void finish() {
         finished = true;
-        withdrawAnswer();
+        withdrawAnnouncedBytes();
         if (timeout != null) {
             timeout.cancel();
         }
