--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -244,7 +244,7 @@
     public int respondingCount() {
         int count = 0;
         for (OwnerRun run : running) {
-            if (run.isAnswering()) {
+            if (run.isResponding()) {
                 count++;
             }
         }
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -124,7 +124,7 @@
         return sentAt != 0 && !headForwarded && now - sentAt > usual;
     }
 
-    boolean isAnswering() {
+    boolean isResponding() {
         return headForwarded;
     }
 
