--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -139,11 +139,11 @@
     /** Waits until its body is whole; if that is kept back, no longer for its turn than its entry said. */
     void awaitBody() {
         boolean keptBack = call.body().isKeptBack();
-        timeout = clock.at(keptBack ? longestWait() : call.deadlineAt(), this::onWaitedEnough);
+        timeout = clock.at(keptBack ? maxWaitUntil() : call.deadlineAt(), this::onWaitedEnough);
         call.body().follow(this);
     }
 
-    private long longestWait() {
+    private long maxWaitUntil() {
         return Math.min(call.deadlineAt(), queuedAt + call.maxWaitNanos());
     }
 
@@ -175,7 +175,7 @@
         if (finished || backend != null) {
             return;
         }
-        timeout = clock.at(longestWait(), this::onWaitedEnough);
+        timeout = clock.at(maxWaitUntil(), this::onWaitedEnough);
     }
 
     private void onWaitedEnough() {
