--- a/org.berylwick.node/src/org/berylwick/node/call/BodyGate.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/BodyGate.java
@@ -66,7 +66,7 @@
                 return;
             }
             coming.add(next.get());
-            next.get().askForBody();
+            next.get().requestBodyTransfer();
         }
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -148,7 +148,7 @@
     }
 
     /** It is its body's turn to come over the link. */
-    void askForBody() {
+    void requestBodyTransfer() {
         timeout.cancel();
         timeout = clock.at(call.deadlineAt(), this::onWaitedEnough);
         call.body().ask();
