--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -139,7 +139,7 @@
     /** Waits until its body is whole; if that is kept back, no longer for its turn than its entry said. */
     void awaitBody() {
         boolean keptBack = call.body().isKeptBack();
-        timeout = clock.at(keptBack ? maxWaitUntil() : call.deadlineAt(), this::onWaitedEnough);
+        timeout = clock.at(keptBack ? maxWaitUntil() : call.deadlineAt(), this::onWaitTimeout);
         call.body().follow(this);
     }
 
@@ -150,7 +150,7 @@
     /** It is its body's turn to come over the link. */
     void requestBodyTransfer() {
         timeout.cancel();
-        timeout = clock.at(call.deadlineAt(), this::onWaitedEnough);
+        timeout = clock.at(call.deadlineAt(), this::onWaitTimeout);
         call.body().ask();
     }
 
@@ -175,10 +175,10 @@
         if (finished || backend != null) {
             return;
         }
-        timeout = clock.at(maxWaitUntil(), this::onWaitedEnough);
+        timeout = clock.at(maxWaitUntil(), this::onWaitTimeout);
     }
 
-    private void onWaitedEnough() {
+    private void onWaitTimeout() {
         boolean expired = clock.now() >= call.deadlineAt();
         refuse(expired ? Refusal.Reason.EXPIRED : Refusal.Reason.BUSY, false);
     }
