--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -309,7 +309,7 @@
             queue.addLate(run);
         }
         dispatch();
-        run.waitForSlot();
+        run.startSlotTimeout();
     }
 
     private Optional<Refusal.Reason> refusalReason(OwnerRun run) {
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -171,7 +171,7 @@
     }
 
     /** Waits for a slot no longer than its entry said is better than another way. */
-    void waitForSlot() {
+    void startSlotTimeout() {
         if (finished || backend != null) {
             return;
         }
