--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -183,7 +183,7 @@
         refuse(expired ? Refusal.Reason.EXPIRED : Refusal.Reason.BUSY, false);
     }
 
-    private void expire() {
+    private void onDeadline() {
         if (finished) {
             return;
         }
@@ -201,7 +201,7 @@
         if (timeout != null) {
             timeout.cancel();
         }
-        timeout = clock.at(call.deadlineAt(), this::expire);
+        timeout = clock.at(call.deadlineAt(), this::onDeadline);
         long freshest = call.kind().isRepeatable() ? Long.MAX_VALUE : to.maxIdleNanos();
         to.pool().acquire(freshest, this::send, this::onUnreachable);
     }
