--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -203,10 +203,10 @@
         }
         timeout = clock.at(call.deadlineAt(), this::onDeadline);
         long freshest = call.kind().isRepeatable() ? Long.MAX_VALUE : to.maxIdleNanos();
-        to.pool().acquire(freshest, this::send, this::onUnreachable);
+        to.pool().acquire(freshest, this::send, this::onConnectFailed);
     }
 
-    private void onUnreachable(String cause) {
+    private void onConnectFailed(String cause) {
         if (finished) {
             return;
         }
