--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -191,7 +191,7 @@
             refuse(Refusal.Reason.EXPIRED, false);
             return;
         }
-        lose("deadline passed at the backend server");
+        failAsLost("deadline passed at the backend server");
     }
 
     /** Sends it to the backend server. */
@@ -260,7 +260,7 @@
         boolean anonymous = headers.get(headerNames.requestId()) == null;
         if (status < 300
                 && (anonymous || !headers.contains(headerNames.signature()) || headers.contains("Content-Encoding"))) {
-            lose("answer without id, signature or plain body");
+            failAsLost("answer without id, signature or plain body");
             return;
         }
         headForwarded = true;
@@ -302,7 +302,7 @@
         if (connectionIdleNanos > 0 && !headForwarded && clock.now() - sentAt < IDLE_RESET_WINDOW_NANOS) {
             backend.onIdleConnectionReset(connectionIdleNanos);
         }
-        lose(cause);
+        failAsLost(cause);
     }
 
     /** Ends it as not run. */
@@ -314,7 +314,7 @@
         listener.onRefused(new Refusal(reason, offered, owner.load()));
     }
 
-    private void lose(String cause) {
+    private void failAsLost(String cause) {
         if (finished) {
             return;
         }
