--- a/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
@@ -17,7 +17,7 @@
 /** One attempt at the owner of another node; confined to the event loop. */
 final class PeerAttempt implements Attempt, HttpExchange, Member.Waiting {
     /** Connections between nodes are kept this long by both ends; the entry lets go of them first. */
-    static final long IDLE_NANOS = 20_000_000_000L;
+    static final long MAX_IDLE_NANOS = 20_000_000_000L;
 
     private final Member member;
     private final CallSpec call;
@@ -36,7 +36,7 @@
     static PeerAttempt start(Member member, CallSpec call, AttemptListener listener) {
         PeerAttempt attempt = new PeerAttempt(member, call, listener);
         member.onSent(attempt, call.body().length(), call.answerBytes(), System.nanoTime());
-        member.pool().acquire(IDLE_NANOS, attempt::send, attempt::onUnreachable);
+        member.pool().acquire(MAX_IDLE_NANOS, attempt::send, attempt::onUnreachable);
         return attempt;
     }
 
