--- a/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
@@ -23,7 +23,7 @@
     private final CallSpec call;
     private final AttemptListener listener;
     private ServerConnection connection;
-    private boolean over;
+    private boolean finished;
     private Optional<PeerCodec.Outcome> outcome = Optional.empty();
 
     private PeerAttempt(Member member, CallSpec call, AttemptListener listener) {
@@ -41,7 +41,7 @@
     }
 
     private void onUnreachable(String cause) {
-        if (over) {
+        if (finished) {
             return;
         }
         member.onFailure(cause, System.nanoTime());
@@ -50,7 +50,7 @@
     }
 
     private void send(ServerConnection to) {
-        if (over) {
+        if (finished) {
             to.giveBack();
             return;
         }
@@ -68,7 +68,7 @@
 
     @Override
     public void onSilent() {
-        if (over || connection == null) {
+        if (finished || connection == null) {
             return;
         }
         if (connection.isSentWhole()) {
@@ -120,7 +120,7 @@
     public void onFailure(String cause) {
         boolean sentWhole = connection == null || connection.isSentWhole();
         connection = null;
-        if (over) {
+        if (finished) {
             return;
         }
         member.onFailure(cause, System.nanoTime());
@@ -134,15 +134,15 @@
     }
 
     private void finish() {
-        if (!over) {
-            over = true;
+        if (!finished) {
+            finished = true;
             member.onDone(this);
         }
     }
 
     @Override
     public void cancel() {
-        if (over) {
+        if (finished) {
             return;
         }
         finish();
