--- a/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
@@ -36,11 +36,11 @@
     static PeerAttempt start(Member member, CallSpec call, AttemptListener listener) {
         PeerAttempt attempt = new PeerAttempt(member, call, listener);
         member.onSent(attempt, call.body().length(), call.answerBytes(), System.nanoTime());
-        member.pool().acquire(MAX_IDLE_NANOS, attempt::send, attempt::onUnreachable);
+        member.pool().acquire(MAX_IDLE_NANOS, attempt::send, attempt::onConnectFailed);
         return attempt;
     }
 
-    private void onUnreachable(String cause) {
+    private void onConnectFailed(String cause) {
         if (finished) {
             return;
         }
