--- a/org.berylwick.node/src/org/berylwick/node/call/PeerCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerCodec.java
@@ -19,7 +19,7 @@
     private static final String REFUSED = "refused";
     private static final String LOST = "lost";
 
-    private static final RouteKind[] KINDS = RouteKind.values();
+    private static final RouteKind[] ROUTE_KINDS = RouteKind.values();
 
     private PeerCodec() {}
 
@@ -81,7 +81,7 @@
                     body,
                     f[0],
                     f[1],
-                    new RequestClass(KINDS[Integer.parseInt(f[2])], Integer.parseInt(f[3]), Integer.parseInt(f[4])),
+                    new RequestClass(ROUTE_KINDS[Integer.parseInt(f[2])], Integer.parseInt(f[3]), Integer.parseInt(f[4])),
                     now + Long.parseLong(f[5]) * 1_000_000,
                     now + Long.parseLong(f[6]) * 1_000_000,
                     Long.parseLong(f[7]) * 1_000_000,
