--- a/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
@@ -56,7 +56,7 @@
         }
         connection = to;
         HttpHeaders headers = Headers.copy(call.headers());
-        headers.set(Headers.CALL, PeerCodec.callText(call, System.nanoTime()));
+        headers.set(Headers.CALL, PeerCodec.encodeCall(call, System.nanoTime()));
         HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, call.method(), call.uri(), headers);
         HttpConnection.setLength(head, call.body().length());
         // A large body is sent when the owner asks for it: several at once would hold up all that is small behind
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerCodec.java
@@ -35,7 +35,7 @@
         record Lost(String cause) implements Outcome {}
     }
 
-    static String callText(CallSpec call, long now) {
+    static String encodeCall(CallSpec call, long now) {
         return call.service()
                 + ';'
                 + call.callerService()
