--- a/org.berylwick.node/src/org/berylwick/node/call/PeerCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerCodec.java
@@ -46,11 +46,11 @@
                 + ';'
                 + call.like().objectiveMillis()
                 + ';'
-                + millis(call.objectiveAt() - now)
+                + toMillis(call.objectiveAt() - now)
                 + ';'
-                + millis(call.deadlineAt() - now)
+                + toMillis(call.deadlineAt() - now)
                 + ';'
-                + millis(call.maxWaitNanos())
+                + toMillis(call.maxWaitNanos())
                 + ';'
                 + call.attempt()
                 + ';'
@@ -59,7 +59,7 @@
                 + call.id();
     }
 
-    private static long millis(long nanos) {
+    private static long toMillis(long nanos) {
         return nanos / 1_000_000;
     }
 
@@ -106,7 +106,7 @@
 
     private static String loadText(OwnerLoad load) {
         return ";" + load.running() + ';' + load.queued() + ';' + load.slots() + ';' + load.meanNanos() / 1_000 + ';'
-                + load.lostPerMille() + ';' + millis(load.incomingNanos()) + ';' + millis(load.outgoingNanos());
+                + load.lostPerMille() + ';' + toMillis(load.incomingNanos()) + ';' + toMillis(load.outgoingNanos());
     }
 
     static Optional<Outcome> readOutcome(HttpHeaders headers) {
