--- a/org.berylwick.node/src/org/berylwick/node/call/PeerCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerCodec.java
@@ -63,7 +63,7 @@
         return nanos / 1_000_000;
     }
 
-    static Optional<CallSpec> readCall(HttpRequest head, HttpHeaders headers, RequestBody body, long now) {
+    static Optional<CallSpec> decodeCall(HttpRequest head, HttpHeaders headers, RequestBody body, long now) {
         String text = head.headers().get(Headers.CALL);
         if (text == null) {
             return Optional.empty();
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -135,7 +135,7 @@
     private void serve() {
         HttpRequest request = head;
         Optional<CallSpec> call =
-                PeerCodec.readCall(request, Headers.endToEnd(request.headers()), body, System.nanoTime());
+                PeerCodec.decodeCall(request, Headers.endToEnd(request.headers()), body, System.nanoTime());
         if (call.isPresent()) {
             answerId = call.get().id();
             dueAt = call.get().objectiveAt();
