--- a/org.berylwick.node/src/org/berylwick/node/call/PeerCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerCodec.java
@@ -92,7 +92,7 @@
         }
     }
 
-    static String answeredText(OwnerLoad load) {
+    static String encodeAnswered(OwnerLoad load) {
         return ANSWERED + ";;false" + loadText(load);
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -192,7 +192,7 @@
     public void onHead(int status, HttpHeaders headers, OwnerLoad load) {
         HttpResponse response =
                 new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), headers);
-        response.headers().set(Headers.OUTCOME, PeerCodec.answeredText(load));
+        response.headers().set(Headers.OUTCOME, PeerCodec.encodeAnswered(load));
         HttpUtil.setTransferEncodingChunked(response, true);
         if (!channel.isActive()) {
             // What must run once runs to its end, also when nobody waits for its answer any more.
