--- a/org.berylwick.node/src/org/berylwick/node/call/PeerCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerCodec.java
@@ -96,7 +96,7 @@
         return ANSWERED + ";;false" + loadText(load);
     }
 
-    static String refusedText(Refusal refusal) {
+    static String encodeRefused(Refusal refusal) {
         return REFUSED + ';' + refusal.reason().name() + ';' + refusal.offered() + loadText(refusal.load());
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -303,7 +303,7 @@
     @Override
     public void onRefused(Refusal refusal) {
         over();
-        write(503, Unpooled.EMPTY_BUFFER, PeerCodec.refusedText(refusal));
+        write(503, Unpooled.EMPTY_BUFFER, PeerCodec.encodeRefused(refusal));
     }
 
     @Override
