--- a/org.berylwick.node/src/org/berylwick/node/call/PeerCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerCodec.java
@@ -100,7 +100,7 @@
         return REFUSED + ';' + refusal.reason().name() + ';' + refusal.offered() + loadText(refusal.load());
     }
 
-    static String lostText(String cause) {
+    static String encodeLost(String cause) {
         return LOST + ';' + cause.replace(';', ',') + ";true" + loadText(OwnerLoad.NONE);
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -313,7 +313,7 @@
             channel.close();
             return;
         }
-        write(502, Unpooled.EMPTY_BUFFER, PeerCodec.lostText(cause));
+        write(502, Unpooled.EMPTY_BUFFER, PeerCodec.encodeLost(cause));
     }
 
     /** Whether an answer has begun and not been written to its end. */
