--- a/org.berylwick.node/src/org/berylwick/node/call/PeerCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerCodec.java
@@ -93,18 +93,18 @@
     }
 
     static String encodeAnswered(OwnerLoad load) {
-        return ANSWERED + ";;false" + loadText(load);
+        return ANSWERED + ";;false" + encodeLoad(load);
     }
 
     static String encodeRefused(Refusal refusal) {
-        return REFUSED + ';' + refusal.reason().name() + ';' + refusal.offered() + loadText(refusal.load());
+        return REFUSED + ';' + refusal.reason().name() + ';' + refusal.offered() + encodeLoad(refusal.load());
     }
 
     static String encodeLost(String cause) {
-        return LOST + ';' + cause.replace(';', ',') + ";true" + loadText(OwnerLoad.NONE);
+        return LOST + ';' + cause.replace(';', ',') + ";true" + encodeLoad(OwnerLoad.NONE);
     }
 
-    private static String loadText(OwnerLoad load) {
+    private static String encodeLoad(OwnerLoad load) {
         return ";" + load.running() + ';' + load.queued() + ';' + load.slots() + ';' + load.meanNanos() / 1_000 + ';'
                 + load.lostPerMille() + ';' + toMillis(load.incomingNanos()) + ';' + toMillis(load.outgoingNanos());
     }
