--- a/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
@@ -83,7 +83,7 @@
     @Override
     public void onHead(HttpResponse head) {
         member.onProgress(System.nanoTime());
-        outcome = PeerCodec.readOutcome(head.headers());
+        outcome = PeerCodec.decodeOutcome(head.headers());
         if (outcome.orElse(null) instanceof PeerCodec.Outcome.Answered answered) {
             member.learn(answered.load(), System.nanoTime());
             listener.onHead(head.status().code(), Headers.endToEnd(head.headers()), answered.load());
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerCodec.java
@@ -109,7 +109,7 @@
                 + load.lostPerMille() + ';' + toMillis(load.incomingNanos()) + ';' + toMillis(load.outgoingNanos());
     }
 
-    static Optional<Outcome> readOutcome(HttpHeaders headers) {
+    static Optional<Outcome> decodeOutcome(HttpHeaders headers) {
         String text = headers.get(Headers.OUTCOME);
         if (text == null) {
             return Optional.empty();
