--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -32,7 +32,7 @@
 
 /** A connection of another node: its requests for the backend server here, or for the version; on the event loop. */
 final class PeerHandler extends ChannelInboundHandlerAdapter implements AttemptListener, OutgoingLink.Wire {
-    private static final int MOST_PARTS = 1024;
+    private static final int MAX_BODY_PARTS = 1024;
     /** Versions are wanted soon, and before answers whose objective is further off. */
     private static final long VERSION_DUE_NANOS = 200_000_000L;
     /** A node that has not taken a version by then has asked another. */
@@ -93,7 +93,7 @@
             serve();
             return;
         }
-        gathered = Unpooled.compositeBuffer(MOST_PARTS);
+        gathered = Unpooled.compositeBuffer(MAX_BODY_PARTS);
     }
 
     private void askForBody() {
