--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -34,7 +34,7 @@
 final class PeerHandler extends ChannelInboundHandlerAdapter implements AttemptListener, OutgoingLink.Wire {
     private static final int MAX_BODY_PARTS = 1024;
     /** Versions are wanted soon, and before answers whose objective is further off. */
-    private static final long VERSION_DUE_NANOS = 200_000_000L;
+    private static final long VERSION_OBJECTIVE_NANOS = 200_000_000L;
     /** A node that has not taken a version by then has asked another. */
     private static final long VERSION_TAKEN_NANOS = 1_500_000_000L;
 
@@ -157,7 +157,7 @@
         long now = System.nanoTime();
         answerId = "version";
         answerAt = now;
-        dueAt = now + VERSION_DUE_NANOS;
+        dueAt = now + VERSION_OBJECTIVE_NANOS;
         deadlineAt = now + VERSION_TAKEN_NANOS;
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, version.length);
