--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -36,7 +36,7 @@
     /** Versions are wanted soon, and before answers whose objective is further off. */
     private static final long VERSION_OBJECTIVE_NANOS = 200_000_000L;
     /** A node that has not taken a version by then has asked another. */
-    private static final long VERSION_TAKEN_NANOS = 1_500_000_000L;
+    private static final long VERSION_DEADLINE_NANOS = 1_500_000_000L;
 
     private final Owner owner;
     private final VmLink link;
@@ -158,7 +158,7 @@
         answerId = "version";
         answerAt = now;
         dueAt = now + VERSION_OBJECTIVE_NANOS;
-        deadlineAt = now + VERSION_TAKEN_NANOS;
+        deadlineAt = now + VERSION_DEADLINE_NANOS;
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, version.length);
         channel.write(response);
