--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -40,7 +40,7 @@
 
     private final Owner owner;
     private final VmLink link;
-    private final LongFunction<Optional<byte[]>> delivery;
+    private final LongFunction<Optional<byte[]>> versionUpdates;
     private Channel channel;
     private HttpRequest head;
     private RequestBody body;
@@ -62,7 +62,7 @@
     PeerHandler(Owner owner, VmLink link, LongFunction<Optional<byte[]>> delivery) {
         this.owner = owner;
         this.link = link;
-        this.delivery = delivery;
+        this.versionUpdates = delivery;
     }
 
     @Override
@@ -144,7 +144,7 @@
             return;
         }
         releaseBody();
-        Optional<byte[]> delivered = baseOf(request.uri()).flatMap(delivery::apply);
+        Optional<byte[]> delivered = baseOf(request.uri()).flatMap(versionUpdates::apply);
         if (delivered.isEmpty()) {
             write(404, Unpooled.EMPTY_BUFFER, "");
             return;
