--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -44,7 +44,7 @@
     private Channel channel;
     private HttpRequest head;
     private RequestBody body;
-    private CompositeByteBuf gathered;
+    private CompositeByteBuf bufferedBody;
     private boolean dropping;
     private Attempt attempt;
     private String answerId = "";
@@ -93,7 +93,7 @@
             serve();
             return;
         }
-        gathered = Unpooled.compositeBuffer(MAX_BODY_PARTS);
+        bufferedBody = Unpooled.compositeBuffer(MAX_BODY_PARTS);
     }
 
     private void askForBody() {
@@ -108,18 +108,18 @@
             return;
         }
         boolean last = content instanceof LastHttpContent;
-        if (dropping || body == null && gathered == null) {
+        if (dropping || body == null && bufferedBody == null) {
             content.release();
             return;
         }
-        if (gathered == null) {
+        if (bufferedBody == null) {
             takePart(content, last);
             return;
         }
-        gathered.addComponent(true, content.content());
+        bufferedBody.addComponent(true, content.content());
         if (last) {
-            body = RequestBody.of(gathered);
-            gathered = null;
+            body = RequestBody.of(bufferedBody);
+            bufferedBody = null;
             serve();
         }
     }
@@ -348,9 +348,9 @@
         });
         answer = Optional.empty();
         cancelExpiry();
-        if (gathered != null) {
-            gathered.release();
-            gathered = null;
+        if (bufferedBody != null) {
+            bufferedBody.release();
+            bufferedBody = null;
         }
     }
 
