--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -45,7 +45,7 @@
     private HttpRequest head;
     private RequestBody body;
     private CompositeByteBuf bufferedBody;
-    private boolean dropping;
+    private boolean discardingBody;
     private Attempt attempt;
     private String answerId = "";
     private long answerAt;
@@ -84,7 +84,7 @@
 
     private void takeHead(HttpRequest request) {
         head = request;
-        dropping = false;
+        discardingBody = false;
         long length = HttpUtil.getContentLength(request, 0L);
         if (length >= RequestBody.LEAST_STREAMED && length <= Integer.MAX_VALUE) {
             body = HttpUtil.is100ContinueExpected(request)
@@ -108,7 +108,7 @@
             return;
         }
         boolean last = content instanceof LastHttpContent;
-        if (dropping || body == null && bufferedBody == null) {
+        if (discardingBody || body == null && bufferedBody == null) {
             content.release();
             return;
         }
@@ -329,7 +329,7 @@
     private void releaseBody() {
         if (body != null) {
             // What is still to come of a request that was answered early belongs to nothing.
-            dropping = !body.isWhole();
+            discardingBody = !body.isWhole();
             body.release();
             body = null;
         }
