--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -47,7 +47,7 @@
     private CompositeByteBuf bufferedBody;
     private boolean discardingBody;
     private Attempt attempt;
-    private String answerId = "";
+    private String responseId = "";
     private long answerAt;
     private long dueAt;
     private long deadlineAt;
@@ -137,7 +137,7 @@
         Optional<CallSpec> call =
                 PeerCodec.decodeCall(request, Headers.endToEnd(request.headers()), body, System.nanoTime());
         if (call.isPresent()) {
-            answerId = call.get().id();
+            responseId = call.get().id();
             dueAt = call.get().objectiveAt();
             deadlineAt = call.get().deadlineAt();
             attempt = owner.offer(call.get(), this);
@@ -155,7 +155,7 @@
     /** Sends a version; a whole one is large for a narrow link, and takes its turn before most answers. */
     private void deliver(byte[] version) {
         long now = System.nanoTime();
-        answerId = "version";
+        responseId = "version";
         answerAt = now;
         dueAt = now + VERSION_OBJECTIVE_NANOS;
         deadlineAt = now + VERSION_DEADLINE_NANOS;
@@ -274,7 +274,7 @@
                 .write(
                         Event.ANSWER_LATE_AT_LINK,
                         "id",
-                        answerId,
+                        responseId,
                         "left",
                         left,
                         "sentBytes",
