--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -48,7 +48,7 @@
     private boolean discardingBody;
     private Attempt attempt;
     private String responseId = "";
-    private long answerAt;
+    private long responseStartedAt;
     private long dueAt;
     private long deadlineAt;
     private Optional<OutgoingLink.Flow> answer = Optional.empty();
@@ -156,7 +156,7 @@
     private void deliver(byte[] version) {
         long now = System.nanoTime();
         responseId = "version";
-        answerAt = now;
+        responseStartedAt = now;
         dueAt = now + VERSION_OBJECTIVE_NANOS;
         deadlineAt = now + VERSION_DEADLINE_NANOS;
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
@@ -198,7 +198,7 @@
             // What must run once runs to its end, also when nobody waits for its answer any more.
             return;
         }
-        answerAt = System.nanoTime();
+        responseStartedAt = System.nanoTime();
         answer = Optional.of(link.outgoing().open(this, dueAt));
         channel.write(response);
     }
@@ -282,7 +282,7 @@
                         "waitingBytes",
                         waiting,
                         "forMs",
-                        (now - answerAt) / 1_000_000,
+                        (now - responseStartedAt) / 1_000_000,
                         "lateMs",
                         (now - dueAt) / 1_000_000,
                         "leftMs",
