--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -49,7 +49,7 @@
     private Attempt attempt;
     private String responseId = "";
     private long responseStartedAt;
-    private long dueAt;
+    private long objectiveAt;
     private long deadlineAt;
     private Optional<OutgoingLink.Flow> answer = Optional.empty();
     /**
@@ -138,7 +138,7 @@
                 PeerCodec.decodeCall(request, Headers.endToEnd(request.headers()), body, System.nanoTime());
         if (call.isPresent()) {
             responseId = call.get().id();
-            dueAt = call.get().objectiveAt();
+            objectiveAt = call.get().objectiveAt();
             deadlineAt = call.get().deadlineAt();
             attempt = owner.offer(call.get(), this);
             return;
@@ -157,12 +157,12 @@
         long now = System.nanoTime();
         responseId = "version";
         responseStartedAt = now;
-        dueAt = now + VERSION_OBJECTIVE_NANOS;
+        objectiveAt = now + VERSION_OBJECTIVE_NANOS;
         deadlineAt = now + VERSION_DEADLINE_NANOS;
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, version.length);
         channel.write(response);
-        answer = Optional.of(link.outgoing().open(this, dueAt));
+        answer = Optional.of(link.outgoing().open(this, objectiveAt));
         answer.get().write(Unpooled.wrappedBuffer(version));
         onEnd();
     }
@@ -199,7 +199,7 @@
             return;
         }
         responseStartedAt = System.nanoTime();
-        answer = Optional.of(link.outgoing().open(this, dueAt));
+        answer = Optional.of(link.outgoing().open(this, objectiveAt));
         channel.write(response);
     }
 
@@ -267,7 +267,7 @@
     private void logIfLate(OutgoingLink.Flow flow, boolean left) {
         long now = System.nanoTime();
         long waiting = flow.waitingBytes();
-        if (left && now <= dueAt || !link.outgoing().isLarge(flow.sentBytes() + waiting)) {
+        if (left && now <= objectiveAt || !link.outgoing().isLarge(flow.sentBytes() + waiting)) {
             return;
         }
         owner.log()
@@ -284,7 +284,7 @@
                         "forMs",
                         (now - responseStartedAt) / 1_000_000,
                         "lateMs",
-                        (now - dueAt) / 1_000_000,
+                        (now - objectiveAt) / 1_000_000,
                         "leftMs",
                         (deadlineAt - now) / 1_000_000,
                         "paused",
