--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -51,7 +51,7 @@
     private long responseStartedAt;
     private long objectiveAt;
     private long deadlineAt;
-    private Optional<OutgoingLink.Flow> answer = Optional.empty();
+    private Optional<OutgoingLink.Flow> responseFlow = Optional.empty();
     /**
      * Ends the connection at the deadline: a node that lost power takes no bytes, and what waits for it holds memory.
      */
@@ -162,8 +162,8 @@
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, version.length);
         channel.write(response);
-        answer = Optional.of(link.outgoing().open(this, objectiveAt));
-        answer.get().write(Unpooled.wrappedBuffer(version));
+        responseFlow = Optional.of(link.outgoing().open(this, objectiveAt));
+        responseFlow.get().write(Unpooled.wrappedBuffer(version));
         onEnd();
     }
 
@@ -199,17 +199,17 @@
             return;
         }
         responseStartedAt = System.nanoTime();
-        answer = Optional.of(link.outgoing().open(this, objectiveAt));
+        responseFlow = Optional.of(link.outgoing().open(this, objectiveAt));
         channel.write(response);
     }
 
     @Override
     public void onBody(ByteBuf part) {
-        if (answer.isEmpty()) {
+        if (responseFlow.isEmpty()) {
             part.release();
             return;
         }
-        answer.get().write(part);
+        responseFlow.get().write(part);
     }
 
     @Override
@@ -245,20 +245,20 @@
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
         if (channel.isWritable()) {
-            answer.ifPresent(OutgoingLink.Flow::onWritable);
+            responseFlow.ifPresent(OutgoingLink.Flow::onWritable);
         }
     }
 
     @Override
     public void onEnd() {
         over();
-        answer.ifPresent(a -> a.end(() -> {
+        responseFlow.ifPresent(a -> a.end(() -> {
             logIfLate(a, true);
-            answer = Optional.empty();
+            responseFlow = Optional.empty();
             cancelExpiry();
             channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
         }));
-        if (answer.isPresent()) {
+        if (responseFlow.isPresent()) {
             long left = deadlineAt - System.nanoTime();
             expiry = Optional.of(channel.eventLoop().schedule(() -> channel.close(), left, TimeUnit.NANOSECONDS));
         }
@@ -309,7 +309,7 @@
     @Override
     public void onLost(String cause) {
         over();
-        if (answer.isPresent()) {
+        if (responseFlow.isPresent()) {
             channel.close();
             return;
         }
@@ -318,7 +318,7 @@
 
     /** Whether an answer has begun and not been written to its end. */
     boolean isAnswering() {
-        return answer.isPresent();
+        return responseFlow.isPresent();
     }
 
     private void over() {
@@ -342,11 +342,11 @@
             attempt.cancel();
         }
         over();
-        answer.ifPresent(a -> {
+        responseFlow.ifPresent(a -> {
             logIfLate(a, false);
             a.cancel();
         });
-        answer = Optional.empty();
+        responseFlow = Optional.empty();
         cancelExpiry();
         if (bufferedBody != null) {
             bufferedBody.release();
