--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -55,7 +55,7 @@
     /**
      * Ends the connection at the deadline: a node that lost power takes no bytes, and what waits for it holds memory.
      */
-    private Optional<ScheduledFuture<?>> expiry = Optional.empty();
+    private Optional<ScheduledFuture<?>> deadlineTimer = Optional.empty();
 
     private boolean flushPlanned;
 
@@ -260,7 +260,7 @@
         }));
         if (responseFlow.isPresent()) {
             long left = deadlineAt - System.nanoTime();
-            expiry = Optional.of(channel.eventLoop().schedule(() -> channel.close(), left, TimeUnit.NANOSECONDS));
+            deadlineTimer = Optional.of(channel.eventLoop().schedule(() -> channel.close(), left, TimeUnit.NANOSECONDS));
         }
     }
 
@@ -296,8 +296,8 @@
     }
 
     private void cancelExpiry() {
-        expiry.ifPresent(e -> e.cancel(false));
-        expiry = Optional.empty();
+        deadlineTimer.ifPresent(e -> e.cancel(false));
+        deadlineTimer = Optional.empty();
     }
 
     @Override
