--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -57,7 +57,7 @@
      */
     private Optional<ScheduledFuture<?>> deadlineTimer = Optional.empty();
 
-    private boolean flushPlanned;
+    private boolean flushScheduled;
 
     PeerHandler(Owner owner, VmLink link, LongFunction<Optional<byte[]>> delivery) {
         this.owner = owner;
@@ -232,12 +232,12 @@
 
     /** Leaves the end of a small answer, which mostly came with its head, time to join the same write. */
     private void flushSoon() {
-        if (flushPlanned) {
+        if (flushScheduled) {
             return;
         }
-        flushPlanned = true;
+        flushScheduled = true;
         channel.eventLoop().execute(() -> {
-            flushPlanned = false;
+            flushScheduled = false;
             channel.flush();
         });
     }
