--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -73,7 +73,7 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         if (message instanceof HttpRequest request) {
-            takeHead(request);
+            onRequestHead(request);
         }
         if (message instanceof HttpContent content) {
             takeContent(content);
@@ -82,7 +82,7 @@
         ReferenceCountUtil.release(message);
     }
 
-    private void takeHead(HttpRequest request) {
+    private void onRequestHead(HttpRequest request) {
         head = request;
         discardingBody = false;
         long length = HttpUtil.getContentLength(request, 0L);
