--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -88,7 +88,7 @@
         long length = HttpUtil.getContentLength(request, 0L);
         if (length >= RequestBody.LEAST_STREAMED && length <= Integer.MAX_VALUE) {
             body = HttpUtil.is100ContinueExpected(request)
-                    ? RequestBody.keptBack((int) length, link.incoming(), this::askForBody)
+                    ? RequestBody.keptBack((int) length, link.incoming(), this::sendContinue)
                     : RequestBody.coming((int) length, link.incoming());
             serve();
             return;
@@ -96,7 +96,7 @@
         bufferedBody = Unpooled.compositeBuffer(MAX_BODY_PARTS);
     }
 
-    private void askForBody() {
+    private void sendContinue() {
         channel.writeAndFlush(
                 new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
     }
