--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -76,7 +76,7 @@
             onRequestHead(request);
         }
         if (message instanceof HttpContent content) {
-            takeContent(content);
+            onRequestContent(content);
             return;
         }
         ReferenceCountUtil.release(message);
@@ -101,7 +101,7 @@
                 new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
     }
 
-    private void takeContent(HttpContent content) {
+    private void onRequestContent(HttpContent content) {
         if (content.decoderResult().isFailure()) {
             content.release();
             channel.close();
