--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -113,7 +113,7 @@
             return;
         }
         if (bufferedBody == null) {
-            takePart(content, last);
+            addBodyPart(content, last);
             return;
         }
         bufferedBody.addComponent(true, content.content());
@@ -124,7 +124,7 @@
         }
     }
 
-    private void takePart(HttpContent content, boolean last) {
+    private void addBodyPart(HttpContent content, boolean last) {
         RequestBody coming = body;
         coming.add(content.content());
         if (last) {
