--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -90,7 +90,7 @@
             body = HttpUtil.is100ContinueExpected(request)
                     ? RequestBody.keptBack((int) length, link.incoming(), this::sendContinue)
                     : RequestBody.coming((int) length, link.incoming());
-            serve();
+            handleRequest();
             return;
         }
         bufferedBody = Unpooled.compositeBuffer(MAX_BODY_PARTS);
@@ -120,7 +120,7 @@
         if (last) {
             body = RequestBody.of(bufferedBody);
             bufferedBody = null;
-            serve();
+            handleRequest();
         }
     }
 
@@ -132,7 +132,7 @@
         }
     }
 
-    private void serve() {
+    private void handleRequest() {
         HttpRequest request = head;
         Optional<CallSpec> call =
                 PeerCodec.decodeCall(request, Headers.endToEnd(request.headers()), body, System.nanoTime());
