--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -149,11 +149,11 @@
             write(404, Unpooled.EMPTY_BUFFER, "");
             return;
         }
-        deliver(delivered.get());
+        sendVersion(delivered.get());
     }
 
     /** Sends a version; a whole one is large for a narrow link, and takes its turn before most answers. */
-    private void deliver(byte[] version) {
+    private void sendVersion(byte[] version) {
         long now = System.nanoTime();
         responseId = "version";
         responseStartedAt = now;
