--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -144,7 +144,7 @@
             return;
         }
         releaseBody();
-        Optional<byte[]> delivered = baseOf(request.uri()).flatMap(versionUpdates::apply);
+        Optional<byte[]> delivered = parseBaseVersion(request.uri()).flatMap(versionUpdates::apply);
         if (delivered.isEmpty()) {
             write(404, Unpooled.EMPTY_BUFFER, "");
             return;
@@ -167,7 +167,7 @@
         onEnd();
     }
 
-    private static Optional<Long> baseOf(String uri) {
+    private static Optional<Long> parseBaseVersion(String uri) {
         if (!uri.startsWith(VersionKeeper.VERSION_PATH)) {
             return Optional.empty();
         }
