--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -146,7 +146,7 @@
         releaseBody();
         Optional<byte[]> delivered = parseBaseVersion(request.uri()).flatMap(versionUpdates::apply);
         if (delivered.isEmpty()) {
-            write(404, Unpooled.EMPTY_BUFFER, "");
+            writeResponse(404, Unpooled.EMPTY_BUFFER, "");
             return;
         }
         sendVersion(delivered.get());
@@ -178,7 +178,7 @@
         }
     }
 
-    private void write(int status, ByteBuf bytes, String outcome) {
+    private void writeResponse(int status, ByteBuf bytes, String outcome) {
         DefaultFullHttpResponse response =
                 new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), bytes);
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, bytes.readableBytes());
@@ -303,7 +303,7 @@
     @Override
     public void onRefused(Refusal refusal) {
         over();
-        write(503, Unpooled.EMPTY_BUFFER, PeerCodec.encodeRefused(refusal));
+        writeResponse(503, Unpooled.EMPTY_BUFFER, PeerCodec.encodeRefused(refusal));
     }
 
     @Override
@@ -313,7 +313,7 @@
             channel.close();
             return;
         }
-        write(502, Unpooled.EMPTY_BUFFER, PeerCodec.encodeLost(cause));
+        writeResponse(502, Unpooled.EMPTY_BUFFER, PeerCodec.encodeLost(cause));
     }
 
     /** Whether an answer has begun and not been written to its end. */
