--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -215,7 +215,7 @@
     @Override
     public void write(ByteBuf part) {
         channel.write(new DefaultHttpContent(part));
-        flushSoon();
+        scheduleFlush();
     }
 
     @Override
@@ -231,7 +231,7 @@
     }
 
     /** Leaves the end of a small answer, which mostly came with its head, time to join the same write. */
-    private void flushSoon() {
+    private void scheduleFlush() {
         if (flushScheduled) {
             return;
         }
