--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -317,7 +317,7 @@
     }
 
     /** Whether an answer has begun and not been written to its end. */
-    boolean isAnswering() {
+    boolean isResponding() {
         return responseFlow.isPresent();
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerServer.java
@@ -84,7 +84,7 @@
 
     /** Whether an answer has not left yet. */
     public boolean isSending() {
-        return unsentBytes() > 0 || connections.values().stream().anyMatch(PeerHandler::isAnswering);
+        return unsentBytes() > 0 || connections.values().stream().anyMatch(PeerHandler::isResponding);
     }
 
     @Override
