--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -251,7 +251,7 @@
 
     @Override
     public void onEnd() {
-        over();
+        finishAttempt();
         responseFlow.ifPresent(a -> a.end(() -> {
             logIfLate(a, true);
             responseFlow = Optional.empty();
@@ -302,13 +302,13 @@
 
     @Override
     public void onRefused(Refusal refusal) {
-        over();
+        finishAttempt();
         writeResponse(503, Unpooled.EMPTY_BUFFER, PeerCodec.encodeRefused(refusal));
     }
 
     @Override
     public void onLost(String cause) {
-        over();
+        finishAttempt();
         if (responseFlow.isPresent()) {
             channel.close();
             return;
@@ -321,7 +321,7 @@
         return responseFlow.isPresent();
     }
 
-    private void over() {
+    private void finishAttempt() {
         attempt = null;
         releaseBody();
     }
@@ -341,7 +341,7 @@
         if (attempt != null) {
             attempt.cancel();
         }
-        over();
+        finishAttempt();
         responseFlow.ifPresent(a -> {
             logIfLate(a, false);
             a.cancel();
