--- a/org.berylwick.node/src/org/berylwick/node/call/PeerServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerServer.java
@@ -20,7 +20,7 @@
 public final class PeerServer implements AutoCloseable {
     private static final int MAX_HEADER_BYTES = 131_072;
     private static final int MAX_CHUNK_BYTES = 65_536;
-    private static final int BACKLOG = 1024;
+    private static final int ACCEPT_BACKLOG = 1024;
 
     private final EventLoop loop;
     private final InetSocketAddress address;
@@ -55,7 +55,7 @@
         ServerBootstrap server = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
