--- a/org.berylwick.node/src/org/berylwick/node/call/PeerServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerServer.java
@@ -26,7 +26,7 @@
     private final InetSocketAddress address;
     private final Owner owner;
     private final VmLink link;
-    private final LongFunction<Optional<byte[]>> delivery;
+    private final LongFunction<Optional<byte[]>> versionUpdates;
     private final Map<Channel, PeerHandler> connections = new HashMap<>();
     private Channel listener;
 
@@ -47,7 +47,7 @@
         this.address = address;
         this.owner = owner;
         this.link = link;
-        this.delivery = delivery;
+        this.versionUpdates = delivery;
     }
 
     /** Opens the port. */
@@ -62,7 +62,7 @@
                     protected void initChannel(Channel channel) {
                         channel.pipeline()
                                 .addLast(new HttpServerCodec(MAX_HEADER_BYTES, MAX_HEADER_BYTES, MAX_CHUNK_BYTES));
-                        PeerHandler handler = new PeerHandler(owner, link, delivery);
+                        PeerHandler handler = new PeerHandler(owner, link, versionUpdates);
                         channel.pipeline().addLast(handler);
                         connections.put(channel, handler);
                         channel.closeFuture().addListener(f -> connections.remove(channel));
