--- a/org.berylwick.node/src/org/berylwick/node/call/PeerServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerServer.java
@@ -27,7 +27,7 @@
     private final Owner owner;
     private final VmLink link;
     private final LongFunction<Optional<byte[]>> versionUpdates;
-    private final Map<Channel, PeerHandler> connections = new HashMap<>();
+    private final Map<Channel, PeerHandler> handlers = new HashMap<>();
     private Channel listener;
 
     /**
@@ -64,8 +64,8 @@
                                 .addLast(new HttpServerCodec(MAX_HEADER_BYTES, MAX_HEADER_BYTES, MAX_CHUNK_BYTES));
                         PeerHandler handler = new PeerHandler(owner, link, versionUpdates);
                         channel.pipeline().addLast(handler);
-                        connections.put(channel, handler);
-                        channel.closeFuture().addListener(f -> connections.remove(channel));
+                        handlers.put(channel, handler);
+                        channel.closeFuture().addListener(f -> handlers.remove(channel));
                     }
                 });
         ReceiveWindow.limit(server, link.incoming());
@@ -75,7 +75,7 @@
     /** Bytes of answers that the system has not taken yet. */
     public long unsentBytes() {
         long bytes = 0;
-        for (Channel channel : connections.keySet()) {
+        for (Channel channel : handlers.keySet()) {
             ChannelOutboundBuffer buffer = channel.unsafe().outboundBuffer();
             bytes += buffer == null ? 0 : buffer.totalPendingWriteBytes();
         }
@@ -84,7 +84,7 @@
 
     /** Whether an answer has not left yet. */
     public boolean isSending() {
-        return unsentBytes() > 0 || connections.values().stream().anyMatch(PeerHandler::isResponding);
+        return unsentBytes() > 0 || handlers.values().stream().anyMatch(PeerHandler::isResponding);
     }
 
     @Override
