--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -169,7 +169,7 @@
             shortestWaitNanos = Math.min(shortestWaitNanos, wait);
         }
         if (refusal.reason() != Refusal.Reason.EXPIRED) {
-            next(refusal.offered());
+            next(refusal.rejectedByBackend());
         } else {
             conclude();
         }
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerCodec.java
@@ -97,7 +97,7 @@
     }
 
     static String encodeRefused(Refusal refusal) {
-        return REFUSED + ';' + refusal.reason().name() + ';' + refusal.offered() + encodeLoad(refusal.load());
+        return REFUSED + ';' + refusal.reason().name() + ';' + refusal.rejectedByBackend() + encodeLoad(refusal.load());
     }
 
     static String encodeLost(String cause) {
--- a/org.berylwick.node/src/org/berylwick/node/call/Refusal.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Refusal.java
@@ -6,10 +6,10 @@
  * An attempt that was not run and will not be.
  *
  * @param reason why
- * @param offered whether the backend server itself was sent the request and turned it away
+ * @param rejectedByBackend whether the backend server itself was sent the request and turned it away
  * @param load of the owner
  */
-public record Refusal(Reason reason, boolean offered, OwnerLoad load) {
+public record Refusal(Reason reason, boolean rejectedByBackend, OwnerLoad load) {
     /** Why an attempt was not run. */
     public enum Reason {
         /** The owner has no backend server of that service that takes work. */
