--- a/org.berylwick.node/src/org/berylwick/node/call/Refusal.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Refusal.java
@@ -27,10 +27,10 @@
         /** Nobody waits any more. */
         CANCELLED;
 
-        private static final Reason[] ALL = values();
+        private static final Reason[] VALUES = values();
 
         static Reason fromName(String name) {
-            for (Reason reason : ALL) {
+            for (Reason reason : VALUES) {
                 if (reason.name().equals(name)) {
                     return reason;
                 }
