--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -45,7 +45,7 @@
     static final HeaderNames NAMES = new HeaderNames(
             "x-request-id", "x-deadline", "x-signature", "x-target", "x-load", "x-not-run", "x-caller", "x-instance");
 
-    static final int GRACE_MILLIS = 6_000;
+    static final int GRACE_PERIOD_MILLIS = 6_000;
     private static final double WIDE_MBPS = 1_000;
 
     static final String HOST = "shop.example";
@@ -337,7 +337,7 @@
                 1,
                 200,
                 linkMbps.getOrDefault(number, WIDE_MBPS),
-                new Bounds(2_000_000_000L, GRACE_MILLIS * 1_000_000L, 2_000_000_000L, 0.2, 10_000_000_000L, 60));
+                new Bounds(2_000_000_000L, GRACE_PERIOD_MILLIS * 1_000_000L, 2_000_000_000L, 0.2, 10_000_000_000L, 60));
     }
 
     @Override
--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -169,7 +169,7 @@
                     () -> rig.send(1, NodeRig.request("GET", "/slow/x", "w2", HANGS_MILLIS, "")));
             try (ScriptedPeer.Call call = owner.accept()) {
                 int left = ScriptedPeer.Call.millisLeft(call.head());
-                assertTrue(left < NodeRig.GRACE_MILLIS, "told to be there for " + left + " ms");
+                assertTrue(left < NodeRig.GRACE_PERIOD_MILLIS, "told to be there for " + left + " ms");
                 call.answer("w2", "in time");
                 assertTrue(answer.join().endsWith("in time"), answer.join());
             }
