--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -46,7 +46,7 @@
             "x-request-id", "x-deadline", "x-signature", "x-target", "x-load", "x-not-run", "x-caller", "x-instance");
 
     static final int GRACE_PERIOD_MILLIS = 6_000;
-    private static final double WIDE_MBPS = 1_000;
+    private static final double DEFAULT_LINK_MBPS = 1_000;
 
     static final String HOST = "shop.example";
     private static final AtomicInteger NEXT_NET = new AtomicInteger(1);
@@ -336,7 +336,7 @@
                 1_500_000_000L,
                 1,
                 200,
-                linkMbps.getOrDefault(number, WIDE_MBPS),
+                linkMbps.getOrDefault(number, DEFAULT_LINK_MBPS),
                 new Bounds(2_000_000_000L, GRACE_PERIOD_MILLIS * 1_000_000L, 2_000_000_000L, 0.2, 10_000_000_000L, 60));
     }
 
