--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -49,11 +49,11 @@
     private static final double DEFAULT_LINK_MBPS = 1_000;
 
     static final String HOST = "shop.example";
-    private static final AtomicInteger NEXT_NET = new AtomicInteger(1);
+    private static final AtomicInteger NEXT_SUBNET = new AtomicInteger(1);
 
     final MemoryConfiguration configuration = new MemoryConfiguration();
     private final Map<Integer, Double> linkMbps = new HashMap<>();
-    private final int net = NEXT_NET.getAndIncrement() % 250 + 1;
+    private final int net = NEXT_SUBNET.getAndIncrement() % 250 + 1;
     private final int[] ports = freePorts();
     private final List<Node> nodes = new ArrayList<>();
     private final ByteArrayOutputStream logged = new ByteArrayOutputStream();
