--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -53,7 +53,7 @@
 
     final MemoryConfiguration configuration = new MemoryConfiguration();
     private final Map<Integer, Double> linkMbps = new HashMap<>();
-    private final int net = NEXT_SUBNET.getAndIncrement() % 250 + 1;
+    private final int subnet = NEXT_SUBNET.getAndIncrement() % 250 + 1;
     private final int[] ports = freePorts();
     private final List<Node> nodes = new ArrayList<>();
     private final ByteArrayOutputStream logged = new ByteArrayOutputStream();
@@ -91,7 +91,7 @@
     }
 
     String ip(int number) {
-        return "127." + net + ".0." + number;
+        return "127." + subnet + ".0." + number;
     }
 
     /** Starts a node whose backend server is reported ready if there is one. */
