--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -56,7 +56,7 @@
     private final int subnet = NEXT_SUBNET.getAndIncrement() % 250 + 1;
     private final int[] ports = freePorts();
     private final List<Node> nodes = new ArrayList<>();
-    private final ByteArrayOutputStream logged = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream logOutput = new ByteArrayOutputStream();
     private final List<EventLog> logs = new ArrayList<>();
 
     /** A rig with node 1, which has no backend server. */
@@ -117,7 +117,7 @@
     }
 
     private Node startUnreported(int number, String zone, Optional<RawServer> backend) {
-        EventLog log = new EventLog("node-" + number, logged);
+        EventLog log = new EventLog("node-" + number, logOutput);
         logs.add(log);
         Node node = new Node(new MemoryPorts(settings(number, zone, backend)), log);
         nodes.add(node);
@@ -279,7 +279,7 @@
     }
 
     String logged() {
-        return logged.toString(StandardCharsets.UTF_8);
+        return logOutput.toString(StandardCharsets.UTF_8);
     }
 
     /** A version with a route of each kind under {@code /read/}, {@code /pay/} and {@code /bulk/}. */
