--- a/org.berylwick.test/tst/org/berylwick/node/AnswerPathTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/AnswerPathTest.java
@@ -239,9 +239,9 @@
                 socket.getOutputStream()
                         .write(NodeRig.request("GET", "/read/x", "m1", 2_000, "")
                                 .getBytes(StandardCharsets.US_ASCII));
-                Await.until("the run", () -> server.runs("m1") == 1, rig::logged);
+                Await.until("the run", () -> server.runs("m1") == 1, rig::logText);
             }
-            Await.until("the end of the run", () -> server.closedByPeer() == 1, rig::logged);
+            Await.until("the end of the run", () -> server.closedByPeer() == 1, rig::logText);
         }
     }
 
--- a/org.berylwick.test/tst/org/berylwick/node/LargeAnswerTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/LargeAnswerTest.java
@@ -42,7 +42,7 @@
         try (RawServer server = server();
                 NodeRig rig = ownerOf(server)) {
             try (Socket node = rig.askAsNode(1, "l2", LENGTH, 3_000)) {
-                Await.until("it runs", () -> server.runs("l2") == 1, rig::logged);
+                Await.until("it runs", () -> server.runs("l2") == 1, rig::logText);
                 NodeRig.sleep(4_000);
                 assertTrue(bytesUntilClosed(node) < LENGTH, "all of it came after the deadline");
             }
@@ -90,7 +90,7 @@
         try (RawServer server = server();
                 NodeRig rig = ownerOf(server)) {
             try (Socket node = rig.askAsNode(1, "l1", LENGTH, 9_000)) {
-                Await.until("it runs", () -> server.runs("l1") == 1, rig::logged);
+                Await.until("it runs", () -> server.runs("l1") == 1, rig::logText);
                 NodeRig.sleep(500);
                 String small = rig.call(1, "GET", "/read/x", "s1", "");
                 assertTrue(small.endsWith("small"), small);
--- a/org.berylwick.test/tst/org/berylwick/node/MembershipTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/MembershipTest.java
@@ -24,7 +24,7 @@
             Await.until(
                     "an answer of node 2's backend server",
                     () -> rig.call(1, "GET", "/read/x", "a", "").endsWith("ok"),
-                    rig::logged);
+                    rig::logText);
             assertEquals("caller-1", server.requests().get(0).header("x-caller"));
         }
     }
@@ -79,7 +79,7 @@
             rig.configuration.setDown(true);
             rig.start(2, Optional.empty());
             rig.awaitReady(2);
-            assertTrue(rig.logged().contains("\"from\":\"" + rig.ip(1) + "\""), rig::logged);
+            assertTrue(rig.logText().contains("\"from\":\"" + rig.ip(1) + "\""), rig::logText);
         }
     }
 
@@ -99,9 +99,9 @@
             rig.awaitReady(1);
             String[] answers = new String[1];
             Thread caller = Thread.ofPlatform().start(() -> answers[0] = rig.call(1, "POST", "/pay/x", "a1", ""));
-            Await.until("the run", () -> server.runs("a1") == 1, rig::logged);
+            Await.until("the run", () -> server.runs("a1") == 1, rig::logText);
             Thread stopper = Thread.ofPlatform().start(node::stop);
-            Await.until("not ready", () -> !rig.isReady(1), rig::logged);
+            Await.until("not ready", () -> !rig.isReady(1), rig::logText);
             caller.join();
             assertTrue(answers[0].endsWith("ok"), answers[0]);
             stopper.join();
--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -156,16 +156,16 @@
     }
 
     void awaitReady(int number) {
-        Await.until("readiness of node " + number, () -> isReady(number), this::logged);
+        Await.until("readiness of node " + number, () -> isReady(number), this::logText);
     }
 
     /** Waits until another node than its own has heard of a backend server; its own knows of it before. */
     void awaitHeard(String incarnation) {
         Await.until(
                 "another node heard of " + incarnation,
-                () -> logged().lines()
+                () -> logText().lines()
                         .anyMatch(l -> l.contains(Event.MEMBER_CHANGED.name()) && l.contains(incarnation)),
-                this::logged);
+                this::logText);
     }
 
     /** Tells node 1 a state, as another node would. */
@@ -278,7 +278,7 @@
                 .orElseThrow();
     }
 
-    String logged() {
+    String logText() {
         return logOutput.toString(StandardCharsets.UTF_8);
     }
 
--- a/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
@@ -64,7 +64,7 @@
                     "an answer of the backend server",
                     () -> rig.call(1, "POST", "/own/x", "a" + System.nanoTime(), "")
                             .endsWith("ok"),
-                    rig::logged);
+                    rig::logText);
             assertEquals("i-running", lastOf(server).header("x-target"));
         }
     }
@@ -81,7 +81,7 @@
             rig.configuration.accept(version());
             rig.startUnreported(1, server);
             rig.awaitReady(1);
-            Await.until("that it was asked", () -> asked.size() >= 2, rig::logged);
+            Await.until("that it was asked", () -> asked.size() >= 2, rig::logText);
             assertTrue(rig.call(1, "POST", "/own/x", "a1", "").startsWith("HTTP/1.1 503"));
             assertTrue(asked.stream().allMatch(HEALTH::equals), asked.toString());
         }
@@ -95,7 +95,7 @@
             rig.configuration.accept(version());
             rig.startUnreported(1, server);
             rig.awaitReady(1);
-            Await.until("that it was asked", () -> rig.logged().contains("i-old"), rig::logged);
+            Await.until("that it was asked", () -> rig.logText().contains("i-old"), rig::logText);
             rig.report(1, "caller-1", server, "i-new", 1, BackendState.READY, 2);
             assertTrue(rig.call(1, "POST", "/own/x", "a1", "").endsWith("ok"));
             assertEquals("i-new", lastOf(server).header("x-target"));
@@ -118,11 +118,11 @@
                     "an answer through node 2",
                     () -> rig.call(2, "POST", "/pay/x", "a" + System.nanoTime(), "")
                             .endsWith("ok"),
-                    rig::logged);
+                    rig::logText);
             Thread stopper = Thread.ofPlatform().start(stopped::stop);
-            Await.until("not ready", () -> !rig.isReady(1), rig::logged);
+            Await.until("not ready", () -> !rig.isReady(1), rig::logText);
             for (int i = 0; i < 10; i++) {
-                assertTrue(rig.call(2, "POST", "/pay/x", "b" + i, "").endsWith("ok"), rig.logged());
+                assertTrue(rig.call(2, "POST", "/pay/x", "b" + i, "").endsWith("ok"), rig.logText());
                 NodeRig.sleep(60);
             }
             NodeRig.sleep(300);
@@ -131,7 +131,7 @@
             stopper.join();
             long millis = (System.nanoTime() - before) / 1_000_000;
             assertTrue(millis < 1_200, "ended " + millis + " ms after its callers were gone");
-            assertTrue(rig.call(2, "POST", "/pay/x", "c", "").startsWith("HTTP/1.1 503"), rig.logged());
+            assertTrue(rig.call(2, "POST", "/pay/x", "c", "").startsWith("HTTP/1.1 503"), rig.logText());
         }
     }
 
@@ -160,7 +160,7 @@
             rig.awaitHeard("i-2");
             String[] answer = new String[1];
             Thread caller = Thread.ofPlatform().start(() -> answer[0] = rig.call(1, "POST", "/pay/x", "outer", ""));
-            Await.until("the run", () -> server.runs("outer") == 1, rig::logged);
+            Await.until("the run", () -> server.runs("outer") == 1, rig::logText);
             Thread stopper = Thread.ofPlatform().start(stopped::stop);
             rig.isReady(1);
             NodeRig.sleep(700);
--- a/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
+++ b/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
@@ -59,7 +59,7 @@
                 new OwnerLoad(0, 0, 8, 50_000_000L),
                 List.of());
         rig.tellFirst(datagrams, state);
-        Await.until("node 9 is known", () -> rig.logged().contains(INCARNATION), rig::logged);
+        Await.until("node 9 is known", () -> rig.logText().contains(INCARNATION), rig::logText);
     }
 
     /** Takes the next connection of node 1. */
--- a/org.berylwick.test/tst/org/berylwick/node/SilentBackendTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/SilentBackendTest.java
@@ -75,15 +75,15 @@
             rig.awaitReady(1);
             Thread caller =
                     Thread.ofPlatform().start(() -> rig.send(1, NodeRig.request("POST", "/slow/x", "a1", 12_000, "")));
-            Await.until("it is given up", () -> rig.logged().contains("ABSENT"), rig::logged);
+            Await.until("it is given up", () -> rig.logText().contains("ABSENT"), rig::logText);
             String answer = rig.call(1, "POST", "/pay/x", "a2", "");
             assertTrue(answer.startsWith("HTTP/1.1 503") && answer.contains("Retry-After"), answer);
             assertTrue(caller.isAlive(), "the first request ended");
             rig.report(1, silent, "i-1", 2, BackendState.READY, 100);
             Await.until(
                     "it is believed again",
-                    () -> rig.logged().lastIndexOf("READY") > rig.logged().lastIndexOf("ABSENT"),
-                    rig::logged);
+                    () -> rig.logText().lastIndexOf("READY") > rig.logText().lastIndexOf("ABSENT"),
+                    rig::logText);
         }
     }
 }
--- a/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
@@ -117,7 +117,7 @@
             try (ScriptedPeer.Call call = unheard.accept()) {
                 call.head();
                 rig.start(2, Optional.of(full));
-                Await.until("the other was asked", () -> full.runs("b3") > 0, rig::logged);
+                Await.until("the other was asked", () -> full.runs("b3") > 0, rig::logText);
                 NodeRig.sleep(300);
                 call.answer("b3", "late but whole");
                 assertTrue(answer.join().endsWith("late but whole"), answer.join());
@@ -145,7 +145,7 @@
             String answer = rig.send(1, NodeRig.request("POST", "/quick/x", "a2", 20_000, ""));
             assertTrue(answer.startsWith("HTTP/1.1 504"), answer);
             String named = rig.ip(9) + "=PENDING";
-            Await.until("the log names it", () -> rig.logged().contains(named), rig::logged);
+            Await.until("the log names it", () -> rig.logText().contains(named), rig::logText);
         }
     }
 }
--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -69,7 +69,7 @@
                                     .getBytes(StandardCharsets.ISO_8859_1));
                 }
                 String last = "s" + (ANSWERS - 1);
-                Await.until("all run", () -> server.runs(last) == 1, rig::logged);
+                Await.until("all run", () -> server.runs(last) == 1, rig::logText);
                 CompletableFuture<Integer> whole = CompletableFuture.supplyAsync(() -> wholeAnswersLater(caller));
                 NodeRig.sleep(500);
                 node.stop();
@@ -98,7 +98,7 @@
             Node node = rig.start(1, Optional.of(here));
             rig.awaitReady(1);
             CompletableFuture.runAsync(() -> rig.send(1, NodeRig.request("POST", "/hang/x", "h1", HANGS_MILLIS, "")));
-            Await.until("it hangs", () -> here.runs("h1") == 1, rig::logged);
+            Await.until("it hangs", () -> here.runs("h1") == 1, rig::logText);
             rig.start(2, Optional.of(elsewhere));
             rig.awaitHeard("i-2");
             CompletableFuture<Void> stopped = CompletableFuture.runAsync(() -> {
@@ -164,7 +164,7 @@
                 ScriptedPeer owner = ScriptedPeer.announced(rig, WIDE_MBPS)) {
             CompletableFuture<Void> stopped =
                     CompletableFuture.runAsync(() -> rig.node(1).stop());
-            Await.until("it stops", () -> rig.logged().contains(Event.STOPPING.name()), rig::logged);
+            Await.until("it stops", () -> rig.logText().contains(Event.STOPPING.name()), rig::logText);
             CompletableFuture<String> answer = CompletableFuture.supplyAsync(
                     () -> rig.send(1, NodeRig.request("GET", "/slow/x", "w2", HANGS_MILLIS, "")));
             try (ScriptedPeer.Call call = owner.accept()) {
@@ -192,7 +192,7 @@
             Node node = rig.startOnLink(1, server, 1, NARROW_MBPS);
             rig.awaitReady(1);
             try (Socket other = rig.askAsNode(1, "p1", PACED_LENGTH, 9_000)) {
-                Await.until("it runs", () -> server.runs("p1") == 1, rig::logged);
+                Await.until("it runs", () -> server.runs("p1") == 1, rig::logText);
                 CompletableFuture<Boolean> whole = CompletableFuture.supplyAsync(() -> isWholeLater(other));
                 node.stop();
                 node.close();
--- a/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
@@ -201,7 +201,7 @@
                 caller.close();
                 assertEquals(0, call.body(1).length, "the connection is still open");
             }
-            Await.until("the entry has let go", () -> rig.logged().contains("CALL_ABANDONED"), rig::logged);
+            Await.until("the entry has let go", () -> rig.logText().contains("CALL_ABANDONED"), rig::logText);
         }
     }
 }
--- a/org.berylwick.test/tst/org/berylwick/node/UploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/UploadTest.java
@@ -145,7 +145,7 @@
             Await.until(
                     "the next one is served",
                     () -> rig.call(1, "POST", "/pay/x", "u6", body).endsWith(sum(body)),
-                    rig::logged);
+                    rig::logText);
             assertEquals(0, server.runs("u5"));
         }
     }
