--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -60,7 +60,7 @@
     private final List<EventLog> logs = new ArrayList<>();
 
     /** A rig with node 1, which has no backend server. */
-    static NodeRig ofEntry(MeshVersion version) {
+    static NodeRig withEntryNode(MeshVersion version) {
         NodeRig rig = new NodeRig();
         rig.configuration.accept(version);
         rig.start(1, Optional.empty());
--- a/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
@@ -33,7 +33,7 @@
     @Test
     void repeatableRequestLeavesANodeThatLostPower() throws IOException, InterruptedException {
         try (RawServer server = new RawServer(NodeRig::answerOk);
-                NodeRig rig = NodeRig.ofEntry(versionWith(NodeRig.route("long", "/long/", RouteKind.BULK, 20_000)));
+                NodeRig rig = NodeRig.withEntryNode(versionWith(NodeRig.route("long", "/long/", RouteKind.BULK, 20_000)));
                 ScriptedPeer silent = ScriptedPeer.announced(rig, LINK_MBPS)) {
             String[] answer = new String[1];
             long before = System.nanoTime();
@@ -50,7 +50,7 @@
     /** A node whose datagrams are lost, as on a full link, but which has a request at work: its answer is passed on. */
     @Test
     void requestStaysAtAnUnheardNodeWhenNoOtherCanRunIt() throws Exception {
-        try (NodeRig rig = NodeRig.ofEntry(NodeRig.version(1));
+        try (NodeRig rig = NodeRig.withEntryNode(NodeRig.version(1));
                 ScriptedPeer unheard = ScriptedPeer.announced(rig, LINK_MBPS)) {
             NodeRig.sleep(SILENCE_MILLIS);
             CompletableFuture<String> answer = callLater(rig, "GET", "/read/x", "b1");
@@ -67,7 +67,7 @@
     @Test
     void nonIdempotentRequestStaysAtAnUnheardNode() throws Exception {
         try (RawServer server = new RawServer(NodeRig::answerOk);
-                NodeRig rig = NodeRig.ofEntry(
+                NodeRig rig = NodeRig.withEntryNode(
                         versionWith(NodeRig.route("slow", "/slow/", RouteKind.NON_IDEMPOTENT, 12_000)));
                 ScriptedPeer unheard = ScriptedPeer.announced(rig, LINK_MBPS)) {
             CompletableFuture<String> answer = CompletableFuture.supplyAsync(
@@ -91,7 +91,7 @@
                     c.read(BODY_LENGTH);
                     NodeRig.answerOk(c, r);
                 });
-                NodeRig rig = NodeRig.ofEntry(
+                NodeRig rig = NodeRig.withEntryNode(
                         versionWith(NodeRig.route("slow", "/slow/", RouteKind.NON_IDEMPOTENT, 12_000)));
                 ScriptedPeer unheard = ScriptedPeer.announced(rig, NARROW_MBPS)) {
             CompletableFuture<String> answer = CompletableFuture.supplyAsync(
@@ -110,7 +110,7 @@
     void requestGoesBackToAnUnheardNodeWhenTheOtherRefuses() throws Exception {
         try (RawServer full = new RawServer((c, r) -> c.write("HTTP/1.1 503 Full\r\nx-request-id: " + r.id()
                         + "\r\nx-not-run: 1\r\nContent-Length: 0\r\n\r\n"));
-                NodeRig rig = NodeRig.ofEntry(versionWith(NodeRig.route("long", "/long/", RouteKind.BULK, 20_000)));
+                NodeRig rig = NodeRig.withEntryNode(versionWith(NodeRig.route("long", "/long/", RouteKind.BULK, 20_000)));
                 ScriptedPeer unheard = ScriptedPeer.announced(rig, LINK_MBPS)) {
             CompletableFuture<String> answer = CompletableFuture.supplyAsync(
                     () -> rig.send(1, NodeRig.request("GET", "/long/x", "b3", 20_000, "")));
@@ -139,7 +139,7 @@
     @Test
     void callThatEndsByItsDeadlineNamesTheNodeItWaitedFor() throws IOException {
         try (NodeRig rig =
-                        NodeRig.ofEntry(versionWith(NodeRig.route("quick", "/quick/", RouteKind.NON_IDEMPOTENT, 300)));
+                        NodeRig.withEntryNode(versionWith(NodeRig.route("quick", "/quick/", RouteKind.NON_IDEMPOTENT, 300)));
                 ScriptedPeer mute = new ScriptedPeer(rig)) {
             mute.announce(LINK_MBPS);
             String answer = rig.send(1, NodeRig.request("POST", "/quick/x", "a2", 20_000, ""));
--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -118,7 +118,7 @@
      */
     @Test
     void callerIsAnsweredWhenItsOwnerOutlastsTheGrace() throws IOException {
-        try (NodeRig rig = NodeRig.ofEntry(versionWithSlowRoute());
+        try (NodeRig rig = NodeRig.withEntryNode(versionWithSlowRoute());
                 ScriptedPeer owner = ScriptedPeer.announced(rig, WIDE_MBPS)) {
             CompletableFuture<String> answer = CompletableFuture.supplyAsync(
                     () -> rig.send(1, NodeRig.request("GET", "/slow/x", "w1", HANGS_MILLIS, "")));
@@ -137,7 +137,7 @@
      */
     @Test
     void requestWhoseBodyIsComingIsAnsweredBeforeTheStopEnds() throws IOException {
-        try (NodeRig rig = NodeRig.ofEntry(NodeRig.version(1));
+        try (NodeRig rig = NodeRig.withEntryNode(NodeRig.version(1));
                 Socket caller = new Socket()) {
             caller.connect(rig.callers(1));
             caller.setSoTimeout(20_000);
@@ -160,7 +160,7 @@
     /** Guards against an owner that makes an answer which its entry, told to stop, can no longer pass on. */
     @Test
     void ownerIsToldHowLongAStoppingEntryIsThere() throws IOException {
-        try (NodeRig rig = NodeRig.ofEntry(versionWithSlowRoute());
+        try (NodeRig rig = NodeRig.withEntryNode(versionWithSlowRoute());
                 ScriptedPeer owner = ScriptedPeer.announced(rig, WIDE_MBPS)) {
             CompletableFuture<Void> stopped =
                     CompletableFuture.runAsync(() -> rig.node(1).stop());
