--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -112,7 +112,7 @@
     }
 
     /** Starts a node beside a backend server that has not announced itself to it. */
-    Node startUnreported(int number, RawServer backend) {
+    Node startWithoutReport(int number, RawServer backend) {
         return startUnreported(number, "zone-a", Optional.of(backend));
     }
 
--- a/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
@@ -58,7 +58,7 @@
         try (RawServer server = new RawServer((c, r) -> answerAs("i-running", 200, c, r));
                 NodeRig rig = new NodeRig()) {
             rig.configuration.accept(version());
-            rig.startUnreported(1, server);
+            rig.startWithoutReport(1, server);
             rig.awaitReady(1);
             Await.until(
                     "an answer of the backend server",
@@ -79,7 +79,7 @@
                 });
                 NodeRig rig = new NodeRig()) {
             rig.configuration.accept(version());
-            rig.startUnreported(1, server);
+            rig.startWithoutReport(1, server);
             rig.awaitReady(1);
             Await.until("that it was asked", () -> asked.size() >= 2, rig::logText);
             assertTrue(rig.call(1, "POST", "/own/x", "a1", "").startsWith("HTTP/1.1 503"));
@@ -93,7 +93,7 @@
         try (RawServer server = new RawServer((c, r) -> answerAs("i-old", 200, c, r));
                 NodeRig rig = new NodeRig()) {
             rig.configuration.accept(version());
-            rig.startUnreported(1, server);
+            rig.startWithoutReport(1, server);
             rig.awaitReady(1);
             Await.until("that it was asked", () -> rig.logText().contains("i-old"), rig::logText);
             rig.report(1, "caller-1", server, "i-new", 1, BackendState.READY, 2);
