--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -100,7 +100,7 @@
     }
 
     Node start(int number, String zone, Optional<RawServer> backend, int slots) {
-        Node node = startUnreported(number, zone, backend);
+        Node node = startWithoutReport(number, zone, backend);
         backend.ifPresent(b -> report(number, b, "i-" + number, 1, BackendState.READY, slots));
         return node;
     }
@@ -113,10 +113,10 @@
 
     /** Starts a node beside a backend server that has not announced itself to it. */
     Node startWithoutReport(int number, RawServer backend) {
-        return startUnreported(number, "zone-a", Optional.of(backend));
+        return startWithoutReport(number, "zone-a", Optional.of(backend));
     }
 
-    private Node startUnreported(int number, String zone, Optional<RawServer> backend) {
+    private Node startWithoutReport(int number, String zone, Optional<RawServer> backend) {
         EventLog log = new EventLog("node-" + number, logOutput);
         logs.add(log);
         Node node = new Node(new MemoryPorts(settings(number, zone, backend)), log);
