--- a/org.berylwick.test/tst/org/berylwick/node/LargeAnswerTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/LargeAnswerTest.java
@@ -31,7 +31,7 @@
     private static NodeRig ownerOf(RawServer server) {
         NodeRig rig = new NodeRig();
         rig.configuration.accept(NodeRig.version(1));
-        rig.startOnLink(1, server, 1, NARROW_MBPS);
+        rig.startWithLink(1, server, 1, NARROW_MBPS);
         rig.awaitReady(1);
         return rig;
     }
@@ -55,7 +55,7 @@
         try (RawServer server = server();
                 NodeRig rig = new NodeRig()) {
             rig.configuration.accept(NodeRig.version(1));
-            Node owner = rig.startOnLink(1, server, 1, VERY_NARROW_MBPS);
+            Node owner = rig.startWithLink(1, server, 1, VERY_NARROW_MBPS);
             rig.awaitReady(1);
             try (Socket node = rig.askAsNode(1, "l3", LENGTH, 30_000)) {
                 assertEquals('H', node.getInputStream().read(), "the answer did not begin");
--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -106,7 +106,7 @@
     }
 
     /** Starts a node whose VM has a narrow link, as its settings say; the loopback link is wide. */
-    Node startOnLink(int number, RawServer backend, int slots, double mbps) {
+    Node startWithLink(int number, RawServer backend, int slots, double mbps) {
         linkMbps.put(number, mbps);
         return start(number, "zone-a", Optional.of(backend), slots);
     }
--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -189,7 +189,7 @@
         try (RawServer server = new RawServer((c, r) -> c.write(NodeRig.answerTo(r, paced)));
                 NodeRig rig = new NodeRig()) {
             rig.configuration.accept(NodeRig.version(1));
-            Node node = rig.startOnLink(1, server, 1, NARROW_MBPS);
+            Node node = rig.startWithLink(1, server, 1, NARROW_MBPS);
             rig.awaitReady(1);
             try (Socket other = rig.askAsNode(1, "p1", PACED_LENGTH, 9_000)) {
                 Await.until("it runs", () -> server.runs("p1") == 1, rig::logText);
--- a/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
@@ -156,7 +156,7 @@
         try (RawServer server = new RawServer(NodeRig::answerOk);
                 NodeRig rig = new NodeRig()) {
             rig.configuration.accept(NodeRig.version(1));
-            rig.startOnLink(1, server, 1, NARROW_MBPS);
+            rig.startWithLink(1, server, 1, NARROW_MBPS);
             rig.awaitReady(1);
             try (Socket node = new Socket()) {
                 node.connect(rig.peers(1));
