--- a/org.berylwick.test/tst/org/berylwick/node/AnswerPathTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/AnswerPathTest.java
@@ -37,7 +37,7 @@
         NodeRig rig = rigWith(one);
         rig.start(2, Optional.of(two));
         rig.awaitReady(2);
-        rig.awaitHeard("i-2");
+        rig.awaitMemberKnown("i-2");
         return rig;
     }
 
--- a/org.berylwick.test/tst/org/berylwick/node/MembershipTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/MembershipTest.java
@@ -128,7 +128,7 @@
             rig.start(1, Optional.of(bad));
             rig.start(2, Optional.of(good));
             rig.awaitReady(1);
-            rig.awaitHeard("i-2");
+            rig.awaitMemberKnown("i-2");
             for (int i = 0; i < 60; i++) {
                 rig.call(1, "POST", "/pay/x", "a" + i, "");
             }
--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -160,7 +160,7 @@
     }
 
     /** Waits until another node than its own has heard of a backend server; its own knows of it before. */
-    void awaitHeard(String incarnation) {
+    void awaitMemberKnown(String incarnation) {
         Await.until(
                 "another node heard of " + incarnation,
                 () -> logText().lines()
--- a/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
@@ -157,7 +157,7 @@
             Node stopped = rig.start(1, Optional.of(server));
             rig.start(2, "zone-b", Optional.of(other), 2);
             rig.awaitReady(1);
-            rig.awaitHeard("i-2");
+            rig.awaitMemberKnown("i-2");
             String[] answer = new String[1];
             Thread caller = Thread.ofPlatform().start(() -> answer[0] = rig.call(1, "POST", "/pay/x", "outer", ""));
             Await.until("the run", () -> server.runs("outer") == 1, rig::logText);
--- a/org.berylwick.test/tst/org/berylwick/node/SilentBackendTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/SilentBackendTest.java
@@ -41,7 +41,7 @@
             rig.start(1, "zone-a", Optional.of(silent), 100);
             rig.start(2, "zone-b", Optional.of(good), 100);
             rig.awaitReady(1);
-            rig.awaitHeard("i-2");
+            rig.awaitMemberKnown("i-2");
             for (int i = 0; i < 40; i++) {
                 rig.call(1, "POST", "/pay/x", "first" + i, "");
             }
--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -100,7 +100,7 @@
             CompletableFuture.runAsync(() -> rig.send(1, NodeRig.request("POST", "/hang/x", "h1", HANGS_MILLIS, "")));
             Await.until("it hangs", () -> here.runs("h1") == 1, rig::logText);
             rig.start(2, Optional.of(elsewhere));
-            rig.awaitHeard("i-2");
+            rig.awaitMemberKnown("i-2");
             CompletableFuture<Void> stopped = CompletableFuture.runAsync(() -> {
                 node.stop();
                 node.close();
--- a/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
@@ -110,7 +110,7 @@
             try (ScriptedPeer.Call call = peer.accept()) {
                 call.head();
                 rig.start(2, Optional.of(server));
-                rig.awaitHeard("i-2");
+                rig.awaitMemberKnown("i-2");
                 call.refuse();
                 assertTrue(answer.join().endsWith("read " + LENGTH), answer.join());
                 assertFalse(call.isSentMore(50), "the body came though it was refused");
@@ -138,7 +138,7 @@
                 try (ScriptedPeer.Call call = peer.accept()) {
                     call.body(HALF);
                     rig.start(2, Optional.of(server));
-                    rig.awaitHeard("i-2");
+                    rig.awaitMemberKnown("i-2");
                 }
                 out.write(bytes(BODY.substring(HALF)));
                 String answer = NodeRig.readAnswer(caller.getInputStream());
@@ -154,7 +154,7 @@
         try (NodeRig rig = rig();
                 RawServer server = new RawServer(NodeRig::answerOk)) {
             rig.start(2, Optional.of(server));
-            rig.awaitHeard("i-2");
+            rig.awaitMemberKnown("i-2");
             try (Socket caller = caller(rig)) {
                 caller.getOutputStream().write(bytes(head("/pay/x", "s5") + BODY.substring(0, HALF)));
                 String answer = NodeRig.readAnswer(caller.getInputStream());
@@ -173,7 +173,7 @@
         try (NodeRig rig = rig();
                 RawServer server = new RawServer(NodeRig::answerOk)) {
             rig.start(2, Optional.of(server));
-            rig.awaitHeard("i-2");
+            rig.awaitMemberKnown("i-2");
             try (Socket caller = caller(rig)) {
                 OutputStream out = caller.getOutputStream();
                 out.write(bytes(head("/nowhere/x", "s6") + BODY.substring(0, HALF)));
--- a/org.berylwick.test/tst/org/berylwick/node/UploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/UploadTest.java
@@ -59,7 +59,7 @@
             rig.start(1, at == 1 ? Optional.of(server) : Optional.empty());
             if (at == 2) {
                 rig.start(2, Optional.of(server));
-                rig.awaitHeard("i-2");
+                rig.awaitMemberKnown("i-2");
             }
             rig.awaitReady(1);
             String body = body(length);
@@ -97,7 +97,7 @@
                 NodeRig rig = rig()) {
             rig.start(1, Optional.of(one));
             rig.start(2, Optional.of(two));
-            rig.awaitHeard("i-2");
+            rig.awaitMemberKnown("i-2");
             rig.awaitReady(1);
             String body = body(360_000);
             for (int i = 0; i < 3; i++) {
