--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -169,7 +169,7 @@
     }
 
     /** Tells node 1 a state, as another node would. */
-    void tellFirst(DatagramSocket from, NodeState state) throws IOException {
+    void sendStateToFirstNode(DatagramSocket from, NodeState state) throws IOException {
         ByteBuf bytes = Unpooled.buffer();
         NodeStateCodec.write(new NodeStateCodec.Message(state, false, List.of()), bytes);
         from.send(new DatagramPacket(bytes.array(), bytes.readableBytes(), gossip(1)));
--- a/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
+++ b/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
@@ -58,7 +58,7 @@
                 0,
                 new OwnerLoad(0, 0, 8, 50_000_000L),
                 List.of());
-        rig.tellFirst(datagrams, state);
+        rig.sendStateToFirstNode(datagrams, state);
         Await.until("node 9 is known", () -> rig.logText().contains(INCARNATION), rig::logText);
     }
 
--- a/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
@@ -147,7 +147,7 @@
                 0,
                 OwnerLoad.NONE,
                 java.util.List.of());
-        rig.tellFirst(socket, state);
+        rig.sendStateToFirstNode(socket, state);
     }
 
     /** Guards against calls and datagrams that wait behind a whole version on a narrow link. */
