--- a/org.berylwick.test/tst/org/berylwick/node/MembershipTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/MembershipTest.java
@@ -15,7 +15,7 @@
 class MembershipTest {
     @Test
     void nodeWithoutBackendServerSendsToAnother() {
-        try (RawServer server = new RawServer(NodeRig::answerOk);
+        try (RawServer server = new RawServer(NodeRig::respondOk);
                 NodeRig rig = new NodeRig()) {
             rig.configuration.accept(NodeRig.version(1));
             rig.start(1, Optional.empty());
@@ -35,7 +35,7 @@
      */
     @Test
     void acknowledgedLeaveIsNotUndoneByALateHeartbeat() {
-        try (RawServer server = new RawServer(NodeRig::answerOk);
+        try (RawServer server = new RawServer(NodeRig::respondOk);
                 NodeRig rig = new NodeRig()) {
             rig.configuration.accept(NodeRig.version(1));
             rig.start(1, Optional.of(server));
@@ -55,7 +55,7 @@
     /** A heartbeat of an incarnation that has crashed arrives after its successor's: the successor stays. */
     @Test
     void lateHeartbeatOfAnEarlierIncarnationChangesNothing() {
-        try (RawServer server = new RawServer(NodeRig::answerOk);
+        try (RawServer server = new RawServer(NodeRig::respondOk);
                 NodeRig rig = new NodeRig()) {
             rig.configuration.accept(NodeRig.version(1));
             rig.start(1, Optional.of(server));
@@ -71,7 +71,7 @@
     /** A version reaches a node that cannot read the store, through one that can. */
     @Test
     void versionSpreadsToANodeThatTheStoreTurnsAway() {
-        try (RawServer server = new RawServer(NodeRig::answerOk);
+        try (RawServer server = new RawServer(NodeRig::respondOk);
                 NodeRig rig = new NodeRig()) {
             rig.configuration.accept(NodeRig.version(1));
             rig.start(1, Optional.of(server));
@@ -91,7 +91,7 @@
     void plannedStopLosesNoRequest() throws InterruptedException {
         try (RawServer server = new RawServer((c, r) -> {
                     NodeRig.sleep(800);
-                    NodeRig.answerOk(c, r);
+                    NodeRig.respondOk(c, r);
                 });
                 NodeRig rig = new NodeRig()) {
             rig.configuration.accept(NodeRig.version(1));
@@ -117,12 +117,12 @@
         int[] runs = {0};
         try (RawServer bad = new RawServer((c, r) -> {
                     if (runs[0]++ % 2 == 0) {
-                        NodeRig.answerOk(c, r);
+                        NodeRig.respondOk(c, r);
                     } else {
                         c.close();
                     }
                 });
-                RawServer good = new RawServer(NodeRig::answerOk);
+                RawServer good = new RawServer(NodeRig::respondOk);
                 NodeRig rig = new NodeRig()) {
             rig.configuration.accept(NodeRig.version(1));
             rig.start(1, Optional.of(bad));
--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -182,7 +182,7 @@
     }
 
     /** Answers "ok". */
-    static void answerOk(RawServer.Connection connection, RawServer.Request request) throws IOException {
+    static void respondOk(RawServer.Connection connection, RawServer.Request request) throws IOException {
         connection.write(responseTo(request, "ok"));
     }
 
--- a/org.berylwick.test/tst/org/berylwick/node/OverloadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/OverloadTest.java
@@ -25,7 +25,7 @@
         AtomicInteger late = new AtomicInteger();
         try (RawServer server = new RawServer((c, r) -> {
                     NodeRig.sleep(200);
-                    NodeRig.answerOk(c, r);
+                    NodeRig.respondOk(c, r);
                 });
                 NodeRig rig = new NodeRig()) {
             rig.configuration.accept(NodeRig.version(1));
@@ -70,7 +70,7 @@
                     boolean payment = r.path().startsWith("/pay/");
                     NodeRig.sleep(payment ? 200 : 40);
                     (payment ? payments : calls).incrementAndGet();
-                    NodeRig.answerOk(c, r);
+                    NodeRig.respondOk(c, r);
                 });
                 NodeRig rig = new NodeRig()) {
             rig.configuration.accept(NodeRig.version(
--- a/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
@@ -42,7 +42,7 @@
     private static void answerAs(String incarnation, int status, RawServer.Connection c, RawServer.Request r)
             throws IOException {
         if (!r.path().equals(HEALTH)) {
-            NodeRig.answerOk(c, r);
+            NodeRig.respondOk(c, r);
             return;
         }
         c.write("HTTP/1.1 " + status + " Told\r\nx-instance: " + incarnation
@@ -108,7 +108,7 @@
      */
     @Test
     void backendServerOfANodeThatStopsServesOthersUntilCallersAreGone() throws InterruptedException {
-        try (RawServer server = new RawServer(NodeRig::answerOk);
+        try (RawServer server = new RawServer(NodeRig::respondOk);
                 NodeRig rig = new NodeRig()) {
             rig.configuration.accept(NodeRig.version(1));
             Node stopped = rig.start(1, Optional.of(server));
@@ -148,9 +148,9 @@
                         NodeRig.sleep(1_500);
                         inner[0] = held[0].call(1, "GET", "/read/x", "inner", "");
                     }
-                    NodeRig.answerOk(c, r);
+                    NodeRig.respondOk(c, r);
                 });
-                RawServer other = new RawServer(NodeRig::answerOk);
+                RawServer other = new RawServer(NodeRig::respondOk);
                 NodeRig rig = new NodeRig()) {
             held[0] = rig;
             rig.configuration.accept(NodeRig.version(1));
--- a/org.berylwick.test/tst/org/berylwick/node/SilentBackendTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/SilentBackendTest.java
@@ -32,10 +32,10 @@
                     if (frozen.get()) {
                         swallowed.incrementAndGet();
                     } else {
-                        NodeRig.answerOk(c, r);
+                        NodeRig.respondOk(c, r);
                     }
                 });
-                RawServer good = new RawServer(NodeRig::answerOk);
+                RawServer good = new RawServer(NodeRig::respondOk);
                 NodeRig rig = new NodeRig()) {
             rig.configuration.accept(NodeRig.version(1));
             rig.start(1, "zone-a", Optional.of(silent), 100);
--- a/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
@@ -32,7 +32,7 @@
 
     @Test
     void repeatableRequestLeavesANodeThatLostPower() throws IOException, InterruptedException {
-        try (RawServer server = new RawServer(NodeRig::answerOk);
+        try (RawServer server = new RawServer(NodeRig::respondOk);
                 NodeRig rig = NodeRig.withEntryNode(versionWith(NodeRig.route("long", "/long/", RouteKind.BULK, 20_000)));
                 ScriptedPeer silent = ScriptedPeer.announced(rig, LINK_MBPS)) {
             String[] answer = new String[1];
@@ -66,7 +66,7 @@
     /** A request that must run once gains nothing by leaving an unheard node, and loses its answer. */
     @Test
     void nonIdempotentRequestStaysAtAnUnheardNode() throws Exception {
-        try (RawServer server = new RawServer(NodeRig::answerOk);
+        try (RawServer server = new RawServer(NodeRig::respondOk);
                 NodeRig rig = NodeRig.withEntryNode(
                         versionWith(NodeRig.route("slow", "/slow/", RouteKind.NON_IDEMPOTENT, 12_000)));
                 ScriptedPeer unheard = ScriptedPeer.announced(rig, LINK_MBPS)) {
@@ -89,7 +89,7 @@
         String body = "b".repeat(BODY_LENGTH);
         try (RawServer server = new RawServer((c, r) -> {
                     c.read(BODY_LENGTH);
-                    NodeRig.answerOk(c, r);
+                    NodeRig.respondOk(c, r);
                 });
                 NodeRig rig = NodeRig.withEntryNode(
                         versionWith(NodeRig.route("slow", "/slow/", RouteKind.NON_IDEMPOTENT, 12_000)));
--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -86,7 +86,7 @@
     void requestThatComesJustBeforeTheGraceEndsIsRefused() {
         RawServer.Script script = (c, r) -> {
             NodeRig.sleep(r.path().startsWith("/hang/") ? HANGS_MILLIS : RUNS_MILLIS);
-            NodeRig.answerOk(c, r);
+            NodeRig.respondOk(c, r);
         };
         try (RawServer here = new RawServer(script);
                 RawServer elsewhere = new RawServer(script);
--- a/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
@@ -129,7 +129,7 @@
                 ScriptedPeer peer = new ScriptedPeer(rig);
                 RawServer server = new RawServer((c, r) -> {
                     c.read(Integer.parseInt(r.header("content-length")));
-                    NodeRig.answerOk(c, r);
+                    NodeRig.respondOk(c, r);
                 })) {
             peer.announce(WIDE_MBPS);
             try (Socket caller = caller(rig)) {
@@ -152,7 +152,7 @@
     @Test
     void bodyThatDoesNotComeInTimeRunsNowhere() throws IOException {
         try (NodeRig rig = rig();
-                RawServer server = new RawServer(NodeRig::answerOk)) {
+                RawServer server = new RawServer(NodeRig::respondOk)) {
             rig.start(2, Optional.of(server));
             rig.awaitMemberKnown("i-2");
             try (Socket caller = caller(rig)) {
@@ -171,7 +171,7 @@
     @Test
     void connectionGoesOnAfterAnAnswerBeforeTheEndOfTheBody() throws IOException {
         try (NodeRig rig = rig();
-                RawServer server = new RawServer(NodeRig::answerOk)) {
+                RawServer server = new RawServer(NodeRig::respondOk)) {
             rig.start(2, Optional.of(server));
             rig.awaitMemberKnown("i-2");
             try (Socket caller = caller(rig)) {
--- a/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
@@ -153,7 +153,7 @@
     /** Guards against calls and datagrams that wait behind a whole version on a narrow link. */
     @Test
     void wholeVersionLeavesAtTheLinksPace() throws IOException {
-        try (RawServer server = new RawServer(NodeRig::answerOk);
+        try (RawServer server = new RawServer(NodeRig::respondOk);
                 NodeRig rig = new NodeRig()) {
             rig.configuration.accept(NodeRig.version(1));
             rig.startWithLink(1, server, 1, NARROW_MBPS);
