--- a/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
+++ b/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
@@ -39,7 +39,7 @@
         this.rig = rig;
         this.datagrams = new DatagramSocket(rig.gossip(NUMBER));
         this.listener = new ServerSocket(
-                rig.peers(NUMBER).getPort(), 10, rig.peers(NUMBER).getAddress());
+                rig.peerAddress(NUMBER).getPort(), 10, rig.peerAddress(NUMBER).getAddress());
     }
 
     /** Tells of itself, and waits until node 1 has heard it. */
--- a/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
@@ -109,7 +109,7 @@
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try (NodeRig rig = new NodeRig();
                 DatagramSocket socket = new DatagramSocket(rig.gossip(9))) {
-            SmallHttpServer.open((EventLoop) group.next(), rig.peers(9), q -> {
+            SmallHttpServer.open((EventLoop) group.next(), rig.peerAddress(9), q -> {
                 asked.add(q.uri().substring(q.uri().indexOf('=') + 1));
                 return SmallHttpServer.Answer.of("", asked.size() == 1 ? delivery(5, changed) : delivery(0, whole));
             });
@@ -159,7 +159,7 @@
             rig.startWithLink(1, server, 1, NARROW_MBPS);
             rig.awaitReady(1);
             try (Socket node = new Socket()) {
-                node.connect(rig.peers(1));
+                node.connect(rig.peerAddress(1));
                 node.setSoTimeout(10_000);
                 long askedAt = System.nanoTime();
                 node.getOutputStream()
