--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -172,7 +172,7 @@
     void sendStateToFirstNode(DatagramSocket from, NodeState state) throws IOException {
         ByteBuf bytes = Unpooled.buffer();
         NodeStateCodec.write(new NodeStateCodec.Message(state, false, List.of()), bytes);
-        from.send(new DatagramPacket(bytes.array(), bytes.readableBytes(), gossip(1)));
+        from.send(new DatagramPacket(bytes.array(), bytes.readableBytes(), gossipAddress(1)));
     }
 
     /** A backend server's signed answer. */
@@ -198,7 +198,7 @@
         return new InetSocketAddress(ip(number), ports[1]);
     }
 
-    InetSocketAddress gossip(int number) {
+    InetSocketAddress gossipAddress(int number) {
         return new InetSocketAddress(ip(number), ports[4]);
     }
 
--- a/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
+++ b/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
@@ -37,7 +37,7 @@
 
     ScriptedPeer(NodeRig rig) throws IOException {
         this.rig = rig;
-        this.datagrams = new DatagramSocket(rig.gossip(NUMBER));
+        this.datagrams = new DatagramSocket(rig.gossipAddress(NUMBER));
         this.listener = new ServerSocket(
                 rig.peerAddress(NUMBER).getPort(), 10, rig.peerAddress(NUMBER).getAddress());
     }
--- a/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
@@ -108,7 +108,7 @@
         List<String> asked = new CopyOnWriteArrayList<>();
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try (NodeRig rig = new NodeRig();
-                DatagramSocket socket = new DatagramSocket(rig.gossip(9))) {
+                DatagramSocket socket = new DatagramSocket(rig.gossipAddress(9))) {
             SmallHttpServer.open((EventLoop) group.next(), rig.peerAddress(9), q -> {
                 asked.add(q.uri().substring(q.uri().indexOf('=') + 1));
                 return SmallHttpServer.Answer.of("", asked.size() == 1 ? delivery(5, changed) : delivery(0, whole));
