--- a/org.berylwick.test/tst/org/berylwick/node/AnswerPathTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/AnswerPathTest.java
@@ -235,7 +235,7 @@
         try (RawServer server = new RawServer((c, r) -> c.awaitClosedByPeer());
                 NodeRig rig = rigWith(server)) {
             try (Socket socket = new Socket()) {
-                socket.connect(rig.callers(1));
+                socket.connect(rig.callerAddress(1));
                 socket.getOutputStream()
                         .write(NodeRig.request("GET", "/read/x", "m1", 2_000, "")
                                 .getBytes(StandardCharsets.US_ASCII));
--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -202,7 +202,7 @@
         return new InetSocketAddress(ip(number), ports[4]);
     }
 
-    InetSocketAddress callers(int number) {
+    InetSocketAddress callerAddress(int number) {
         return new InetSocketAddress(ip(number), ports[0]);
     }
 
@@ -220,12 +220,12 @@
 
     /** A request of a caller, and its answer's head and body as text. */
     String call(int number, String method, String path, String id, String body) {
-        return exchange(callers(number), request(method, path, id, 2_000, body));
+        return exchange(callerAddress(number), request(method, path, id, 2_000, body));
     }
 
     /** Sends a request as it stands. */
     String send(int number, String request) {
-        return exchange(callers(number), request);
+        return exchange(callerAddress(number), request);
     }
 
     static String request(String method, String path, String id, int deadlineMillis, String body) {
--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -61,7 +61,7 @@
             Node node = rig.start(1, Optional.of(server));
             rig.awaitReady(1);
             try (Socket caller = new Socket()) {
-                caller.connect(rig.callers(1));
+                caller.connect(rig.callerAddress(1));
                 caller.setSoTimeout(20_000);
                 for (int i = 0; i < ANSWERS; i++) {
                     caller.getOutputStream()
@@ -139,7 +139,7 @@
     void requestWhoseBodyIsComingIsAnsweredBeforeTheStopEnds() throws IOException {
         try (NodeRig rig = NodeRig.withEntryNode(NodeRig.version(1));
                 Socket caller = new Socket()) {
-            caller.connect(rig.callers(1));
+            caller.connect(rig.callerAddress(1));
             caller.setSoTimeout(20_000);
             String request = NodeRig.request("POST", "/pay/x", "u1", 9_000, "body");
             String beginning = request.substring(0, request.length() - 2);
--- a/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
@@ -49,7 +49,7 @@
 
     private static Socket caller(NodeRig rig) throws IOException {
         Socket caller = new Socket();
-        caller.connect(rig.callers(1));
+        caller.connect(rig.callerAddress(1));
         caller.setSoTimeout(20_000);
         return caller;
     }
--- a/org.berylwick.test/tst/org/berylwick/node/UploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/UploadTest.java
@@ -137,7 +137,7 @@
             String half = NodeRig.request("POST", "/pay/x", "u5", 2_000, body(8_000_000));
             for (int i = 0; i < 5; i++) {
                 try (Socket caller = new Socket()) {
-                    caller.connect(rig.callers(1));
+                    caller.connect(rig.callerAddress(1));
                     caller.getOutputStream().write(half.substring(0, 4_000_000).getBytes(StandardCharsets.ISO_8859_1));
                 }
             }
