--- a/org.berylwick.test/tst/org/berylwick/node/LargeAnswerTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/LargeAnswerTest.java
@@ -41,7 +41,7 @@
     void answerIsDroppedAtItsDeadline() throws IOException {
         try (RawServer server = server();
                 NodeRig rig = ownerOf(server)) {
-            try (Socket node = rig.askAsNode(1, "l2", LENGTH, 3_000)) {
+            try (Socket node = rig.requestAsPeer(1, "l2", LENGTH, 3_000)) {
                 Await.until("it runs", () -> server.runs("l2") == 1, rig::logText);
                 NodeRig.sleep(4_000);
                 assertTrue(bytesUntilClosed(node) < LENGTH, "all of it came after the deadline");
@@ -57,7 +57,7 @@
             rig.configuration.accept(NodeRig.version(1));
             Node owner = rig.startWithLink(1, server, 1, VERY_NARROW_MBPS);
             rig.awaitReady(1);
-            try (Socket node = rig.askAsNode(1, "l3", LENGTH, 30_000)) {
+            try (Socket node = rig.requestAsPeer(1, "l3", LENGTH, 30_000)) {
                 assertEquals('H', node.getInputStream().read(), "the answer did not begin");
                 NodeRig.sleep(500);
                 long busyMillis = NodeRig.gauge(owner, NodeMetricNames.LINK_OUTGOING_BUSY_MS);
@@ -89,7 +89,7 @@
     void slotIsFreeWhileALargeAnswerLeaves() throws IOException {
         try (RawServer server = server();
                 NodeRig rig = ownerOf(server)) {
-            try (Socket node = rig.askAsNode(1, "l1", LENGTH, 9_000)) {
+            try (Socket node = rig.requestAsPeer(1, "l1", LENGTH, 9_000)) {
                 Await.until("it runs", () -> server.runs("l1") == 1, rig::logText);
                 NodeRig.sleep(500);
                 String small = rig.call(1, "GET", "/read/x", "s1", "");
--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -207,7 +207,7 @@
     }
 
     /** Asks an owner for a large answer as another node would, and reads nothing of it. */
-    Socket askAsNode(int owner, String id, int answerBytes, int deadlineMillis) throws IOException {
+    Socket requestAsPeer(int owner, String id, int answerBytes, int deadlineMillis) throws IOException {
         Socket node = new Socket();
         node.connect(peerAddress(owner));
         String call = "work;caller;" + RouteKind.BULK.ordinal() + ";1;600;600;" + deadlineMillis + ";0;1;" + answerBytes
--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -191,7 +191,7 @@
             rig.configuration.accept(NodeRig.version(1));
             Node node = rig.startWithLink(1, server, 1, NARROW_MBPS);
             rig.awaitReady(1);
-            try (Socket other = rig.askAsNode(1, "p1", PACED_LENGTH, 9_000)) {
+            try (Socket other = rig.requestAsPeer(1, "p1", PACED_LENGTH, 9_000)) {
                 Await.until("it runs", () -> server.runs("p1") == 1, rig::logText);
                 CompletableFuture<Boolean> whole = CompletableFuture.supplyAsync(() -> isWholeLater(other));
                 node.stop();
