--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -238,14 +238,14 @@
             socket.connect(to, 2_000);
             socket.setSoTimeout(30_000);
             socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
-            return readAnswer(socket.getInputStream());
+            return readResponse(socket.getInputStream());
         } catch (IOException e) {
             return "broken: " + e.getMessage();
         }
     }
 
     /** One answer with a length, or what came of it. */
-    static String readAnswer(InputStream in) throws IOException {
+    static String readResponse(InputStream in) throws IOException {
         StringBuilder text = new StringBuilder();
         while (text.indexOf("\r\n\r\n") < 0) {
             int c = in.read();
--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -43,7 +43,7 @@
         int whole = 0;
         try {
             while (whole < ANSWERS
-                    && NodeRig.readAnswer(caller.getInputStream()).endsWith(LARGE)) {
+                    && NodeRig.readResponse(caller.getInputStream()).endsWith(LARGE)) {
                 whole++;
             }
         } catch (IOException e) {
@@ -151,7 +151,7 @@
             });
             NodeRig.sleep(SLOW_MILLIS);
             caller.getOutputStream().write(request.substring(beginning.length()).getBytes(StandardCharsets.ISO_8859_1));
-            String answer = NodeRig.readAnswer(caller.getInputStream());
+            String answer = NodeRig.readResponse(caller.getInputStream());
             assertTrue(answer.startsWith("HTTP/1.1 503"), answer);
             stopped.join();
         }
--- a/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
@@ -69,7 +69,7 @@
                     out.write(bytes(BODY.substring(HALF)));
                     assertEquals(LENGTH - HALF, call.body(LENGTH - HALF).length);
                     call.answer("s1", "stored");
-                    String answer = NodeRig.readAnswer(caller.getInputStream());
+                    String answer = NodeRig.readResponse(caller.getInputStream());
                     assertTrue(answer.endsWith("stored"), answer);
                 }
             }
@@ -141,7 +141,7 @@
                     rig.awaitMemberKnown("i-2");
                 }
                 out.write(bytes(BODY.substring(HALF)));
-                String answer = NodeRig.readAnswer(caller.getInputStream());
+                String answer = NodeRig.readResponse(caller.getInputStream());
                 assertTrue(answer.endsWith("ok"), answer);
                 assertEquals(1, server.runs("s4"));
             }
@@ -157,7 +157,7 @@
             rig.awaitMemberKnown("i-2");
             try (Socket caller = caller(rig)) {
                 caller.getOutputStream().write(bytes(head("/pay/x", "s5") + BODY.substring(0, HALF)));
-                String answer = NodeRig.readAnswer(caller.getInputStream());
+                String answer = NodeRig.readResponse(caller.getInputStream());
                 assertTrue(answer.startsWith("HTTP/1.1 503"), answer);
                 assertEquals(0, server.runs("s5"));
             }
@@ -177,10 +177,10 @@
             try (Socket caller = caller(rig)) {
                 OutputStream out = caller.getOutputStream();
                 out.write(bytes(head("/nowhere/x", "s6") + BODY.substring(0, HALF)));
-                String none = NodeRig.readAnswer(caller.getInputStream());
+                String none = NodeRig.readResponse(caller.getInputStream());
                 assertTrue(none.startsWith("HTTP/1.1 404"), none);
                 out.write(bytes(BODY.substring(HALF) + NodeRig.request("GET", "/read/x", "s7", 2_000, "")));
-                String answer = NodeRig.readAnswer(caller.getInputStream());
+                String answer = NodeRig.readResponse(caller.getInputStream());
                 assertTrue(answer.endsWith("ok"), answer);
                 assertEquals(1, server.runs("s7"));
             }
--- a/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
@@ -164,7 +164,7 @@
                 long askedAt = System.nanoTime();
                 node.getOutputStream()
                         .write(("GET " + VersionKeeper.VERSION_PATH + "0 HTTP/1.1\r\n\r\n").getBytes(US_ASCII));
-                String answer = NodeRig.readAnswer(node.getInputStream());
+                String answer = NodeRig.readResponse(node.getInputStream());
                 long millis = (System.nanoTime() - askedAt) / 1_000_000;
                 assertTrue(answer.startsWith("HTTP/1.1 200") && !answer.endsWith("[closed]"));
                 assertTrue(
