--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -119,7 +119,7 @@
     private Node startWithoutReport(int number, String zone, Optional<RawServer> backend) {
         EventLog log = new EventLog("node-" + number, logOutput);
         logs.add(log);
-        Node node = new Node(new MemoryPorts(settings(number, zone, backend)), log);
+        Node node = new Node(new TestNodePorts(settings(number, zone, backend)), log);
         nodes.add(node);
         node.start();
         return node;
@@ -347,10 +347,10 @@
     }
 
     /** What a node of a rig sees of its platform. */
-    private final class MemoryPorts implements NodePorts {
+    private final class TestNodePorts implements NodePorts {
         private final NodeSettings settings;
 
-        MemoryPorts(NodeSettings settings) {
+        TestNodePorts(NodeSettings settings) {
             this.settings = settings;
         }
 
