--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -376,7 +376,7 @@
 
         @Override
         public HeartbeatProtocol heartbeats() {
-            return new PlainHeartbeats();
+            return new PlainTextHeartbeats();
         }
 
         @Override
@@ -405,7 +405,7 @@
     }
 
     /** Heartbeats in the form {@code PORT SEQUENCE STATE SLOTS SERVICE}. */
-    private static final class PlainHeartbeats implements HeartbeatProtocol {
+    private static final class PlainTextHeartbeats implements HeartbeatProtocol {
         @Override
         public Announcement read(String method, String uri, byte[] body) {
             String incarnation = uri.substring(1);
