--- a/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
+++ b/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
@@ -17,7 +17,7 @@
 
 /** Node 9 of a rig, made of bytes: tells node 1 that its backend server takes work, and does with calls as it likes. */
 final class ScriptedPeer implements AutoCloseable {
-    private static final int NUMBER = 9;
+    private static final int NODE_NUMBER = 9;
     private static final String INCARNATION = "i-9";
     /** What the owner of an idle backend server with 8 slots says of itself. */
     private static final String LOAD = ";0;0;8;50000;0;0;0";
@@ -37,9 +37,9 @@
 
     ScriptedPeer(NodeRig rig) throws IOException {
         this.rig = rig;
-        this.datagrams = new DatagramSocket(rig.gossipAddress(NUMBER));
+        this.datagrams = new DatagramSocket(rig.gossipAddress(NODE_NUMBER));
         this.listener = new ServerSocket(
-                rig.peerAddress(NUMBER).getPort(), 10, rig.peerAddress(NUMBER).getAddress());
+                rig.peerAddress(NODE_NUMBER).getPort(), 10, rig.peerAddress(NODE_NUMBER).getAddress());
     }
 
     /** Tells of itself, and waits until node 1 has heard it. */
