--- a/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
+++ b/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
@@ -20,7 +20,7 @@
     private static final int NODE_NUMBER = 9;
     private static final String INCARNATION = "i-9";
     /** What the owner of an idle backend server with 8 slots says of itself. */
-    private static final String LOAD = ";0;0;8;50000;0;0;0";
+    private static final String IDLE_LOAD = ";0;0;8;50000;0;0;0";
 
     private final NodeRig rig;
     private final DatagramSocket datagrams;
@@ -118,12 +118,12 @@
 
         /** Says that it did not run the request, and will not. */
         void refuse() throws IOException {
-            write("HTTP/1.1 503 Busy\r\nbw-outcome: refused;BUSY;false" + LOAD + "\r\ncontent-length: 0\r\n\r\n");
+            write("HTTP/1.1 503 Busy\r\nbw-outcome: refused;BUSY;false" + IDLE_LOAD + "\r\ncontent-length: 0\r\n\r\n");
         }
 
         /** Passes on the head of an answer of its backend server. */
         void beginAnswer(String id, int length) throws IOException {
-            write("HTTP/1.1 200 OK\r\nbw-outcome: answered;;false" + LOAD + "\r\nx-request-id: " + id
+            write("HTTP/1.1 200 OK\r\nbw-outcome: answered;;false" + IDLE_LOAD + "\r\nx-request-id: " + id
                     + "\r\nx-signature: s\r\ncontent-length: " + length + "\r\n\r\n");
         }
 
