--- a/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
+++ b/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
@@ -23,7 +23,7 @@
     private static final String IDLE_LOAD = ";0;0;8;50000;0;0;0";
 
     private final NodeRig rig;
-    private final DatagramSocket datagrams;
+    private final DatagramSocket gossipSocket;
     private final ServerSocket listener;
     /** Keeps connections that a test does not: one that is garbage would be closed. */
     private final List<Socket> accepted = new ArrayList<>();
@@ -37,7 +37,7 @@
 
     ScriptedPeer(NodeRig rig) throws IOException {
         this.rig = rig;
-        this.datagrams = new DatagramSocket(rig.gossipAddress(NODE_NUMBER));
+        this.gossipSocket = new DatagramSocket(rig.gossipAddress(NODE_NUMBER));
         this.listener = new ServerSocket(
                 rig.peerAddress(NODE_NUMBER).getPort(), 10, rig.peerAddress(NODE_NUMBER).getAddress());
     }
@@ -58,7 +58,7 @@
                 0,
                 new OwnerLoad(0, 0, 8, 50_000_000L),
                 List.of());
-        rig.sendStateToFirstNode(datagrams, state);
+        rig.sendStateToFirstNode(gossipSocket, state);
         Await.until("node 9 is known", () -> rig.logText().contains(INCARNATION), rig::logText);
     }
 
@@ -141,7 +141,7 @@
 
     @Override
     public void close() throws IOException {
-        datagrams.close();
+        gossipSocket.close();
         listener.close();
         for (Socket socket : accepted) {
             socket.close();
