--- a/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
+++ b/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
@@ -26,7 +26,7 @@
     private final DatagramSocket gossipSocket;
     private final ServerSocket listener;
     /** Keeps connections that a test does not: one that is garbage would be closed. */
-    private final List<Socket> accepted = new ArrayList<>();
+    private final List<Socket> acceptedSockets = new ArrayList<>();
 
     /** Node 9, which tells of itself once. */
     static ScriptedPeer announced(NodeRig rig, int linkMbps) throws IOException {
@@ -65,7 +65,7 @@
     /** Takes the next connection of node 1. */
     Call accept() throws IOException {
         Socket socket = listener.accept();
-        accepted.add(socket);
+        acceptedSockets.add(socket);
         socket.setSoTimeout(20_000);
         return new Call(socket, new BufferedInputStream(socket.getInputStream()));
     }
@@ -143,7 +143,7 @@
     public void close() throws IOException {
         gossipSocket.close();
         listener.close();
-        for (Socket socket : accepted) {
+        for (Socket socket : acceptedSockets) {
             socket.close();
         }
     }
