--- a/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
+++ b/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
@@ -29,7 +29,7 @@
     private final List<Socket> acceptedSockets = new ArrayList<>();
 
     /** Node 9, which tells of itself once. */
-    static ScriptedPeer announced(NodeRig rig, int linkMbps) throws IOException {
+    static ScriptedPeer startAnnounced(NodeRig rig, int linkMbps) throws IOException {
         ScriptedPeer peer = new ScriptedPeer(rig);
         peer.announce(linkMbps);
         return peer;
--- a/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
@@ -34,7 +34,7 @@
     void repeatableRequestLeavesANodeThatLostPower() throws IOException, InterruptedException {
         try (RawServer server = new RawServer(NodeRig::respondOk);
                 NodeRig rig = NodeRig.withEntryNode(versionWith(NodeRig.route("long", "/long/", RouteKind.BULK, 20_000)));
-                ScriptedPeer silent = ScriptedPeer.announced(rig, LINK_MBPS)) {
+                ScriptedPeer silent = ScriptedPeer.startAnnounced(rig, LINK_MBPS)) {
             String[] answer = new String[1];
             long before = System.nanoTime();
             String request = NodeRig.request("GET", "/long/x", "a1", 20_000, "");
@@ -51,7 +51,7 @@
     @Test
     void requestStaysAtAnUnheardNodeWhenNoOtherCanRunIt() throws Exception {
         try (NodeRig rig = NodeRig.withEntryNode(NodeRig.version(1));
-                ScriptedPeer unheard = ScriptedPeer.announced(rig, LINK_MBPS)) {
+                ScriptedPeer unheard = ScriptedPeer.startAnnounced(rig, LINK_MBPS)) {
             NodeRig.sleep(SILENCE_MILLIS);
             CompletableFuture<String> answer = callLater(rig, "GET", "/read/x", "b1");
             try (ScriptedPeer.Call call = unheard.accept()) {
@@ -69,7 +69,7 @@
         try (RawServer server = new RawServer(NodeRig::respondOk);
                 NodeRig rig = NodeRig.withEntryNode(
                         versionWith(NodeRig.route("slow", "/slow/", RouteKind.NON_IDEMPOTENT, 12_000)));
-                ScriptedPeer unheard = ScriptedPeer.announced(rig, LINK_MBPS)) {
+                ScriptedPeer unheard = ScriptedPeer.startAnnounced(rig, LINK_MBPS)) {
             CompletableFuture<String> answer = CompletableFuture.supplyAsync(
                     () -> rig.send(1, NodeRig.request("POST", "/slow/x", "b2", 12_000, "")));
             try (ScriptedPeer.Call call = unheard.accept()) {
@@ -93,7 +93,7 @@
                 });
                 NodeRig rig = NodeRig.withEntryNode(
                         versionWith(NodeRig.route("slow", "/slow/", RouteKind.NON_IDEMPOTENT, 12_000)));
-                ScriptedPeer unheard = ScriptedPeer.announced(rig, NARROW_MBPS)) {
+                ScriptedPeer unheard = ScriptedPeer.startAnnounced(rig, NARROW_MBPS)) {
             CompletableFuture<String> answer = CompletableFuture.supplyAsync(
                     () -> rig.send(1, NodeRig.request("POST", "/slow/x", "b4", 12_000, body)));
             try (ScriptedPeer.Call call = unheard.accept()) {
@@ -111,7 +111,7 @@
         try (RawServer full = new RawServer((c, r) -> c.write("HTTP/1.1 503 Full\r\nx-request-id: " + r.id()
                         + "\r\nx-not-run: 1\r\nContent-Length: 0\r\n\r\n"));
                 NodeRig rig = NodeRig.withEntryNode(versionWith(NodeRig.route("long", "/long/", RouteKind.BULK, 20_000)));
-                ScriptedPeer unheard = ScriptedPeer.announced(rig, LINK_MBPS)) {
+                ScriptedPeer unheard = ScriptedPeer.startAnnounced(rig, LINK_MBPS)) {
             CompletableFuture<String> answer = CompletableFuture.supplyAsync(
                     () -> rig.send(1, NodeRig.request("GET", "/long/x", "b3", 20_000, "")));
             try (ScriptedPeer.Call call = unheard.accept()) {
--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -119,7 +119,7 @@
     @Test
     void callerIsAnsweredWhenItsOwnerOutlastsTheGrace() throws IOException {
         try (NodeRig rig = NodeRig.withEntryNode(versionWithSlowRoute());
-                ScriptedPeer owner = ScriptedPeer.announced(rig, WIDE_MBPS)) {
+                ScriptedPeer owner = ScriptedPeer.startAnnounced(rig, WIDE_MBPS)) {
             CompletableFuture<String> answer = CompletableFuture.supplyAsync(
                     () -> rig.send(1, NodeRig.request("GET", "/slow/x", "w1", HANGS_MILLIS, "")));
             try (ScriptedPeer.Call call = owner.accept()) {
@@ -161,7 +161,7 @@
     @Test
     void ownerIsToldHowLongAStoppingEntryIsThere() throws IOException {
         try (NodeRig rig = NodeRig.withEntryNode(versionWithSlowRoute());
-                ScriptedPeer owner = ScriptedPeer.announced(rig, WIDE_MBPS)) {
+                ScriptedPeer owner = ScriptedPeer.startAnnounced(rig, WIDE_MBPS)) {
             CompletableFuture<Void> stopped =
                     CompletableFuture.runAsync(() -> rig.node(1).stop());
             Await.until("it stops", () -> rig.logText().contains(Event.STOPPING.name()), rig::logText);
