--- a/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
+++ b/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
@@ -63,15 +63,15 @@
     }
 
     /** Takes the next connection of node 1. */
-    Call accept() throws IOException {
+    Connection accept() throws IOException {
         Socket socket = listener.accept();
         acceptedSockets.add(socket);
         socket.setSoTimeout(20_000);
-        return new Call(socket, new BufferedInputStream(socket.getInputStream()));
+        return new Connection(socket, new BufferedInputStream(socket.getInputStream()));
     }
 
     /** One connection of node 1. */
-    record Call(Socket socket, InputStream in) implements AutoCloseable {
+    record Connection(Socket socket, InputStream in) implements AutoCloseable {
         /** The head of a request, in lower case. */
         String head() throws IOException {
             StringBuilder text = new StringBuilder();
--- a/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
@@ -54,7 +54,7 @@
                 ScriptedPeer unheard = ScriptedPeer.startAnnounced(rig, LINK_MBPS)) {
             NodeRig.sleep(SILENCE_MILLIS);
             CompletableFuture<String> answer = callLater(rig, "GET", "/read/x", "b1");
-            try (ScriptedPeer.Call call = unheard.accept()) {
+            try (ScriptedPeer.Connection call = unheard.accept()) {
                 call.head();
                 NodeRig.sleep(WORK_MILLIS);
                 call.answer("b1", "late but whole");
@@ -72,7 +72,7 @@
                 ScriptedPeer unheard = ScriptedPeer.startAnnounced(rig, LINK_MBPS)) {
             CompletableFuture<String> answer = CompletableFuture.supplyAsync(
                     () -> rig.send(1, NodeRig.request("POST", "/slow/x", "b2", 12_000, "")));
-            try (ScriptedPeer.Call call = unheard.accept()) {
+            try (ScriptedPeer.Connection call = unheard.accept()) {
                 call.head();
                 rig.start(2, Optional.of(server));
                 NodeRig.sleep(2 * SILENCE_MILLIS);
@@ -96,7 +96,7 @@
                 ScriptedPeer unheard = ScriptedPeer.startAnnounced(rig, NARROW_MBPS)) {
             CompletableFuture<String> answer = CompletableFuture.supplyAsync(
                     () -> rig.send(1, NodeRig.request("POST", "/slow/x", "b4", 12_000, body)));
-            try (ScriptedPeer.Call call = unheard.accept()) {
+            try (ScriptedPeer.Connection call = unheard.accept()) {
                 call.head();
                 rig.start(2, Optional.of(server));
                 assertTrue(answer.join().endsWith("ok"), answer.join());
@@ -114,7 +114,7 @@
                 ScriptedPeer unheard = ScriptedPeer.startAnnounced(rig, LINK_MBPS)) {
             CompletableFuture<String> answer = CompletableFuture.supplyAsync(
                     () -> rig.send(1, NodeRig.request("GET", "/long/x", "b3", 20_000, "")));
-            try (ScriptedPeer.Call call = unheard.accept()) {
+            try (ScriptedPeer.Connection call = unheard.accept()) {
                 call.head();
                 rig.start(2, Optional.of(full));
                 Await.until("the other was asked", () -> full.runs("b3") > 0, rig::logText);
--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -122,7 +122,7 @@
                 ScriptedPeer owner = ScriptedPeer.startAnnounced(rig, WIDE_MBPS)) {
             CompletableFuture<String> answer = CompletableFuture.supplyAsync(
                     () -> rig.send(1, NodeRig.request("GET", "/slow/x", "w1", HANGS_MILLIS, "")));
-            try (ScriptedPeer.Call call = owner.accept()) {
+            try (ScriptedPeer.Connection call = owner.accept()) {
                 call.head();
                 call.beginAnswer("w1", LENGTH);
                 rig.node(1).stop();
@@ -167,8 +167,8 @@
             Await.until("it stops", () -> rig.logText().contains(Event.STOPPING.name()), rig::logText);
             CompletableFuture<String> answer = CompletableFuture.supplyAsync(
                     () -> rig.send(1, NodeRig.request("GET", "/slow/x", "w2", HANGS_MILLIS, "")));
-            try (ScriptedPeer.Call call = owner.accept()) {
-                int left = ScriptedPeer.Call.millisLeft(call.head());
+            try (ScriptedPeer.Connection call = owner.accept()) {
+                int left = ScriptedPeer.Connection.millisLeft(call.head());
                 assertTrue(left < NodeRig.GRACE_PERIOD_MILLIS, "told to be there for " + left + " ms");
                 call.answer("w2", "in time");
                 assertTrue(answer.join().endsWith("in time"), answer.join());
--- a/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
@@ -63,7 +63,7 @@
             try (Socket caller = caller(rig)) {
                 OutputStream out = caller.getOutputStream();
                 out.write(bytes(head("/pay/x", "s1") + BODY.substring(0, HALF)));
-                try (ScriptedPeer.Call call = peer.accept()) {
+                try (ScriptedPeer.Connection call = peer.accept()) {
                     assertTrue(call.head().contains("content-length: " + LENGTH));
                     assertEquals(HALF, call.body(HALF).length);
                     out.write(bytes(BODY.substring(HALF)));
@@ -84,7 +84,7 @@
             peer.announce(NARROW_MBPS);
             CompletableFuture<String> answer =
                     CompletableFuture.supplyAsync(() -> rig.call(1, "POST", "/pay/x", "s2", BODY));
-            try (ScriptedPeer.Call call = peer.accept()) {
+            try (ScriptedPeer.Connection call = peer.accept()) {
                 assertTrue(call.head().contains("expect: 100-continue"));
                 assertFalse(call.isSentMore(100), "the body came unasked");
                 call.ask();
@@ -107,7 +107,7 @@
             peer.announce(NARROW_MBPS);
             CompletableFuture<String> answer =
                     CompletableFuture.supplyAsync(() -> rig.call(1, "POST", "/pay/x", "s3", BODY));
-            try (ScriptedPeer.Call call = peer.accept()) {
+            try (ScriptedPeer.Connection call = peer.accept()) {
                 call.head();
                 rig.start(2, Optional.of(server));
                 rig.awaitMemberKnown("i-2");
@@ -135,7 +135,7 @@
             try (Socket caller = caller(rig)) {
                 OutputStream out = caller.getOutputStream();
                 out.write(bytes(head("/pay/x", "s4") + BODY.substring(0, HALF)));
-                try (ScriptedPeer.Call call = peer.accept()) {
+                try (ScriptedPeer.Connection call = peer.accept()) {
                     call.body(HALF);
                     rig.start(2, Optional.of(server));
                     rig.awaitMemberKnown("i-2");
@@ -195,7 +195,7 @@
             peer.announce(WIDE_MBPS);
             Socket caller = caller(rig);
             caller.getOutputStream().write(bytes(head("/pay/x", "s8") + BODY.substring(0, HALF)));
-            try (ScriptedPeer.Call call = peer.accept()) {
+            try (ScriptedPeer.Connection call = peer.accept()) {
                 call.head();
                 call.body(HALF);
                 caller.close();
