--- a/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
+++ b/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
@@ -71,12 +71,12 @@
     }
 
     /** One connection of node 1. */
-    record Connection(Socket socket, InputStream in) implements AutoCloseable {
+    record Connection(Socket socket, InputStream input) implements AutoCloseable {
         /** The head of a request, in lower case. */
         String head() throws IOException {
             StringBuilder text = new StringBuilder();
             while (text.indexOf("\r\n\r\n") < 0) {
-                int c = in.read();
+                int c = input.read();
                 if (c < 0) {
                     throw new IOException("closed after " + text);
                 }
@@ -86,14 +86,14 @@
         }
 
         byte[] body(int bytes) throws IOException {
-            return in.readNBytes(bytes);
+            return input.readNBytes(bytes);
         }
 
         /** Whether bytes come within a span. */
         boolean isSentMore(int millis) throws IOException {
             long until = System.nanoTime() + millis * 1_000_000L;
             while (System.nanoTime() < until) {
-                if (in.available() > 0) {
+                if (input.available() > 0) {
                     return true;
                 }
                 NodeRig.sleep(5);
