--- a/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
+++ b/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
@@ -73,7 +73,7 @@
     /** One connection of node 1. */
     record Connection(Socket socket, InputStream input) implements AutoCloseable {
         /** The head of a request, in lower case. */
-        String head() throws IOException {
+        String readHead() throws IOException {
             StringBuilder text = new StringBuilder();
             while (text.indexOf("\r\n\r\n") < 0) {
                 int c = input.read();
--- a/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
@@ -55,7 +55,7 @@
             NodeRig.sleep(SILENCE_MILLIS);
             CompletableFuture<String> answer = callLater(rig, "GET", "/read/x", "b1");
             try (ScriptedPeer.Connection call = unheard.accept()) {
-                call.head();
+                call.readHead();
                 NodeRig.sleep(WORK_MILLIS);
                 call.answer("b1", "late but whole");
                 assertTrue(answer.join().endsWith("late but whole"), answer.join());
@@ -73,7 +73,7 @@
             CompletableFuture<String> answer = CompletableFuture.supplyAsync(
                     () -> rig.send(1, NodeRig.request("POST", "/slow/x", "b2", 12_000, "")));
             try (ScriptedPeer.Connection call = unheard.accept()) {
-                call.head();
+                call.readHead();
                 rig.start(2, Optional.of(server));
                 NodeRig.sleep(2 * SILENCE_MILLIS);
                 call.answer("b2", "late but whole");
@@ -97,7 +97,7 @@
             CompletableFuture<String> answer = CompletableFuture.supplyAsync(
                     () -> rig.send(1, NodeRig.request("POST", "/slow/x", "b4", 12_000, body)));
             try (ScriptedPeer.Connection call = unheard.accept()) {
-                call.head();
+                call.readHead();
                 rig.start(2, Optional.of(server));
                 assertTrue(answer.join().endsWith("ok"), answer.join());
                 assertEquals(1, server.runs("b4"));
@@ -115,7 +115,7 @@
             CompletableFuture<String> answer = CompletableFuture.supplyAsync(
                     () -> rig.send(1, NodeRig.request("GET", "/long/x", "b3", 20_000, "")));
             try (ScriptedPeer.Connection call = unheard.accept()) {
-                call.head();
+                call.readHead();
                 rig.start(2, Optional.of(full));
                 Await.until("the other was asked", () -> full.runs("b3") > 0, rig::logText);
                 NodeRig.sleep(300);
--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -123,7 +123,7 @@
             CompletableFuture<String> answer = CompletableFuture.supplyAsync(
                     () -> rig.send(1, NodeRig.request("GET", "/slow/x", "w1", HANGS_MILLIS, "")));
             try (ScriptedPeer.Connection call = owner.accept()) {
-                call.head();
+                call.readHead();
                 call.beginAnswer("w1", LENGTH);
                 rig.node(1).stop();
                 rig.node(1).close();
@@ -168,7 +168,7 @@
             CompletableFuture<String> answer = CompletableFuture.supplyAsync(
                     () -> rig.send(1, NodeRig.request("GET", "/slow/x", "w2", HANGS_MILLIS, "")));
             try (ScriptedPeer.Connection call = owner.accept()) {
-                int left = ScriptedPeer.Connection.millisLeft(call.head());
+                int left = ScriptedPeer.Connection.millisLeft(call.readHead());
                 assertTrue(left < NodeRig.GRACE_PERIOD_MILLIS, "told to be there for " + left + " ms");
                 call.answer("w2", "in time");
                 assertTrue(answer.join().endsWith("in time"), answer.join());
--- a/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
@@ -64,7 +64,7 @@
                 OutputStream out = caller.getOutputStream();
                 out.write(bytes(head("/pay/x", "s1") + BODY.substring(0, HALF)));
                 try (ScriptedPeer.Connection call = peer.accept()) {
-                    assertTrue(call.head().contains("content-length: " + LENGTH));
+                    assertTrue(call.readHead().contains("content-length: " + LENGTH));
                     assertEquals(HALF, call.body(HALF).length);
                     out.write(bytes(BODY.substring(HALF)));
                     assertEquals(LENGTH - HALF, call.body(LENGTH - HALF).length);
@@ -85,7 +85,7 @@
             CompletableFuture<String> answer =
                     CompletableFuture.supplyAsync(() -> rig.call(1, "POST", "/pay/x", "s2", BODY));
             try (ScriptedPeer.Connection call = peer.accept()) {
-                assertTrue(call.head().contains("expect: 100-continue"));
+                assertTrue(call.readHead().contains("expect: 100-continue"));
                 assertFalse(call.isSentMore(100), "the body came unasked");
                 call.ask();
                 assertEquals(LENGTH, call.body(LENGTH).length);
@@ -108,7 +108,7 @@
             CompletableFuture<String> answer =
                     CompletableFuture.supplyAsync(() -> rig.call(1, "POST", "/pay/x", "s3", BODY));
             try (ScriptedPeer.Connection call = peer.accept()) {
-                call.head();
+                call.readHead();
                 rig.start(2, Optional.of(server));
                 rig.awaitMemberKnown("i-2");
                 call.refuse();
@@ -196,7 +196,7 @@
             Socket caller = caller(rig);
             caller.getOutputStream().write(bytes(head("/pay/x", "s8") + BODY.substring(0, HALF)));
             try (ScriptedPeer.Connection call = peer.accept()) {
-                call.head();
+                call.readHead();
                 call.body(HALF);
                 caller.close();
                 assertEquals(0, call.body(1).length, "the connection is still open");
