--- a/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
+++ b/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
@@ -85,7 +85,7 @@
             return text.toString().toLowerCase(Locale.ROOT);
         }
 
-        byte[] body(int bytes) throws IOException {
+        byte[] readBody(int bytes) throws IOException {
             return input.readNBytes(bytes);
         }
 
--- a/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
@@ -65,9 +65,9 @@
                 out.write(bytes(head("/pay/x", "s1") + BODY.substring(0, HALF)));
                 try (ScriptedPeer.Connection call = peer.accept()) {
                     assertTrue(call.readHead().contains("content-length: " + LENGTH));
-                    assertEquals(HALF, call.body(HALF).length);
+                    assertEquals(HALF, call.readBody(HALF).length);
                     out.write(bytes(BODY.substring(HALF)));
-                    assertEquals(LENGTH - HALF, call.body(LENGTH - HALF).length);
+                    assertEquals(LENGTH - HALF, call.readBody(LENGTH - HALF).length);
                     call.answer("s1", "stored");
                     String answer = NodeRig.readResponse(caller.getInputStream());
                     assertTrue(answer.endsWith("stored"), answer);
@@ -88,7 +88,7 @@
                 assertTrue(call.readHead().contains("expect: 100-continue"));
                 assertFalse(call.isSentMore(100), "the body came unasked");
                 call.ask();
-                assertEquals(LENGTH, call.body(LENGTH).length);
+                assertEquals(LENGTH, call.readBody(LENGTH).length);
                 call.answer("s2", "stored");
             }
             assertTrue(answer.join().endsWith("stored"), answer.join());
@@ -136,7 +136,7 @@
                 OutputStream out = caller.getOutputStream();
                 out.write(bytes(head("/pay/x", "s4") + BODY.substring(0, HALF)));
                 try (ScriptedPeer.Connection call = peer.accept()) {
-                    call.body(HALF);
+                    call.readBody(HALF);
                     rig.start(2, Optional.of(server));
                     rig.awaitMemberKnown("i-2");
                 }
@@ -197,9 +197,9 @@
             caller.getOutputStream().write(bytes(head("/pay/x", "s8") + BODY.substring(0, HALF)));
             try (ScriptedPeer.Connection call = peer.accept()) {
                 call.readHead();
-                call.body(HALF);
+                call.readBody(HALF);
                 caller.close();
-                assertEquals(0, call.body(1).length, "the connection is still open");
+                assertEquals(0, call.readBody(1).length, "the connection is still open");
             }
             Await.until("the entry has let go", () -> rig.logText().contains("CALL_ABANDONED"), rig::logText);
         }
