--- a/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
+++ b/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
@@ -90,7 +90,7 @@
         }
 
         /** Whether bytes come within a span. */
-        boolean isSentMore(int millis) throws IOException {
+        boolean receivesWithin(int millis) throws IOException {
             long until = System.nanoTime() + millis * 1_000_000L;
             while (System.nanoTime() < until) {
                 if (input.available() > 0) {
--- a/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
@@ -86,7 +86,7 @@
                     CompletableFuture.supplyAsync(() -> rig.call(1, "POST", "/pay/x", "s2", BODY));
             try (ScriptedPeer.Connection call = peer.accept()) {
                 assertTrue(call.readHead().contains("expect: 100-continue"));
-                assertFalse(call.isSentMore(100), "the body came unasked");
+                assertFalse(call.receivesWithin(100), "the body came unasked");
                 call.ask();
                 assertEquals(LENGTH, call.readBody(LENGTH).length);
                 call.answer("s2", "stored");
@@ -113,7 +113,7 @@
                 rig.awaitMemberKnown("i-2");
                 call.refuse();
                 assertTrue(answer.join().endsWith("read " + LENGTH), answer.join());
-                assertFalse(call.isSentMore(50), "the body came though it was refused");
+                assertFalse(call.receivesWithin(50), "the body came though it was refused");
             }
             assertEquals(1, server.runs("s3"));
         }
