--- a/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
+++ b/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
@@ -106,7 +106,7 @@
         }
 
         /** Asks for the body. */
-        void ask() throws IOException {
+        void sendContinue() throws IOException {
             write("HTTP/1.1 100 Continue\r\n\r\n");
         }
 
--- a/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
@@ -87,7 +87,7 @@
             try (ScriptedPeer.Connection call = peer.accept()) {
                 assertTrue(call.readHead().contains("expect: 100-continue"));
                 assertFalse(call.receivesWithin(100), "the body came unasked");
-                call.ask();
+                call.sendContinue();
                 assertEquals(LENGTH, call.readBody(LENGTH).length);
                 call.answer("s2", "stored");
             }
