--- a/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
+++ b/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
@@ -111,7 +111,7 @@
         }
 
         /** How many milliseconds the caller waits, as a request's head in lower case tells an owner. */
-        static int millisLeft(String head) {
+        static int remainingMillis(String head) {
             int at = head.indexOf("bw-call: ");
             return Integer.parseInt(head.substring(at, head.indexOf('\r', at)).split(";")[6]);
         }
--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -168,7 +168,7 @@
             CompletableFuture<String> answer = CompletableFuture.supplyAsync(
                     () -> rig.send(1, NodeRig.request("GET", "/slow/x", "w2", HANGS_MILLIS, "")));
             try (ScriptedPeer.Connection call = owner.accept()) {
-                int left = ScriptedPeer.Connection.millisLeft(call.readHead());
+                int left = ScriptedPeer.Connection.remainingMillis(call.readHead());
                 assertTrue(left < NodeRig.GRACE_PERIOD_MILLIS, "told to be there for " + left + " ms");
                 call.answer("w2", "in time");
                 assertTrue(answer.join().endsWith("in time"), answer.join());
