--- a/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
+++ b/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
@@ -122,14 +122,14 @@
         }
 
         /** Passes on the head of an answer of its backend server. */
-        void beginAnswer(String id, int length) throws IOException {
+        void beginResponse(String id, int length) throws IOException {
             write("HTTP/1.1 200 OK\r\nbw-outcome: answered;;false" + IDLE_LOAD + "\r\nx-request-id: " + id
                     + "\r\nx-signature: s\r\ncontent-length: " + length + "\r\n\r\n");
         }
 
         /** Passes on an answer of its backend server. */
         void answer(String id, String body) throws IOException {
-            beginAnswer(id, body.length());
+            beginResponse(id, body.length());
             write(body);
         }
 
--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -124,7 +124,7 @@
                     () -> rig.send(1, NodeRig.request("GET", "/slow/x", "w1", HANGS_MILLIS, "")));
             try (ScriptedPeer.Connection call = owner.accept()) {
                 call.readHead();
-                call.beginAnswer("w1", LENGTH);
+                call.beginResponse("w1", LENGTH);
                 rig.node(1).stop();
                 rig.node(1).close();
                 assertTrue(answer.join().startsWith("HTTP/1.1 502"), answer.join());
