--- a/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
+++ b/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
@@ -128,7 +128,7 @@
         }
 
         /** Passes on an answer of its backend server. */
-        void answer(String id, String body) throws IOException {
+        void respond(String id, String body) throws IOException {
             beginResponse(id, body.length());
             write(body);
         }
--- a/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
@@ -57,7 +57,7 @@
             try (ScriptedPeer.Connection call = unheard.accept()) {
                 call.readHead();
                 NodeRig.sleep(WORK_MILLIS);
-                call.answer("b1", "late but whole");
+                call.respond("b1", "late but whole");
                 assertTrue(answer.join().endsWith("late but whole"), answer.join());
             }
         }
@@ -76,7 +76,7 @@
                 call.readHead();
                 rig.start(2, Optional.of(server));
                 NodeRig.sleep(2 * SILENCE_MILLIS);
-                call.answer("b2", "late but whole");
+                call.respond("b2", "late but whole");
                 assertTrue(answer.join().endsWith("late but whole"), answer.join());
                 assertEquals(0, server.runs("b2"));
             }
@@ -119,7 +119,7 @@
                 rig.start(2, Optional.of(full));
                 Await.until("the other was asked", () -> full.runs("b3") > 0, rig::logText);
                 NodeRig.sleep(300);
-                call.answer("b3", "late but whole");
+                call.respond("b3", "late but whole");
                 assertTrue(answer.join().endsWith("late but whole"), answer.join());
             }
         }
--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -170,7 +170,7 @@
             try (ScriptedPeer.Connection call = owner.accept()) {
                 int left = ScriptedPeer.Connection.remainingMillis(call.readHead());
                 assertTrue(left < NodeRig.GRACE_PERIOD_MILLIS, "told to be there for " + left + " ms");
-                call.answer("w2", "in time");
+                call.respond("w2", "in time");
                 assertTrue(answer.join().endsWith("in time"), answer.join());
             }
             stopped.join();
--- a/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
@@ -68,7 +68,7 @@
                     assertEquals(HALF, call.readBody(HALF).length);
                     out.write(bytes(BODY.substring(HALF)));
                     assertEquals(LENGTH - HALF, call.readBody(LENGTH - HALF).length);
-                    call.answer("s1", "stored");
+                    call.respond("s1", "stored");
                     String answer = NodeRig.readResponse(caller.getInputStream());
                     assertTrue(answer.endsWith("stored"), answer);
                 }
@@ -89,7 +89,7 @@
                 assertFalse(call.receivesWithin(100), "the body came unasked");
                 call.sendContinue();
                 assertEquals(LENGTH, call.readBody(LENGTH).length);
-                call.answer("s2", "stored");
+                call.respond("s2", "stored");
             }
             assertTrue(answer.join().endsWith("stored"), answer.join());
         }
