--- a/org.berylwick.test/tst/org/berylwick/node/SilentBackendTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/SilentBackendTest.java
@@ -20,7 +20,7 @@
  */
 @Timeout(60)
 class SilentBackendTest {
-    private static final int REQUESTS = 60;
+    private static final int REQUEST_COUNT = 60;
     private static final int GAP_MILLIS = 50;
 
     @Test
@@ -47,7 +47,7 @@
             }
             frozen.set(true);
             List<Thread> callers = new ArrayList<>();
-            for (int i = 0; i < REQUESTS; i++) {
+            for (int i = 0; i < REQUEST_COUNT; i++) {
                 String id = "n" + i;
                 callers.add(Thread.ofPlatform().start(() -> {
                     if (rig.call(1, "POST", "/pay/x", id, "").startsWith("HTTP/1.1 200")) {
@@ -59,8 +59,8 @@
             for (Thread caller : callers) {
                 caller.join();
             }
-            assertTrue(swallowed.get() <= 15, swallowed + " of " + REQUESTS + " were sent to the silent one");
-            assertTrue(served.get() >= REQUESTS - 15, served + " served");
+            assertTrue(swallowed.get() <= 15, swallowed + " of " + REQUEST_COUNT + " were sent to the silent one");
+            assertTrue(served.get() >= REQUEST_COUNT - 15, served + " served");
         }
     }
 
