--- a/org.berylwick.test/tst/org/berylwick/node/SilentBackendTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/SilentBackendTest.java
@@ -21,7 +21,7 @@
 @Timeout(60)
 class SilentBackendTest {
     private static final int REQUEST_COUNT = 60;
-    private static final int GAP_MILLIS = 50;
+    private static final int REQUEST_INTERVAL_MILLIS = 50;
 
     @Test
     void requestsGoElsewhereBeforeTheFirstOneReachesItsDeadline() throws InterruptedException {
@@ -54,7 +54,7 @@
                         served.incrementAndGet();
                     }
                 }));
-                Thread.sleep(GAP_MILLIS);
+                Thread.sleep(REQUEST_INTERVAL_MILLIS);
             }
             for (Thread caller : callers) {
                 caller.join();
