--- a/org.berylwick.test/tst/org/berylwick/node/SilentBackendTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/SilentBackendTest.java
@@ -24,7 +24,7 @@
     private static final int REQUEST_INTERVAL_MILLIS = 50;
 
     @Test
-    void requestsGoElsewhereBeforeTheFirstOneReachesItsDeadline() throws InterruptedException {
+    void requestsAreRoutedElsewhereBeforeTheFirstReachesItsDeadline() throws InterruptedException {
         AtomicInteger swallowed = new AtomicInteger();
         AtomicInteger served = new AtomicInteger();
         AtomicBoolean frozen = new AtomicBoolean();
