--- a/org.berylwick.test/tst/org/berylwick/node/SilentBackendTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/SilentBackendTest.java
@@ -66,7 +66,7 @@
 
     /** Heartbeats stop and what runs is overdue: it is no longer offered, though requests still hang there. */
     @Test
-    void oneWithoutHeartbeatsIsGivenUpWhileRequestsHangThere() throws InterruptedException {
+    void backendWithoutHeartbeatsIsMarkedAbsentWhileRequestsHang() throws InterruptedException {
         try (RawServer silent = new RawServer((c, r) -> {});
                 NodeRig rig = new NodeRig()) {
             rig.configuration.accept(NodeRig.version(
