--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -21,7 +21,7 @@
 @Timeout(60)
 class StopTest {
     /** Gathered before it is passed on. */
-    private static final int LENGTH = 1_000_000;
+    private static final int RESPONSE_BYTES = 1_000_000;
     /** Together more than the system takes for a connection whose other end does not read. */
     private static final int ANSWERS = 8;
 
@@ -36,7 +36,7 @@
     private static final int RUNS_MILLIS = 1_000;
     private static final int SHORTLY_BEFORE_THE_END_MILLIS = 5_000;
 
-    private static final String LARGE = "x".repeat(LENGTH);
+    private static final String LARGE = "x".repeat(RESPONSE_BYTES);
 
     private static int wholeAnswersLater(Socket caller) {
         NodeRig.sleep(SLOW_MILLIS);
@@ -124,7 +124,7 @@
                     () -> rig.send(1, NodeRig.request("GET", "/slow/x", "w1", HANGS_MILLIS, "")));
             try (ScriptedPeer.Connection call = owner.accept()) {
                 call.readHead();
-                call.beginResponse("w1", LENGTH);
+                call.beginResponse("w1", RESPONSE_BYTES);
                 rig.node(1).stop();
                 rig.node(1).close();
                 assertTrue(answer.join().startsWith("HTTP/1.1 502"), answer.join());
