--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -23,7 +23,7 @@
     /** Gathered before it is passed on. */
     private static final int RESPONSE_BYTES = 1_000_000;
     /** Together more than the system takes for a connection whose other end does not read. */
-    private static final int ANSWERS = 8;
+    private static final int RESPONSE_COUNT = 8;
 
     private static final double NARROW_MBPS = 30;
     private static final int WIDE_MBPS = 1_000;
@@ -42,7 +42,7 @@
         NodeRig.sleep(SLOW_MILLIS);
         int whole = 0;
         try {
-            while (whole < ANSWERS
+            while (whole < RESPONSE_COUNT
                     && NodeRig.readResponse(caller.getInputStream()).endsWith(LARGE)) {
                 whole++;
             }
@@ -63,18 +63,18 @@
             try (Socket caller = new Socket()) {
                 caller.connect(rig.callerAddress(1));
                 caller.setSoTimeout(20_000);
-                for (int i = 0; i < ANSWERS; i++) {
+                for (int i = 0; i < RESPONSE_COUNT; i++) {
                     caller.getOutputStream()
                             .write(NodeRig.request("GET", "/read/x", "s" + i, 2_000, "")
                                     .getBytes(StandardCharsets.ISO_8859_1));
                 }
-                String last = "s" + (ANSWERS - 1);
+                String last = "s" + (RESPONSE_COUNT - 1);
                 Await.until("all run", () -> server.runs(last) == 1, rig::logText);
                 CompletableFuture<Integer> whole = CompletableFuture.supplyAsync(() -> wholeAnswersLater(caller));
                 NodeRig.sleep(500);
                 node.stop();
                 node.close();
-                assertEquals(ANSWERS, whole.join());
+                assertEquals(RESPONSE_COUNT, whole.join());
             }
         }
     }
