--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -27,7 +27,7 @@
 
     private static final double NARROW_MBPS = 30;
     private static final int WIDE_MBPS = 1_000;
-    private static final int PACED_LENGTH = 4_500_000;
+    private static final int PACED_RESPONSE_BYTES = 4_500_000;
     private static final String LAST_CHUNK = "\r\n0\r\n\r\n";
     /** Longer than a stop takes with nothing under way. */
     private static final int SLOW_MILLIS = 4_000;
@@ -185,13 +185,13 @@
     /** The same for an answer to another node that waits for the link. */
     @Test
     void answerToAnotherNodeLeavesBeforeTheStopEnds() throws IOException {
-        String paced = "y".repeat(PACED_LENGTH);
+        String paced = "y".repeat(PACED_RESPONSE_BYTES);
         try (RawServer server = new RawServer((c, r) -> c.write(NodeRig.responseTo(r, paced)));
                 NodeRig rig = new NodeRig()) {
             rig.configuration.accept(NodeRig.version(1));
             Node node = rig.startWithLink(1, server, 1, NARROW_MBPS);
             rig.awaitReady(1);
-            try (Socket other = rig.requestAsPeer(1, "p1", PACED_LENGTH, 9_000)) {
+            try (Socket other = rig.requestAsPeer(1, "p1", PACED_RESPONSE_BYTES, 9_000)) {
                 Await.until("it runs", () -> server.runs("p1") == 1, rig::logText);
                 CompletableFuture<Boolean> whole = CompletableFuture.supplyAsync(() -> isWholeLater(other));
                 node.stop();
@@ -223,7 +223,7 @@
     }
 
     private static boolean isWhole(StringBuilder answer) {
-        return answer.length() > PACED_LENGTH
+        return answer.length() > PACED_RESPONSE_BYTES
                 && answer.lastIndexOf(LAST_CHUNK) == answer.length() - LAST_CHUNK.length();
     }
 }
