--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -30,7 +30,7 @@
     private static final int PACED_RESPONSE_BYTES = 4_500_000;
     private static final String LAST_CHUNK = "\r\n0\r\n\r\n";
     /** Longer than a stop takes with nothing under way. */
-    private static final int SLOW_MILLIS = 4_000;
+    private static final int PAUSE_MILLIS = 4_000;
 
     private static final int HANGS_MILLIS = 12_000;
     private static final int RUNS_MILLIS = 1_000;
@@ -39,7 +39,7 @@
     private static final String LARGE = "x".repeat(RESPONSE_BYTES);
 
     private static int wholeAnswersLater(Socket caller) {
-        NodeRig.sleep(SLOW_MILLIS);
+        NodeRig.sleep(PAUSE_MILLIS);
         int whole = 0;
         try {
             while (whole < RESPONSE_COUNT
@@ -149,7 +149,7 @@
                 rig.node(1).stop();
                 rig.node(1).close();
             });
-            NodeRig.sleep(SLOW_MILLIS);
+            NodeRig.sleep(PAUSE_MILLIS);
             caller.getOutputStream().write(request.substring(beginning.length()).getBytes(StandardCharsets.ISO_8859_1));
             String answer = NodeRig.readResponse(caller.getInputStream());
             assertTrue(answer.startsWith("HTTP/1.1 503"), answer);
@@ -202,7 +202,7 @@
     }
 
     private static boolean isWholeLater(Socket node) {
-        NodeRig.sleep(SLOW_MILLIS);
+        NodeRig.sleep(PAUSE_MILLIS);
         StringBuilder all = new StringBuilder();
         byte[] part = new byte[65_536];
         try {
