--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -32,7 +32,7 @@
     /** Longer than a stop takes with nothing under way. */
     private static final int PAUSE_MILLIS = 4_000;
 
-    private static final int HANGS_MILLIS = 12_000;
+    private static final int HANG_MILLIS = 12_000;
     private static final int RUNS_MILLIS = 1_000;
     private static final int SHORTLY_BEFORE_THE_END_MILLIS = 5_000;
 
@@ -85,7 +85,7 @@
     @Test
     void requestThatComesJustBeforeTheGraceEndsIsRefused() {
         RawServer.Script script = (c, r) -> {
-            NodeRig.sleep(r.path().startsWith("/hang/") ? HANGS_MILLIS : RUNS_MILLIS);
+            NodeRig.sleep(r.path().startsWith("/hang/") ? HANG_MILLIS : RUNS_MILLIS);
             NodeRig.respondOk(c, r);
         };
         try (RawServer here = new RawServer(script);
@@ -94,10 +94,10 @@
             rig.configuration.accept(NodeRig.version(
                     1,
                     b -> b.route(
-                            NodeRig.HOST, NodeRig.route("hang", "/hang/", RouteKind.NON_IDEMPOTENT, HANGS_MILLIS))));
+                            NodeRig.HOST, NodeRig.route("hang", "/hang/", RouteKind.NON_IDEMPOTENT, HANG_MILLIS))));
             Node node = rig.start(1, Optional.of(here));
             rig.awaitReady(1);
-            CompletableFuture.runAsync(() -> rig.send(1, NodeRig.request("POST", "/hang/x", "h1", HANGS_MILLIS, "")));
+            CompletableFuture.runAsync(() -> rig.send(1, NodeRig.request("POST", "/hang/x", "h1", HANG_MILLIS, "")));
             Await.until("it hangs", () -> here.runs("h1") == 1, rig::logText);
             rig.start(2, Optional.of(elsewhere));
             rig.awaitMemberKnown("i-2");
@@ -121,7 +121,7 @@
         try (NodeRig rig = NodeRig.withEntryNode(versionWithSlowRoute());
                 ScriptedPeer owner = ScriptedPeer.startAnnounced(rig, WIDE_MBPS)) {
             CompletableFuture<String> answer = CompletableFuture.supplyAsync(
-                    () -> rig.send(1, NodeRig.request("GET", "/slow/x", "w1", HANGS_MILLIS, "")));
+                    () -> rig.send(1, NodeRig.request("GET", "/slow/x", "w1", HANG_MILLIS, "")));
             try (ScriptedPeer.Connection call = owner.accept()) {
                 call.readHead();
                 call.beginResponse("w1", RESPONSE_BYTES);
@@ -166,7 +166,7 @@
                     CompletableFuture.runAsync(() -> rig.node(1).stop());
             Await.until("it stops", () -> rig.logText().contains(Event.STOPPING.name()), rig::logText);
             CompletableFuture<String> answer = CompletableFuture.supplyAsync(
-                    () -> rig.send(1, NodeRig.request("GET", "/slow/x", "w2", HANGS_MILLIS, "")));
+                    () -> rig.send(1, NodeRig.request("GET", "/slow/x", "w2", HANG_MILLIS, "")));
             try (ScriptedPeer.Connection call = owner.accept()) {
                 int left = ScriptedPeer.Connection.remainingMillis(call.readHead());
                 assertTrue(left < NodeRig.GRACE_PERIOD_MILLIS, "told to be there for " + left + " ms");
@@ -179,7 +179,7 @@
 
     private static MeshVersion versionWithSlowRoute() {
         return NodeRig.version(
-                1, b -> b.route(NodeRig.HOST, NodeRig.route("slow", "/slow/", RouteKind.BULK, HANGS_MILLIS)));
+                1, b -> b.route(NodeRig.HOST, NodeRig.route("slow", "/slow/", RouteKind.BULK, HANG_MILLIS)));
     }
 
     /** The same for an answer to another node that waits for the link. */
