--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -33,7 +33,7 @@
     private static final int PAUSE_MILLIS = 4_000;
 
     private static final int HANG_MILLIS = 12_000;
-    private static final int RUNS_MILLIS = 1_000;
+    private static final int RUN_MILLIS = 1_000;
     private static final int SHORTLY_BEFORE_THE_END_MILLIS = 5_000;
 
     private static final String LARGE = "x".repeat(RESPONSE_BYTES);
@@ -85,7 +85,7 @@
     @Test
     void requestThatComesJustBeforeTheGraceEndsIsRefused() {
         RawServer.Script script = (c, r) -> {
-            NodeRig.sleep(r.path().startsWith("/hang/") ? HANG_MILLIS : RUNS_MILLIS);
+            NodeRig.sleep(r.path().startsWith("/hang/") ? HANG_MILLIS : RUN_MILLIS);
             NodeRig.respondOk(c, r);
         };
         try (RawServer here = new RawServer(script);
