--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -34,7 +34,7 @@
 
     private static final int HANG_MILLIS = 12_000;
     private static final int RUN_MILLIS = 1_000;
-    private static final int SHORTLY_BEFORE_THE_END_MILLIS = 5_000;
+    private static final int LATE_IN_GRACE_MILLIS = 5_000;
 
     private static final String LARGE = "x".repeat(RESPONSE_BYTES);
 
@@ -105,7 +105,7 @@
                 node.stop();
                 node.close();
             });
-            NodeRig.sleep(SHORTLY_BEFORE_THE_END_MILLIS);
+            NodeRig.sleep(LATE_IN_GRACE_MILLIS);
             String answer = rig.call(1, "GET", "/read/x", "r1", "");
             assertTrue(answer.startsWith("HTTP/1.1 503") && answer.contains("Retry-After"), answer);
             assertEquals(0, elsewhere.runs("r1"));
