--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -36,14 +36,14 @@
     private static final int RUN_MILLIS = 1_000;
     private static final int LATE_IN_GRACE_MILLIS = 5_000;
 
-    private static final String LARGE = "x".repeat(RESPONSE_BYTES);
+    private static final String LARGE_BODY = "x".repeat(RESPONSE_BYTES);
 
     private static int wholeAnswersLater(Socket caller) {
         NodeRig.sleep(PAUSE_MILLIS);
         int whole = 0;
         try {
             while (whole < RESPONSE_COUNT
-                    && NodeRig.readResponse(caller.getInputStream()).endsWith(LARGE)) {
+                    && NodeRig.readResponse(caller.getInputStream()).endsWith(LARGE_BODY)) {
                 whole++;
             }
         } catch (IOException e) {
@@ -55,7 +55,7 @@
     /** Guards against a process that ends with an answer still in its buffers: its caller gets it cut short. */
     @Test
     void answerToASlowCallerLeavesBeforeTheStopEnds() throws IOException {
-        try (RawServer server = new RawServer((c, r) -> c.write(NodeRig.responseTo(r, LARGE)));
+        try (RawServer server = new RawServer((c, r) -> c.write(NodeRig.responseTo(r, LARGE_BODY)));
                 NodeRig rig = new NodeRig()) {
             rig.configuration.accept(NodeRig.version(1));
             Node node = rig.start(1, Optional.of(server));
