--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -38,7 +38,7 @@
 
     private static final String LARGE_BODY = "x".repeat(RESPONSE_BYTES);
 
-    private static int wholeAnswersLater(Socket caller) {
+    private static int countCompleteResponsesAfterPause(Socket caller) {
         NodeRig.sleep(PAUSE_MILLIS);
         int whole = 0;
         try {
@@ -70,7 +70,7 @@
                 }
                 String last = "s" + (RESPONSE_COUNT - 1);
                 Await.until("all run", () -> server.runs(last) == 1, rig::logText);
-                CompletableFuture<Integer> whole = CompletableFuture.supplyAsync(() -> wholeAnswersLater(caller));
+                CompletableFuture<Integer> whole = CompletableFuture.supplyAsync(() -> countCompleteResponsesAfterPause(caller));
                 NodeRig.sleep(500);
                 node.stop();
                 node.close();
