--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -54,7 +54,7 @@
 
     /** Guards against a process that ends with an answer still in its buffers: its caller gets it cut short. */
     @Test
-    void answerToASlowCallerLeavesBeforeTheStopEnds() throws IOException {
+    void responseToASlowCallerIsSentBeforeTheStopEnds() throws IOException {
         try (RawServer server = new RawServer((c, r) -> c.write(NodeRig.responseTo(r, LARGE_BODY)));
                 NodeRig rig = new NodeRig()) {
             rig.configuration.accept(NodeRig.version(1));
