--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -83,7 +83,7 @@
      * Guards against a request that is taken a moment before the grace ends, and gets neither an answer nor a refusal.
      */
     @Test
-    void requestThatComesJustBeforeTheGraceEndsIsRefused() {
+    void requestJustBeforeTheGracePeriodEndsIsRefused() {
         RawServer.Script script = (c, r) -> {
             NodeRig.sleep(r.path().startsWith("/hang/") ? HANG_MILLIS : RUN_MILLIS);
             NodeRig.respondOk(c, r);
