--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -117,7 +117,7 @@
      * Guards against a caller whose connection ends without an answer because the owner's did not come in the grace.
      */
     @Test
-    void callerIsAnsweredWhenItsOwnerOutlastsTheGrace() throws IOException {
+    void callerGetsAResponseWhenItsOwnerExceedsTheGracePeriod() throws IOException {
         try (NodeRig rig = NodeRig.withEntryNode(versionWithSlowRoute());
                 ScriptedPeer owner = ScriptedPeer.startAnnounced(rig, WIDE_MBPS)) {
             CompletableFuture<String> answer = CompletableFuture.supplyAsync(
