--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -136,7 +136,7 @@
      * Guards against a request whose body is still coming when all else is over, and is cut by the end of the process.
      */
     @Test
-    void requestWhoseBodyIsComingIsAnsweredBeforeTheStopEnds() throws IOException {
+    void requestWithIncompleteBodyIsAnsweredBeforeTheStopEnds() throws IOException {
         try (NodeRig rig = NodeRig.withEntryNode(NodeRig.version(1));
                 Socket caller = new Socket()) {
             caller.connect(rig.callerAddress(1));
