--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -159,7 +159,7 @@
 
     /** Guards against an owner that makes an answer which its entry, told to stop, can no longer pass on. */
     @Test
-    void ownerIsToldHowLongAStoppingEntryIsThere() throws IOException {
+    void stoppingEntryLimitsTheDeadlineSentToTheOwner() throws IOException {
         try (NodeRig rig = NodeRig.withEntryNode(versionWithSlowRoute());
                 ScriptedPeer owner = ScriptedPeer.startAnnounced(rig, WIDE_MBPS)) {
             CompletableFuture<Void> stopped =
