--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -184,7 +184,7 @@
 
     /** The same for an answer to another node that waits for the link. */
     @Test
-    void answerToAnotherNodeLeavesBeforeTheStopEnds() throws IOException {
+    void responseToAnotherNodeIsSentBeforeTheStopEnds() throws IOException {
         String paced = "y".repeat(PACED_RESPONSE_BYTES);
         try (RawServer server = new RawServer((c, r) -> c.write(NodeRig.responseTo(r, paced)));
                 NodeRig rig = new NodeRig()) {
