--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -193,7 +193,7 @@
             rig.awaitReady(1);
             try (Socket other = rig.requestAsPeer(1, "p1", PACED_RESPONSE_BYTES, 9_000)) {
                 Await.until("it runs", () -> server.runs("p1") == 1, rig::logText);
-                CompletableFuture<Boolean> whole = CompletableFuture.supplyAsync(() -> isWholeLater(other));
+                CompletableFuture<Boolean> whole = CompletableFuture.supplyAsync(() -> readsCompleteResponseAfterPause(other));
                 node.stop();
                 node.close();
                 assertTrue(whole.join());
@@ -201,7 +201,7 @@
         }
     }
 
-    private static boolean isWholeLater(Socket node) {
+    private static boolean readsCompleteResponseAfterPause(Socket node) {
         NodeRig.sleep(PAUSE_MILLIS);
         StringBuilder all = new StringBuilder();
         byte[] part = new byte[65_536];
