--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -209,7 +209,7 @@
             node.setSoTimeout(20_000);
             InputStream in = node.getInputStream();
             // Not until its end: a node that is closed within this process may leave the connection open.
-            while (!isWhole(all)) {
+            while (!isComplete(all)) {
                 int n = in.read(part);
                 if (n < 0) {
                     return false;
@@ -222,7 +222,7 @@
         }
     }
 
-    private static boolean isWhole(StringBuilder answer) {
+    private static boolean isComplete(StringBuilder answer) {
         return answer.length() > PACED_RESPONSE_BYTES
                 && answer.lastIndexOf(LAST_CHUNK) == answer.length() - LAST_CHUNK.length();
     }
