--- a/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
@@ -33,9 +33,9 @@
 
 /** When a backend server that reports nothing counts as gone. */
 class OwnerSilenceTest {
-    private static final long MS = 1_000_000L;
-    private static final long SECOND = 1_000 * MS;
-    private static final long HEARTBEAT = 1_500 * MS;
+    private static final long MILLISECOND = 1_000_000L;
+    private static final long SECOND = 1_000 * MILLISECOND;
+    private static final long HEARTBEAT = 1_500 * MILLISECOND;
     private static final HeaderNames NAMES =
             new HeaderNames("id", "deadline", "signature", "target", "load", "not-run", "caller", "instance");
 
@@ -64,7 +64,7 @@
             HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
             head.headers().set(NAMES.requestId(), request.headers().get(NAMES.requestId()));
             head.headers().set(NAMES.signature(), "s");
-            clock.after(20 * MS, () -> {
+            clock.after(20 * MILLISECOND, () -> {
                 waiter.onHead(head);
                 waiter.onEnd();
             });
@@ -164,7 +164,7 @@
                 "work",
                 "caller",
                 new RequestClass(RouteKind.IDEMPOTENT, 1, 600),
-                clock.now() + 600 * MS,
+                clock.now() + 600 * MILLISECOND,
                 clock.now() + 2 * SECOND,
                 0,
                 1,
@@ -181,7 +181,7 @@
     void backendServerThatAnswersIsThereWithoutHeartbeats() {
         report();
         tickEverySecond();
-        callEvery(700 * MS);
+        callEvery(700 * MILLISECOND);
         clock.runUntil(30 * SECOND);
         assertTrue(owner.acceptsRequestsFor("work"), "answered " + answered);
         assertEquals(43, answered);
