--- a/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
@@ -43,7 +43,7 @@
     private final EventLog log = new EventLog("test", OutputStream.nullOutputStream());
     private final Owner owner = new Owner(
             clock,
-            address -> new Answering(),
+            address -> new RespondingServer(),
             NAMES,
             VmLink.of(1_000, clock),
             HEARTBEAT_INTERVAL,
@@ -53,7 +53,7 @@
     private int answered;
 
     /** A backend server that answers all after 20 ms. */
-    private final class Answering implements ServerConnections, ServerConnection {
+    private final class RespondingServer implements ServerConnections, ServerConnection {
         @Override
         public void acquire(long freshest, Consumer<ServerConnection> onOpen, Consumer<String> onFailure) {
             onOpen.accept(this);
