--- a/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
@@ -116,7 +116,7 @@
         }
     }
 
-    private final class Counting implements AttemptListener {
+    private final class CountingListener implements AttemptListener {
         @Override
         public void onHead(int status, HttpHeaders headers, OwnerLoad load) {
             assertEquals(200, status);
@@ -169,7 +169,7 @@
                 0,
                 1,
                 0);
-        owner.offer(call, new Counting());
+        owner.offer(call, new CountingListener());
         clock.after(nanos, () -> callEvery(nanos));
     }
 
