--- a/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
@@ -50,7 +50,7 @@
             new Counters(),
             log,
             () -> {});
-    private int answered;
+    private int responseCount;
 
     /** A backend server that answers all after 20 ms. */
     private final class RespondingServer implements ServerConnections, ServerConnection {
@@ -129,7 +129,7 @@
 
         @Override
         public void onEnd() {
-            answered++;
+            responseCount++;
         }
 
         @Override
@@ -183,8 +183,8 @@
         tickEverySecond();
         callEvery(700 * MILLISECOND);
         clock.runUntil(30 * SECOND);
-        assertTrue(owner.acceptsRequestsFor("work"), "answered " + answered);
-        assertEquals(43, answered);
+        assertTrue(owner.acceptsRequestsFor("work"), "answered " + responseCount);
+        assertEquals(43, responseCount);
     }
 
     /** One that is sent nothing and says nothing is gone after six heartbeats. */
