--- a/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
@@ -153,7 +153,7 @@
         clock.after(SECOND, this::tickEverySecond);
     }
 
-    private void callEvery(long nanos) {
+    private void sendRequestEvery(long nanos) {
         HttpHeaders headers = Headers.empty().set(NAMES.requestId(), "r");
         CallSpec call = new CallSpec(
                 "r",
@@ -170,7 +170,7 @@
                 1,
                 0);
         owner.offer(call, new CountingListener());
-        clock.after(nanos, () -> callEvery(nanos));
+        clock.after(nanos, () -> sendRequestEvery(nanos));
     }
 
     /**
@@ -181,7 +181,7 @@
     void backendServerThatAnswersIsThereWithoutHeartbeats() {
         report();
         tickEverySecond();
-        callEvery(700 * MILLISECOND);
+        sendRequestEvery(700 * MILLISECOND);
         clock.runUntil(30 * SECOND);
         assertTrue(owner.acceptsRequestsFor("work"), "answered " + responseCount);
         assertEquals(43, responseCount);
