--- a/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
@@ -178,7 +178,7 @@
      * server answers all it is sent, and its callers would lose it at the first moment without a request under way.
      */
     @Test
-    void backendServerThatAnswersIsThereWithoutHeartbeats() {
+    void backendServerThatRespondsStaysAvailableWithoutHeartbeats() {
         report();
         tickEverySecond();
         sendRequestEvery(700 * MILLISECOND);
