--- a/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
@@ -189,7 +189,7 @@
 
     /** One that is sent nothing and says nothing is gone after six heartbeats. */
     @Test
-    void backendServerThatSaysNothingIsGone() {
+    void idleBackendServerWithoutHeartbeatsIsMarkedAbsent() {
         report();
         tickEverySecond();
         clock.runUntil(8 * SECOND);
