--- a/org.berylwick.node/src/org/berylwick/node/call/Backend.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Backend.java
@@ -128,10 +128,10 @@
      * that has just started, and this one was heard a moment ago. One that was only asked, and has reported nothing,
      * gives way.
      */
-    boolean isMoreRecentThan(BackendReport report, long spanNanos, long now) {
+    boolean isMoreRecentThan(BackendReport report, long recentNanos, long now) {
         return sequence >= 0
                 && state == BackendState.READY
                 && report.sequence() > sequence
-                && now - lastReportAt < spanNanos;
+                && now - lastReportAt < recentNanos;
     }
 }
