--- a/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
@@ -87,28 +87,28 @@
     }
 
     private void onResult(String path, SmallHttpCall.Result result) {
-        Optional<BackendReport> found = parseReport(result);
+        Optional<BackendReport> report = parseReport(result);
         log.write(
                 Event.BACKEND_PROBED,
                 "try",
                 tries,
                 "incarnation",
-                found.map(BackendReport::incarnation).orElse(""),
+                report.map(BackendReport::incarnation).orElse(""),
                 "answer",
-                result instanceof SmallHttpCall.Result.Answered a ? a.status() : 0);
-        if (found.isPresent() && owner.backend().isEmpty()) {
-            owner.onReport(found.get());
+                result instanceof SmallHttpCall.Result.Answered response ? response.status() : 0);
+        if (report.isPresent() && owner.backend().isEmpty()) {
+            owner.onReport(report.get());
             return;
         }
         loop.schedule(() -> sendProbe(path), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private Optional<BackendReport> parseReport(SmallHttpCall.Result result) {
-        if (!(result instanceof SmallHttpCall.Result.Answered answered) || answered.status() != 200) {
+        if (!(result instanceof SmallHttpCall.Result.Answered response) || response.status() != 200) {
             return Optional.empty();
         }
-        String incarnation = answered.headers().get(names.instance(), "");
-        int slots = parseSlots(answered.headers().get(names.load(), ""));
+        String incarnation = response.headers().get(names.instance(), "");
+        int slots = parseSlots(response.headers().get(names.load(), ""));
         if (incarnation.isBlank() || slots < 1) {
             return Optional.empty();
         }
