--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -72,31 +72,31 @@
     /**
      * @param clock tells the time; all runs where its tasks do
      * @param connector opens connections to a backend server
-     * @param names headers that the backend server knows
+     * @param headerNames headers that the backend server knows
      * @param link of this VM
      * @param heartbeatNanos between two heartbeats of the backend server
      * @param counters takes counts
      * @param log takes events
-     * @param onChange hears that the backend server's state changed
+     * @param onBackendChange hears that the backend server's state changed
      */
     public Owner(
             Clock clock,
             Function<InetSocketAddress, ServerConnections> connector,
-            HeaderNames names,
+            HeaderNames headerNames,
             VmLink link,
             long heartbeatNanos,
             Counters counters,
             EventLog log,
-            Runnable onChange) {
+            Runnable onBackendChange) {
         this.clock = clock;
         this.connector = connector;
-        this.headerNames = names;
+        this.headerNames = headerNames;
         this.link = link;
         this.bodyAdmission = new BodyGate(link.incoming());
         this.heartbeatNanos = heartbeatNanos;
         this.counters = counters;
         this.log = log;
-        this.onBackendChange = onChange;
+        this.onBackendChange = onBackendChange;
     }
 
     /** The backend server as last reported. */
@@ -107,12 +107,12 @@
     /** How busy it is. */
     public OwnerLoad load() {
         long now = clock.now();
-        return backend.map(b -> new OwnerLoad(
+        return backend.map(server -> new OwnerLoad(
                         running.size(),
                         queuedCount(),
-                        b.slots(),
-                        b.serviceTimes().meanNanos(),
-                        lostPerMille(b, now),
+                        server.slots(),
+                        server.serviceTimes().meanNanos(),
+                        lostPerMille(server, now),
                         link.incoming().busyNanos(),
                         link.outgoing().busyNanos()))
                 .orElse(OwnerLoad.NONE);
@@ -124,16 +124,16 @@
 
     /** How long it takes for each kind of request that it has seen. */
     public List<KindTime> serviceTimes() {
-        return backend.map(b -> b.serviceTimes().times()).orElse(List.of());
+        return backend.map(server -> server.serviceTimes().times()).orElse(List.of());
     }
 
     /**
      * The part of its requests that it loses. Overdue ones count before their deadline tells: a backend server that
      * falls silent would else be sent all that its slots hold, and answer none.
      */
-    private int lostPerMille(Backend b, long now) {
-        int overdue = 1_000 * overdueCount(now) / Math.max(MIN_RUNNING_FOR_LOSS_RATE, running.size());
-        return Math.max(b.losses().perMille(now), overdue);
+    private int lostPerMille(Backend server, long now) {
+        int overduePerMille = 1_000 * overdueCount(now) / Math.max(MIN_RUNNING_FOR_LOSS_RATE, running.size());
+        return Math.max(server.losses().perMille(now), overduePerMille);
     }
 
     private int overdueCount(long now) {
@@ -152,84 +152,84 @@
             log.write(Event.BACKEND_REPORT_IGNORED, "incarnation", report.incarnation(), "why", "it has left");
             return;
         }
-        Backend known = backend.orElse(null);
-        if (known != null && known.incarnation().equals(report.incarnation())) {
-            if (report.sequence() < known.sequence()) {
+        Backend current = backend.orElse(null);
+        if (current != null && current.incarnation().equals(report.incarnation())) {
+            if (report.sequence() < current.sequence()) {
                 log.write(Event.BACKEND_REPORT_IGNORED, "incarnation", report.incarnation(), "why", "older");
                 return;
             }
-            boolean changed = known.applyReport(report, clock.now());
+            boolean changed = current.applyReport(report, clock.now());
             if (changed) {
-                notifyBackendChange(known);
+                notifyBackendChange(current);
             }
             dispatch();
             return;
         }
-        if (known != null && known.isMoreRecentThan(report, 2 * heartbeatNanos, clock.now())) {
+        if (current != null && current.isMoreRecentThan(report, 2 * heartbeatNanos, clock.now())) {
             log.write(Event.BACKEND_REPORT_IGNORED, "incarnation", report.incarnation(), "why", "earlier incarnation");
             return;
         }
-        if (known != null) {
-            retire(known, "another incarnation took its place");
+        if (current != null) {
+            retire(current, "another incarnation took its place");
         }
-        Backend fresh = new Backend(report, connector.apply(report.address()), clock.now());
-        backend = Optional.of(fresh);
-        notifyBackendChange(fresh);
+        Backend replacement = new Backend(report, connector.apply(report.address()), clock.now());
+        backend = Optional.of(replacement);
+        notifyBackendChange(replacement);
         dispatch();
     }
 
     /** The backend server says that it is gone, or will be in a moment. */
     public void onLeave(String incarnation) {
         departedIncarnations.put(incarnation, Boolean.TRUE);
-        Backend known = backend.orElse(null);
-        if (known == null || !known.incarnation().equals(incarnation)) {
+        Backend current = backend.orElse(null);
+        if (current == null || !current.incarnation().equals(incarnation)) {
             return;
         }
-        known.startDraining();
-        notifyBackendChange(known);
+        current.startDraining();
+        notifyBackendChange(current);
         dispatch();
     }
 
-    private void retire(Backend known, String why) {
-        departedIncarnations.put(known.incarnation(), Boolean.TRUE);
-        log.write(Event.BACKEND_CHANGED, "incarnation", known.incarnation(), "state", "RETIRED", "why", why);
-        known.pool().close();
+    private void retire(Backend retired, String reason) {
+        departedIncarnations.put(retired.incarnation(), Boolean.TRUE);
+        log.write(Event.BACKEND_CHANGED, "incarnation", retired.incarnation(), "state", "RETIRED", "why", reason);
+        retired.pool().close();
     }
 
-    private void notifyBackendChange(Backend known) {
+    private void notifyBackendChange(Backend changed) {
         log.write(
                 Event.BACKEND_CHANGED,
                 "incarnation",
-                known.incarnation(),
+                changed.incarnation(),
                 "service",
-                known.service(),
+                changed.service(),
                 "state",
-                known.state(),
+                changed.state(),
                 "slots",
-                known.slots(),
+                changed.slots(),
                 "sequence",
-                known.sequence(),
+                changed.sequence(),
                 "warmUpMs",
-                known.warmUpNanos(clock.now()) / 1_000_000);
+                changed.warmUpNanos(clock.now()) / 1_000_000);
         onBackendChange.run();
     }
 
     /** Notices a backend server that fell silent; called about once a second. */
     public void tick() {
         long now = clock.now();
-        backend.ifPresent(b -> b.pool().trim());
-        Backend known = backend.orElse(null);
-        if (known == null || known.state() == BackendState.ABSENT) {
+        backend.ifPresent(server -> server.pool().trim());
+        Backend current = backend.orElse(null);
+        if (current == null || current.state() == BackendState.ABSENT) {
             return;
         }
-        boolean stuck = !running.isEmpty() && overdueCount(now) == running.size();
-        if (!stuck && !running.isEmpty()) {
+        boolean allOverdue = !running.isEmpty() && overdueCount(now) == running.size();
+        if (!allOverdue && !running.isEmpty()) {
             return;
         }
-        long missed = stuck ? MAX_MISSED_HEARTBEATS_WHEN_OVERDUE : MAX_MISSED_HEARTBEATS;
-        if (now - known.lastActivityAt() > missed * heartbeatNanos) {
-            known.markAbsent();
-            notifyBackendChange(known);
+        long maxMissed = allOverdue ? MAX_MISSED_HEARTBEATS_WHEN_OVERDUE : MAX_MISSED_HEARTBEATS;
+        if (now - current.lastActivityAt() > maxMissed * heartbeatNanos) {
+            current.markAbsent();
+            notifyBackendChange(current);
             dispatch();
         }
     }
@@ -259,8 +259,8 @@
     /** Whether requests of a service can be run here now. */
     public boolean acceptsRequestsFor(String service) {
         return !stopping
-                && backend.filter(b ->
-                                b.state() == BackendState.READY && b.service().equals(service))
+                && backend.filter(server ->
+                                server.state() == BackendState.READY && server.service().equals(service))
                         .isPresent();
     }
 
@@ -271,8 +271,8 @@
      * @param listener hears what becomes of it
      */
     public Attempt offer(CallSpec call, AttemptListener listener) {
-        long forward = servedShares.onOffered(call, clock.now());
-        OwnerRun run = new OwnerRun(this, call, listener, forward);
+        long advanceNanos = servedShares.onOffered(call, clock.now());
+        OwnerRun run = new OwnerRun(this, call, listener, advanceNanos);
         Optional<Refusal.Reason> reason = refusalReason(run);
         if (reason.isPresent()) {
             counters.add(NodeMetricNames.OWNER_REFUSED_BY_REASON + reason.get());
@@ -320,19 +320,19 @@
         if (!acceptsRequestsFor(call.service())) {
             return Optional.of(Refusal.Reason.NOT_HERE);
         }
-        Backend b = backend.orElseThrow();
-        run.setServiceTime(b.serviceTimes().time(call));
+        Backend server = backend.orElseThrow();
+        run.setServiceTime(server.serviceTimes().time(call));
         long now = clock.now();
         if (!run.canMeetDeadline(now)) {
             return Optional.of(Refusal.Reason.EXPIRED);
         }
-        long linkWait = run.linkWaitNanos();
-        if (running.size() < b.slots() && call.body().isWhole() && linkWait == 0) {
+        long linkWaitNanos = run.linkWaitNanos();
+        if (running.size() < server.slots() && call.body().isWhole() && linkWaitNanos == 0) {
             return Optional.empty();
         }
-        long wait = Math.max(Math.max(expectedWaitNanos(run, b), linkWait), bodyAdmission.aheadNanos(call.body()));
-        boolean full = queuedCount() >= MAX_QUEUED_PER_SLOT * b.slots() || !(isTimely(run) || queue.takesLate(b.slots()));
-        if (full || wait > call.maxWaitNanos() || !run.canMeetDeadline(now + wait + bodyAdmission.comingNanos(call.body()))) {
+        long waitNanos = Math.max(Math.max(expectedWaitNanos(run, server), linkWaitNanos), bodyAdmission.aheadNanos(call.body()));
+        boolean queueFull = queuedCount() >= MAX_QUEUED_PER_SLOT * server.slots() || !(isTimely(run) || queue.takesLate(server.slots()));
+        if (queueFull || waitNanos > call.maxWaitNanos() || !run.canMeetDeadline(now + waitNanos + bodyAdmission.comingNanos(call.body()))) {
             return Optional.of(Refusal.Reason.BUSY);
         }
         return Optional.empty();
@@ -340,47 +340,47 @@
 
     /** Whether a request can meet its objective behind those that would go before it. */
     private boolean isTimely(OwnerRun run) {
-        Backend b = backend.orElseThrow();
+        Backend server = backend.orElseThrow();
         int ahead = running.size() + queue.timelyBefore(run);
         RequestBody body = run.call().body();
-        long slotWait = Math.max(slotWaitNanos(ahead, b), bodyAdmission.aheadNanos(body) + bodyAdmission.comingNanos(body));
-        long wait = Math.max(slotWait, run.linkWaitNanos());
-        return run.canMeetObjective(clock.now() + wait);
+        long slotWaitNanos = Math.max(slotWaitNanos(ahead, server), bodyAdmission.aheadNanos(body) + bodyAdmission.comingNanos(body));
+        long waitNanos = Math.max(slotWaitNanos, run.linkWaitNanos());
+        return run.canMeetObjective(clock.now() + waitNanos);
     }
 
-    private long expectedWaitNanos(OwnerRun run, Backend b) {
-        int waiting = isTimely(run) ? queue.timelyBefore(run) : queue.size();
-        return slotWaitNanos(running.size() + waiting, b);
+    private long expectedWaitNanos(OwnerRun run, Backend server) {
+        int queuedAhead = isTimely(run) ? queue.timelyBefore(run) : queue.size();
+        return slotWaitNanos(running.size() + queuedAhead, server);
     }
 
-    private static long slotWaitNanos(int ahead, Backend b) {
-        return new OwnerLoad(0, 0, b.slots(), b.serviceTimes().meanNanos()).waitNanos(ahead);
+    private static long slotWaitNanos(int ahead, Backend server) {
+        return new OwnerLoad(0, 0, server.slots(), server.serviceTimes().meanNanos()).waitNanos(ahead);
     }
 
     private void dispatch() {
-        Backend b = backend.orElse(null);
-        if (b == null || b.state() != BackendState.READY || stopping) {
+        Backend server = backend.orElse(null);
+        if (server == null || server.state() != BackendState.READY || stopping) {
             refuseQueued(stopping ? Refusal.Reason.LEAVING : Refusal.Reason.NOT_HERE);
             return;
         }
         long now = clock.now();
-        while (running.size() < b.slots()) {
+        while (running.size() < server.slots()) {
             Optional<OwnerRun> next = queue.poll(now);
             if (next.isEmpty()) {
                 return;
             }
-            startRun(next.get(), b);
+            startRun(next.get(), server);
         }
     }
 
-    private void startRun(OwnerRun run, Backend b) {
-        if (!run.call().service().equals(b.service())) {
+    private void startRun(OwnerRun run, Backend server) {
+        if (!run.call().service().equals(server.service())) {
             run.refuse(Refusal.Reason.NOT_HERE, false);
             return;
         }
         running.add(run);
         servedShares.onStarted(run.call(), clock.now());
-        run.start(b, headerNames);
+        run.start(server, headerNames);
     }
 
     private void refuseQueued(Refusal.Reason reason) {
