--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -57,14 +57,14 @@
      * @param owner that it is offered to
      * @param call the request
      * @param listener hears what becomes of it
-     * @param forwardNanos by how much it is put before others
+     * @param advanceNanos by how much it is put before others
      */
-    OwnerRun(Owner owner, CallSpec call, AttemptListener listener, long forwardNanos) {
+    OwnerRun(Owner owner, CallSpec call, AttemptListener listener, long advanceNanos) {
         this.owner = owner;
         this.clock = owner.clock();
         this.call = call;
         this.listener = listener;
-        this.effectiveObjectiveAt = call.objectiveAt() + call.priority() * RunQueue.RANK_NANOS - forwardNanos;
+        this.effectiveObjectiveAt = call.objectiveAt() + call.priority() * RunQueue.RANK_NANOS - advanceNanos;
         this.queuedAt = clock.now();
         this.sequenceNumber = owner.nextSequenceNumber();
         if (owner.outgoingLink().isLarge(call.answerBytes())) {
@@ -97,8 +97,8 @@
         if (responseTransferNanos == 0) {
             return 0;
         }
-        long others = owner.outgoingLink().busyNanos() - owner.outgoingLink().nanosOf(announcedBytes);
-        return Math.max(0, others - medianServiceNanos);
+        long otherResponsesNanos = owner.outgoingLink().busyNanos() - owner.outgoingLink().nanosOf(announcedBytes);
+        return Math.max(0, otherResponsesNanos - medianServiceNanos);
     }
 
     /** It is taken: others have its answer before them. */
@@ -108,10 +108,10 @@
     }
 
     /** So many bytes of the answer are still to be read. */
-    private void updateAnnouncedBytes(long bytes) {
-        long announced = responseTransferNanos == 0 ? 0 : bytes;
-        owner.outgoingLink().onExpected(announced - announcedBytes);
-        announcedBytes = announced;
+    private void updateAnnouncedBytes(long remainingBytes) {
+        long bytesToAnnounce = responseTransferNanos == 0 ? 0 : remainingBytes;
+        owner.outgoingLink().onExpected(bytesToAnnounce - announcedBytes);
+        announcedBytes = bytesToAnnounce;
     }
 
     private void withdrawAnnouncedBytes() {
@@ -120,8 +120,8 @@
 
     /** Whether the backend server has had it for much longer than usual without a word. */
     boolean isOverdue(long now) {
-        long usual = Math.max(MIN_OVERDUE_NANOS, OVERDUE_FACTOR * meanServiceNanos);
-        return sentAt != 0 && !headForwarded && now - sentAt > usual;
+        long thresholdNanos = Math.max(MIN_OVERDUE_NANOS, OVERDUE_FACTOR * meanServiceNanos);
+        return sentAt != 0 && !headForwarded && now - sentAt > thresholdNanos;
     }
 
     boolean isResponding() {
@@ -138,8 +138,8 @@
 
     /** Waits until its body is whole; if that is kept back, no longer for its turn than its entry said. */
     void awaitBody() {
-        boolean keptBack = call.body().isKeptBack();
-        timeout = clock.at(keptBack ? maxWaitUntil() : call.deadlineAt(), this::onWaitTimeout);
+        boolean awaitsContinue = call.body().isKeptBack();
+        timeout = clock.at(awaitsContinue ? maxWaitUntil() : call.deadlineAt(), this::onWaitTimeout);
         call.body().follow(this);
     }
 
@@ -195,15 +195,15 @@
     }
 
     /** Sends it to the backend server. */
-    void start(Backend to, HeaderNames headerNames) {
-        backend = to;
-        headerNames = headerNames;
+    void start(Backend target, HeaderNames backendHeaderNames) {
+        backend = target;
+        headerNames = backendHeaderNames;
         if (timeout != null) {
             timeout.cancel();
         }
         timeout = clock.at(call.deadlineAt(), this::onDeadline);
-        long freshest = call.kind().isRepeatable() ? Long.MAX_VALUE : to.maxIdleNanos();
-        to.pool().acquire(freshest, this::send, this::onConnectFailed);
+        long maxIdleNanos = call.kind().isRepeatable() ? Long.MAX_VALUE : target.maxIdleNanos();
+        target.pool().acquire(maxIdleNanos, this::send, this::onConnectFailed);
     }
 
     private void onConnectFailed(String cause) {
@@ -214,28 +214,28 @@
         refuse(Refusal.Reason.UNREACHABLE, false);
     }
 
-    private void send(ServerConnection to) {
+    private void send(ServerConnection acquired) {
         if (finished) {
-            to.giveBack();
+            acquired.giveBack();
             return;
         }
         long now = clock.now();
-        long left = (call.deadlineAt() - RESPONSE_RETURN_NANOS - now) / 1_000_000;
-        if (left <= 0) {
-            to.giveBack();
+        long remainingMillis = (call.deadlineAt() - RESPONSE_RETURN_NANOS - now) / 1_000_000;
+        if (remainingMillis <= 0) {
+            acquired.giveBack();
             refuse(Refusal.Reason.EXPIRED, false);
             return;
         }
-        connection = to;
+        connection = acquired;
         sentAt = now;
-        connectionIdleNanos = to.served() == 0 ? 0 : now - to.idleSince();
+        connectionIdleNanos = acquired.served() == 0 ? 0 : now - acquired.idleSince();
         HttpHeaders headers = Headers.copy(call.headers());
-        headers.set(headerNames.deadline(), left);
+        headers.set(headerNames.deadline(), remainingMillis);
         headers.set(headerNames.target(), backend.incarnation());
         headers.set(headerNames.callerService(), call.callerService());
         HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, call.method(), call.uri(), headers);
         HttpConnection.setLength(head, call.body().length());
-        to.send(head, call.body(), this);
+        acquired.send(head, call.body(), this);
     }
 
     @Override
@@ -257,9 +257,9 @@
             notExecuted = true;
             return;
         }
-        boolean anonymous = headers.get(headerNames.requestId()) == null;
+        boolean idMissing = headers.get(headerNames.requestId()) == null;
         if (status < 300
-                && (anonymous || !headers.contains(headerNames.signature()) || headers.contains("Content-Encoding"))) {
+                && (idMissing || !headers.contains(headerNames.signature()) || headers.contains("Content-Encoding"))) {
             failAsLost("answer without id, signature or plain body");
             return;
         }
@@ -306,12 +306,12 @@
     }
 
     /** Ends it as not run. */
-    void refuse(Refusal.Reason reason, boolean offered) {
+    void refuse(Refusal.Reason reason, boolean rejectedByBackend) {
         if (finished) {
             return;
         }
         finish();
-        listener.onRefused(new Refusal(reason, offered, owner.load()));
+        listener.onRefused(new Refusal(reason, rejectedByBackend, owner.load()));
     }
 
     private void failAsLost(String cause) {
