--- a/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
@@ -49,21 +49,21 @@
         listener.onRefused(new Refusal(Refusal.Reason.UNREACHABLE, false, OwnerLoad.NONE));
     }
 
-    private void send(ServerConnection to) {
+    private void send(ServerConnection acquired) {
         if (finished) {
-            to.giveBack();
+            acquired.giveBack();
             return;
         }
-        connection = to;
+        connection = acquired;
         HttpHeaders headers = Headers.copy(call.headers());
         headers.set(Headers.CALL, PeerCodec.encodeCall(call, System.nanoTime()));
         HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, call.method(), call.uri(), headers);
         HttpConnection.setLength(head, call.body().length());
         // A large body is sent when the owner asks for it: several at once would hold up all that is small behind
         // them, and what is refused would have taken the link in vain.
-        boolean large = member.link(System.nanoTime()).isLarge(call.body().length());
-        HttpUtil.set100ContinueExpected(head, large);
-        to.send(head, call.body(), this);
+        boolean largeBody = member.link(System.nanoTime()).isLarge(call.body().length());
+        HttpUtil.set100ContinueExpected(head, largeBody);
+        acquired.send(head, call.body(), this);
     }
 
     @Override
@@ -105,8 +105,8 @@
         connection = null;
         member.onSuccess();
         finish();
-        PeerCodec.Outcome told = outcome.orElse(new PeerCodec.Outcome.Lost("unreadable outcome"));
-        switch (told) {
+        PeerCodec.Outcome reported = outcome.orElse(new PeerCodec.Outcome.Lost("unreadable outcome"));
+        switch (reported) {
             case PeerCodec.Outcome.Answered answered -> listener.onEnd();
             case PeerCodec.Outcome.Refused refused -> {
                 member.learn(refused.refusal().load(), System.nanoTime());
@@ -118,14 +118,14 @@
 
     @Override
     public void onFailure(String cause) {
-        boolean sentWhole = connection == null || connection.isSentWhole();
+        boolean requestSent = connection == null || connection.isSentWhole();
         connection = null;
         if (finished) {
             return;
         }
         member.onFailure(cause, System.nanoTime());
         finish();
-        if (sentWhole) {
+        if (requestSent) {
             listener.onLost("node " + member.ip() + ": " + cause);
             return;
         }
