--- a/org.berylwick.node/src/org/berylwick/node/call/PeerCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerCodec.java
@@ -68,25 +68,25 @@
         if (text == null) {
             return Optional.empty();
         }
-        String[] f = text.split(";", CALL_FIELDS);
-        if (f.length != CALL_FIELDS) {
+        String[] fields = text.split(";", CALL_FIELDS);
+        if (fields.length != CALL_FIELDS) {
             return Optional.empty();
         }
         try {
             return Optional.of(new CallSpec(
-                    f[10],
+                    fields[10],
                     head.method(),
                     head.uri(),
                     headers,
                     body,
-                    f[0],
-                    f[1],
-                    new RequestClass(ROUTE_KINDS[Integer.parseInt(f[2])], Integer.parseInt(f[3]), Integer.parseInt(f[4])),
-                    now + Long.parseLong(f[5]) * 1_000_000,
-                    now + Long.parseLong(f[6]) * 1_000_000,
-                    Long.parseLong(f[7]) * 1_000_000,
-                    Integer.parseInt(f[8]),
-                    Integer.parseInt(f[9])));
+                    fields[0],
+                    fields[1],
+                    new RequestClass(ROUTE_KINDS[Integer.parseInt(fields[2])], Integer.parseInt(fields[3]), Integer.parseInt(fields[4])),
+                    now + Long.parseLong(fields[5]) * 1_000_000,
+                    now + Long.parseLong(fields[6]) * 1_000_000,
+                    Long.parseLong(fields[7]) * 1_000_000,
+                    Integer.parseInt(fields[8]),
+                    Integer.parseInt(fields[9])));
         } catch (NumberFormatException | IndexOutOfBoundsException e) {
             return Optional.empty();
         }
@@ -114,25 +114,25 @@
         if (text == null) {
             return Optional.empty();
         }
-        String[] f = text.split(";");
-        if (f.length != OUTCOME_FIELDS) {
+        String[] fields = text.split(";");
+        if (fields.length != OUTCOME_FIELDS) {
             return Optional.empty();
         }
         try {
             OwnerLoad load = new OwnerLoad(
-                    Integer.parseInt(f[3]),
-                    Integer.parseInt(f[4]),
-                    Integer.parseInt(f[5]),
-                    Long.parseLong(f[6]) * 1_000,
-                    Integer.parseInt(f[7]),
-                    Long.parseLong(f[8]) * 1_000_000,
-                    Long.parseLong(f[9]) * 1_000_000);
-            return switch (f[0]) {
+                    Integer.parseInt(fields[3]),
+                    Integer.parseInt(fields[4]),
+                    Integer.parseInt(fields[5]),
+                    Long.parseLong(fields[6]) * 1_000,
+                    Integer.parseInt(fields[7]),
+                    Long.parseLong(fields[8]) * 1_000_000,
+                    Long.parseLong(fields[9]) * 1_000_000);
+            return switch (fields[0]) {
                 case ANSWERED -> Optional.of(new Outcome.Answered(load));
                 case REFUSED ->
                     Optional.of(new Outcome.Refused(
-                            new Refusal(Refusal.Reason.fromName(f[1]), Boolean.parseBoolean(f[2]), load)));
-                case LOST -> Optional.of(new Outcome.Lost(f[1]));
+                            new Refusal(Refusal.Reason.fromName(fields[1]), Boolean.parseBoolean(fields[2]), load)));
+                case LOST -> Optional.of(new Outcome.Lost(fields[1]));
                 default -> Optional.empty();
             };
         } catch (NumberFormatException e) {
