--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -59,10 +59,10 @@
 
     private boolean flushScheduled;
 
-    PeerHandler(Owner owner, VmLink link, LongFunction<Optional<byte[]>> delivery) {
+    PeerHandler(Owner owner, VmLink link, LongFunction<Optional<byte[]>> versionUpdates) {
         this.owner = owner;
         this.link = link;
-        this.versionUpdates = delivery;
+        this.versionUpdates = versionUpdates;
     }
 
     @Override
@@ -125,10 +125,10 @@
     }
 
     private void addBodyPart(HttpContent content, boolean last) {
-        RequestBody coming = body;
-        coming.add(content.content());
+        RequestBody streamedBody = body;
+        streamedBody.add(content.content());
         if (last) {
-            coming.end();
+            streamedBody.end();
         }
     }
 
@@ -144,26 +144,26 @@
             return;
         }
         releaseBody();
-        Optional<byte[]> delivered = parseBaseVersion(request.uri()).flatMap(versionUpdates::apply);
-        if (delivered.isEmpty()) {
+        Optional<byte[]> update = parseBaseVersion(request.uri()).flatMap(versionUpdates::apply);
+        if (update.isEmpty()) {
             writeResponse(404, Unpooled.EMPTY_BUFFER, "");
             return;
         }
-        sendVersion(delivered.get());
+        sendVersion(update.get());
     }
 
     /** Sends a version; a whole one is large for a narrow link, and takes its turn before most answers. */
-    private void sendVersion(byte[] version) {
+    private void sendVersion(byte[] encodedUpdate) {
         long now = System.nanoTime();
         responseId = "version";
         responseStartedAt = now;
         objectiveAt = now + VERSION_OBJECTIVE_NANOS;
         deadlineAt = now + VERSION_DEADLINE_NANOS;
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-        response.headers().set(HttpHeaderNames.CONTENT_LENGTH, version.length);
+        response.headers().set(HttpHeaderNames.CONTENT_LENGTH, encodedUpdate.length);
         channel.write(response);
         responseFlow = Optional.of(link.outgoing().open(this, objectiveAt));
-        responseFlow.get().write(Unpooled.wrappedBuffer(version));
+        responseFlow.get().write(Unpooled.wrappedBuffer(encodedUpdate));
         onEnd();
     }
 
@@ -252,22 +252,22 @@
     @Override
     public void onEnd() {
         finishAttempt();
-        responseFlow.ifPresent(a -> a.end(() -> {
-            logIfLate(a, true);
+        responseFlow.ifPresent(flow -> flow.end(() -> {
+            logIfLate(flow, true);
             responseFlow = Optional.empty();
             cancelExpiry();
             channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
         }));
         if (responseFlow.isPresent()) {
-            long left = deadlineAt - System.nanoTime();
-            deadlineTimer = Optional.of(channel.eventLoop().schedule(() -> channel.close(), left, TimeUnit.NANOSECONDS));
+            long remainingNanos = deadlineAt - System.nanoTime();
+            deadlineTimer = Optional.of(channel.eventLoop().schedule(() -> channel.close(), remainingNanos, TimeUnit.NANOSECONDS));
         }
     }
 
-    private void logIfLate(OutgoingLink.Flow flow, boolean left) {
+    private void logIfLate(OutgoingLink.Flow flow, boolean complete) {
         long now = System.nanoTime();
-        long waiting = flow.waitingBytes();
-        if (left && now <= objectiveAt || !link.outgoing().isLarge(flow.sentBytes() + waiting)) {
+        long waitingBytes = flow.waitingBytes();
+        if (complete && now <= objectiveAt || !link.outgoing().isLarge(flow.sentBytes() + waitingBytes)) {
             return;
         }
         owner.log()
@@ -276,11 +276,11 @@
                         "id",
                         responseId,
                         "left",
-                        left,
+                        complete,
                         "sentBytes",
                         flow.sentBytes(),
                         "waitingBytes",
-                        waiting,
+                        waitingBytes,
                         "forMs",
                         (now - responseStartedAt) / 1_000_000,
                         "lateMs",
@@ -296,7 +296,7 @@
     }
 
     private void cancelExpiry() {
-        deadlineTimer.ifPresent(e -> e.cancel(false));
+        deadlineTimer.ifPresent(timer -> timer.cancel(false));
         deadlineTimer = Optional.empty();
     }
 
@@ -342,9 +342,9 @@
             attempt.cancel();
         }
         finishAttempt();
-        responseFlow.ifPresent(a -> {
-            logIfLate(a, false);
-            a.cancel();
+        responseFlow.ifPresent(flow -> {
+            logIfLate(flow, false);
+            flow.cancel();
         });
         responseFlow = Optional.empty();
         cancelExpiry();
