--- a/org.berylwick.node/src/org/berylwick/node/call/PeerServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerServer.java
@@ -35,24 +35,24 @@
      * @param address to listen on
      * @param owner takes their requests
      * @param link of this VM
-     * @param delivery what a node needs to get the version in force, by the number of the one it has
+     * @param versionUpdates what a node needs to get the version in force, by the number of the one it has
      */
     public PeerServer(
             EventLoop loop,
             InetSocketAddress address,
             Owner owner,
             VmLink link,
-            LongFunction<Optional<byte[]>> delivery) {
+            LongFunction<Optional<byte[]>> versionUpdates) {
         this.loop = loop;
         this.address = address;
         this.owner = owner;
         this.link = link;
-        this.versionUpdates = delivery;
+        this.versionUpdates = versionUpdates;
     }
 
     /** Opens the port. */
     public void start() {
-        ServerBootstrap server = new ServerBootstrap()
+        ServerBootstrap bootstrap = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
@@ -65,11 +65,11 @@
                         PeerHandler handler = new PeerHandler(owner, link, versionUpdates);
                         channel.pipeline().addLast(handler);
                         handlers.put(channel, handler);
-                        channel.closeFuture().addListener(f -> handlers.remove(channel));
+                        channel.closeFuture().addListener(future -> handlers.remove(channel));
                     }
                 });
-        ReceiveWindow.limit(server, link.incoming());
-        listener = server.bind(address).syncUninterruptibly().channel();
+        ReceiveWindow.limit(bootstrap, link.incoming());
+        listener = bootstrap.bind(address).syncUninterruptibly().channel();
     }
 
     /** Bytes of answers that the system has not taken yet. */
