--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -69,21 +69,21 @@
     }
 
     private static int[] freePorts() {
-        int[] found = new int[6];
-        List<ServerSocket> held = new ArrayList<>();
+        int[] portNumbers = new int[6];
+        List<ServerSocket> reservedSockets = new ArrayList<>();
         try {
-            for (int i = 0; i < found.length; i++) {
+            for (int i = 0; i < portNumbers.length; i++) {
                 ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
-                held.add(socket);
-                found[i] = socket.getLocalPort();
+                reservedSockets.add(socket);
+                portNumbers[i] = socket.getLocalPort();
             }
-            for (ServerSocket socket : held) {
+            for (ServerSocket socket : reservedSockets) {
                 socket.close();
             }
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
-        return found;
+        return portNumbers;
     }
 
     Node node(int number) {
@@ -138,11 +138,11 @@
             BackendState state,
             int slots) {
         String body = backend.address().port() + " " + sequence + " " + state + " " + slots + " " + service;
-        String answer = exchange(
+        String response = exchange(
                 new InetSocketAddress(ip(number), ports[3]),
                 "PUT /" + incarnation + " HTTP/1.1\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
-        if (!answer.startsWith("HTTP/1.1 200")) {
-            throw new IllegalStateException("not acknowledged: " + answer);
+        if (!response.startsWith("HTTP/1.1 200")) {
+            throw new IllegalStateException("not acknowledged: " + response);
         }
     }
 
@@ -164,7 +164,7 @@
         Await.until(
                 "another node heard of " + incarnation,
                 () -> logText().lines()
-                        .anyMatch(l -> l.contains(Event.MEMBER_CHANGED.name()) && l.contains(incarnation)),
+                        .anyMatch(line -> line.contains(Event.MEMBER_CHANGED.name()) && line.contains(incarnation)),
                 this::logText);
     }
 
@@ -208,14 +208,14 @@
 
     /** Asks an owner for a large answer as another node would, and reads nothing of it. */
     Socket requestAsPeer(int owner, String id, int answerBytes, int deadlineMillis) throws IOException {
-        Socket node = new Socket();
-        node.connect(peerAddress(owner));
+        Socket socket = new Socket();
+        socket.connect(peerAddress(owner));
         String call = "work;caller;" + RouteKind.BULK.ordinal() + ";1;600;600;" + deadlineMillis + ";0;1;" + answerBytes
                 + ";" + id;
-        node.getOutputStream()
+        socket.getOutputStream()
                 .write(("GET /bulk/x HTTP/1.1\r\nbw-call: " + call + "\r\nx-request-id: " + id + "\r\n\r\n")
                         .getBytes(StandardCharsets.ISO_8859_1));
-        return node;
+        return socket;
     }
 
     /** A request of a caller, and its answer's head and body as text. */
@@ -255,12 +255,12 @@
             text.append((char) c);
         }
         String head = text.toString();
-        int at = head.toLowerCase(java.util.Locale.ROOT).indexOf("content-length: ");
-        if (at < 0) {
+        int headerStart = head.toLowerCase(java.util.Locale.ROOT).indexOf("content-length: ");
+        if (headerStart < 0) {
             return head;
         }
         int length =
-                Integer.parseInt(head.substring(at + 16, head.indexOf('\r', at)).strip());
+                Integer.parseInt(head.substring(headerStart + 16, head.indexOf('\r', headerStart)).strip());
         byte[] body = in.readNBytes(length);
         return head + new String(body, StandardCharsets.ISO_8859_1) + (body.length < length ? "[closed]" : "");
     }
@@ -272,8 +272,8 @@
                 .syncUninterruptibly()
                 .getNow();
         return text.lines()
-                .filter(l -> l.startsWith(name + " "))
-                .mapToLong(l -> Long.parseLong(l.substring(name.length() + 1)))
+                .filter(line -> line.startsWith(name + " "))
+                .mapToLong(line -> Long.parseLong(line.substring(name.length() + 1)))
                 .findFirst()
                 .orElseThrow();
     }
@@ -283,14 +283,14 @@
     }
 
     /** A version with a route of each kind under {@code /read/}, {@code /pay/} and {@code /bulk/}. */
-    static MeshVersion version(long number, Consumer<MeshVersion.Builder> more) {
+    static MeshVersion version(long number, Consumer<MeshVersion.Builder> customizer) {
         MeshVersion.Builder builder = new MeshVersion.Builder(number, MemoryConfiguration.sourceOf(number))
                 .service("work", 100)
                 .limits(new CallerLimits(16_384, 1 << 20, 3_000_000_000L, 15_000_000_000L))
                 .route(HOST, route("read", "/read/", RouteKind.IDEMPOTENT, 2_000))
                 .route(HOST, route("pay", "/pay/", RouteKind.NON_IDEMPOTENT, 2_000))
                 .route(HOST, route("bulk", "/bulk/", RouteKind.BULK, 2_000));
-        more.accept(builder);
+        customizer.accept(builder);
         return builder.build();
     }
 
@@ -316,7 +316,7 @@
 
     private NodeSettings settings(int number, String zone, Optional<RawServer> backend) {
         String ip = ip(number);
-        InetSocketAddress at = new InetSocketAddress(
+        InetSocketAddress backendAddress = new InetSocketAddress(
                 "127.0.0.1", backend.map(b -> b.address().port()).orElse(1));
         return new NodeSettings(
                 "node-" + number,
@@ -324,7 +324,7 @@
                 zone,
                 "region",
                 "caller-" + number,
-                at,
+                backendAddress,
                 new InetSocketAddress(ip, ports[0]),
                 new InetSocketAddress(ip, ports[1]),
                 new InetSocketAddress(ip, ports[2]),
@@ -394,11 +394,11 @@
 
                 @Override
                 public void list(Consumer<Answer> onAnswer) {
-                    List<String> all = new ArrayList<>();
+                    List<String> ips = new ArrayList<>();
                     for (int i = 1; i <= 4; i++) {
-                        all.add(ip(i));
+                        ips.add(ip(i));
                     }
-                    loop.execute(() -> onAnswer.accept(new Answer.Listed(all)));
+                    loop.execute(() -> onAnswer.accept(new Answer.Listed(ips)));
                 }
             };
         }
@@ -412,15 +412,15 @@
             if ("DELETE".equals(method)) {
                 return new Announcement.Leave(incarnation);
             }
-            String[] f = new String(body, StandardCharsets.US_ASCII).split(" ");
+            String[] fields = new String(body, StandardCharsets.US_ASCII).split(" ");
             return new Announcement.Report(new BackendReport(
                     incarnation,
-                    f[4],
-                    new InetSocketAddress("127.0.0.1", Integer.parseInt(f[0])),
+                    fields[4],
+                    new InetSocketAddress("127.0.0.1", Integer.parseInt(fields[0])),
                     "zone-a",
-                    Integer.parseInt(f[3]),
-                    BackendState.valueOf(f[2]),
-                    Long.parseLong(f[1]),
+                    Integer.parseInt(fields[3]),
+                    BackendState.valueOf(fields[2]),
+                    Long.parseLong(fields[1]),
                     0));
         }
 
