--- a/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
+++ b/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
@@ -85,14 +85,14 @@
             return text.toString().toLowerCase(Locale.ROOT);
         }
 
-        byte[] readBody(int bytes) throws IOException {
-            return input.readNBytes(bytes);
+        byte[] readBody(int length) throws IOException {
+            return input.readNBytes(length);
         }
 
         /** Whether bytes come within a span. */
         boolean receivesWithin(int millis) throws IOException {
-            long until = System.nanoTime() + millis * 1_000_000L;
-            while (System.nanoTime() < until) {
+            long deadline = System.nanoTime() + millis * 1_000_000L;
+            while (System.nanoTime() < deadline) {
                 if (input.available() > 0) {
                     return true;
                 }
@@ -112,8 +112,8 @@
 
         /** How many milliseconds the caller waits, as a request's head in lower case tells an owner. */
         static int remainingMillis(String head) {
-            int at = head.indexOf("bw-call: ");
-            return Integer.parseInt(head.substring(at, head.indexOf('\r', at)).split(";")[6]);
+            int headerStart = head.indexOf("bw-call: ");
+            return Integer.parseInt(head.substring(headerStart, head.indexOf('\r', headerStart)).split(";")[6]);
         }
 
         /** Says that it did not run the request, and will not. */
