--- a/org.berylwick.test/tst/org/berylwick/node/SilentBackendTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/SilentBackendTest.java
@@ -25,21 +25,21 @@
 
     @Test
     void requestsAreRoutedElsewhereBeforeTheFirstReachesItsDeadline() throws InterruptedException {
-        AtomicInteger swallowed = new AtomicInteger();
+        AtomicInteger unanswered = new AtomicInteger();
         AtomicInteger served = new AtomicInteger();
         AtomicBoolean frozen = new AtomicBoolean();
-        try (RawServer silent = new RawServer((c, r) -> {
+        try (RawServer silentServer = new RawServer((c, r) -> {
                     if (frozen.get()) {
-                        swallowed.incrementAndGet();
+                        unanswered.incrementAndGet();
                     } else {
                         NodeRig.respondOk(c, r);
                     }
                 });
-                RawServer good = new RawServer(NodeRig::respondOk);
+                RawServer healthyServer = new RawServer(NodeRig::respondOk);
                 NodeRig rig = new NodeRig()) {
             rig.configuration.accept(NodeRig.version(1));
-            rig.start(1, "zone-a", Optional.of(silent), 100);
-            rig.start(2, "zone-b", Optional.of(good), 100);
+            rig.start(1, "zone-a", Optional.of(silentServer), 100);
+            rig.start(2, "zone-b", Optional.of(healthyServer), 100);
             rig.awaitReady(1);
             rig.awaitMemberKnown("i-2");
             for (int i = 0; i < 40; i++) {
@@ -59,7 +59,7 @@
             for (Thread caller : callers) {
                 caller.join();
             }
-            assertTrue(swallowed.get() <= 15, swallowed + " of " + REQUEST_COUNT + " were sent to the silent one");
+            assertTrue(unanswered.get() <= 15, unanswered + " of " + REQUEST_COUNT + " were sent to the silent one");
             assertTrue(served.get() >= REQUEST_COUNT - 15, served + " served");
         }
     }
@@ -67,19 +67,19 @@
     /** Heartbeats stop and what runs is overdue: it is no longer offered, though requests still hang there. */
     @Test
     void backendWithoutHeartbeatsIsMarkedAbsentWhileRequestsHang() throws InterruptedException {
-        try (RawServer silent = new RawServer((c, r) -> {});
+        try (RawServer silentServer = new RawServer((c, r) -> {});
                 NodeRig rig = new NodeRig()) {
             rig.configuration.accept(NodeRig.version(
                     1, b -> b.route(NodeRig.HOST, NodeRig.route("slow", "/slow/", RouteKind.NON_IDEMPOTENT, 12_000))));
-            rig.start(1, "zone-a", Optional.of(silent), 100);
+            rig.start(1, "zone-a", Optional.of(silentServer), 100);
             rig.awaitReady(1);
             Thread caller =
                     Thread.ofPlatform().start(() -> rig.send(1, NodeRig.request("POST", "/slow/x", "a1", 12_000, "")));
             Await.until("it is given up", () -> rig.logText().contains("ABSENT"), rig::logText);
-            String answer = rig.call(1, "POST", "/pay/x", "a2", "");
-            assertTrue(answer.startsWith("HTTP/1.1 503") && answer.contains("Retry-After"), answer);
+            String response = rig.call(1, "POST", "/pay/x", "a2", "");
+            assertTrue(response.startsWith("HTTP/1.1 503") && response.contains("Retry-After"), response);
             assertTrue(caller.isAlive(), "the first request ended");
-            rig.report(1, silent, "i-1", 2, BackendState.READY, 100);
+            rig.report(1, silentServer, "i-1", 2, BackendState.READY, 100);
             Await.until(
                     "it is believed again",
                     () -> rig.logText().lastIndexOf("READY") > rig.logText().lastIndexOf("ABSENT"),
