--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -40,16 +40,16 @@
 
     private static int countCompleteResponsesAfterPause(Socket caller) {
         NodeRig.sleep(PAUSE_MILLIS);
-        int whole = 0;
+        int complete = 0;
         try {
-            while (whole < RESPONSE_COUNT
+            while (complete < RESPONSE_COUNT
                     && NodeRig.readResponse(caller.getInputStream()).endsWith(LARGE_BODY)) {
-                whole++;
+                complete++;
             }
         } catch (IOException e) {
-            return whole;
+            return complete;
         }
-        return whole;
+        return complete;
     }
 
     /** Guards against a process that ends with an answer still in its buffers: its caller gets it cut short. */
@@ -68,13 +68,13 @@
                             .write(NodeRig.request("GET", "/read/x", "s" + i, 2_000, "")
                                     .getBytes(StandardCharsets.ISO_8859_1));
                 }
-                String last = "s" + (RESPONSE_COUNT - 1);
-                Await.until("all run", () -> server.runs(last) == 1, rig::logText);
-                CompletableFuture<Integer> whole = CompletableFuture.supplyAsync(() -> countCompleteResponsesAfterPause(caller));
+                String lastId = "s" + (RESPONSE_COUNT - 1);
+                Await.until("all run", () -> server.runs(lastId) == 1, rig::logText);
+                CompletableFuture<Integer> completeCount = CompletableFuture.supplyAsync(() -> countCompleteResponsesAfterPause(caller));
                 NodeRig.sleep(500);
                 node.stop();
                 node.close();
-                assertEquals(RESPONSE_COUNT, whole.join());
+                assertEquals(RESPONSE_COUNT, completeCount.join());
             }
         }
     }
@@ -88,27 +88,27 @@
             NodeRig.sleep(r.path().startsWith("/hang/") ? HANG_MILLIS : RUN_MILLIS);
             NodeRig.respondOk(c, r);
         };
-        try (RawServer here = new RawServer(script);
-                RawServer elsewhere = new RawServer(script);
+        try (RawServer localServer = new RawServer(script);
+                RawServer remoteServer = new RawServer(script);
                 NodeRig rig = new NodeRig()) {
             rig.configuration.accept(NodeRig.version(
                     1,
                     b -> b.route(
                             NodeRig.HOST, NodeRig.route("hang", "/hang/", RouteKind.NON_IDEMPOTENT, HANG_MILLIS))));
-            Node node = rig.start(1, Optional.of(here));
+            Node node = rig.start(1, Optional.of(localServer));
             rig.awaitReady(1);
             CompletableFuture.runAsync(() -> rig.send(1, NodeRig.request("POST", "/hang/x", "h1", HANG_MILLIS, "")));
-            Await.until("it hangs", () -> here.runs("h1") == 1, rig::logText);
-            rig.start(2, Optional.of(elsewhere));
+            Await.until("it hangs", () -> localServer.runs("h1") == 1, rig::logText);
+            rig.start(2, Optional.of(remoteServer));
             rig.awaitMemberKnown("i-2");
             CompletableFuture<Void> stopped = CompletableFuture.runAsync(() -> {
                 node.stop();
                 node.close();
             });
             NodeRig.sleep(LATE_IN_GRACE_MILLIS);
-            String answer = rig.call(1, "GET", "/read/x", "r1", "");
-            assertTrue(answer.startsWith("HTTP/1.1 503") && answer.contains("Retry-After"), answer);
-            assertEquals(0, elsewhere.runs("r1"));
+            String response = rig.call(1, "GET", "/read/x", "r1", "");
+            assertTrue(response.startsWith("HTTP/1.1 503") && response.contains("Retry-After"), response);
+            assertEquals(0, remoteServer.runs("r1"));
             stopped.join();
         }
     }
@@ -120,14 +120,14 @@
     void callerGetsAResponseWhenItsOwnerExceedsTheGracePeriod() throws IOException {
         try (NodeRig rig = NodeRig.withEntryNode(versionWithSlowRoute());
                 ScriptedPeer owner = ScriptedPeer.startAnnounced(rig, WIDE_MBPS)) {
-            CompletableFuture<String> answer = CompletableFuture.supplyAsync(
+            CompletableFuture<String> response = CompletableFuture.supplyAsync(
                     () -> rig.send(1, NodeRig.request("GET", "/slow/x", "w1", HANG_MILLIS, "")));
-            try (ScriptedPeer.Connection call = owner.accept()) {
-                call.readHead();
-                call.beginResponse("w1", RESPONSE_BYTES);
+            try (ScriptedPeer.Connection connection = owner.accept()) {
+                connection.readHead();
+                connection.beginResponse("w1", RESPONSE_BYTES);
                 rig.node(1).stop();
                 rig.node(1).close();
-                assertTrue(answer.join().startsWith("HTTP/1.1 502"), answer.join());
+                assertTrue(response.join().startsWith("HTTP/1.1 502"), response.join());
             }
         }
     }
@@ -142,17 +142,17 @@
             caller.connect(rig.callerAddress(1));
             caller.setSoTimeout(20_000);
             String request = NodeRig.request("POST", "/pay/x", "u1", 9_000, "body");
-            String beginning = request.substring(0, request.length() - 2);
-            caller.getOutputStream().write(beginning.getBytes(StandardCharsets.ISO_8859_1));
+            String firstPart = request.substring(0, request.length() - 2);
+            caller.getOutputStream().write(firstPart.getBytes(StandardCharsets.ISO_8859_1));
             NodeRig.sleep(200);
             CompletableFuture<Void> stopped = CompletableFuture.runAsync(() -> {
                 rig.node(1).stop();
                 rig.node(1).close();
             });
             NodeRig.sleep(PAUSE_MILLIS);
-            caller.getOutputStream().write(request.substring(beginning.length()).getBytes(StandardCharsets.ISO_8859_1));
-            String answer = NodeRig.readResponse(caller.getInputStream());
-            assertTrue(answer.startsWith("HTTP/1.1 503"), answer);
+            caller.getOutputStream().write(request.substring(firstPart.length()).getBytes(StandardCharsets.ISO_8859_1));
+            String response = NodeRig.readResponse(caller.getInputStream());
+            assertTrue(response.startsWith("HTTP/1.1 503"), response);
             stopped.join();
         }
     }
@@ -165,13 +165,13 @@
             CompletableFuture<Void> stopped =
                     CompletableFuture.runAsync(() -> rig.node(1).stop());
             Await.until("it stops", () -> rig.logText().contains(Event.STOPPING.name()), rig::logText);
-            CompletableFuture<String> answer = CompletableFuture.supplyAsync(
+            CompletableFuture<String> response = CompletableFuture.supplyAsync(
                     () -> rig.send(1, NodeRig.request("GET", "/slow/x", "w2", HANG_MILLIS, "")));
-            try (ScriptedPeer.Connection call = owner.accept()) {
-                int left = ScriptedPeer.Connection.remainingMillis(call.readHead());
-                assertTrue(left < NodeRig.GRACE_PERIOD_MILLIS, "told to be there for " + left + " ms");
-                call.respond("w2", "in time");
-                assertTrue(answer.join().endsWith("in time"), answer.join());
+            try (ScriptedPeer.Connection connection = owner.accept()) {
+                int deadlineMillis = ScriptedPeer.Connection.remainingMillis(connection.readHead());
+                assertTrue(deadlineMillis < NodeRig.GRACE_PERIOD_MILLIS, "told to be there for " + deadlineMillis + " ms");
+                connection.respond("w2", "in time");
+                assertTrue(response.join().endsWith("in time"), response.join());
             }
             stopped.join();
         }
@@ -185,36 +185,36 @@
     /** The same for an answer to another node that waits for the link. */
     @Test
     void responseToAnotherNodeIsSentBeforeTheStopEnds() throws IOException {
-        String paced = "y".repeat(PACED_RESPONSE_BYTES);
-        try (RawServer server = new RawServer((c, r) -> c.write(NodeRig.responseTo(r, paced)));
+        String pacedBody = "y".repeat(PACED_RESPONSE_BYTES);
+        try (RawServer server = new RawServer((c, r) -> c.write(NodeRig.responseTo(r, pacedBody)));
                 NodeRig rig = new NodeRig()) {
             rig.configuration.accept(NodeRig.version(1));
             Node node = rig.startWithLink(1, server, 1, NARROW_MBPS);
             rig.awaitReady(1);
-            try (Socket other = rig.requestAsPeer(1, "p1", PACED_RESPONSE_BYTES, 9_000)) {
+            try (Socket peer = rig.requestAsPeer(1, "p1", PACED_RESPONSE_BYTES, 9_000)) {
                 Await.until("it runs", () -> server.runs("p1") == 1, rig::logText);
-                CompletableFuture<Boolean> whole = CompletableFuture.supplyAsync(() -> readsCompleteResponseAfterPause(other));
+                CompletableFuture<Boolean> complete = CompletableFuture.supplyAsync(() -> readsCompleteResponseAfterPause(peer));
                 node.stop();
                 node.close();
-                assertTrue(whole.join());
+                assertTrue(complete.join());
             }
         }
     }
 
-    private static boolean readsCompleteResponseAfterPause(Socket node) {
+    private static boolean readsCompleteResponseAfterPause(Socket peer) {
         NodeRig.sleep(PAUSE_MILLIS);
-        StringBuilder all = new StringBuilder();
-        byte[] part = new byte[65_536];
+        StringBuilder received = new StringBuilder();
+        byte[] buffer = new byte[65_536];
         try {
-            node.setSoTimeout(20_000);
-            InputStream in = node.getInputStream();
+            peer.setSoTimeout(20_000);
+            InputStream in = peer.getInputStream();
             // Not until its end: a node that is closed within this process may leave the connection open.
-            while (!isComplete(all)) {
-                int n = in.read(part);
+            while (!isComplete(received)) {
+                int n = in.read(buffer);
                 if (n < 0) {
                     return false;
                 }
-                all.append(new String(part, 0, n, StandardCharsets.ISO_8859_1));
+                received.append(new String(buffer, 0, n, StandardCharsets.ISO_8859_1));
             }
             return true;
         } catch (IOException e) {
@@ -222,8 +222,8 @@
         }
     }
 
-    private static boolean isComplete(StringBuilder answer) {
-        return answer.length() > PACED_RESPONSE_BYTES
-                && answer.lastIndexOf(LAST_CHUNK) == answer.length() - LAST_CHUNK.length();
+    private static boolean isComplete(StringBuilder response) {
+        return response.length() > PACED_RESPONSE_BYTES
+                && response.lastIndexOf(LAST_CHUNK) == response.length() - LAST_CHUNK.length();
     }
 }
