--- a/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
@@ -55,18 +55,18 @@
     /** A backend server that answers all after 20 ms. */
     private final class RespondingServer implements ServerConnections, ServerConnection {
         @Override
-        public void acquire(long freshest, Consumer<ServerConnection> onOpen, Consumer<String> onFailure) {
+        public void acquire(long maxIdleNanos, Consumer<ServerConnection> onOpen, Consumer<String> onFailure) {
             onOpen.accept(this);
         }
 
         @Override
-        public void send(HttpRequest request, RequestBody body, HttpExchange waiter) {
+        public void send(HttpRequest request, RequestBody body, HttpExchange exchange) {
             HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
             head.headers().set(NAMES.requestId(), request.headers().get(NAMES.requestId()));
             head.headers().set(NAMES.signature(), "s");
             clock.after(20 * MILLISECOND, () -> {
-                waiter.onHead(head);
-                waiter.onEnd();
+                exchange.onHead(head);
+                exchange.onEnd();
             });
         }
 
