--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -259,8 +259,8 @@
     /** Whether requests of a service can be run here now. */
     public boolean acceptsRequestsFor(String service) {
         return !stopping
-                && backend.filter(server ->
-                                server.state() == BackendState.READY && server.service().equals(service))
+                && backend.filter(server -> server.state() == BackendState.READY
+                                && server.service().equals(service))
                         .isPresent();
     }
 
@@ -330,9 +330,13 @@
         if (running.size() < server.slots() && call.body().isWhole() && linkWaitNanos == 0) {
             return Optional.empty();
         }
-        long waitNanos = Math.max(Math.max(expectedWaitNanos(run, server), linkWaitNanos), bodyAdmission.aheadNanos(call.body()));
-        boolean queueFull = queuedCount() >= MAX_QUEUED_PER_SLOT * server.slots() || !(isTimely(run) || queue.takesLate(server.slots()));
-        if (queueFull || waitNanos > call.maxWaitNanos() || !run.canMeetDeadline(now + waitNanos + bodyAdmission.comingNanos(call.body()))) {
+        long waitNanos = Math.max(
+                Math.max(expectedWaitNanos(run, server), linkWaitNanos), bodyAdmission.aheadNanos(call.body()));
+        boolean queueFull = queuedCount() >= MAX_QUEUED_PER_SLOT * server.slots()
+                || !(isTimely(run) || queue.takesLate(server.slots()));
+        if (queueFull
+                || waitNanos > call.maxWaitNanos()
+                || !run.canMeetDeadline(now + waitNanos + bodyAdmission.comingNanos(call.body()))) {
             return Optional.of(Refusal.Reason.BUSY);
         }
         return Optional.empty();
@@ -343,7 +347,8 @@
         Backend server = backend.orElseThrow();
         int ahead = running.size() + queue.timelyBefore(run);
         RequestBody body = run.call().body();
-        long slotWaitNanos = Math.max(slotWaitNanos(ahead, server), bodyAdmission.aheadNanos(body) + bodyAdmission.comingNanos(body));
+        long slotWaitNanos = Math.max(
+                slotWaitNanos(ahead, server), bodyAdmission.aheadNanos(body) + bodyAdmission.comingNanos(body));
         long waitNanos = Math.max(slotWaitNanos, run.linkWaitNanos());
         return run.canMeetObjective(clock.now() + waitNanos);
     }
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -97,7 +97,8 @@
         if (responseTransferNanos == 0) {
             return 0;
         }
-        long otherResponsesNanos = owner.outgoingLink().busyNanos() - owner.outgoingLink().nanosOf(announcedBytes);
+        long otherResponsesNanos =
+                owner.outgoingLink().busyNanos() - owner.outgoingLink().nanosOf(announcedBytes);
         return Math.max(0, otherResponsesNanos - medianServiceNanos);
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerCodec.java
@@ -81,7 +81,10 @@
                     body,
                     fields[0],
                     fields[1],
-                    new RequestClass(ROUTE_KINDS[Integer.parseInt(fields[2])], Integer.parseInt(fields[3]), Integer.parseInt(fields[4])),
+                    new RequestClass(
+                            ROUTE_KINDS[Integer.parseInt(fields[2])],
+                            Integer.parseInt(fields[3]),
+                            Integer.parseInt(fields[4])),
                     now + Long.parseLong(fields[5]) * 1_000_000,
                     now + Long.parseLong(fields[6]) * 1_000_000,
                     Long.parseLong(fields[7]) * 1_000_000,
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -260,7 +260,8 @@
         }));
         if (responseFlow.isPresent()) {
             long remainingNanos = deadlineAt - System.nanoTime();
-            deadlineTimer = Optional.of(channel.eventLoop().schedule(() -> channel.close(), remainingNanos, TimeUnit.NANOSECONDS));
+            deadlineTimer = Optional.of(
+                    channel.eventLoop().schedule(() -> channel.close(), remainingNanos, TimeUnit.NANOSECONDS));
         }
     }
 
--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -163,7 +163,8 @@
     void awaitMemberKnown(String incarnation) {
         Await.until(
                 "another node heard of " + incarnation,
-                () -> logText().lines()
+                () -> logText()
+                        .lines()
                         .anyMatch(line -> line.contains(Event.MEMBER_CHANGED.name()) && line.contains(incarnation)),
                 this::logText);
     }
@@ -259,8 +260,8 @@
         if (headerStart < 0) {
             return head;
         }
-        int length =
-                Integer.parseInt(head.substring(headerStart + 16, head.indexOf('\r', headerStart)).strip());
+        int length = Integer.parseInt(head.substring(headerStart + 16, head.indexOf('\r', headerStart))
+                .strip());
         byte[] body = in.readNBytes(length);
         return head + new String(body, StandardCharsets.ISO_8859_1) + (body.length < length ? "[closed]" : "");
     }
--- a/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
+++ b/org.berylwick.test/tst/org/berylwick/node/ScriptedPeer.java
@@ -39,7 +39,9 @@
         this.rig = rig;
         this.gossipSocket = new DatagramSocket(rig.gossipAddress(NODE_NUMBER));
         this.listener = new ServerSocket(
-                rig.peerAddress(NODE_NUMBER).getPort(), 10, rig.peerAddress(NODE_NUMBER).getAddress());
+                rig.peerAddress(NODE_NUMBER).getPort(),
+                10,
+                rig.peerAddress(NODE_NUMBER).getAddress());
     }
 
     /** Tells of itself, and waits until node 1 has heard it. */
@@ -113,7 +115,8 @@
         /** How many milliseconds the caller waits, as a request's head in lower case tells an owner. */
         static int remainingMillis(String head) {
             int headerStart = head.indexOf("bw-call: ");
-            return Integer.parseInt(head.substring(headerStart, head.indexOf('\r', headerStart)).split(";")[6]);
+            return Integer.parseInt(
+                    head.substring(headerStart, head.indexOf('\r', headerStart)).split(";")[6]);
         }
 
         /** Says that it did not run the request, and will not. */
--- a/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
@@ -33,7 +33,8 @@
     @Test
     void repeatableRequestLeavesANodeThatLostPower() throws IOException, InterruptedException {
         try (RawServer server = new RawServer(NodeRig::respondOk);
-                NodeRig rig = NodeRig.withEntryNode(versionWith(NodeRig.route("long", "/long/", RouteKind.BULK, 20_000)));
+                NodeRig rig =
+                        NodeRig.withEntryNode(versionWith(NodeRig.route("long", "/long/", RouteKind.BULK, 20_000)));
                 ScriptedPeer silent = ScriptedPeer.startAnnounced(rig, LINK_MBPS)) {
             String[] answer = new String[1];
             long before = System.nanoTime();
@@ -110,7 +111,8 @@
     void requestGoesBackToAnUnheardNodeWhenTheOtherRefuses() throws Exception {
         try (RawServer full = new RawServer((c, r) -> c.write("HTTP/1.1 503 Full\r\nx-request-id: " + r.id()
                         + "\r\nx-not-run: 1\r\nContent-Length: 0\r\n\r\n"));
-                NodeRig rig = NodeRig.withEntryNode(versionWith(NodeRig.route("long", "/long/", RouteKind.BULK, 20_000)));
+                NodeRig rig =
+                        NodeRig.withEntryNode(versionWith(NodeRig.route("long", "/long/", RouteKind.BULK, 20_000)));
                 ScriptedPeer unheard = ScriptedPeer.startAnnounced(rig, LINK_MBPS)) {
             CompletableFuture<String> answer = CompletableFuture.supplyAsync(
                     () -> rig.send(1, NodeRig.request("GET", "/long/x", "b3", 20_000, "")));
@@ -138,8 +140,8 @@
      */
     @Test
     void callThatEndsByItsDeadlineNamesTheNodeItWaitedFor() throws IOException {
-        try (NodeRig rig =
-                        NodeRig.withEntryNode(versionWith(NodeRig.route("quick", "/quick/", RouteKind.NON_IDEMPOTENT, 300)));
+        try (NodeRig rig = NodeRig.withEntryNode(
+                        versionWith(NodeRig.route("quick", "/quick/", RouteKind.NON_IDEMPOTENT, 300)));
                 ScriptedPeer mute = new ScriptedPeer(rig)) {
             mute.announce(LINK_MBPS);
             String answer = rig.send(1, NodeRig.request("POST", "/quick/x", "a2", 20_000, ""));
--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -70,7 +70,8 @@
                 }
                 String lastId = "s" + (RESPONSE_COUNT - 1);
                 Await.until("all run", () -> server.runs(lastId) == 1, rig::logText);
-                CompletableFuture<Integer> completeCount = CompletableFuture.supplyAsync(() -> countCompleteResponsesAfterPause(caller));
+                CompletableFuture<Integer> completeCount =
+                        CompletableFuture.supplyAsync(() -> countCompleteResponsesAfterPause(caller));
                 NodeRig.sleep(500);
                 node.stop();
                 node.close();
@@ -169,7 +170,8 @@
                     () -> rig.send(1, NodeRig.request("GET", "/slow/x", "w2", HANG_MILLIS, "")));
             try (ScriptedPeer.Connection connection = owner.accept()) {
                 int deadlineMillis = ScriptedPeer.Connection.remainingMillis(connection.readHead());
-                assertTrue(deadlineMillis < NodeRig.GRACE_PERIOD_MILLIS, "told to be there for " + deadlineMillis + " ms");
+                assertTrue(
+                        deadlineMillis < NodeRig.GRACE_PERIOD_MILLIS, "told to be there for " + deadlineMillis + " ms");
                 connection.respond("w2", "in time");
                 assertTrue(response.join().endsWith("in time"), response.join());
             }
@@ -193,7 +195,8 @@
             rig.awaitReady(1);
             try (Socket peer = rig.requestAsPeer(1, "p1", PACED_RESPONSE_BYTES, 9_000)) {
                 Await.until("it runs", () -> server.runs("p1") == 1, rig::logText);
-                CompletableFuture<Boolean> complete = CompletableFuture.supplyAsync(() -> readsCompleteResponseAfterPause(peer));
+                CompletableFuture<Boolean> complete =
+                        CompletableFuture.supplyAsync(() -> readsCompleteResponseAfterPause(peer));
                 node.stop();
                 node.close();
                 assertTrue(complete.join());
