--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -24,24 +24,32 @@
 import org.berylwick.node.transport.VmLink;
 
 /**
- * The only way to the backend server beside this node: counts its slots, queues, and sends; confined to the event loop.
+ * Admits, queues and sends all requests to the backend server beside this node, and counts its slots; confined to the
+ * event loop.
  *
- * <p>Since nobody else can reach the backend server, a slot counted here is a slot, a refusal from here is true, and a
- * leave acknowledged here is in force everywhere at once.
+ * <p>Every request to the backend server passes through this class. Its slot count is therefore exact, a request that
+ * it refused has certainly not been run, and once it has acknowledged that the backend server leaves, no node can send
+ * that server another request.
  */
 public final class Owner {
-    /** Requests that may wait for a slot, for each slot. */
+    /** Maximum number of requests waiting for a slot, per slot. */
     private static final int MAX_QUEUED_PER_SLOT = 8;
-    /** Incarnations remembered after they left, so that a late heartbeat does not bring them back. */
+    /** Departed incarnations that are remembered, so that a delayed heartbeat does not register one of them again. */
     private static final int MAX_DEPARTED_INCARNATIONS = 64;
     /**
-     * A backend server that reports and answers nothing for this many of its intervals is no longer believed to be
-     * there.
+     * Heartbeat intervals after which a backend server that has neither sent a heartbeat nor answered a request is
+     * marked absent.
      */
     private static final int MAX_MISSED_HEARTBEATS = 6;
-    /** The same for one at which requests are overdue: either sign alone may be chance, both together are not. */
+    /**
+     * The same limit if all running requests are overdue. It is lower because missing heartbeats or overdue requests
+     * alone may be accidental, but both together are not.
+     */
     private static final int MAX_MISSED_HEARTBEATS_WHEN_OVERDUE = 2;
-    /** One overdue request among few tells little: the part is taken of this many at least. */
+    /**
+     * Smallest number of running requests assumed when computing the share of overdue ones, because one overdue request
+     * among few is weak evidence.
+     */
     private static final int MIN_RUNNING_FOR_LOSS_RATE = 4;
 
     private final Clock clock;
@@ -70,14 +78,14 @@
     private long lastSequenceNumber;
 
     /**
-     * @param clock tells the time; all runs where its tasks do
-     * @param connector opens connections to a backend server
-     * @param headerNames headers that the backend server knows
-     * @param link of this VM
-     * @param heartbeatNanos between two heartbeats of the backend server
-     * @param counters takes counts
-     * @param log takes events
-     * @param onBackendChange hears that the backend server's state changed
+     * @param clock time source; its tasks run on the same thread as this object's methods
+     * @param connector creates the connections to a backend server at an address
+     * @param headerNames names of the headers exchanged with the backend server
+     * @param link network link of this VM
+     * @param heartbeatNanos interval between two heartbeats of the backend server
+     * @param counters receives metric counts
+     * @param log receives events
+     * @param onBackendChange runs after each change of the backend server's state
      */
     public Owner(
             Clock clock,
@@ -99,12 +107,12 @@
         this.onBackendChange = onBackendChange;
     }
 
-    /** The backend server as last reported. */
+    /** The current incarnation of the backend server, empty until one is known. */
     public Optional<Backend> backend() {
         return backend;
     }
 
-    /** How busy it is. */
+    /** Current load of the backend server, {@link OwnerLoad#NONE} until one is known. */
     public OwnerLoad load() {
         long now = clock.now();
         return backend.map(server -> new OwnerLoad(
@@ -122,14 +130,15 @@
         return queue.size() + bodyAdmission.size();
     }
 
-    /** How long it takes for each kind of request that it has seen. */
+    /** Service time of each class of request that the backend server has answered. */
     public List<KindTime> serviceTimes() {
         return backend.map(server -> server.serviceTimes().times()).orElse(List.of());
     }
 
     /**
-     * The part of its requests that it loses. Overdue ones count before their deadline tells: a backend server that
-     * falls silent would else be sent all that its slots hold, and answer none.
+     * Share of requests that the backend server loses. Overdue requests count as lost before their deadline passes:
+     * otherwise a backend server that stops responding would be sent requests until all its slots are taken, and answer
+     * none of them.
      */
     private int lostPerMille(Backend server, long now) {
         int overduePerMille = 1_000 * overdueCount(now) / Math.max(MIN_RUNNING_FOR_LOSS_RATE, running.size());
@@ -146,16 +155,21 @@
         return count;
     }
 
-    /** Takes a heartbeat; one that is older than what is known changes nothing. */
+    /** Processes a heartbeat; ignores one that is older than the current state or from a departed incarnation. */
     public void onReport(BackendReport report) {
         if (departedIncarnations.containsKey(report.incarnation())) {
-            log.write(Event.BACKEND_REPORT_IGNORED, "incarnation", report.incarnation(), "why", "it has left");
+            log.write(Event.BACKEND_REPORT_IGNORED, "incarnation", report.incarnation(), "why", "incarnation has left");
             return;
         }
         Backend current = backend.orElse(null);
         if (current != null && current.incarnation().equals(report.incarnation())) {
             if (report.sequence() < current.sequence()) {
-                log.write(Event.BACKEND_REPORT_IGNORED, "incarnation", report.incarnation(), "why", "older");
+                log.write(
+                        Event.BACKEND_REPORT_IGNORED,
+                        "incarnation",
+                        report.incarnation(),
+                        "why",
+                        "stale sequence number");
                 return;
             }
             boolean changed = current.applyReport(report, clock.now());
@@ -170,7 +184,7 @@
             return;
         }
         if (current != null) {
-            retire(current, "another incarnation took its place");
+            retire(current, "replaced by another incarnation");
         }
         Backend replacement = new Backend(report, connector.apply(report.address()), clock.now());
         backend = Optional.of(replacement);
@@ -178,7 +192,7 @@
         dispatch();
     }
 
-    /** The backend server says that it is gone, or will be in a moment. */
+    /** Processes the announcement of a backend server that it has stopped or is about to stop. */
     public void onLeave(String incarnation) {
         departedIncarnations.put(incarnation, Boolean.TRUE);
         Backend current = backend.orElse(null);
@@ -214,7 +228,10 @@
         onBackendChange.run();
     }
 
-    /** Notices a backend server that fell silent; called about once a second. */
+    /**
+     * Marks a backend server absent from which nothing was received for too long, and closes idle connections; called
+     * about once a second.
+     */
     public void tick() {
         long now = clock.now();
         backend.ifPresent(server -> server.pool().trim());
@@ -234,13 +251,13 @@
         }
     }
 
-    /** Refuses new work from now on; what runs goes on. */
+    /** Refuses queued and new requests from now on; running requests continue. */
     public void stop() {
         stopping = true;
         refuseQueued(Refusal.Reason.LEAVING);
     }
 
-    /** Requests that run here and whose answer has begun. */
+    /** Number of running requests whose response head has been forwarded. */
     public int respondingCount() {
         int count = 0;
         for (OwnerRun run : running) {
@@ -251,12 +268,12 @@
         return count;
     }
 
-    /** Requests that run or wait here. */
+    /** Number of running and waiting requests. */
     public int pendingCount() {
         return running.size() + queuedCount();
     }
 
-    /** Whether requests of a service can be run here now. */
+    /** Whether requests for a service are accepted here now. */
     public boolean acceptsRequestsFor(String service) {
         return !stopping
                 && backend.filter(server -> server.state() == BackendState.READY
@@ -265,10 +282,11 @@
     }
 
     /**
-     * Takes a request, or refuses it at once; one whose body is still coming waits for that first.
+     * Admits or refuses a request. An admitted request whose body is incomplete first waits for the body, then for a
+     * slot.
      *
      * @param call the request; its body is duplicated when it is sent
-     * @param listener hears what becomes of it
+     * @param listener is notified of the response, the refusal or the loss of the request
      */
     public Attempt offer(CallSpec call, AttemptListener listener) {
         long advanceNanos = servedShares.onOffered(call, clock.now());
@@ -276,7 +294,7 @@
         Optional<Refusal.Reason> reason = refusalReason(run);
         if (reason.isPresent()) {
             counters.add(NodeMetricNames.OWNER_REFUSED_BY_REASON + reason.get());
-            // Told later, so that the caller has the attempt in hand before it hears of its end.
+            // Deferred, so that the caller holds the attempt before its listener is notified of the refusal.
             clock.soon(() -> run.refuse(reason.get(), false));
             return run;
         }
@@ -290,12 +308,12 @@
         return run;
     }
 
-    /** A part of a request's body has come. */
+    /** A part of a request body has arrived, which leaves room on the link for further bodies. */
     void onBodyPart() {
         bodyAdmission.askOn(clock.now());
     }
 
-    /** All of a request is there. */
+    /** The body of a request is complete. */
     void onBodyComplete(OwnerRun run) {
         if (bodyAdmission.remove(run, clock.now())) {
             enqueue(run);
@@ -342,7 +360,7 @@
         return Optional.empty();
     }
 
-    /** Whether a request can meet its objective behind those that would go before it. */
+    /** Whether a request can meet its latency objective after the requests that would run before it. */
     private boolean isTimely(OwnerRun run) {
         Backend server = backend.orElseThrow();
         int ahead = running.size() + queue.timelyBefore(run);
@@ -400,7 +418,7 @@
         queue.remove(run);
         bodyAdmission.remove(run, clock.now());
         if (running.remove(run)) {
-            // Later, since one that ends may do so while others are being started.
+            // Deferred, because a request may end while dispatch() is starting others.
             clock.soon(this::dispatch);
         }
     }
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -18,15 +18,22 @@
 import org.berylwick.node.transport.RequestBody;
 import org.berylwick.node.transport.ServerConnection;
 
-/** One request at its owner, waiting or running; confined to the event loop. */
+/** A request that waits or runs at the owner of its backend server; confined to the event loop. */
 final class OwnerRun implements Attempt, HttpExchange, RequestBody.Follower {
-    /** A reused connection that breaks within this had been dropped by the server while it was idle. */
+    /**
+     * If a reused connection fails within this time after a request was sent, the server is taken to have closed it
+     * while it was idle.
+     */
     private static final long IDLE_RESET_WINDOW_NANOS = 50_000_000L;
-    /** What the answer needs from the backend server to the entry. */
+    /**
+     * Time reserved for the response to travel from the backend server to the entry node; the deadline passed to the
+     * backend server is earlier by this.
+     */
     private static final long RESPONSE_RETURN_NANOS = 5_000_000L;
 
     /**
-     * Multiple of the usual time after which an answer is overdue; the tail of a sound server is five times as long.
+     * Multiple of the mean service time after which a response is overdue; the slowest responses of a healthy server
+     * take up to five times the usual time.
      */
     private static final int OVERDUE_FACTOR = 5;
 
@@ -54,10 +61,10 @@
     private boolean notExecuted;
 
     /**
-     * @param owner that it is offered to
+     * @param owner owner of the backend server to which the request is offered
      * @param call the request
-     * @param listener hears what becomes of it
-     * @param advanceNanos by how much it is put before others
+     * @param listener is notified of the response, the refusal or the loss of the request
+     * @param advanceNanos time by which the request is moved forward in the queue; see {@link ServedShares}
      */
     OwnerRun(Owner owner, CallSpec call, AttemptListener listener, long advanceNanos) {
         this.owner = owner;
@@ -76,23 +83,29 @@
         return call;
     }
 
-    /** When it should be answered, put off for its rank. */
+    /**
+     * Sort key in the queue: the latency objective, later for a lower priority and earlier for a class of requests that
+     * was served less often than others.
+     */
     long effectiveObjectiveAt() {
         return effectiveObjectiveAt;
     }
 
-    /** Tells apart requests that are due at the same time. */
+    /** Order of arrival, for requests with the same effective objective. */
     long sequenceNumber() {
         return sequenceNumber;
     }
 
-    /** Sets what it is expected to take. */
+    /** Sets the expected service time of the request. */
     void setServiceTime(KindTime time) {
         meanServiceNanos = time.meanNanos();
         medianServiceNanos = time.medianNanos();
     }
 
-    /** How long it would wait for the link behind the large answers that go before its own. */
+    /**
+     * Time that the response is expected to wait for the outgoing link, behind the large responses that are queued or
+     * announced there, beyond the median service time of the request; 0 for a small response.
+     */
     long linkWaitNanos() {
         if (responseTransferNanos == 0) {
             return 0;
@@ -102,13 +115,13 @@
         return Math.max(0, otherResponsesNanos - medianServiceNanos);
     }
 
-    /** It is taken: others have its answer before them. */
+    /** Announces the response of the admitted request to the outgoing link, which counts it as ahead of later ones. */
     void announceResponse() {
         announcedBytes = responseTransferNanos == 0 ? 0 : call.answerBytes();
         owner.outgoingLink().onExpected(announcedBytes);
     }
 
-    /** So many bytes of the answer are still to be read. */
+    /** Updates the announcement to the number of response bytes that are still to be read from the backend server. */
     private void updateAnnouncedBytes(long remainingBytes) {
         long bytesToAnnounce = responseTransferNanos == 0 ? 0 : remainingBytes;
         owner.outgoingLink().onExpected(bytesToAnnounce - announcedBytes);
@@ -119,7 +132,7 @@
         updateAnnouncedBytes(0);
     }
 
-    /** Whether the backend server has had it for much longer than usual without a word. */
+    /** Whether no response head was received although the request was sent much longer ago than the usual time. */
     boolean isOverdue(long now) {
         long thresholdNanos = Math.max(MIN_OVERDUE_NANOS, OVERDUE_FACTOR * meanServiceNanos);
         return sentAt != 0 && !headForwarded && now - sentAt > thresholdNanos;
@@ -137,7 +150,10 @@
         return now + medianServiceNanos + responseTransferNanos <= call.deadlineAt();
     }
 
-    /** Waits until its body is whole; if that is kept back, no longer for its turn than its entry said. */
+    /**
+     * Waits for the complete body. If the sender keeps the body back until it is asked for it, the wait for that is
+     * limited to the maximum wait set by the entry node.
+     */
     void awaitBody() {
         boolean awaitsContinue = call.body().isKeptBack();
         timeout = clock.at(awaitsContinue ? maxWaitUntil() : call.deadlineAt(), this::onWaitTimeout);
@@ -148,7 +164,7 @@
         return Math.min(call.deadlineAt(), queuedAt + call.maxWaitNanos());
     }
 
-    /** It is its body's turn to come over the link. */
+    /** Asks the sender for the body, which is next to be transferred over the link. */
     void requestBodyTransfer() {
         timeout.cancel();
         timeout = clock.at(call.deadlineAt(), this::onWaitTimeout);
@@ -171,7 +187,10 @@
         owner.onBodyComplete(this);
     }
 
-    /** Waits for a slot no longer than its entry said is better than another way. */
+    /**
+     * Limits the wait for a slot to the maximum set by the entry node, after which an attempt elsewhere is better than
+     * waiting longer.
+     */
     void startSlotTimeout() {
         if (finished || backend != null) {
             return;
@@ -192,10 +211,10 @@
             refuse(Refusal.Reason.EXPIRED, false);
             return;
         }
-        failAsLost("deadline passed at the backend server");
+        failAsLost("deadline exceeded at the backend server");
     }
 
-    /** Sends it to the backend server. */
+    /** Sends the request to the backend server; a non-idempotent one only on a new or recently used connection. */
     void start(Backend target, HeaderNames backendHeaderNames) {
         backend = target;
         headerNames = backendHeaderNames;
@@ -261,7 +280,7 @@
         boolean idMissing = headers.get(headerNames.requestId()) == null;
         if (status < 300
                 && (idMissing || !headers.contains(headerNames.signature()) || headers.contains("Content-Encoding"))) {
-            failAsLost("answer without id, signature or plain body");
+            failAsLost("response without request id or signature, or with a content encoding");
             return;
         }
         headForwarded = true;
@@ -275,7 +294,7 @@
             part.release();
             return;
         }
-        // From here on its bytes count as waiting for the link.
+        // From here on the outgoing link counts these bytes itself.
         updateAnnouncedBytes(Math.max(0, announcedBytes - part.readableBytes()));
         listener.onBody(part);
     }
@@ -306,7 +325,12 @@
         failAsLost(cause);
     }
 
-    /** Ends it as not run. */
+    /**
+     * Ends the request as not run.
+     *
+     * @param reason why it was not run
+     * @param rejectedByBackend whether the backend server received the request and rejected it
+     */
     void refuse(Refusal.Reason reason, boolean rejectedByBackend) {
         if (finished) {
             return;
@@ -360,7 +384,7 @@
             return;
         }
         if (sentAt != 0 && call.kind() == RouteKind.NON_IDEMPOTENT && !headForwarded) {
-            // It may have changed something already: let it finish, and drop the answer.
+            // The request may already have had an effect: let it finish, and discard the response.
             return;
         }
         closeConnection();
