--- a/org.berylwick.node/src/org/berylwick/node/call/Backend.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Backend.java
@@ -4,11 +4,16 @@
 import org.berylwick.node.lib.BackendState;
 import org.berylwick.node.transport.ServerConnections;
 
-/** One incarnation of the backend server beside this node, as its owner knows it; confined to the event loop. */
+/**
+ * State of one incarnation of the backend server beside this node, as its owner knows it; confined to the event loop.
+ */
 public final class Backend {
-    /** A request that must run once takes no connection that has been idle longer: the server may be closing it. */
+    /**
+     * Initial limit on the idle time of a connection used for a non-idempotent request: the server may be closing one
+     * that has been idle longer.
+     */
     private static final long DEFAULT_MAX_IDLE_NANOS = 2_500_000_000L;
-    /** The least of that, once a backend server was seen to drop idle connections. */
+    /** Lower bound to which that limit is reduced if the backend server closes idle connections early. */
     private static final long MIN_MAX_IDLE_NANOS = 100_000_000L;
 
     private final String incarnation;
@@ -31,42 +36,45 @@
         applyReport(report, now);
     }
 
-    /** Id of this start of the backend server. */
+    /** Id that the backend server chose when it started. */
     public String incarnation() {
         return incarnation;
     }
 
-    /** The service it serves. */
+    /** The service that the backend server provides. */
     public String service() {
         return service;
     }
 
-    /** Whether it takes work. */
+    /** Whether the backend server accepts requests. */
     public BackendState state() {
         return state;
     }
 
-    /** Requests it runs at once. */
+    /** Number of requests that the backend server runs concurrently. */
     public int slots() {
         return slots;
     }
 
-    /** The number of its last report. */
+    /** Sequence number of the last report. */
     public long sequence() {
         return sequence;
     }
 
-    /** When it last reported or answered a request: heartbeats alone may be held up on the way. */
+    /**
+     * Time of the last report or response. Responses count, because heartbeats may be delayed while the backend server
+     * is available.
+     */
     public long lastActivityAt() {
         return Math.max(lastReportAt, lastResponseAt);
     }
 
-    /** How much longer it is slow after its start. */
+    /** Remaining time for which the backend server is slow after its start. */
     public long warmUpNanos(long now) {
         return Math.max(0, warmUpEndsAt - now);
     }
 
-    /** Connections opened to it since it joined. */
+    /** Number of connections opened to this incarnation. */
     public long connectionsOpened() {
         return pool.opened();
     }
@@ -75,12 +83,14 @@
         return pool;
     }
 
-    /** How long a connection may have been idle that a request takes which must run once. */
+    /** Maximum idle time of a connection that is used for a non-idempotent request. */
     long maxIdleNanos() {
         return maxIdleNanos;
     }
 
-    /** A request on a connection that had been idle was reset: the server drops them sooner than it says. */
+    /**
+     * Lowers the idle limit: a request on an idle connection failed, so the server closes them earlier than announced.
+     */
     void onIdleConnectionReset(long idleNanos) {
         maxIdleNanos = Math.max(MIN_MAX_IDLE_NANOS, Math.min(maxIdleNanos, idleNanos / 2));
     }
@@ -89,7 +99,7 @@
         return losses;
     }
 
-    /** It answered a request. */
+    /** Records the end of a response. */
     void onResponse(long now) {
         losses.onAnswered(now);
         lastResponseAt = now;
@@ -99,10 +109,10 @@
         return serviceTimes;
     }
 
-    /** Takes over a report; true if anything but its number changed. */
+    /** Applies a report; returns true if the state or the number of slots changed, false while draining. */
     boolean applyReport(BackendReport report, long now) {
         boolean changed = state != report.state() || slots != report.slots();
-        // Once it drains it never takes work again: a report that says otherwise is older than it looks.
+        // A draining incarnation never accepts requests again; a report with another state was sent earlier.
         if (state == BackendState.DRAINING) {
             changed = false;
         } else {
@@ -124,9 +134,9 @@
     }
 
     /**
-     * Whether a report of another incarnation is older than this one: a late heartbeat carries a higher number than one
-     * that has just started, and this one was heard a moment ago. One that was only asked, and has reported nothing,
-     * gives way.
+     * Whether a report of another incarnation is a delayed heartbeat of an earlier one. Such a heartbeat carries a
+     * higher sequence number than this incarnation, which has just started and reported within {@code recentNanos}. An
+     * incarnation that is known only from a {@link BackendProbe} and has sent no report is never more recent.
      */
     boolean isMoreRecentThan(BackendReport report, long recentNanos, long now) {
         return sequence >= 0
--- a/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
@@ -19,20 +19,21 @@
 import org.berylwick.node.transport.SmallHttpCall;
 
 /**
- * Asks the backend server itself who it is and how many slots it has, after a start of this node; confined to the event
- * loop.
+ * Queries the health path of the backend server for its incarnation and number of slots after a start of this node;
+ * confined to the event loop.
  *
- * <p>A node that was killed knows its backend server again by the next heartbeat, up to 1.5 s later; until then all
- * slots here are lost to the fleet, and with all nodes killed at once nobody is served. A healthy answer names the very
- * incarnation that each request is then addressed to, so another server at that address runs none of them, and one that
- * is draining answers that it is not healthy. The first heartbeat takes over whatever it says.
+ * <p>Without the probe, a node that was killed and restarted learns of its backend server from the next heartbeat, up
+ * to 1.5 s later. Until then its slots are unavailable to the fleet, and if all nodes were killed at once, no request
+ * is served. A healthy response names the incarnation to which each request is then addressed, so another server at
+ * that address runs none of them. A server that is draining reports that it is not healthy. The first heartbeat
+ * replaces what the probe found.
  */
 public final class BackendProbe {
     private static final long TIMEOUT_MILLIS = 400;
     private static final long RETRY_DELAY_MILLIS = 100;
-    /** After these a heartbeat is due anyway. */
+    /** After this many tries a heartbeat is due anyway. */
     private static final int MAX_TRIES = 5;
-    /** Older than the number of any heartbeat. */
+    /** Lower than the sequence number of any heartbeat. */
     private static final long SEQUENCE_BEFORE_FIRST_REPORT = -1;
 
     private static final int CONNECT_TIMEOUT_MILLIS = 300;
@@ -48,11 +49,11 @@
     private boolean started;
 
     /**
-     * @param loop all runs on it
-     * @param settings name the service and where its backend server listens
-     * @param names headers that the backend server knows
-     * @param owner is told what was learnt
-     * @param log takes events
+     * @param loop event loop of this object and its connections
+     * @param settings contain the service and the address of its backend server
+     * @param names names of the headers exchanged with the backend server
+     * @param owner receives the result as a report
+     * @param log receives events
      */
     public BackendProbe(EventLoop loop, NodeSettings settings, HeaderNames names, Owner owner, EventLog log) {
         this.loop = loop;
@@ -62,7 +63,10 @@
         this.log = log;
     }
 
-    /** Asks if no backend server is known yet; called with each version, as that tells where to ask. */
+    /**
+     * Starts probing unless it has been started before; called with each version, because the version contains the
+     * health path.
+     */
     public void startOnce(MeshVersion version) {
         Optional<String> path = version.healthPath(settings.service());
         if (started || path.isEmpty() || settings.backend().getPort() == 0) {
@@ -123,7 +127,7 @@
                 0));
     }
 
-    /** The third of running, waiting and slots; 0 if it is not told. */
+    /** The third field of the load header (running, waiting, slots), 0 if the header is absent or malformed. */
     private static int parseSlots(String load) {
         String[] fields = load.split(",");
         if (fields.length != 3) {
--- a/org.berylwick.node/src/org/berylwick/node/call/Refusal.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Refusal.java
@@ -3,28 +3,28 @@
 import org.berylwick.node.lib.OwnerLoad;
 
 /**
- * An attempt that was not run and will not be.
+ * Result of an attempt that was not run and will not be.
  *
- * @param reason why
- * @param rejectedByBackend whether the backend server itself was sent the request and turned it away
- * @param load of the owner
+ * @param reason why it was not run
+ * @param rejectedByBackend whether the backend server itself received the request and rejected it
+ * @param load load of the owner's backend server
  */
 public record Refusal(Reason reason, boolean rejectedByBackend, OwnerLoad load) {
     /** Why an attempt was not run. */
     public enum Reason {
-        /** The owner has no backend server of that service that takes work. */
+        /** The owner has no backend server of the service that accepts requests. */
         NOT_HERE,
-        /** The owner was told to stop. */
+        /** The owner's node is stopping. */
         LEAVING,
-        /** A slot would not be free in time. */
+        /** The request would wait too long for a slot or the link, or the queue is full. */
         BUSY,
-        /** The deadline passed before a slot was free. */
+        /** The deadline passed, or could not be met, before the request was sent to the backend server. */
         EXPIRED,
-        /** No connection could be opened. */
+        /** No connection could be opened, or it failed before the request was sent completely. */
         UNREACHABLE,
-        /** The backend server said that it did not run it. */
+        /** The backend server reported that it did not run the request. */
         TURNED_AWAY,
-        /** Nobody waits any more. */
+        /** The caller no longer waits for a response. */
         CANCELLED;
 
         private static final Reason[] VALUES = values();
