--- a/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
@@ -14,9 +14,12 @@
 import org.berylwick.node.transport.HttpExchange;
 import org.berylwick.node.transport.ServerConnection;
 
-/** One attempt at the owner of another node; confined to the event loop. */
+/** One attempt to run a request at the owner on another node; confined to the event loop. */
 final class PeerAttempt implements Attempt, HttpExchange, Member.Waiting {
-    /** Connections between nodes are kept this long by both ends; the entry lets go of them first. */
+    /**
+     * Idle time after which a connection to another node is not reused. The entry node closes idle connections, not the
+     * owner.
+     */
     static final long MAX_IDLE_NANOS = 20_000_000_000L;
 
     private final Member member;
@@ -32,7 +35,7 @@
         this.listener = listener;
     }
 
-    /** Sends a request to another node. */
+    /** Starts an attempt; the request is sent as soon as a connection is available. */
     static PeerAttempt start(Member member, CallSpec call, AttemptListener listener) {
         PeerAttempt attempt = new PeerAttempt(member, call, listener);
         member.onSent(attempt, call.body().length(), call.answerBytes(), System.nanoTime());
@@ -59,8 +62,8 @@
         headers.set(Headers.CALL, PeerCodec.encodeCall(call, System.nanoTime()));
         HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, call.method(), call.uri(), headers);
         HttpConnection.setLength(head, call.body().length());
-        // A large body is sent when the owner asks for it: several at once would hold up all that is small behind
-        // them, and what is refused would have taken the link in vain.
+        // A large body is sent only when the owner asks for it: several at once would delay all small messages behind
+        // them, and the body of a refused request would have occupied the link for nothing.
         boolean largeBody = member.link(System.nanoTime()).isLarge(call.body().length());
         HttpUtil.set100ContinueExpected(head, largeBody);
         acquired.send(head, call.body(), this);
@@ -75,7 +78,8 @@
             listener.onUnheard();
             return;
         }
-        // An owner sends nothing on that it does not have whole, and will not get it now.
+        // An owner forwards no incomplete request to its backend server, and the rest of this one is not sent any more:
+        // the request was not run.
         connection.abandon();
         onFailure("silent");
     }
@@ -105,7 +109,8 @@
         connection = null;
         member.onSuccess();
         finish();
-        PeerCodec.Outcome reported = outcome.orElse(new PeerCodec.Outcome.Lost("unreadable outcome"));
+        PeerCodec.Outcome reported =
+                outcome.orElse(new PeerCodec.Outcome.Lost("missing or malformed bw-outcome header"));
         switch (reported) {
             case PeerCodec.Outcome.Answered answered -> listener.onEnd();
             case PeerCodec.Outcome.Refused refused -> {
@@ -129,7 +134,7 @@
             listener.onLost("node " + member.ip() + ": " + cause);
             return;
         }
-        // An owner sends nothing on that it does not have whole.
+        // An owner forwards no incomplete request to its backend server, so this one was not run.
         listener.onRefused(new Refusal(Refusal.Reason.UNREACHABLE, false, OwnerLoad.NONE));
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerCodec.java
@@ -9,8 +9,9 @@
 import org.berylwick.node.transport.RequestBody;
 
 /**
- * What entry and owner tell each other in one header each: fields separated by semicolons, times in milliseconds that
- * are left, because clocks differ.
+ * Encodes and decodes the headers that the entry node of a request, which received it from the caller, and its owner
+ * exchange, one in each direction: fields separated by semicolons. Points in time are sent as the remaining
+ * milliseconds, because clocks differ.
  */
 final class PeerCodec {
     private static final int CALL_FIELDS = 11;
@@ -23,15 +24,15 @@
 
     private PeerCodec() {}
 
-    /** What an owner said of an attempt. */
+    /** Outcome of an attempt, as reported by the owner. */
     sealed interface Outcome {
-        /** The backend server's answer follows. */
+        /** The response of the backend server follows. */
         record Answered(OwnerLoad load) implements Outcome {}
 
-        /** It was not run. */
+        /** The request was not run. */
         record Refused(Refusal refusal) implements Outcome {}
 
-        /** It may have run. */
+        /** The request may have run, but there is no complete response. */
         record Lost(String cause) implements Outcome {}
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -30,12 +30,15 @@
 import org.berylwick.node.transport.VmLink;
 import org.berylwick.node.version.VersionKeeper;
 
-/** A connection of another node: its requests for the backend server here, or for the version; on the event loop. */
+/**
+ * Serves a connection from another node: requests for the backend server of this node, and requests for the current
+ * configuration version; confined to the event loop.
+ */
 final class PeerHandler extends ChannelInboundHandlerAdapter implements AttemptListener, OutgoingLink.Wire {
     private static final int MAX_BODY_PARTS = 1024;
-    /** Versions are wanted soon, and before answers whose objective is further off. */
+    /** Latency objective of sending a version; puts it before responses with a later objective. */
     private static final long VERSION_OBJECTIVE_NANOS = 200_000_000L;
-    /** A node that has not taken a version by then has asked another. */
+    /** Deadline of sending a version; a node that has not received it by then has asked another node. */
     private static final long VERSION_DEADLINE_NANOS = 1_500_000_000L;
 
     private final Owner owner;
@@ -53,7 +56,8 @@
     private long deadlineAt;
     private Optional<OutgoingLink.Flow> responseFlow = Optional.empty();
     /**
-     * Ends the connection at the deadline: a node that lost power takes no bytes, and what waits for it holds memory.
+     * Closes the connection at the deadline: a node that lost power accepts no bytes, and the response queued for it
+     * would hold memory.
      */
     private Optional<ScheduledFuture<?>> deadlineTimer = Optional.empty();
 
@@ -152,7 +156,10 @@
         sendVersion(update.get());
     }
 
-    /** Sends a version; a whole one is large for a narrow link, and takes its turn before most answers. */
+    /**
+     * Sends a version through the outgoing link. A complete version is large for a narrow link, so it is paced, but
+     * sent before most responses.
+     */
     private void sendVersion(byte[] encodedUpdate) {
         long now = System.nanoTime();
         responseId = "version";
@@ -195,7 +202,7 @@
         response.headers().set(Headers.OUTCOME, PeerCodec.encodeAnswered(load));
         HttpUtil.setTransferEncodingChunked(response, true);
         if (!channel.isActive()) {
-            // What must run once runs to its end, also when nobody waits for its answer any more.
+            // A non-idempotent request runs to its end even if the connection of its entry node has closed.
             return;
         }
         responseStartedAt = System.nanoTime();
@@ -230,7 +237,10 @@
         }
     }
 
-    /** Leaves the end of a small answer, which mostly came with its head, time to join the same write. */
+    /**
+     * Defers the flush, so that the end of a small response, which usually arrives together with its head, is written
+     * in the same system call.
+     */
     private void scheduleFlush() {
         if (flushScheduled) {
             return;
@@ -317,7 +327,7 @@
         writeResponse(502, Unpooled.EMPTY_BUFFER, PeerCodec.encodeLost(cause));
     }
 
-    /** Whether an answer has begun and not been written to its end. */
+    /** Whether a response has begun and has not been written completely. */
     boolean isResponding() {
         return responseFlow.isPresent();
     }
@@ -329,7 +339,7 @@
 
     private void releaseBody() {
         if (body != null) {
-            // What is still to come of a request that was answered early belongs to nothing.
+            // The rest of the body of a request that was answered early is discarded as it arrives.
             discardingBody = !body.isWhole();
             body.release();
             body = null;
@@ -338,7 +348,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        // The entry gave the request up, or its node died: nobody waits for the answer any more.
+        // The entry node cancelled the request or died: nothing waits for the response any more.
         if (attempt != null) {
             attempt.cancel();
         }
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerServer.java
@@ -16,7 +16,7 @@
 import org.berylwick.node.transport.ReceiveWindow;
 import org.berylwick.node.transport.VmLink;
 
-/** Takes the connections of other nodes. */
+/** Accepts connections from other nodes. */
 public final class PeerServer implements AutoCloseable {
     private static final int MAX_HEADER_BYTES = 131_072;
     private static final int MAX_CHUNK_BYTES = 65_536;
@@ -31,11 +31,12 @@
     private Channel listener;
 
     /**
-     * @param loop all runs on it
-     * @param address to listen on
-     * @param owner takes their requests
-     * @param link of this VM
-     * @param versionUpdates what a node needs to get the version in force, by the number of the one it has
+     * @param loop event loop of this server and its connections
+     * @param address address to listen on
+     * @param owner runs the requests at the backend server of this node
+     * @param link network link of this VM
+     * @param versionUpdates for the number of the version that a node has, the encoded update to the current one, or
+     *     empty if there is none
      */
     public PeerServer(
             EventLoop loop,
@@ -50,7 +51,7 @@
         this.versionUpdates = versionUpdates;
     }
 
-    /** Opens the port. */
+    /** Starts listening. */
     public void start() {
         ServerBootstrap bootstrap = new ServerBootstrap()
                 .group(loop)
@@ -72,7 +73,7 @@
         listener = bootstrap.bind(address).syncUninterruptibly().channel();
     }
 
-    /** Bytes of answers that the system has not taken yet. */
+    /** Response bytes that have not been written to the sockets yet. */
     public long unsentBytes() {
         long bytes = 0;
         for (Channel channel : handlers.keySet()) {
@@ -82,7 +83,7 @@
         return bytes;
     }
 
-    /** Whether an answer has not left yet. */
+    /** Whether a response has not been sent completely. */
     public boolean isSending() {
         return unsentBytes() > 0 || handlers.values().stream().anyMatch(PeerHandler::isResponding);
     }
