--- a/org.berylwick.test/tst/org/berylwick/node/SilentBackendTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/SilentBackendTest.java
@@ -15,8 +15,9 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A backend server takes requests and answers none, without a reset: it was frozen, or lost its power. Requests that
- * must run once stay with it until their deadline, so the next ones have to go elsewhere long before that.
+ * A backend server accepts requests and answers none, without resetting connections, because it was frozen or lost
+ * power. Non-idempotent requests wait for it until their deadline, so later ones must be sent to other servers long
+ * before that.
  */
 @Timeout(60)
 class SilentBackendTest {
@@ -59,12 +60,17 @@
             for (Thread caller : callers) {
                 caller.join();
             }
-            assertTrue(unanswered.get() <= 15, unanswered + " of " + REQUEST_COUNT + " were sent to the silent one");
-            assertTrue(served.get() >= REQUEST_COUNT - 15, served + " served");
+            assertTrue(
+                    unanswered.get() <= 15,
+                    unanswered + " of " + REQUEST_COUNT + " requests were sent to the silent server");
+            assertTrue(served.get() >= REQUEST_COUNT - 15, served + " requests were served");
         }
     }
 
-    /** Heartbeats stop and what runs is overdue: it is no longer offered, though requests still hang there. */
+    /**
+     * Heartbeats stop and all running requests are overdue: the backend server is sent no more requests, although some
+     * still hang there, until it reports again.
+     */
     @Test
     void backendWithoutHeartbeatsIsMarkedAbsentWhileRequestsHang() throws InterruptedException {
         try (RawServer silentServer = new RawServer((c, r) -> {});
@@ -75,13 +81,14 @@
             rig.awaitReady(1);
             Thread caller =
                     Thread.ofPlatform().start(() -> rig.send(1, NodeRig.request("POST", "/slow/x", "a1", 12_000, "")));
-            Await.until("it is given up", () -> rig.logText().contains("ABSENT"), rig::logText);
+            Await.until(
+                    "the backend server is marked absent", () -> rig.logText().contains("ABSENT"), rig::logText);
             String response = rig.call(1, "POST", "/pay/x", "a2", "");
             assertTrue(response.startsWith("HTTP/1.1 503") && response.contains("Retry-After"), response);
             assertTrue(caller.isAlive(), "the first request ended");
             rig.report(1, silentServer, "i-1", 2, BackendState.READY, 100);
             Await.until(
-                    "it is believed again",
+                    "the backend server is ready again",
                     () -> rig.logText().lastIndexOf("READY") > rig.logText().lastIndexOf("ABSENT"),
                     rig::logText);
         }
--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -17,19 +17,19 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A node is told to stop while answers are on their way out. */
+/** A node is stopped while requests and responses are still being transferred. */
 @Timeout(60)
 class StopTest {
-    /** Gathered before it is passed on. */
+    /** Small enough that the entry node buffers the complete response before it forwards it. */
     private static final int RESPONSE_BYTES = 1_000_000;
-    /** Together more than the system takes for a connection whose other end does not read. */
+    /** So many responses exceed the socket buffers of a connection whose peer does not read. */
     private static final int RESPONSE_COUNT = 8;
 
     private static final double NARROW_MBPS = 30;
     private static final int WIDE_MBPS = 1_000;
     private static final int PACED_RESPONSE_BYTES = 4_500_000;
     private static final String LAST_CHUNK = "\r\n0\r\n\r\n";
-    /** Longer than a stop takes with nothing under way. */
+    /** Longer than a stop takes without pending requests. */
     private static final int PAUSE_MILLIS = 4_000;
 
     private static final int HANG_MILLIS = 12_000;
@@ -52,7 +52,9 @@
         return complete;
     }
 
-    /** Guards against a process that ends with an answer still in its buffers: its caller gets it cut short. */
+    /**
+     * Guards against a process that exits with a response still in its buffers, so that the caller gets it truncated.
+     */
     @Test
     void responseToASlowCallerIsSentBeforeTheStopEnds() throws IOException {
         try (RawServer server = new RawServer((c, r) -> c.write(NodeRig.responseTo(r, LARGE_BODY)));
@@ -69,7 +71,7 @@
                                     .getBytes(StandardCharsets.ISO_8859_1));
                 }
                 String lastId = "s" + (RESPONSE_COUNT - 1);
-                Await.until("all run", () -> server.runs(lastId) == 1, rig::logText);
+                Await.until("all requests reach the backend server", () -> server.runs(lastId) == 1, rig::logText);
                 CompletableFuture<Integer> completeCount =
                         CompletableFuture.supplyAsync(() -> countCompleteResponsesAfterPause(caller));
                 NodeRig.sleep(500);
@@ -81,7 +83,8 @@
     }
 
     /**
-     * Guards against a request that is taken a moment before the grace ends, and gets neither an answer nor a refusal.
+     * Guards against a request that is accepted shortly before the grace period ends, and gets neither a response nor a
+     * refusal.
      */
     @Test
     void requestJustBeforeTheGracePeriodEndsIsRefused() {
@@ -99,7 +102,7 @@
             Node node = rig.start(1, Optional.of(localServer));
             rig.awaitReady(1);
             CompletableFuture.runAsync(() -> rig.send(1, NodeRig.request("POST", "/hang/x", "h1", HANG_MILLIS, "")));
-            Await.until("it hangs", () -> localServer.runs("h1") == 1, rig::logText);
+            Await.until("the request hangs at the backend server", () -> localServer.runs("h1") == 1, rig::logText);
             rig.start(2, Optional.of(remoteServer));
             rig.awaitMemberKnown("i-2");
             CompletableFuture<Void> stopped = CompletableFuture.runAsync(() -> {
@@ -115,7 +118,8 @@
     }
 
     /**
-     * Guards against a caller whose connection ends without an answer because the owner's did not come in the grace.
+     * Guards against a caller whose connection ends without a response because the owner did not complete its response
+     * within the grace period.
      */
     @Test
     void callerGetsAResponseWhenItsOwnerExceedsTheGracePeriod() throws IOException {
@@ -134,7 +138,8 @@
     }
 
     /**
-     * Guards against a request whose body is still coming when all else is over, and is cut by the end of the process.
+     * Guards against a request that is cut off by the end of the process, because its body is still being received when
+     * all other requests have ended.
      */
     @Test
     void requestWithIncompleteBodyIsAnsweredBeforeTheStopEnds() throws IOException {
@@ -158,20 +163,19 @@
         }
     }
 
-    /** Guards against an owner that makes an answer which its entry, told to stop, can no longer pass on. */
+    /** Guards against an owner that produces a response after its stopping entry node can no longer forward it. */
     @Test
     void stoppingEntryLimitsTheDeadlineSentToTheOwner() throws IOException {
         try (NodeRig rig = NodeRig.withEntryNode(versionWithSlowRoute());
                 ScriptedPeer owner = ScriptedPeer.startAnnounced(rig, WIDE_MBPS)) {
             CompletableFuture<Void> stopped =
                     CompletableFuture.runAsync(() -> rig.node(1).stop());
-            Await.until("it stops", () -> rig.logText().contains(Event.STOPPING.name()), rig::logText);
+            Await.until("the node begins to stop", () -> rig.logText().contains(Event.STOPPING.name()), rig::logText);
             CompletableFuture<String> response = CompletableFuture.supplyAsync(
                     () -> rig.send(1, NodeRig.request("GET", "/slow/x", "w2", HANG_MILLIS, "")));
             try (ScriptedPeer.Connection connection = owner.accept()) {
                 int deadlineMillis = ScriptedPeer.Connection.remainingMillis(connection.readHead());
-                assertTrue(
-                        deadlineMillis < NodeRig.GRACE_PERIOD_MILLIS, "told to be there for " + deadlineMillis + " ms");
+                assertTrue(deadlineMillis < NodeRig.GRACE_PERIOD_MILLIS, "owner was given " + deadlineMillis + " ms");
                 connection.respond("w2", "in time");
                 assertTrue(response.join().endsWith("in time"), response.join());
             }
@@ -184,7 +188,10 @@
                 1, b -> b.route(NodeRig.HOST, NodeRig.route("slow", "/slow/", RouteKind.BULK, HANG_MILLIS)));
     }
 
-    /** The same for an answer to another node that waits for the link. */
+    /**
+     * Guards against a process that exits with a response to another node still queued for the narrow outgoing link, so
+     * that the other node gets it truncated.
+     */
     @Test
     void responseToAnotherNodeIsSentBeforeTheStopEnds() throws IOException {
         String pacedBody = "y".repeat(PACED_RESPONSE_BYTES);
@@ -194,7 +201,7 @@
             Node node = rig.startWithLink(1, server, 1, NARROW_MBPS);
             rig.awaitReady(1);
             try (Socket peer = rig.requestAsPeer(1, "p1", PACED_RESPONSE_BYTES, 9_000)) {
-                Await.until("it runs", () -> server.runs("p1") == 1, rig::logText);
+                Await.until("the request reaches the backend server", () -> server.runs("p1") == 1, rig::logText);
                 CompletableFuture<Boolean> complete =
                         CompletableFuture.supplyAsync(() -> readsCompleteResponseAfterPause(peer));
                 node.stop();
@@ -211,7 +218,9 @@
         try {
             peer.setSoTimeout(20_000);
             InputStream in = peer.getInputStream();
-            // Not until its end: a node that is closed within this process may leave the connection open.
+            // Reads to the last chunk, not to the end of the stream: a node that is closed within this process may
+            // leave
+            // the connection open.
             while (!isComplete(received)) {
                 int n = in.read(buffer);
                 if (n < 0) {
--- a/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
@@ -31,7 +31,7 @@
 import org.berylwick.node.transport.VmLink;
 import org.junit.jupiter.api.Test;
 
-/** When a backend server that reports nothing counts as gone. */
+/** When an owner marks a backend server absent that sends no heartbeats. */
 class OwnerSilenceTest {
     private static final long MILLISECOND = 1_000_000L;
     private static final long SECOND = 1_000 * MILLISECOND;
@@ -52,7 +52,7 @@
             () -> {});
     private int responseCount;
 
-    /** A backend server that answers all after 20 ms. */
+    /** A backend server that answers each request after 20 ms, on one shared connection. */
     private final class RespondingServer implements ServerConnections, ServerConnection {
         @Override
         public void acquire(long maxIdleNanos, Consumer<ServerConnection> onOpen, Consumer<String> onFailure) {
@@ -82,27 +82,27 @@
 
         @Override
         public void trim() {
-            // Nothing is idle for long.
+            // No idle connections to close.
         }
 
         @Override
         public void close() {
-            // It goes on.
+            // The shared connection stays open.
         }
 
         @Override
         public void giveBack() {
-            // There is one for all.
+            // All requests share one connection.
         }
 
         @Override
         public void readOn(boolean on) {
-            // Answers are short.
+            // Responses have no body.
         }
 
         @Override
         public void abandon() {
-            // Answers always come.
+            // Every request is answered.
         }
 
         @Override
@@ -134,7 +134,7 @@
 
         @Override
         public void onRefused(Refusal refusal) {
-            // Not counted.
+            // Refused requests are not counted.
         }
 
         @Override
@@ -174,8 +174,9 @@
     }
 
     /**
-     * Heartbeats that do not come, as they do not while their sender's other calls to the node are held up: the backend
-     * server answers all it is sent, and its callers would lose it at the first moment without a request under way.
+     * Guards against marking a backend server absent that answers all requests. Its heartbeats do not arrive, as
+     * happens while the sender's other calls to the node are delayed; without counting responses, it would be lost to
+     * its callers at the first moment without a running request.
      */
     @Test
     void backendServerThatRespondsStaysAvailableWithoutHeartbeats() {
@@ -183,11 +184,11 @@
         tickEverySecond();
         sendRequestEvery(700 * MILLISECOND);
         clock.runUntil(30 * SECOND);
-        assertTrue(owner.acceptsRequestsFor("work"), "answered " + responseCount);
+        assertTrue(owner.acceptsRequestsFor("work"), "requests answered: " + responseCount);
         assertEquals(43, responseCount);
     }
 
-    /** One that is sent nothing and says nothing is gone after six heartbeats. */
+    /** A backend server that neither receives requests nor sends heartbeats is marked absent after six intervals. */
     @Test
     void idleBackendServerWithoutHeartbeatsIsMarkedAbsent() {
         report();
