--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -211,7 +211,7 @@
             refuse(Refusal.Reason.EXPIRED, false);
             return;
         }
-        failAsLost("deadline exceeded at the backend server");
+        failAsLost("deadline passed at the backend server");
     }
 
     /** Sends the request to the backend server; a non-idempotent one only on a new or recently used connection. */
@@ -280,7 +280,7 @@
         boolean idMissing = headers.get(headerNames.requestId()) == null;
         if (status < 300
                 && (idMissing || !headers.contains(headerNames.signature()) || headers.contains("Content-Encoding"))) {
-            failAsLost("response without request id or signature, or with a content encoding");
+            failAsLost("answer without id, signature or plain body");
             return;
         }
         headForwarded = true;
