--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedAttempt.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedAttempt.java
@@ -166,7 +166,7 @@
 
         @Override
         public void readOn(boolean on) {
-            attempt.ifPresent(a -> a.readOn(on));
+            attempt.ifPresent(a -> a.setAutoRead(on));
         }
     }
 
@@ -226,7 +226,7 @@
     }
 
     @Override
-    public void readOn(boolean on) {}
+    public void setAutoRead(boolean on) {}
 
     @Override
     public void onSilent() {}
--- a/org.berylwick.node/src/org/berylwick/node/call/Attempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Attempt.java
@@ -6,5 +6,5 @@
     void cancel();
 
     /** Stops or resumes the flow of the answer's body. */
-    void readOn(boolean on);
+    void setAutoRead(boolean on);
 }
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
@@ -56,7 +56,7 @@
     }
 
     void readOn(boolean on) {
-        attempt.readOn(on);
+        attempt.setAutoRead(on);
     }
 
     @Override
@@ -76,7 +76,7 @@
             return;
         }
         if (streaming) {
-            attempt.readOn(call.sink().part(part));
+            attempt.setAutoRead(call.sink().part(part));
             return;
         }
         if (call.context().memory().tryHold(held, part.readableBytes())) {
@@ -91,7 +91,7 @@
         call.context().memory().release(held);
         held = 0;
         call.sink().part(begun);
-        attempt.readOn(call.sink().part(part));
+        attempt.setAutoRead(call.sink().part(part));
     }
 
     @Override
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -367,7 +367,7 @@
     }
 
     @Override
-    public void readOn(boolean on) {
+    public void setAutoRead(boolean on) {
         if (connection != null) {
             connection.readOn(on);
         }
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
@@ -153,7 +153,7 @@
     }
 
     @Override
-    public void readOn(boolean on) {
+    public void setAutoRead(boolean on) {
         if (connection != null) {
             connection.readOn(on);
         }
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -226,7 +226,7 @@
     @Override
     public void readOn(boolean on) {
         if (attempt != null) {
-            attempt.readOn(on);
+            attempt.setAutoRead(on);
         }
     }
 
