--- a/org.berylwick.node/src/org/berylwick/node/call/AttemptListener.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/AttemptListener.java
@@ -32,5 +32,5 @@
     void onLost(String cause);
 
     /** Nothing was heard of the attempt's node for a while; the attempt goes on. May be told more than once. */
-    default void onUnheard() {}
+    default void onNodeSilent() {}
 }
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
@@ -135,7 +135,7 @@
     }
 
     @Override
-    public void onUnheard() {
+    public void onNodeSilent() {
         if (!over) {
             call.onUnheard(this);
         }
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
@@ -72,7 +72,7 @@
             return;
         }
         if (connection.isSentWhole()) {
-            listener.onUnheard();
+            listener.onNodeSilent();
             return;
         }
         // An owner sends nothing on that it does not have whole, and will not get it now.
