--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -53,7 +53,7 @@
     private final EventLog log;
     private final Runnable onChange;
     private final RunQueue queue = new RunQueue();
-    private final BodyGate gate;
+    private final RequestBodyScheduler gate;
 
     private final ServedShares shares = new ServedShares();
     private final Set<OwnerRun> running = new HashSet<>();
@@ -92,7 +92,7 @@
         this.connector = connector;
         this.names = names;
         this.link = link;
-        this.gate = new BodyGate(link.incoming());
+        this.gate = new RequestBodyScheduler(link.incoming());
         this.heartbeatNanos = heartbeatNanos;
         this.counters = counters;
         this.log = log;
--- a/org.berylwick.node/src/org/berylwick/node/call/BodyGate.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RequestBodyScheduler.java
@@ -15,7 +15,7 @@
  * backend server gets nothing to do, looks idle, and is sent still more. So heads come first, without their bodies; an
  * owner refuses at once what would come too late, and asks for the others in the order of their queue.
  */
-final class BodyGate {
+final class RequestBodyScheduler {
     /**
      * What is asked for at once, in time over the link: enough that it does not run dry while the next one is asked.
      */
@@ -26,7 +26,7 @@
     private final Set<OwnerRun> coming = new LinkedHashSet<>();
 
     /** @param link of this VM */
-    BodyGate(IncomingLink link) {
+    RequestBodyScheduler(IncomingLink link) {
         this.link = link;
     }
 
