--- a/org.berylwick.node/src/org/berylwick/node/call/RequestBodyScheduler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RequestBodyScheduler.java
@@ -19,7 +19,7 @@
     /**
      * What is asked for at once, in time over the link: enough that it does not run dry while the next one is asked.
      */
-    private static final long MOST_COMING_NANOS = 60_000_000L;
+    private static final long MAX_RECEIVING_NANOS = 60_000_000L;
 
     private final IncomingLink link;
     private final RunQueue waiting = new RunQueue();
@@ -60,7 +60,7 @@
 
     /** Asks for more if there is room on the link; called when a part has come. */
     void askOn(long now) {
-        while (comingNanos() < MOST_COMING_NANOS) {
+        while (comingNanos() < MAX_RECEIVING_NANOS) {
             Optional<OwnerRun> next = waiting.poll(now);
             if (next.isEmpty()) {
                 return;
