--- a/org.berylwick.node/src/org/berylwick/node/call/RequestBodyScheduler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RequestBodyScheduler.java
@@ -23,7 +23,7 @@
 
     private final IncomingLink link;
     private final RunQueue waiting = new RunQueue();
-    private final Set<OwnerRun> coming = new LinkedHashSet<>();
+    private final Set<OwnerRun> receiving = new LinkedHashSet<>();
 
     /** @param link of this VM */
     RequestBodyScheduler(IncomingLink link) {
@@ -31,7 +31,7 @@
     }
 
     int size() {
-        return waiting.size() + coming.size();
+        return waiting.size() + receiving.size();
     }
 
     /** How long what was taken before a body still takes over the link. */
@@ -47,7 +47,7 @@
     /** Takes a request whose body is still to come. */
     void add(OwnerRun run, boolean timely, long now) {
         if (!run.call().body().isKeptBack()) {
-            coming.add(run);
+            receiving.add(run);
             return;
         }
         if (timely) {
@@ -65,14 +65,14 @@
             if (next.isEmpty()) {
                 return;
             }
-            coming.add(next.get());
+            receiving.add(next.get());
             next.get().askForBody();
         }
     }
 
     private long comingNanos() {
         long nanos = 0;
-        for (OwnerRun run : coming) {
+        for (OwnerRun run : receiving) {
             nanos += link.nanosOf(run.call().body().missing());
         }
         return nanos;
@@ -80,7 +80,7 @@
 
     /** A body is whole, or its request is over. */
     boolean remove(OwnerRun run, long now) {
-        boolean there = coming.remove(run);
+        boolean there = receiving.remove(run);
         waiting.remove(run);
         askOn(now);
         return there;
@@ -89,8 +89,8 @@
     /** Takes out all. */
     List<OwnerRun> drain() {
         List<OwnerRun> all = waiting.drain();
-        all.addAll(coming);
-        coming.clear();
+        all.addAll(receiving);
+        receiving.clear();
         return all;
     }
 }
