--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -330,7 +330,7 @@
         if (running.size() < b.slots() && call.body().isWhole() && linkWait == 0) {
             return Optional.empty();
         }
-        long wait = Math.max(Math.max(waitFor(run, b), linkWait), gate.aheadNanos(call.body()));
+        long wait = Math.max(Math.max(waitFor(run, b), linkWait), gate.transferNanosAhead(call.body()));
         boolean full = waiting() >= QUEUE_PER_SLOT * b.slots() || !(isTimely(run) || queue.takesLate(b.slots()));
         if (full || wait > call.maxWaitNanos() || !run.canMeetDeadline(now + wait + gate.comingNanos(call.body()))) {
             return Optional.of(Refusal.Reason.BUSY);
@@ -343,7 +343,7 @@
         Backend b = backend.orElseThrow();
         int ahead = running.size() + queue.timelyBefore(run);
         RequestBody body = run.call().body();
-        long slotWait = Math.max(waitBehind(ahead, b), gate.aheadNanos(body) + gate.comingNanos(body));
+        long slotWait = Math.max(waitBehind(ahead, b), gate.transferNanosAhead(body) + gate.comingNanos(body));
         long wait = Math.max(slotWait, run.waitForLink());
         return run.canMeetObjective(clock.now() + wait);
     }
--- a/org.berylwick.node/src/org/berylwick/node/call/RequestBodyScheduler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RequestBodyScheduler.java
@@ -35,7 +35,7 @@
     }
 
     /** How long what was taken before a body still takes over the link. */
-    long aheadNanos(RequestBody body) {
+    long transferNanosAhead(RequestBody body) {
         return Math.max(0, link.busyNanos() - link.nanosOf(body.missing()));
     }
 
