--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -332,7 +332,7 @@
         }
         long wait = Math.max(Math.max(waitFor(run, b), linkWait), gate.transferNanosAhead(call.body()));
         boolean full = waiting() >= QUEUE_PER_SLOT * b.slots() || !(isTimely(run) || queue.takesLate(b.slots()));
-        if (full || wait > call.maxWaitNanos() || !run.canMeetDeadline(now + wait + gate.comingNanos(call.body()))) {
+        if (full || wait > call.maxWaitNanos() || !run.canMeetDeadline(now + wait + gate.transferNanos(call.body()))) {
             return Optional.of(Refusal.Reason.BUSY);
         }
         return Optional.empty();
@@ -343,7 +343,7 @@
         Backend b = backend.orElseThrow();
         int ahead = running.size() + queue.timelyBefore(run);
         RequestBody body = run.call().body();
-        long slotWait = Math.max(waitBehind(ahead, b), gate.transferNanosAhead(body) + gate.comingNanos(body));
+        long slotWait = Math.max(waitBehind(ahead, b), gate.transferNanosAhead(body) + gate.transferNanos(body));
         long wait = Math.max(slotWait, run.waitForLink());
         return run.canMeetObjective(clock.now() + wait);
     }
--- a/org.berylwick.node/src/org/berylwick/node/call/RequestBodyScheduler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RequestBodyScheduler.java
@@ -40,7 +40,7 @@
     }
 
     /** How long a body itself takes over the link from when it is asked for. */
-    long comingNanos(RequestBody body) {
+    long transferNanos(RequestBody body) {
         return link.nanosOf(body.missing());
     }
 
