--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -292,7 +292,7 @@
 
     /** A part of a request's body has come. */
     void onPart() {
-        gate.askOn(clock.now());
+        gate.requestBodies(clock.now());
     }
 
     /** All of a request is there. */
--- a/org.berylwick.node/src/org/berylwick/node/call/RequestBodyScheduler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RequestBodyScheduler.java
@@ -55,11 +55,11 @@
         } else {
             waiting.addLate(run);
         }
-        askOn(now);
+        requestBodies(now);
     }
 
     /** Asks for more if there is room on the link; called when a part has come. */
-    void askOn(long now) {
+    void requestBodies(long now) {
         while (comingNanos() < MAX_RECEIVING_NANOS) {
             Optional<OwnerRun> next = waiting.poll(now);
             if (next.isEmpty()) {
@@ -82,7 +82,7 @@
     boolean remove(OwnerRun run, long now) {
         boolean there = receiving.remove(run);
         waiting.remove(run);
-        askOn(now);
+        requestBodies(now);
         return there;
     }
 
