--- a/org.berylwick.node/src/org/berylwick/node/call/RequestBodyScheduler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RequestBodyScheduler.java
@@ -60,7 +60,7 @@
 
     /** Asks for more if there is room on the link; called when a part has come. */
     void requestBodies(long now) {
-        while (comingNanos() < MAX_RECEIVING_NANOS) {
+        while (receivingNanos() < MAX_RECEIVING_NANOS) {
             Optional<OwnerRun> next = waiting.poll(now);
             if (next.isEmpty()) {
                 return;
@@ -70,7 +70,7 @@
         }
     }
 
-    private long comingNanos() {
+    private long receivingNanos() {
         long nanos = 0;
         for (OwnerRun run : receiving) {
             nanos += link.nanosOf(run.call().body().missing());
