--- a/org.berylwick.node/src/org/berylwick/node/call/CallPath.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallPath.java
@@ -16,7 +16,7 @@
 /** Puts the parts of the call path together. */
 public final class CallPath {
     /** Part of the process's memory that gathered answers may hold. */
-    private static final int GATHER_SHARE = 6;
+    private static final int BUFFER_MEMORY_DIVISOR = 6;
 
     /**
      * What an entry knows of those that call.
@@ -62,7 +62,7 @@
                 starter,
                 candidates,
                 budget,
-                (long) settings.memoryMb() * (1 << 20) / GATHER_SHARE,
+                (long) settings.memoryMb() * (1 << 20) / BUFFER_MEMORY_DIVISOR,
                 instruments,
                 () -> ThreadLocalRandom.current().nextDouble());
         counters.gauge(NodeMetricNames.ENTRY_GATHERED_BYTES, calls::gatheredBytes);
