--- a/org.berylwick.node/src/org/berylwick/node/call/CallPath.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallPath.java
@@ -21,11 +21,11 @@
     /**
      * What an entry knows of those that call.
      *
-     * @param names headers that they know
+     * @param headerNames headers that they know
      * @param version in force
      * @param service on this VM
      */
-    public record Callers(HeaderNames names, Supplier<Optional<MeshVersion>> version, Supplier<String> service) {}
+    public record Callers(HeaderNames headerNames, Supplier<Optional<MeshVersion>> version, Supplier<String> service) {}
 
     private CallPath() {}
 
@@ -57,7 +57,7 @@
                         : owner.offer(call, listener);
         EntryCalls calls = new EntryCalls(
                 new EventLoopClock(loop),
-                callers.names(),
+                callers.headerNames(),
                 callers.service(),
                 starter,
                 candidates,
