--- a/org.berylwick.node/src/org/berylwick/node/call/CallPath.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallPath.java
@@ -23,9 +23,9 @@
      *
      * @param headerNames headers that they know
      * @param version in force
-     * @param service on this VM
+     * @param callerService on this VM
      */
-    public record Callers(HeaderNames headerNames, Supplier<Optional<MeshVersion>> version, Supplier<String> service) {}
+    public record Callers(HeaderNames headerNames, Supplier<Optional<MeshVersion>> version, Supplier<String> callerService) {}
 
     private CallPath() {}
 
@@ -58,7 +58,7 @@
         EntryCalls calls = new EntryCalls(
                 new EventLoopClock(loop),
                 callers.headerNames(),
-                callers.service(),
+                callers.callerService(),
                 starter,
                 candidates,
                 budget,
