--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -117,7 +117,7 @@
                 new Directory(loop, ports.directory(loop), gossip, counters, log, settings.name(), settings.ip());
         RetryBudget budget =
                 new RetryBudget(settings.bounds(), this::nodeCount, directory::isListed, System.nanoTime());
-        this.entry = CallPath.entry(
+        this.entry = CallPath.createEntryServer(
                 loop,
                 settings,
                 new CallPath.Callers(ports.headerNames(), versions::version, () -> service),
--- a/org.berylwick.node/src/org/berylwick/node/call/CallPath.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallPath.java
@@ -41,7 +41,7 @@
      * @param budget for repeats
      * @param instruments take counts and events
      */
-    public static EntryServer entry(
+    public static EntryServer createEntryServer(
             EventLoop loop,
             NodeSettings settings,
             Callers callers,
