--- a/org.berylwick.node/src/org/berylwick/node/call/CallSpec.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallSpec.java
@@ -16,7 +16,7 @@
  * @param body as it comes; each attempt sends it from its beginning
  * @param service that is to run it
  * @param callerService on the VM where it began
- * @param like the class of its route
+ * @param requestClass the class of its route
  * @param objectiveAt when its latency objective ends, {@link System#nanoTime} terms
  * @param deadlineAt when nobody waits any more
  * @param maxWaitNanos the longest it may wait for a slot at the owner
@@ -31,7 +31,7 @@
         RequestBody body,
         String service,
         String callerService,
-        RequestClass like,
+        RequestClass requestClass,
         long objectiveAt,
         long deadlineAt,
         long maxWaitNanos,
@@ -39,12 +39,12 @@
         int answerBytes) {
     /** What may be repeated. */
     public RouteKind kind() {
-        return like.kind();
+        return requestClass.kind();
     }
 
     /** Rank, 0 the highest. */
     public int priority() {
-        return like.priority();
+        return requestClass.priority();
     }
 
     /** The same request with its body as it comes here. */
@@ -57,7 +57,7 @@
                 here,
                 service,
                 callerService,
-                like,
+                requestClass,
                 objectiveAt,
                 deadlineAt,
                 maxWaitNanos,
@@ -81,7 +81,7 @@
                 body,
                 service,
                 callerService,
-                like,
+                requestClass,
                 objectiveAt,
                 deadlineAt,
                 waitNanos,
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -98,7 +98,7 @@
         long now = context.clock().now();
         context.budget().onRequest(spec.service(), now);
         if (returned) {
-            context.returns().onReturned(spec.like());
+            context.returns().onReturned(spec.requestClass());
         }
         deadline = context.clock().at(spec.deadlineAt() + LAST_WORD_NANOS, this::onDeadline);
         next(false);
@@ -122,13 +122,13 @@
     private Optional<CandidateChooser.Choice> choose(long now) {
         List<Candidate> candidates = context.candidates().of(spec.service(), tried, now);
         ChoiceQuestion question = new ChoiceQuestion(
-                spec.like(),
+                spec.requestClass(),
                 spec.answerBytes() + spec.body().length(),
                 context.habits().expectedNanos(route),
                 spec.objectiveAt() - now,
                 spec.deadlineAt() - now,
                 waitUntil - now,
-                returned ? 0 : context.returns().share(spec.like()),
+                returned ? 0 : context.returns().share(spec.requestClass()),
                 refusals + 1 >= MOST_REFUSALS);
         return context.chooser().choose(candidates, question);
     }
@@ -397,7 +397,7 @@
         // Callers refused together would come back together.
         double spread = wait * (0.75 + 0.5 * context.chance().getAsDouble());
         double seconds = Math.max(SHORTEST_RETRY_AFTER_S, Math.min(LONGEST_RETRY_AFTER_S, spread));
-        context.returns().onRefused(spec.like());
+        context.returns().onRefused(spec.requestClass());
         context.counters().add(NodeMetricNames.ENTRY_REFUSED);
         log(Event.CALL_REFUSED, 503, "");
         sink.reply(503, retryAfter(seconds), Unpooled.EMPTY_BUFFER);
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerCodec.java
@@ -44,7 +44,7 @@
                 + ';'
                 + call.priority()
                 + ';'
-                + call.like().objectiveMillis()
+                + call.requestClass().objectiveMillis()
                 + ';'
                 + millis(call.objectiveAt() - now)
                 + ';'
--- a/org.berylwick.node/src/org/berylwick/node/call/ServedShares.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ServedShares.java
@@ -53,7 +53,7 @@
     }
 
     private Counts counts(CallSpec call, long now) {
-        Counts counts = byKind.computeIfAbsent(call.like(), k -> new Counts());
+        Counts counts = byKind.computeIfAbsent(call.requestClass(), k -> new Counts());
         counts.decay(now);
         return counts;
     }
--- a/org.berylwick.node/src/org/berylwick/node/call/ServiceTimes.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ServiceTimes.java
@@ -56,15 +56,15 @@
     }
 
     void learn(CallSpec call, long nanos) {
-        byKind.computeIfAbsent(call.like(), Learnt::new).learn(nanos);
+        byKind.computeIfAbsent(call.requestClass(), Learnt::new).learn(nanos);
         answers++;
         overall += Math.max(NEW_SHARE, 1.0 / answers) * (nanos - overall);
     }
 
     /** The time of a request like this one. */
     KindTime time(CallSpec call) {
-        Learnt learnt = byKind.get(call.like());
-        return learnt == null ? KindTime.ofMean(call.like(), unseenNanos(call.like())) : learnt.time();
+        Learnt learnt = byKind.get(call.requestClass());
+        return learnt == null ? KindTime.ofMean(call.requestClass(), unseenNanos(call.requestClass())) : learnt.time();
     }
 
     /** The times of all kinds that were seen. */
