--- a/org.berylwick.node/src/org/berylwick/node/call/CallSpec.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallSpec.java
@@ -20,7 +20,7 @@
  * @param objectiveAt when its latency objective ends, {@link System#nanoTime} terms
  * @param deadlineAt when nobody waits any more
  * @param maxWaitNanos the longest it may wait for a slot at the owner
- * @param attempt 1 for the first backend server it is sent to
+ * @param attemptNumber 1 for the first backend server it is sent to
  * @param answerBytes that its answer is expected to have, 0 if it does not leave the VM
  */
 public record CallSpec(
@@ -35,7 +35,7 @@
         long objectiveAt,
         long deadlineAt,
         long maxWaitNanos,
-        int attempt,
+        int attemptNumber,
         int answerBytes) {
     /** What may be repeated. */
     public RouteKind kind() {
@@ -61,7 +61,7 @@
                 objectiveAt,
                 deadlineAt,
                 maxWaitNanos,
-                attempt,
+                attemptNumber,
                 answerBytes);
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerCodec.java
@@ -52,7 +52,7 @@
                 + ';'
                 + millis(call.maxWaitNanos())
                 + ';'
-                + call.attempt()
+                + call.attemptNumber()
                 + ';'
                 + call.answerBytes()
                 + ';'
