--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedAttempt.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedAttempt.java
@@ -56,7 +56,7 @@
         member.onSent(
                 this,
                 call.body().length(),
-                call.answerBytes(),
+                call.expectedResponseBytes(),
                 emulation.clock().now());
         boolean streamed = call.body().length() >= RequestBody.LEAST_STREAMED;
         int withHead = HEADER_BYTES + (streamed ? 0 : call.body().length());
--- a/org.berylwick.node/src/org/berylwick/node/call/CallSpec.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallSpec.java
@@ -21,7 +21,7 @@
  * @param deadlineAt when nobody waits any more
  * @param maxWaitNanos the longest it may wait for a slot at the owner
  * @param attemptNumber 1 for the first backend server it is sent to
- * @param answerBytes that its answer is expected to have, 0 if it does not leave the VM
+ * @param expectedResponseBytes that its answer is expected to have, 0 if it does not leave the VM
  */
 public record CallSpec(
         String id,
@@ -36,7 +36,7 @@
         long deadlineAt,
         long maxWaitNanos,
         int attemptNumber,
-        int answerBytes) {
+        int expectedResponseBytes) {
     /** What may be repeated. */
     public RouteKind kind() {
         return requestClass.kind();
@@ -62,7 +62,7 @@
                 deadlineAt,
                 maxWaitNanos,
                 attemptNumber,
-                answerBytes);
+                expectedResponseBytes);
     }
 
     /**
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -123,7 +123,7 @@
         List<Candidate> candidates = context.candidates().of(spec.service(), tried, now);
         ChoiceQuestion question = new ChoiceQuestion(
                 spec.requestClass(),
-                spec.answerBytes() + spec.body().length(),
+                spec.expectedResponseBytes() + spec.body().length(),
                 context.habits().expectedNanos(route),
                 spec.objectiveAt() - now,
                 spec.deadlineAt() - now,
@@ -138,7 +138,7 @@
         Candidate candidate = choice.candidate();
         tried.add(candidate.key());
         // An answer of this VM's own backend server does not go over the link.
-        int linkBytes = candidate.member().isPresent() ? spec.answerBytes() : 0;
+        int linkBytes = candidate.member().isPresent() ? spec.expectedResponseBytes() : 0;
         CallSpec attempt = spec.forAttempt(attempts, choice.maxWaitNanos(), linkBytes);
         EntryAttempt listener = new EntryAttempt(this, candidate, now);
         live = Optional.of(listener);
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -67,8 +67,8 @@
         this.dueAt = call.objectiveAt() + call.priority() * RunQueue.RANK_NANOS - forwardNanos;
         this.queuedAt = clock.now();
         this.number = owner.nextNumber();
-        if (owner.outgoing().isLarge(call.answerBytes())) {
-            this.answerNanos = owner.outgoing().nanosOf(call.answerBytes());
+        if (owner.outgoing().isLarge(call.expectedResponseBytes())) {
+            this.answerNanos = owner.outgoing().nanosOf(call.expectedResponseBytes());
         }
     }
 
@@ -103,7 +103,7 @@
 
     /** It is taken: others have its answer before them. */
     void announceAnswer() {
-        expectedBytes = answerNanos == 0 ? 0 : call.answerBytes();
+        expectedBytes = answerNanos == 0 ? 0 : call.expectedResponseBytes();
         owner.outgoing().onExpected(expectedBytes);
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
@@ -35,7 +35,7 @@
     /** Sends a request to another node. */
     static PeerAttempt start(Member member, CallSpec call, AttemptListener listener) {
         PeerAttempt attempt = new PeerAttempt(member, call, listener);
-        member.onSent(attempt, call.body().length(), call.answerBytes(), System.nanoTime());
+        member.onSent(attempt, call.body().length(), call.expectedResponseBytes(), System.nanoTime());
         member.pool().acquire(IDLE_NANOS, attempt::send, attempt::onUnreachable);
         return attempt;
     }
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerCodec.java
@@ -54,7 +54,7 @@
                 + ';'
                 + call.attemptNumber()
                 + ';'
-                + call.answerBytes()
+                + call.expectedResponseBytes()
                 + ';'
                 + call.id();
     }
