--- a/org.berylwick.node/src/org/berylwick/node/call/CallTrace.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallTrace.java
@@ -10,7 +10,7 @@
     private final Route route;
     private final long versionNumber;
     private final long receivedAt;
-    private final StringBuilder tried = new StringBuilder();
+    private final StringBuilder outcomes = new StringBuilder();
     private String cause = "";
 
     CallTrace(EntryContext context, CallSpec spec, Route route, long versionNumber, long receivedAt) {
@@ -24,7 +24,7 @@
     /** An attempt came to something. */
     void onOutcome(EntryAttempt attempt, String outcome) {
         String key = attempt.candidate().key();
-        tried.append(tried.isEmpty() ? "" : " ")
+        outcomes.append(outcomes.isEmpty() ? "" : " ")
                 .append(key.isEmpty() ? "self" : key)
                 .append('=')
                 .append(outcome)
@@ -71,7 +71,7 @@
                         "repeat",
                         repeated,
                         "tried",
-                        tried,
+                        outcomes,
                         "cause",
                         cause,
                         "ms",
