--- a/org.berylwick.node/src/org/berylwick/node/call/CallTrace.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallTrace.java
@@ -22,7 +22,7 @@
     }
 
     /** An attempt came to something. */
-    void onOutcome(EntryAttempt attempt, String outcome) {
+    void recordOutcome(EntryAttempt attempt, String outcome) {
         String key = attempt.candidate().key();
         outcomes.append(outcomes.isEmpty() ? "" : " ")
                 .append(key.isEmpty() ? "self" : key)
@@ -35,7 +35,7 @@
 
     /** The same, and it is the reason for what happens next. */
     void onEnd(EntryAttempt attempt, String outcome) {
-        onOutcome(attempt, outcome);
+        recordOutcome(attempt, outcome);
         cause = outcome;
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -152,7 +152,7 @@
         }
         if (leavesOther(attempt)) {
             mayHaveRun--;
-            trace.onOutcome(attempt, refusal.reason().name());
+            trace.recordOutcome(attempt, refusal.reason().name());
             return;
         }
         refusals++;
@@ -201,7 +201,7 @@
         }
         mayHaveRun++;
         unheard = live;
-        trace.onOutcome(attempt, "UNHEARD");
+        trace.recordOutcome(attempt, "UNHEARD");
         context.log()
                 .write(
                         Event.ATTEMPT_UNHEARD,
@@ -218,7 +218,7 @@
             return;
         }
         boolean repeated = leavesOther(attempt);
-        trace.onOutcome(attempt, "LOST");
+        trace.recordOutcome(attempt, "LOST");
         trace.setCause(cause);
         context.log()
                 .write(
@@ -384,9 +384,9 @@
         live.ifPresent(a -> {
             // A backend server is sent nothing of a request before all of it is at its owner.
             mayHaveRun += spec.body().isWhole() ? 1 : 0;
-            trace.onOutcome(a, "PENDING");
+            trace.recordOutcome(a, "PENDING");
         });
-        unheard.ifPresent(a -> trace.onOutcome(a, "PENDING"));
+        unheard.ifPresent(a -> trace.recordOutcome(a, "PENDING"));
         cancelAttempts();
         conclude();
     }
