--- a/org.berylwick.node/src/org/berylwick/node/call/CallTrace.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallTrace.java
@@ -34,7 +34,7 @@
     }
 
     /** The same, and it is the reason for what happens next. */
-    void onEnd(EntryAttempt attempt, String outcome) {
+    void recordDecisiveOutcome(EntryAttempt attempt, String outcome) {
         recordOutcome(attempt, outcome);
         cause = outcome;
     }
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -161,7 +161,7 @@
             // It told how busy it is; the others may be busier.
             tried.remove(attempt.candidate().key());
         }
-        trace.onEnd(attempt, refusal.reason().name());
+        trace.recordDecisiveOutcome(attempt, refusal.reason().name());
         context.counters().add(NodeMetricNames.ENTRY_REFUSALS_BY_REASON + refusal.reason());
         if (refusal.load().slots() > 0) {
             long wait = refusal.load().waitNanos()
@@ -276,7 +276,7 @@
         boolean repeated = leavesOther(attempt);
         mayHaveRun += repeated ? 0 : 1;
         if (status >= 500 && spec.kind().isRepeatable()) {
-            trace.onEnd(attempt, "status " + status);
+            trace.recordDecisiveOutcome(attempt, "status " + status);
             dropFailure();
             failure = Optional.of(new Failure(attempt, status, headers, body));
             if (!repeated) {
