--- a/org.berylwick.node/src/org/berylwick/node/call/CallTrace.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallTrace.java
@@ -44,7 +44,7 @@
     }
 
     /** The call ends with what there is. */
-    void onGivenUp(String why) {
+    void recordAbort(String why) {
         cause = cause.isEmpty() ? why : why + ", before that " + cause;
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -380,7 +380,7 @@
     }
 
     private void giveUp(String why) {
-        trace.onGivenUp(why);
+        trace.recordAbort(why);
         live.ifPresent(a -> {
             // A backend server is sent nothing of a request before all of it is at its owner.
             mayHaveRun += spec.body().isWhole() ? 1 : 0;
