--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedCaller.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedCaller.java
@@ -2,7 +2,7 @@
 
 import io.netty.buffer.Unpooled;
 import java.util.Optional;
-import org.berylwick.node.call.CallerCall;
+import org.berylwick.node.call.CallHandle;
 import org.berylwick.node.lib.Clock;
 import org.berylwick.node.transport.RequestBody;
 
@@ -27,7 +27,7 @@
     private int attempts;
     private boolean wasRefused;
     private boolean over;
-    private Optional<CallerCall> call = Optional.empty();
+    private Optional<CallHandle> call = Optional.empty();
     private Optional<EmulatedSink> sink = Optional.empty();
     private Optional<EmulatedWay.BodyFlow> flow = Optional.empty();
     private final Clock.Alarm leaves;
@@ -122,7 +122,7 @@
             return;
         }
         sink.ifPresent(EmulatedSink::close);
-        call.ifPresent(CallerCall::abandon);
+        call.ifPresent(CallHandle::abandon);
         emulation.forget(id);
         end(Outcomes.End.FAILED);
     }
--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedNode.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedNode.java
@@ -13,7 +13,7 @@
 import org.berylwick.node.call.Attempt;
 import org.berylwick.node.call.AttemptListener;
 import org.berylwick.node.call.CallSpec;
-import org.berylwick.node.call.CallerCall;
+import org.berylwick.node.call.CallHandle;
 import org.berylwick.node.call.Candidate;
 import org.berylwick.node.call.Candidates;
 import org.berylwick.node.call.EntryCalls;
@@ -210,14 +210,14 @@
      * @param body of it, which may still be coming
      * @param sink hears the answer
      */
-    CallerCall call(String id, RequestKind kind, long leftNanos, RequestBody body, EmulatedSink sink) {
+    CallHandle call(String id, RequestKind kind, long leftNanos, RequestBody body, EmulatedSink sink) {
         HttpHeaders headers = new DefaultHttpHeaders();
         headers.set(Emulation.NAMES.requestId(), id);
         headers.set(Emulation.NAMES.deadline(), leftNanos / 1_000_000);
         MeshVersion version = emulation.version();
         EntryCalls.CallerRequest request =
                 new EntryCalls.CallerRequest(HttpMethod.GET, "/" + kind.name() + "/x", headers, body);
-        CallerCall call =
+        CallHandle call =
                 entry.open(version, version.route(Emulation.HOST, request.uri()).orElseThrow(), request, sink);
         call.start();
         return call;
@@ -233,10 +233,10 @@
             emulation.forget(id);
             onAnswer.accept(status == 200);
         });
-        Optional<CallerCall> call = Optional.of(call(id, kind, left, RequestBody.of(Unpooled.EMPTY_BUFFER), sink));
+        Optional<CallHandle> call = Optional.of(call(id, kind, left, RequestBody.of(Unpooled.EMPTY_BUFFER), sink));
         return () -> {
             sink.close();
-            call.ifPresent(CallerCall::abandon);
+            call.ifPresent(CallHandle::abandon);
         };
     }
 }
--- a/org.berylwick.node/src/org/berylwick/node/call/CallerCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallHandle.java
@@ -1,7 +1,7 @@
 package org.berylwick.node.call;
 
 /** A caller's call that is under way; used on the event loop. */
-public interface CallerCall {
+public interface CallHandle {
     /** Sends it; its answer may come before this returns. */
     void start();
 
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -20,7 +20,7 @@
  * repeatable and the fleet's budget for repeats has room. An attempt at a node that is no longer heard may still be
  * answered: it goes on beside the repeat, and the first good answer counts.
  */
-final class EntryCall implements CallerCall {
+final class EntryCall implements CallHandle {
     /** Owners that refuse cost a round trip each; after so many the fleet is full. */
     private static final int MOST_REFUSALS = 3;
     /**
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCalls.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCalls.java
@@ -81,7 +81,7 @@
      * @param request of the caller
      * @param sink takes the answer
      */
-    public CallerCall open(MeshVersion version, Route route, CallerRequest request, ReplySink sink) {
+    public CallHandle open(MeshVersion version, Route route, CallerRequest request, ReplySink sink) {
         long now = context.clock().now();
         HttpHeaders headers = Headers.endToEnd(request.headers());
         String id = headers.get(context.names().requestId(), "");
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -62,7 +62,7 @@
     private CompositeByteBuf gathered;
     private RequestBody body;
     private long bodyBytes;
-    private CallerCall call;
+    private CallHandle call;
     private boolean busy;
     private boolean keepAlive;
     private boolean headRequest;
