--- a/org.berylwick.node/src/org/berylwick/node/call/CallHandle.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallHandle.java
@@ -10,7 +10,7 @@
      *
      * @param at by when, {@link System#nanoTime} terms
      */
-    void endBy(long at);
+    void concludeBy(long at);
 
     /** The caller has gone. */
     void abandon();
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -355,7 +355,7 @@
     }
 
     @Override
-    public void endBy(long at) {
+    public void concludeBy(long at) {
         if (done || at >= spec.deadlineAt()) {
             return;
         }
