--- a/org.berylwick.node/src/org/berylwick/node/call/CallHandle.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallHandle.java
@@ -16,5 +16,5 @@
     void abandon();
 
     /** Resumes or stops the flow of an answer that is streamed. */
-    void readOn(boolean on);
+    void setAutoRead(boolean on);
 }
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -428,7 +428,7 @@
     }
 
     @Override
-    public void readOn(boolean on) {
+    public void setAutoRead(boolean on) {
         streaming.ifPresent(a -> a.readOn(on));
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -384,7 +384,7 @@
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
         if (call != null) {
-            call.readOn(channel.isWritable());
+            call.setAutoRead(channel.isWritable());
         }
     }
 
