--- a/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
@@ -13,7 +13,7 @@
  * that is too large for that is streamed.
  */
 final class EntryAttempt implements AttemptListener {
-    private static final int MOST_PARTS = 1024;
+    private static final int MAX_COMPONENTS = 1024;
 
     private final EntryCall call;
     private final Candidate candidate;
@@ -66,7 +66,7 @@
         }
         status = answerStatus;
         headers = answerHeaders;
-        gathered = Unpooled.compositeBuffer(MOST_PARTS);
+        gathered = Unpooled.compositeBuffer(MAX_COMPONENTS);
     }
 
     @Override
