--- a/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
@@ -21,7 +21,7 @@
     private Attempt attempt;
     private int status;
     private HttpHeaders headers;
-    private CompositeByteBuf gathered;
+    private CompositeByteBuf buffered;
     private int held;
     private boolean streaming;
     private boolean over;
@@ -66,7 +66,7 @@
         }
         status = answerStatus;
         headers = answerHeaders;
-        gathered = Unpooled.compositeBuffer(MAX_COMPONENTS);
+        buffered = Unpooled.compositeBuffer(MAX_COMPONENTS);
     }
 
     @Override
@@ -81,13 +81,13 @@
         }
         if (call.context().memory().tryHold(held, part.readableBytes())) {
             held += part.readableBytes();
-            gathered.addComponent(true, part);
+            buffered.addComponent(true, part);
             return;
         }
         streaming = true;
         call.onStreaming(this, status, headers);
-        ByteBuf begun = gathered;
-        gathered = null;
+        ByteBuf begun = buffered;
+        buffered = null;
         call.context().memory().release(held);
         held = 0;
         call.sink().part(begun);
@@ -104,8 +104,8 @@
             call.onStreamed(this, true);
             return;
         }
-        ByteBuf whole = gathered;
-        gathered = null;
+        ByteBuf whole = buffered;
+        buffered = null;
         call.context().memory().release(held);
         held = 0;
         call.onAnswer(this, status, headers, whole);
@@ -146,9 +146,9 @@
     }
 
     private void releaseGathered() {
-        if (gathered != null) {
-            gathered.release();
-            gathered = null;
+        if (buffered != null) {
+            buffered.release();
+            buffered = null;
             call.context().memory().release(held);
             held = 0;
         }
