--- a/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
@@ -22,7 +22,7 @@
     private int status;
     private HttpHeaders headers;
     private CompositeByteBuf buffered;
-    private int held;
+    private int bufferedBytes;
     private boolean streaming;
     private boolean over;
 
@@ -79,8 +79,8 @@
             attempt.setAutoRead(call.sink().part(part));
             return;
         }
-        if (call.context().memory().tryHold(held, part.readableBytes())) {
-            held += part.readableBytes();
+        if (call.context().memory().tryHold(bufferedBytes, part.readableBytes())) {
+            bufferedBytes += part.readableBytes();
             buffered.addComponent(true, part);
             return;
         }
@@ -88,8 +88,8 @@
         call.onStreaming(this, status, headers);
         ByteBuf begun = buffered;
         buffered = null;
-        call.context().memory().release(held);
-        held = 0;
+        call.context().memory().release(bufferedBytes);
+        bufferedBytes = 0;
         call.sink().part(begun);
         attempt.setAutoRead(call.sink().part(part));
     }
@@ -106,8 +106,8 @@
         }
         ByteBuf whole = buffered;
         buffered = null;
-        call.context().memory().release(held);
-        held = 0;
+        call.context().memory().release(bufferedBytes);
+        bufferedBytes = 0;
         call.onAnswer(this, status, headers, whole);
     }
 
@@ -149,8 +149,8 @@
         if (buffered != null) {
             buffered.release();
             buffered = null;
-            call.context().memory().release(held);
-            held = 0;
+            call.context().memory().release(bufferedBytes);
+            bufferedBytes = 0;
         }
     }
 }
