--- a/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
@@ -24,7 +24,7 @@
     private CompositeByteBuf buffered;
     private int bufferedBytes;
     private boolean streaming;
-    private boolean over;
+    private boolean ended;
 
     EntryAttempt(EntryCall call, Candidate candidate, long startedAt) {
         this.call = call;
@@ -45,7 +45,7 @@
     }
 
     void cancel() {
-        if (over) {
+        if (ended) {
             return;
         }
         end();
@@ -61,7 +61,7 @@
 
     @Override
     public void onHead(int answerStatus, HttpHeaders answerHeaders, OwnerLoad load) {
-        if (over) {
+        if (ended) {
             return;
         }
         status = answerStatus;
@@ -71,7 +71,7 @@
 
     @Override
     public void onBody(ByteBuf part) {
-        if (over) {
+        if (ended) {
             part.release();
             return;
         }
@@ -96,7 +96,7 @@
 
     @Override
     public void onEnd() {
-        if (over) {
+        if (ended) {
             return;
         }
         end();
@@ -113,7 +113,7 @@
 
     @Override
     public void onRefused(Refusal refusal) {
-        if (over) {
+        if (ended) {
             return;
         }
         end();
@@ -122,7 +122,7 @@
 
     @Override
     public void onLost(String cause) {
-        if (over) {
+        if (ended) {
             return;
         }
         end();
@@ -136,13 +136,13 @@
 
     @Override
     public void onNodeSilent() {
-        if (!over) {
+        if (!ended) {
             call.onUnheard(this);
         }
     }
 
     private void end() {
-        over = true;
+        ended = true;
     }
 
     private void releaseGathered() {
