--- a/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
@@ -32,7 +32,7 @@
         this.startedAt = startedAt;
     }
 
-    void use(Attempt started) {
+    void setAttempt(Attempt started) {
         attempt = started;
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -142,7 +142,7 @@
         CallSpec attempt = spec.forAttempt(attempts, choice.maxWaitNanos(), linkBytes);
         EntryAttempt listener = new EntryAttempt(this, candidate, now);
         live = Optional.of(listener);
-        listener.use(context.starter().start(candidate, attempt, listener));
+        listener.setAttempt(context.starter().start(candidate, attempt, listener));
     }
 
     /** An attempt was not run. */
