--- a/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
@@ -55,7 +55,7 @@
         }
     }
 
-    void readOn(boolean on) {
+    void setAutoRead(boolean on) {
         attempt.setAutoRead(on);
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -429,7 +429,7 @@
 
     @Override
     public void setAutoRead(boolean on) {
-        streaming.ifPresent(a -> a.readOn(on));
+        streaming.ifPresent(a -> a.setAutoRead(on));
     }
 
     private void finish() {
