--- a/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
@@ -48,7 +48,7 @@
         if (ended) {
             return;
         }
-        end();
+        markEnded();
         releaseGathered();
         if (attempt != null) {
             attempt.cancel();
@@ -99,7 +99,7 @@
         if (ended) {
             return;
         }
-        end();
+        markEnded();
         if (streaming) {
             call.onStreamed(this, true);
             return;
@@ -116,7 +116,7 @@
         if (ended) {
             return;
         }
-        end();
+        markEnded();
         call.onRefused(this, refusal);
     }
 
@@ -125,7 +125,7 @@
         if (ended) {
             return;
         }
-        end();
+        markEnded();
         releaseGathered();
         if (streaming) {
             call.onStreamed(this, false);
@@ -141,7 +141,7 @@
         }
     }
 
-    private void end() {
+    private void markEnded() {
         ended = true;
     }
 
