--- a/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
@@ -49,7 +49,7 @@
             return;
         }
         markEnded();
-        releaseGathered();
+        releaseBuffered();
         if (attempt != null) {
             attempt.cancel();
         }
@@ -126,7 +126,7 @@
             return;
         }
         markEnded();
-        releaseGathered();
+        releaseBuffered();
         if (streaming) {
             call.onStreamed(this, false);
             return;
@@ -145,7 +145,7 @@
         ended = true;
     }
 
-    private void releaseGathered() {
+    private void releaseBuffered() {
         if (buffered != null) {
             buffered.release();
             buffered = null;
