--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -22,7 +22,7 @@
  */
 final class EntryCall implements CallHandle {
     /** Owners that refuse cost a round trip each; after so many the fleet is full. */
-    private static final int MOST_REFUSALS = 3;
+    private static final int MAX_REFUSALS = 3;
     /**
      * Part of its objective that a request waits for slots, at all nodes together: longer waits make others late, and a
      * caller that is refused early can still come back.
@@ -111,7 +111,7 @@
      */
     private void next(boolean repeat) {
         long now = context.clock().now();
-        Optional<CandidateChooser.Choice> choice = refusals >= MOST_REFUSALS ? Optional.empty() : choose(now);
+        Optional<CandidateChooser.Choice> choice = refusals >= MAX_REFUSALS ? Optional.empty() : choose(now);
         if (choice.isPresent() && (!repeat || takeRepeat(now))) {
             launch(choice.get(), now);
             return;
@@ -129,7 +129,7 @@
                 spec.deadlineAt() - now,
                 waitUntil - now,
                 returned ? 0 : context.returns().share(spec.requestClass()),
-                refusals + 1 >= MOST_REFUSALS);
+                refusals + 1 >= MAX_REFUSALS);
         return context.chooser().choose(candidates, question);
     }
 
@@ -191,7 +191,7 @@
      */
     void onUnheard(EntryAttempt attempt) {
         boolean settled = done || streaming.isPresent() || unheard.isPresent();
-        if (settled || refusals >= MOST_REFUSALS || !mayRunAgain(mayHaveRun + 1)) {
+        if (settled || refusals >= MAX_REFUSALS || !mayRunAgain(mayHaveRun + 1)) {
             return;
         }
         long now = context.clock().now();
