--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -27,7 +27,7 @@
      * Part of its objective that a request waits for slots, at all nodes together: longer waits make others late, and a
      * caller that is refused early can still come back.
      */
-    private static final double LONGEST_WAIT = 0.4;
+    private static final double MAX_QUEUE_WAIT_SHARE = 0.4;
     /** An owner's last word may still be on its way when the deadline has passed. */
     private static final long LAST_WORD_NANOS = 10_000_000L;
     /** Part of the usual time that must be left for another run. */
@@ -75,7 +75,7 @@
         this.route = route;
         this.spec = spec;
         this.receivedAt = receivedAt;
-        this.waitUntil = receivedAt + (long) (LONGEST_WAIT * (spec.objectiveAt() - receivedAt));
+        this.waitUntil = receivedAt + (long) (MAX_QUEUE_WAIT_SHARE * (spec.objectiveAt() - receivedAt));
         this.returned = returned;
         this.sink = sink;
         this.trace = new CallTrace(context, spec, route, versionNumber, receivedAt);
