--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -29,7 +29,7 @@
      */
     private static final double MAX_QUEUE_WAIT_SHARE = 0.4;
     /** An owner's last word may still be on its way when the deadline has passed. */
-    private static final long LAST_WORD_NANOS = 10_000_000L;
+    private static final long DEADLINE_GRACE_NANOS = 10_000_000L;
     /** Part of the usual time that must be left for another run. */
     private static final double LEAST_TIME = 0.5;
 
@@ -100,7 +100,7 @@
         if (returned) {
             context.returns().onReturned(spec.requestClass());
         }
-        deadline = context.clock().at(spec.deadlineAt() + LAST_WORD_NANOS, this::onDeadline);
+        deadline = context.clock().at(spec.deadlineAt() + DEADLINE_GRACE_NANOS, this::onDeadline);
         next(false);
     }
 
