--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -31,7 +31,7 @@
     /** An owner's last word may still be on its way when the deadline has passed. */
     private static final long DEADLINE_GRACE_NANOS = 10_000_000L;
     /** Part of the usual time that must be left for another run. */
-    private static final double LEAST_TIME = 0.5;
+    private static final double MIN_RETRY_TIME_SHARE = 0.5;
 
     private static final double SHORTEST_RETRY_AFTER_S = 0.05;
     private static final double LONGEST_RETRY_AFTER_S = 1.0;
@@ -247,7 +247,7 @@
     }
 
     private boolean mayRunAgain(int runs) {
-        long enough = (long) (context.habits().expectedNanos(route) * LEAST_TIME);
+        long enough = (long) (context.habits().expectedNanos(route) * MIN_RETRY_TIME_SHARE);
         return spec.kind().isRepeatable()
                 && runs < Math.max(1, route.maxAttempts())
                 && context.clock().now() + enough < spec.deadlineAt();
