--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -35,7 +35,7 @@
 
     private static final double MIN_RETRY_AFTER_S = 0.05;
     private static final double MAX_RETRY_AFTER_S = 1.0;
-    private static final double USUAL_RETRY_AFTER_S = 0.25;
+    private static final double DEFAULT_RETRY_AFTER_S = 0.25;
     /** Part of the answers at the first attempt that are logged. */
     private static final double LOGGED_SHARE = 0.02;
 
@@ -393,7 +393,7 @@
 
     private void refuse() {
         finish();
-        double wait = shortestWaitNanos == Long.MAX_VALUE ? USUAL_RETRY_AFTER_S : shortestWaitNanos / 1e9;
+        double wait = shortestWaitNanos == Long.MAX_VALUE ? DEFAULT_RETRY_AFTER_S : shortestWaitNanos / 1e9;
         // Callers refused together would come back together.
         double spread = wait * (0.75 + 0.5 * context.chance().getAsDouble());
         double seconds = Math.max(MIN_RETRY_AFTER_S, Math.min(MAX_RETRY_AFTER_S, spread));
