--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -37,7 +37,7 @@
     private static final double MAX_RETRY_AFTER_S = 1.0;
     private static final double DEFAULT_RETRY_AFTER_S = 0.25;
     /** Part of the answers at the first attempt that are logged. */
-    private static final double LOGGED_SHARE = 0.02;
+    private static final double LOG_SAMPLE_RATE = 0.02;
 
     private final EntryContext context;
     private final Route route;
@@ -452,7 +452,7 @@
     }
 
     private void log(Event event, int status, String at) {
-        if (event == Event.CALL_ANSWERED && attempts == 1 && context.chance().getAsDouble() >= LOGGED_SHARE) {
+        if (event == Event.CALL_ANSWERED && attempts == 1 && context.chance().getAsDouble() >= LOG_SAMPLE_RATE) {
             return;
         }
         trace.write(event, status, at, attempts, refusals, repeatTaken);
