--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -43,7 +43,7 @@
     private final Route route;
     private final CallSpec spec;
     private final long receivedAt;
-    private final long waitUntil;
+    private final long queueWaitUntil;
     private final boolean returned;
     private final ReplySink sink;
     private final CallTrace trace;
@@ -75,7 +75,7 @@
         this.route = route;
         this.spec = spec;
         this.receivedAt = receivedAt;
-        this.waitUntil = receivedAt + (long) (MAX_QUEUE_WAIT_SHARE * (spec.objectiveAt() - receivedAt));
+        this.queueWaitUntil = receivedAt + (long) (MAX_QUEUE_WAIT_SHARE * (spec.objectiveAt() - receivedAt));
         this.returned = returned;
         this.sink = sink;
         this.trace = new CallTrace(context, spec, route, versionNumber, receivedAt);
@@ -127,7 +127,7 @@
                 context.habits().expectedNanos(route),
                 spec.objectiveAt() - now,
                 spec.deadlineAt() - now,
-                waitUntil - now,
+                queueWaitUntil - now,
                 returned ? 0 : context.returns().share(spec.requestClass()),
                 refusals + 1 >= MAX_REFUSALS);
         return context.chooser().choose(candidates, question);
