--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -44,7 +44,7 @@
     private final CallSpec spec;
     private final long receivedAt;
     private final long queueWaitUntil;
-    private final boolean returned;
+    private final boolean callerRetried;
     private final ReplySink sink;
     private final CallTrace trace;
     private final Set<String> tried = new HashSet<>();
@@ -76,7 +76,7 @@
         this.spec = spec;
         this.receivedAt = receivedAt;
         this.queueWaitUntil = receivedAt + (long) (MAX_QUEUE_WAIT_SHARE * (spec.objectiveAt() - receivedAt));
-        this.returned = returned;
+        this.callerRetried = returned;
         this.sink = sink;
         this.trace = new CallTrace(context, spec, route, versionNumber, receivedAt);
     }
@@ -97,7 +97,7 @@
     public void start() {
         long now = context.clock().now();
         context.budget().onRequest(spec.service(), now);
-        if (returned) {
+        if (callerRetried) {
             context.returns().onReturned(spec.requestClass());
         }
         deadline = context.clock().at(spec.deadlineAt() + DEADLINE_GRACE_NANOS, this::onDeadline);
@@ -128,7 +128,7 @@
                 spec.objectiveAt() - now,
                 spec.deadlineAt() - now,
                 queueWaitUntil - now,
-                returned ? 0 : context.returns().share(spec.requestClass()),
+                callerRetried ? 0 : context.returns().share(spec.requestClass()),
                 refusals + 1 >= MAX_REFUSALS);
         return context.chooser().choose(candidates, question);
     }
