--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -47,7 +47,7 @@
     private final boolean callerRetried;
     private final ReplySink sink;
     private final CallTrace trace;
-    private final Set<String> tried = new HashSet<>();
+    private final Set<String> triedNodes = new HashSet<>();
     private final Set<String> busy = new HashSet<>();
     private Optional<EntryAttempt> live = Optional.empty();
     /** The attempt before, at a node that is not heard. */
@@ -120,7 +120,7 @@
     }
 
     private Optional<CandidateChooser.Choice> choose(long now) {
-        List<Candidate> candidates = context.candidates().of(spec.service(), tried, now);
+        List<Candidate> candidates = context.candidates().of(spec.service(), triedNodes, now);
         ChoiceQuestion question = new ChoiceQuestion(
                 spec.requestClass(),
                 spec.expectedResponseBytes() + spec.body().length(),
@@ -136,7 +136,7 @@
     private void launch(CandidateChooser.Choice choice, long now) {
         attempts++;
         Candidate candidate = choice.candidate();
-        tried.add(candidate.key());
+        triedNodes.add(candidate.key());
         // An answer of this VM's own backend server does not go over the link.
         int linkBytes = candidate.member().isPresent() ? spec.expectedResponseBytes() : 0;
         CallSpec attempt = spec.forAttempt(attempts, choice.maxWaitNanos(), linkBytes);
@@ -159,7 +159,7 @@
         if (refusal.reason() == Refusal.Reason.BUSY
                 && busy.add(attempt.candidate().key())) {
             // It told how busy it is; the others may be busier.
-            tried.remove(attempt.candidate().key());
+            triedNodes.remove(attempt.candidate().key());
         }
         trace.recordDecisiveOutcome(attempt, refusal.reason().name());
         context.counters().add(NodeMetricNames.ENTRY_REFUSALS_BY_REASON + refusal.reason());
