--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -48,7 +48,7 @@
     private final ReplySink sink;
     private final CallTrace trace;
     private final Set<String> triedNodes = new HashSet<>();
-    private final Set<String> busy = new HashSet<>();
+    private final Set<String> busyNodes = new HashSet<>();
     private Optional<EntryAttempt> live = Optional.empty();
     /** The attempt before, at a node that is not heard. */
     private Optional<EntryAttempt> unheard = Optional.empty();
@@ -157,7 +157,7 @@
         }
         refusals++;
         if (refusal.reason() == Refusal.Reason.BUSY
-                && busy.add(attempt.candidate().key())) {
+                && busyNodes.add(attempt.candidate().key())) {
             // It told how busy it is; the others may be busier.
             triedNodes.remove(attempt.candidate().key());
         }
