--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -49,7 +49,7 @@
     private final CallTrace trace;
     private final Set<String> triedNodes = new HashSet<>();
     private final Set<String> busyNodes = new HashSet<>();
-    private Optional<EntryAttempt> live = Optional.empty();
+    private Optional<EntryAttempt> currentAttempt = Optional.empty();
     /** The attempt before, at a node that is not heard. */
     private Optional<EntryAttempt> unheard = Optional.empty();
 
@@ -141,7 +141,7 @@
         int linkBytes = candidate.member().isPresent() ? spec.expectedResponseBytes() : 0;
         CallSpec attempt = spec.forAttempt(attempts, choice.maxWaitNanos(), linkBytes);
         EntryAttempt listener = new EntryAttempt(this, candidate, now);
-        live = Optional.of(listener);
+        currentAttempt = Optional.of(listener);
         listener.setAttempt(context.starter().start(candidate, attempt, listener));
     }
 
@@ -181,7 +181,7 @@
             unheard = Optional.empty();
             return true;
         }
-        live = Optional.empty();
+        currentAttempt = Optional.empty();
         return false;
     }
 
@@ -200,7 +200,7 @@
             return;
         }
         mayHaveRun++;
-        unheard = live;
+        unheard = currentAttempt;
         trace.recordOutcome(attempt, "UNHEARD");
         context.log()
                 .write(
@@ -301,7 +301,7 @@
      */
     private void conclude() {
         if (unheard.isPresent()) {
-            live = unheard;
+            currentAttempt = unheard;
             unheard = Optional.empty();
             mayHaveRun--;
         } else if (failure.isPresent()) {
@@ -336,7 +336,7 @@
         streaming = Optional.of(attempt);
         leavesOther(attempt);
         cancelAttempts();
-        live = streaming;
+        currentAttempt = streaming;
         sink.begin(status, headers);
     }
 
@@ -381,7 +381,7 @@
 
     private void giveUp(String why) {
         trace.recordAbort(why);
-        live.ifPresent(a -> {
+        currentAttempt.ifPresent(a -> {
             // A backend server is sent nothing of a request before all of it is at its owner.
             mayHaveRun += spec.body().isWhole() ? 1 : 0;
             trace.recordOutcome(a, "PENDING");
@@ -443,9 +443,9 @@
     }
 
     private void cancelAttempts() {
-        Optional<EntryAttempt> last = live;
+        Optional<EntryAttempt> last = currentAttempt;
         Optional<EntryAttempt> before = unheard;
-        live = Optional.empty();
+        currentAttempt = Optional.empty();
         unheard = Optional.empty();
         last.ifPresent(EntryAttempt::cancel);
         before.ifPresent(EntryAttempt::cancel);
