--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -51,7 +51,7 @@
     private final Set<String> busyNodes = new HashSet<>();
     private Optional<EntryAttempt> currentAttempt = Optional.empty();
     /** The attempt before, at a node that is not heard. */
-    private Optional<EntryAttempt> unheard = Optional.empty();
+    private Optional<EntryAttempt> silentAttempt = Optional.empty();
 
     private Clock.Alarm deadline;
     private int attempts;
@@ -177,8 +177,8 @@
 
     /** Takes out an attempt that is over; tells whether the repeat that was sent beside it goes on. */
     private boolean leavesOther(EntryAttempt attempt) {
-        if (unheard.isPresent() && unheard.get() == attempt) {
-            unheard = Optional.empty();
+        if (silentAttempt.isPresent() && silentAttempt.get() == attempt) {
+            silentAttempt = Optional.empty();
             return true;
         }
         currentAttempt = Optional.empty();
@@ -190,7 +190,7 @@
      * are lost; so the request is run elsewhere, too, if it may be.
      */
     void onUnheard(EntryAttempt attempt) {
-        boolean settled = done || streaming.isPresent() || unheard.isPresent();
+        boolean settled = done || streaming.isPresent() || silentAttempt.isPresent();
         if (settled || refusals >= MAX_REFUSALS || !mayRunAgain(mayHaveRun + 1)) {
             return;
         }
@@ -200,7 +200,7 @@
             return;
         }
         mayHaveRun++;
-        unheard = currentAttempt;
+        silentAttempt = currentAttempt;
         trace.recordOutcome(attempt, "UNHEARD");
         context.log()
                 .write(
@@ -300,9 +300,9 @@
      * Waits on if an attempt at an unheard node is still under way.
      */
     private void conclude() {
-        if (unheard.isPresent()) {
-            currentAttempt = unheard;
-            unheard = Optional.empty();
+        if (silentAttempt.isPresent()) {
+            currentAttempt = silentAttempt;
+            silentAttempt = Optional.empty();
             mayHaveRun--;
         } else if (failure.isPresent()) {
             Failure f = failure.get();
@@ -386,7 +386,7 @@
             mayHaveRun += spec.body().isWhole() ? 1 : 0;
             trace.recordOutcome(a, "PENDING");
         });
-        unheard.ifPresent(a -> trace.recordOutcome(a, "PENDING"));
+        silentAttempt.ifPresent(a -> trace.recordOutcome(a, "PENDING"));
         cancelAttempts();
         conclude();
     }
@@ -444,9 +444,9 @@
 
     private void cancelAttempts() {
         Optional<EntryAttempt> last = currentAttempt;
-        Optional<EntryAttempt> before = unheard;
+        Optional<EntryAttempt> before = silentAttempt;
         currentAttempt = Optional.empty();
-        unheard = Optional.empty();
+        silentAttempt = Optional.empty();
         last.ifPresent(EntryAttempt::cancel);
         before.ifPresent(EntryAttempt::cancel);
     }
