--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -53,7 +53,7 @@
     /** The attempt before, at a node that is not heard. */
     private Optional<EntryAttempt> silentAttempt = Optional.empty();
 
-    private Clock.Alarm deadline;
+    private Clock.Alarm deadlineAlarm;
     private int attempts;
     private int mayHaveRun;
     private int refusals;
@@ -100,7 +100,7 @@
         if (callerRetried) {
             context.returns().onReturned(spec.requestClass());
         }
-        deadline = context.clock().at(spec.deadlineAt() + DEADLINE_GRACE_NANOS, this::onDeadline);
+        deadlineAlarm = context.clock().at(spec.deadlineAt() + DEADLINE_GRACE_NANOS, this::onDeadline);
         next(false);
     }
 
@@ -434,8 +434,8 @@
 
     private void finish() {
         done = true;
-        if (deadline != null) {
-            deadline.cancel();
+        if (deadlineAlarm != null) {
+            deadlineAlarm.cancel();
         }
         cancelAttempts();
         dropFailure();
