--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -55,7 +55,7 @@
 
     private Clock.Alarm deadlineAlarm;
     private int attempts;
-    private int mayHaveRun;
+    private int possibleRuns;
     private int refusals;
     private boolean repeatTaken;
     private boolean done;
@@ -151,7 +151,7 @@
             return;
         }
         if (leavesOther(attempt)) {
-            mayHaveRun--;
+            possibleRuns--;
             trace.recordOutcome(attempt, refusal.reason().name());
             return;
         }
@@ -191,7 +191,7 @@
      */
     void onUnheard(EntryAttempt attempt) {
         boolean settled = done || streaming.isPresent() || silentAttempt.isPresent();
-        if (settled || refusals >= MAX_REFUSALS || !mayRunAgain(mayHaveRun + 1)) {
+        if (settled || refusals >= MAX_REFUSALS || !mayRunAgain(possibleRuns + 1)) {
             return;
         }
         long now = context.clock().now();
@@ -199,7 +199,7 @@
         if (choice.isEmpty() || !takeRepeat(now)) {
             return;
         }
-        mayHaveRun++;
+        possibleRuns++;
         silentAttempt = currentAttempt;
         trace.recordOutcome(attempt, "UNHEARD");
         context.log()
@@ -232,14 +232,14 @@
                         "kind",
                         spec.kind());
         if (!repeated) {
-            mayHaveRun++;
+            possibleRuns++;
             retry();
         }
     }
 
     /** Sends it again after an attempt that may have run, if it may and can be; ends it otherwise. */
     private void retry() {
-        if (mayRunAgain(mayHaveRun)) {
+        if (mayRunAgain(possibleRuns)) {
             next(true);
         } else {
             conclude();
@@ -274,7 +274,7 @@
             return;
         }
         boolean repeated = leavesOther(attempt);
-        mayHaveRun += repeated ? 0 : 1;
+        possibleRuns += repeated ? 0 : 1;
         if (status >= 500 && spec.kind().isRepeatable()) {
             trace.recordDecisiveOutcome(attempt, "status " + status);
             dropFailure();
@@ -303,12 +303,12 @@
         if (silentAttempt.isPresent()) {
             currentAttempt = silentAttempt;
             silentAttempt = Optional.empty();
-            mayHaveRun--;
+            possibleRuns--;
         } else if (failure.isPresent()) {
             Failure f = failure.get();
             failure = Optional.empty();
             answer(f.attempt(), f.status(), f.headers(), f.body());
-        } else if (mayHaveRun > 0) {
+        } else if (possibleRuns > 0) {
             fail();
         } else {
             refuse();
@@ -383,7 +383,7 @@
         trace.recordAbort(why);
         currentAttempt.ifPresent(a -> {
             // A backend server is sent nothing of a request before all of it is at its owner.
-            mayHaveRun += spec.body().isWhole() ? 1 : 0;
+            possibleRuns += spec.body().isWhole() ? 1 : 0;
             trace.recordOutcome(a, "PENDING");
         });
         silentAttempt.ifPresent(a -> trace.recordOutcome(a, "PENDING"));
