--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -57,7 +57,7 @@
     private int attempts;
     private int possibleRuns;
     private int refusals;
-    private boolean repeatTaken;
+    private boolean retryGranted;
     private boolean done;
     private long shortestWaitNanos = Long.MAX_VALUE;
     private Optional<Failure> failure = Optional.empty();
@@ -259,7 +259,7 @@
                 ? budget.tryRepeatOfFailure(spec.service(), now)
                 : budget.tryRepeat(spec.service(), now);
         if (taken) {
-            repeatTaken = true;
+            retryGranted = true;
             return true;
         }
         context.counters().add(NodeMetricNames.ENTRY_REPEATS_DENIED);
@@ -455,6 +455,6 @@
         if (event == Event.CALL_ANSWERED && attempts == 1 && context.chance().getAsDouble() >= LOG_SAMPLE_RATE) {
             return;
         }
-        trace.write(event, status, at, attempts, refusals, repeatTaken);
+        trace.write(event, status, at, attempts, refusals, retryGranted);
     }
 }
