--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -59,7 +59,7 @@
     private int refusals;
     private boolean retryGranted;
     private boolean done;
-    private long shortestWaitNanos = Long.MAX_VALUE;
+    private long minWaitNanos = Long.MAX_VALUE;
     private Optional<Failure> failure = Optional.empty();
     private Optional<EntryAttempt> streaming = Optional.empty();
 
@@ -166,7 +166,7 @@
         if (refusal.load().slots() > 0) {
             long wait = refusal.load().waitNanos()
                     + refusal.load().meanNanos() / Math.max(1, refusal.load().slots());
-            shortestWaitNanos = Math.min(shortestWaitNanos, wait);
+            minWaitNanos = Math.min(minWaitNanos, wait);
         }
         if (refusal.reason() != Refusal.Reason.EXPIRED) {
             next(refusal.offered());
@@ -393,7 +393,7 @@
 
     private void refuse() {
         finish();
-        double wait = shortestWaitNanos == Long.MAX_VALUE ? DEFAULT_RETRY_AFTER_S : shortestWaitNanos / 1e9;
+        double wait = minWaitNanos == Long.MAX_VALUE ? DEFAULT_RETRY_AFTER_S : minWaitNanos / 1e9;
         // Callers refused together would come back together.
         double spread = wait * (0.75 + 0.5 * context.chance().getAsDouble());
         double seconds = Math.max(MIN_RETRY_AFTER_S, Math.min(MAX_RETRY_AFTER_S, spread));
