--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -60,7 +60,7 @@
     private boolean retryGranted;
     private boolean done;
     private long minWaitNanos = Long.MAX_VALUE;
-    private Optional<Failure> failure = Optional.empty();
+    private Optional<Failure> serverFailure = Optional.empty();
     private Optional<EntryAttempt> streaming = Optional.empty();
 
     EntryCall(
@@ -255,7 +255,7 @@
 
     private boolean takeRepeat(long now) {
         RetryBudget budget = context.budget();
-        boolean taken = failure.isPresent()
+        boolean taken = serverFailure.isPresent()
                 ? budget.tryRepeatOfFailure(spec.service(), now)
                 : budget.tryRepeat(spec.service(), now);
         if (taken) {
@@ -278,7 +278,7 @@
         if (status >= 500 && spec.kind().isRepeatable()) {
             trace.recordDecisiveOutcome(attempt, "status " + status);
             dropFailure();
-            failure = Optional.of(new Failure(attempt, status, headers, body));
+            serverFailure = Optional.of(new Failure(attempt, status, headers, body));
             if (!repeated) {
                 retry();
             }
@@ -291,8 +291,8 @@
     private record Failure(EntryAttempt attempt, int status, HttpHeaders headers, ByteBuf body) {}
 
     private void dropFailure() {
-        failure.ifPresent(f -> f.body().release());
-        failure = Optional.empty();
+        serverFailure.ifPresent(f -> f.body().release());
+        serverFailure = Optional.empty();
     }
 
     /**
@@ -304,9 +304,9 @@
             currentAttempt = silentAttempt;
             silentAttempt = Optional.empty();
             possibleRuns--;
-        } else if (failure.isPresent()) {
-            Failure f = failure.get();
-            failure = Optional.empty();
+        } else if (serverFailure.isPresent()) {
+            Failure f = serverFailure.get();
+            serverFailure = Optional.empty();
             answer(f.attempt(), f.status(), f.headers(), f.body());
         } else if (possibleRuns > 0) {
             fail();
