--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -61,7 +61,7 @@
     private boolean done;
     private long minWaitNanos = Long.MAX_VALUE;
     private Optional<Failure> serverFailure = Optional.empty();
-    private Optional<EntryAttempt> streaming = Optional.empty();
+    private Optional<EntryAttempt> streamingAttempt = Optional.empty();
 
     EntryCall(
             EntryContext context,
@@ -190,7 +190,7 @@
      * are lost; so the request is run elsewhere, too, if it may be.
      */
     void onUnheard(EntryAttempt attempt) {
-        boolean settled = done || streaming.isPresent() || silentAttempt.isPresent();
+        boolean settled = done || streamingAttempt.isPresent() || silentAttempt.isPresent();
         if (settled || refusals >= MAX_REFUSALS || !mayRunAgain(possibleRuns + 1)) {
             return;
         }
@@ -333,10 +333,10 @@
 
     /** An answer turned out too large to be gathered; it goes out as it comes. */
     void onStreaming(EntryAttempt attempt, int status, HttpHeaders headers) {
-        streaming = Optional.of(attempt);
+        streamingAttempt = Optional.of(attempt);
         leavesOther(attempt);
         cancelAttempts();
-        currentAttempt = streaming;
+        currentAttempt = streamingAttempt;
         sink.begin(status, headers);
     }
 
@@ -360,7 +360,7 @@
             return;
         }
         context.clock().at(at, () -> {
-            if (!done && streaming.isEmpty()) {
+            if (!done && streamingAttempt.isEmpty()) {
                 giveUp("planned stop");
             }
         });
@@ -370,8 +370,8 @@
         if (done) {
             return;
         }
-        if (streaming.isPresent()) {
-            EntryAttempt attempt = streaming.get();
+        if (streamingAttempt.isPresent()) {
+            EntryAttempt attempt = streamingAttempt.get();
             attempt.cancel();
             onStreamed(attempt, false);
             return;
@@ -429,7 +429,7 @@
 
     @Override
     public void setAutoRead(boolean on) {
-        streaming.ifPresent(a -> a.setAutoRead(on));
+        streamingAttempt.ifPresent(a -> a.setAutoRead(on));
     }
 
     private void finish() {
