--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -101,7 +101,7 @@
             context.returns().onReturned(spec.requestClass());
         }
         deadlineAlarm = context.clock().at(spec.deadlineAt() + DEADLINE_GRACE_NANOS, this::onDeadline);
-        next(false);
+        sendNext(false);
     }
 
     /**
@@ -109,7 +109,7 @@
      *
      * @param repeat whether a backend server was sent it before, so that the fleet's budget has to allow it
      */
-    private void next(boolean repeat) {
+    private void sendNext(boolean repeat) {
         long now = context.clock().now();
         Optional<CandidateChooser.Choice> choice = refusals >= MAX_REFUSALS ? Optional.empty() : choose(now);
         if (choice.isPresent() && (!repeat || takeRepeat(now))) {
@@ -169,7 +169,7 @@
             minWaitNanos = Math.min(minWaitNanos, wait);
         }
         if (refusal.reason() != Refusal.Reason.EXPIRED) {
-            next(refusal.offered());
+            sendNext(refusal.offered());
         } else {
             conclude();
         }
@@ -240,7 +240,7 @@
     /** Sends it again after an attempt that may have run, if it may and can be; ends it otherwise. */
     private void retry() {
         if (mayRunAgain(possibleRuns)) {
-            next(true);
+            sendNext(true);
         } else {
             conclude();
         }
