--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -111,7 +111,7 @@
      */
     private void sendNext(boolean repeat) {
         long now = context.clock().now();
-        Optional<CandidateChooser.Choice> choice = refusals >= MAX_REFUSALS ? Optional.empty() : choose(now);
+        Optional<CandidateChooser.Choice> choice = refusals >= MAX_REFUSALS ? Optional.empty() : chooseNode(now);
         if (choice.isPresent() && (!repeat || takeRepeat(now))) {
             launch(choice.get(), now);
             return;
@@ -119,7 +119,7 @@
         conclude();
     }
 
-    private Optional<CandidateChooser.Choice> choose(long now) {
+    private Optional<CandidateChooser.Choice> chooseNode(long now) {
         List<Candidate> candidates = context.candidates().of(spec.service(), triedNodes, now);
         ChoiceQuestion question = new ChoiceQuestion(
                 spec.requestClass(),
@@ -195,7 +195,7 @@
             return;
         }
         long now = context.clock().now();
-        Optional<CandidateChooser.Choice> choice = choose(now);
+        Optional<CandidateChooser.Choice> choice = chooseNode(now);
         if (choice.isEmpty() || !takeRepeat(now)) {
             return;
         }
