--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -113,7 +113,7 @@
         long now = context.clock().now();
         Optional<CandidateChooser.Choice> choice = refusals >= MAX_REFUSALS ? Optional.empty() : chooseNode(now);
         if (choice.isPresent() && (!repeat || takeRepeat(now))) {
-            launch(choice.get(), now);
+            startAttempt(choice.get(), now);
             return;
         }
         conclude();
@@ -133,7 +133,7 @@
         return context.chooser().choose(candidates, question);
     }
 
-    private void launch(CandidateChooser.Choice choice, long now) {
+    private void startAttempt(CandidateChooser.Choice choice, long now) {
         attempts++;
         Candidate candidate = choice.candidate();
         triedNodes.add(candidate.key());
@@ -209,7 +209,7 @@
                         spec.id(),
                         "at",
                         attempt.candidate().key());
-        launch(choice.get(), now);
+        startAttempt(choice.get(), now);
     }
 
     /** An attempt may have run, and brought nothing. */
