--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -150,7 +150,7 @@
         if (done) {
             return;
         }
-        if (leavesOther(attempt)) {
+        if (removeEndedAttempt(attempt)) {
             possibleRuns--;
             trace.recordOutcome(attempt, refusal.reason().name());
             return;
@@ -176,7 +176,7 @@
     }
 
     /** Takes out an attempt that is over; tells whether the repeat that was sent beside it goes on. */
-    private boolean leavesOther(EntryAttempt attempt) {
+    private boolean removeEndedAttempt(EntryAttempt attempt) {
         if (silentAttempt.isPresent() && silentAttempt.get() == attempt) {
             silentAttempt = Optional.empty();
             return true;
@@ -217,7 +217,7 @@
         if (done) {
             return;
         }
-        boolean repeated = leavesOther(attempt);
+        boolean repeated = removeEndedAttempt(attempt);
         trace.recordOutcome(attempt, "LOST");
         trace.setCause(cause);
         context.log()
@@ -273,7 +273,7 @@
             body.release();
             return;
         }
-        boolean repeated = leavesOther(attempt);
+        boolean repeated = removeEndedAttempt(attempt);
         possibleRuns += repeated ? 0 : 1;
         if (status >= 500 && spec.kind().isRepeatable()) {
             trace.recordDecisiveOutcome(attempt, "status " + status);
@@ -334,7 +334,7 @@
     /** An answer turned out too large to be gathered; it goes out as it comes. */
     void onStreaming(EntryAttempt attempt, int status, HttpHeaders headers) {
         streamingAttempt = Optional.of(attempt);
-        leavesOther(attempt);
+        removeEndedAttempt(attempt);
         cancelAttempts();
         currentAttempt = streamingAttempt;
         sink.begin(status, headers);
