--- a/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
@@ -137,7 +137,7 @@
     @Override
     public void onNodeSilent() {
         if (!ended) {
-            call.onUnheard(this);
+            call.onNodeSilent(this);
         }
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -189,7 +189,7 @@
      * Nothing is heard of an attempt's node. The VM may have lost power, which sends no reset, or only its datagrams
      * are lost; so the request is run elsewhere, too, if it may be.
      */
-    void onUnheard(EntryAttempt attempt) {
+    void onNodeSilent(EntryAttempt attempt) {
         boolean settled = done || streamingAttempt.isPresent() || silentAttempt.isPresent();
         if (settled || refusals >= MAX_REFUSALS || !mayRunAgain(possibleRuns + 1)) {
             return;
