--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -233,12 +233,12 @@
                         spec.kind());
         if (!repeated) {
             possibleRuns++;
-            retry();
+            retryOrConclude();
         }
     }
 
     /** Sends it again after an attempt that may have run, if it may and can be; ends it otherwise. */
-    private void retry() {
+    private void retryOrConclude() {
         if (mayRunAgain(possibleRuns)) {
             sendNext(true);
         } else {
@@ -280,7 +280,7 @@
             dropFailure();
             serverFailure = Optional.of(new Failure(attempt, status, headers, body));
             if (!repeated) {
-                retry();
+                retryOrConclude();
             }
             return;
         }
