--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -191,7 +191,7 @@
      */
     void onNodeSilent(EntryAttempt attempt) {
         boolean settled = done || streamingAttempt.isPresent() || silentAttempt.isPresent();
-        if (settled || refusals >= MAX_REFUSALS || !mayRunAgain(possibleRuns + 1)) {
+        if (settled || refusals >= MAX_REFUSALS || !mayRetry(possibleRuns + 1)) {
             return;
         }
         long now = context.clock().now();
@@ -239,14 +239,14 @@
 
     /** Sends it again after an attempt that may have run, if it may and can be; ends it otherwise. */
     private void retryOrConclude() {
-        if (mayRunAgain(possibleRuns)) {
+        if (mayRetry(possibleRuns)) {
             sendNext(true);
         } else {
             conclude();
         }
     }
 
-    private boolean mayRunAgain(int runs) {
+    private boolean mayRetry(int runs) {
         long enough = (long) (context.habits().expectedNanos(route) * MIN_RETRY_TIME_SHARE);
         return spec.kind().isRepeatable()
                 && runs < Math.max(1, route.maxAttempts())
