--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -112,7 +112,7 @@
     private void sendNext(boolean repeat) {
         long now = context.clock().now();
         Optional<CandidateChooser.Choice> choice = refusals >= MAX_REFUSALS ? Optional.empty() : chooseNode(now);
-        if (choice.isPresent() && (!repeat || takeRepeat(now))) {
+        if (choice.isPresent() && (!repeat || tryTakeRetry(now))) {
             startAttempt(choice.get(), now);
             return;
         }
@@ -196,7 +196,7 @@
         }
         long now = context.clock().now();
         Optional<CandidateChooser.Choice> choice = chooseNode(now);
-        if (choice.isEmpty() || !takeRepeat(now)) {
+        if (choice.isEmpty() || !tryTakeRetry(now)) {
             return;
         }
         possibleRuns++;
@@ -253,7 +253,7 @@
                 && context.clock().now() + enough < spec.deadlineAt();
     }
 
-    private boolean takeRepeat(long now) {
+    private boolean tryTakeRetry(long now) {
         RetryBudget budget = context.budget();
         boolean taken = serverFailure.isPresent()
                 ? budget.tryRepeatOfFailure(spec.service(), now)
