--- a/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
@@ -108,7 +108,7 @@
         buffered = null;
         call.context().memory().release(bufferedBytes);
         bufferedBytes = 0;
-        call.onAnswer(this, status, headers, whole);
+        call.onResponse(this, status, headers, whole);
     }
 
     @Override
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -268,7 +268,7 @@
     }
 
     /** A whole answer of a backend server. */
-    void onAnswer(EntryAttempt attempt, int status, HttpHeaders headers, ByteBuf body) {
+    void onResponse(EntryAttempt attempt, int status, HttpHeaders headers, ByteBuf body) {
         if (done) {
             body.release();
             return;
