--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -60,7 +60,7 @@
     private boolean retryGranted;
     private boolean done;
     private long minWaitNanos = Long.MAX_VALUE;
-    private Optional<Failure> serverFailure = Optional.empty();
+    private Optional<ServerFailure> serverFailure = Optional.empty();
     private Optional<EntryAttempt> streamingAttempt = Optional.empty();
 
     EntryCall(
@@ -278,7 +278,7 @@
         if (status >= 500 && spec.kind().isRepeatable()) {
             trace.recordDecisiveOutcome(attempt, "status " + status);
             dropFailure();
-            serverFailure = Optional.of(new Failure(attempt, status, headers, body));
+            serverFailure = Optional.of(new ServerFailure(attempt, status, headers, body));
             if (!repeated) {
                 retryOrConclude();
             }
@@ -288,7 +288,7 @@
     }
 
     /** A backend server's own failure, which is passed on if nothing better comes. */
-    private record Failure(EntryAttempt attempt, int status, HttpHeaders headers, ByteBuf body) {}
+    private record ServerFailure(EntryAttempt attempt, int status, HttpHeaders headers, ByteBuf body) {}
 
     private void dropFailure() {
         serverFailure.ifPresent(f -> f.body().release());
@@ -305,7 +305,7 @@
             silentAttempt = Optional.empty();
             possibleRuns--;
         } else if (serverFailure.isPresent()) {
-            Failure f = serverFailure.get();
+            ServerFailure f = serverFailure.get();
             serverFailure = Optional.empty();
             answer(f.attempt(), f.status(), f.headers(), f.body());
         } else if (possibleRuns > 0) {
