--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -277,7 +277,7 @@
         possibleRuns += repeated ? 0 : 1;
         if (status >= 500 && spec.kind().isRepeatable()) {
             trace.recordDecisiveOutcome(attempt, "status " + status);
-            dropFailure();
+            discardServerFailure();
             serverFailure = Optional.of(new ServerFailure(attempt, status, headers, body));
             if (!repeated) {
                 retryOrConclude();
@@ -290,7 +290,7 @@
     /** A backend server's own failure, which is passed on if nothing better comes. */
     private record ServerFailure(EntryAttempt attempt, int status, HttpHeaders headers, ByteBuf body) {}
 
-    private void dropFailure() {
+    private void discardServerFailure() {
         serverFailure.ifPresent(f -> f.body().release());
         serverFailure = Optional.empty();
     }
@@ -438,7 +438,7 @@
             deadlineAlarm.cancel();
         }
         cancelAttempts();
-        dropFailure();
+        discardServerFailure();
         spec.body().release();
     }
 
