--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -284,7 +284,7 @@
             }
             return;
         }
-        answer(attempt, status, headers, body);
+        respond(attempt, status, headers, body);
     }
 
     /** A backend server's own failure, which is passed on if nothing better comes. */
@@ -307,7 +307,7 @@
         } else if (serverFailure.isPresent()) {
             ServerFailure f = serverFailure.get();
             serverFailure = Optional.empty();
-            answer(f.attempt(), f.status(), f.headers(), f.body());
+            respond(f.attempt(), f.status(), f.headers(), f.body());
         } else if (possibleRuns > 0) {
             fail();
         } else {
@@ -315,7 +315,7 @@
         }
     }
 
-    private void answer(EntryAttempt attempt, int status, HttpHeaders headers, ByteBuf body) {
+    private void respond(EntryAttempt attempt, int status, HttpHeaders headers, ByteBuf body) {
         context.habits().learnBytes(route, body.readableBytes());
         Candidate from = attempt.candidate();
         if (from.load().waitNanos(from.ahead()) == 0) {
