--- a/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
@@ -85,7 +85,7 @@
             return;
         }
         streaming = true;
-        call.onStreaming(this, status, headers);
+        call.onStreamingStarted(this, status, headers);
         ByteBuf begun = buffered;
         buffered = null;
         call.context().memory().release(bufferedBytes);
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -332,7 +332,7 @@
     }
 
     /** An answer turned out too large to be gathered; it goes out as it comes. */
-    void onStreaming(EntryAttempt attempt, int status, HttpHeaders headers) {
+    void onStreamingStarted(EntryAttempt attempt, int status, HttpHeaders headers) {
         streamingAttempt = Optional.of(attempt);
         removeEndedAttempt(attempt);
         cancelAttempts();
