--- a/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
@@ -101,7 +101,7 @@
         }
         markEnded();
         if (streaming) {
-            call.onStreamed(this, true);
+            call.onStreamingEnded(this, true);
             return;
         }
         ByteBuf whole = buffered;
@@ -128,7 +128,7 @@
         markEnded();
         releaseBuffered();
         if (streaming) {
-            call.onStreamed(this, false);
+            call.onStreamingEnded(this, false);
             return;
         }
         call.onLost(this, cause);
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -340,7 +340,7 @@
         sink.begin(status, headers);
     }
 
-    void onStreamed(EntryAttempt attempt, boolean whole) {
+    void onStreamingEnded(EntryAttempt attempt, boolean whole) {
         finish();
         context.counters().add(whole ? NodeMetricNames.ENTRY_STREAMED : NodeMetricNames.ENTRY_STREAMS_BROKEN);
         log(
@@ -373,7 +373,7 @@
         if (streamingAttempt.isPresent()) {
             EntryAttempt attempt = streamingAttempt.get();
             attempt.cancel();
-            onStreamed(attempt, false);
+            onStreamingEnded(attempt, false);
             return;
         }
         giveUp("deadline");
