--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -361,7 +361,7 @@
         }
         context.clock().at(at, () -> {
             if (!done && streamingAttempt.isEmpty()) {
-                giveUp("planned stop");
+                concludeEarly("planned stop");
             }
         });
     }
@@ -376,10 +376,10 @@
             onStreamingEnded(attempt, false);
             return;
         }
-        giveUp("deadline");
+        concludeEarly("deadline");
     }
 
-    private void giveUp(String why) {
+    private void concludeEarly(String why) {
         trace.recordAbort(why);
         currentAttempt.ifPresent(a -> {
             // A backend server is sent nothing of a request before all of it is at its owner.
