--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -400,11 +400,11 @@
         context.returns().onRefused(spec.requestClass());
         context.counters().add(NodeMetricNames.ENTRY_REFUSED);
         log(Event.CALL_REFUSED, 503, "");
-        sink.reply(503, retryAfter(seconds), Unpooled.EMPTY_BUFFER);
+        sink.reply(503, retryAfterHeaders(seconds), Unpooled.EMPTY_BUFFER);
     }
 
     /** Headers of a refusal that tells when to come back. */
-    static HttpHeaders retryAfter(double seconds) {
+    static HttpHeaders retryAfterHeaders(double seconds) {
         return Headers.empty().set("Retry-After", String.format(Locale.ROOT, "%.3f", seconds));
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -216,14 +216,14 @@
         if (server.isRefusing()) {
             whole.release();
             services.counters().add(NodeMetricNames.ENTRY_REFUSED);
-            reply(503, EntryCall.retryAfter(RETRY_ELSEWHERE_S), Unpooled.EMPTY_BUFFER);
+            reply(503, EntryCall.retryAfterHeaders(RETRY_ELSEWHERE_S), Unpooled.EMPTY_BUFFER);
             return;
         }
         Optional<MeshVersion> version = services.version().get();
         if (version.isEmpty()) {
             whole.release();
             services.counters().add(NodeMetricNames.ENTRY_REFUSED_NO_VERSION);
-            reply(503, EntryCall.retryAfter(RETRY_ELSEWHERE_S), Unpooled.EMPTY_BUFFER);
+            reply(503, EntryCall.retryAfterHeaders(RETRY_ELSEWHERE_S), Unpooled.EMPTY_BUFFER);
             return;
         }
         String host = request.headers().get(HttpHeaderNames.HOST, "");
