--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedNode.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedNode.java
@@ -16,7 +16,7 @@
 import org.berylwick.node.call.CallHandle;
 import org.berylwick.node.call.Candidate;
 import org.berylwick.node.call.Candidates;
-import org.berylwick.node.call.EntryCalls;
+import org.berylwick.node.call.EntryCallFactory;
 import org.berylwick.node.call.Owner;
 import org.berylwick.node.call.RetryBudget;
 import org.berylwick.node.lib.BackendReport;
@@ -47,7 +47,7 @@
     private final MemberTable table;
     private final Owner owner;
     private final EmulatedServer server;
-    private final EntryCalls entry;
+    private final EntryCallFactory entry;
     private final Counters counters = new Counters();
     private final VmLink link;
     private final EmulatedLink in;
@@ -91,7 +91,7 @@
                 emulation.deployment().retrySlack());
         RetryBudget budget =
                 new RetryBudget(bounds, () -> emulation.deployment().servers().size(), () -> true, -2 * WINDOW_NANOS);
-        this.entry = new EntryCalls(
+        this.entry = new EntryCallFactory(
                 emulation.clock(),
                 Emulation.NAMES,
                 place::service,
@@ -215,8 +215,8 @@
         headers.set(Emulation.NAMES.requestId(), id);
         headers.set(Emulation.NAMES.deadline(), leftNanos / 1_000_000);
         MeshVersion version = emulation.version();
-        EntryCalls.CallerRequest request =
-                new EntryCalls.CallerRequest(HttpMethod.GET, "/" + kind.name() + "/x", headers, body);
+        EntryCallFactory.CallerRequest request =
+                new EntryCallFactory.CallerRequest(HttpMethod.GET, "/" + kind.name() + "/x", headers, body);
         CallHandle call =
                 entry.open(version, version.route(Emulation.HOST, request.uri()).orElseThrow(), request, sink);
         call.start();
--- a/org.berylwick.node/src/org/berylwick/node/call/CallPath.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallPath.java
@@ -55,7 +55,7 @@
                 (candidate, call, listener) -> candidate.member().isPresent()
                         ? PeerAttempt.start(candidate.member().get(), call, listener)
                         : owner.offer(call, listener);
-        EntryCalls calls = new EntryCalls(
+        EntryCallFactory calls = new EntryCallFactory(
                 new EventLoopClock(loop),
                 callers.headerNames(),
                 callers.callerService(),
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCalls.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
@@ -16,7 +16,7 @@
  * Opens the calls of an entry's callers: reads how long a caller waits, and decides from when its objective counts;
  * confined to the event loop.
  */
-public final class EntryCalls {
+public final class EntryCallFactory {
     /** What a caller that names no deadline is given. */
     private static final long DEFAULT_DEADLINE_NANOS = 10_000_000_000L;
     /** What the answer needs back to the caller. */
@@ -37,7 +37,7 @@
      * @param instruments take counts and events
      * @param chance uniform in [0, 1)
      */
-    public EntryCalls(
+    public EntryCallFactory(
             Clock clock,
             HeaderNames names,
             Supplier<String> callerService,
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -234,8 +234,8 @@
             reply(404, Headers.empty(), Unpooled.EMPTY_BUFFER);
             return;
         }
-        EntryCalls.CallerRequest asked =
-                new EntryCalls.CallerRequest(request.method(), request.uri(), request.headers(), whole);
+        EntryCallFactory.CallerRequest asked =
+                new EntryCallFactory.CallerRequest(request.method(), request.uri(), request.headers(), whole);
         call = services.calls().open(version.get(), route.get(), asked, this);
         call.start();
     }
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryServices.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryServices.java
@@ -18,7 +18,7 @@
  */
 record EntryServices(
         Supplier<Optional<MeshVersion>> version,
-        EntryCalls calls,
+        EntryCallFactory calls,
         IncomingLink link,
         Counters counters,
         EventLog log) {}
