--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
@@ -20,7 +20,7 @@
     /** What a caller that names no deadline is given. */
     private static final long DEFAULT_DEADLINE_NANOS = 10_000_000_000L;
     /** What the answer needs back to the caller. */
-    private static final long RETURN_NANOS = 10_000_000L;
+    private static final long RESPONSE_TRANSIT_NANOS = 10_000_000L;
 
     private final EntryContext context;
     private final CallerPatience patience = new CallerPatience();
@@ -87,7 +87,7 @@
         String id = headers.get(context.names().requestId(), "");
         long wait = waitOf(headers);
         long waited = patience.waitedNanos(route.name(), wait);
-        long deadline = now + Math.max(1_000_000L, wait - RETURN_NANOS);
+        long deadline = now + Math.max(1_000_000L, wait - RESPONSE_TRANSIT_NANOS);
         headers.remove(context.names().deadline());
         headers.remove(context.names().target());
         headers.remove(context.names().callerService());
