--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
@@ -23,7 +23,7 @@
     private static final long RESPONSE_TRANSIT_NANOS = 10_000_000L;
 
     private final EntryContext context;
-    private final CallerPatience patience = new CallerPatience();
+    private final CallerPatience callerWaitTimes = new CallerPatience();
     private long endAt = Long.MAX_VALUE;
 
     /**
@@ -86,7 +86,7 @@
         HttpHeaders headers = Headers.endToEnd(request.headers());
         String id = headers.get(context.names().requestId(), "");
         long wait = waitOf(headers);
-        long waited = patience.waitedNanos(route.name(), wait);
+        long waited = callerWaitTimes.waitedNanos(route.name(), wait);
         long deadline = now + Math.max(1_000_000L, wait - RESPONSE_TRANSIT_NANOS);
         headers.remove(context.names().deadline());
         headers.remove(context.names().target());
