--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
@@ -24,7 +24,7 @@
 
     private final EntryContext context;
     private final CallerPatience callerWaitTimes = new CallerPatience();
-    private long endAt = Long.MAX_VALUE;
+    private long latestDeadline = Long.MAX_VALUE;
 
     /**
      * @param clock tells the time; all runs where its tasks do
@@ -70,7 +70,7 @@
 
     /** The process ends: calls that are opened from now on have their deadline then at the latest. */
     void endBy(long at) {
-        endAt = at;
+        latestDeadline = at;
     }
 
     /**
@@ -94,7 +94,7 @@
         if (route.timeoutNanos() > 0) {
             deadline = Math.min(deadline, now + route.timeoutNanos());
         }
-        deadline = Math.min(deadline, endAt);
+        deadline = Math.min(deadline, latestDeadline);
         long objective = route.objectiveNanos() > 0 ? now - waited + route.objectiveNanos() : deadline;
         CallSpec spec = new CallSpec(
                 id,
