--- a/org.berylwick.node/src/org/berylwick/node/call/CallPath.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallPath.java
@@ -65,7 +65,7 @@
                 (long) settings.memoryMb() * (1 << 20) / BUFFER_MEMORY_DIVISOR,
                 instruments,
                 () -> ThreadLocalRandom.current().nextDouble());
-        counters.gauge(NodeMetricNames.ENTRY_GATHERED_BYTES, calls::gatheredBytes);
+        counters.gauge(NodeMetricNames.ENTRY_GATHERED_BYTES, calls::bufferedBytes);
         EntryServer entry = new EntryServer(
                 new EntryServices(callers.version(), calls, link.incoming(), counters, instruments.log()),
                 loop,
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
@@ -64,7 +64,7 @@
     }
 
     /** Bytes that answers hold while they are gathered. */
-    public long gatheredBytes() {
+    public long bufferedBytes() {
         return context.memory().held();
     }
 
