--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
@@ -69,7 +69,7 @@
     }
 
     /** The process ends: calls that are opened from now on have their deadline then at the latest. */
-    void endBy(long at) {
+    void capDeadlines(long at) {
         latestDeadline = at;
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryServer.java
@@ -109,7 +109,7 @@
      */
     public void drain(long endAt) {
         draining = true;
-        services.calls().endBy(endAt);
+        services.calls().capDeadlines(endAt);
         for (EntryHandler connection : List.copyOf(connections)) {
             connection.endBy(endAt);
         }
