--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
@@ -85,7 +85,7 @@
         long now = context.clock().now();
         HttpHeaders headers = Headers.endToEnd(request.headers());
         String id = headers.get(context.names().requestId(), "");
-        long wait = waitOf(headers);
+        long wait = callerTimeoutNanos(headers);
         long waited = callerWaitTimes.waitedNanos(route.name(), wait);
         long deadline = now + Math.max(1_000_000L, wait - RESPONSE_TRANSIT_NANOS);
         headers.remove(context.names().deadline());
@@ -113,7 +113,7 @@
         return new EntryCall(context, route, spec, now, version.number(), waited > 0, sink);
     }
 
-    private long waitOf(HttpHeaders headers) {
+    private long callerTimeoutNanos(HttpHeaders headers) {
         String text = headers.get(context.names().deadline());
         if (text == null) {
             return DEFAULT_DEADLINE_NANOS;
