--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
@@ -84,13 +84,13 @@
     public CallHandle open(MeshVersion version, Route route, CallerRequest request, ReplySink sink) {
         long now = context.clock().now();
         HttpHeaders headers = Headers.endToEnd(request.headers());
-        String id = headers.get(context.names().requestId(), "");
+        String id = headers.get(context.headerNames().requestId(), "");
         long wait = callerTimeoutNanos(headers);
         long waited = callerWaitTimes.waitedNanos(route.name(), wait);
         long deadline = now + Math.max(1_000_000L, wait - RESPONSE_TRANSIT_NANOS);
-        headers.remove(context.names().deadline());
-        headers.remove(context.names().target());
-        headers.remove(context.names().callerService());
+        headers.remove(context.headerNames().deadline());
+        headers.remove(context.headerNames().target());
+        headers.remove(context.headerNames().callerService());
         if (route.timeoutNanos() > 0) {
             deadline = Math.min(deadline, now + route.timeoutNanos());
         }
@@ -114,7 +114,7 @@
     }
 
     private long callerTimeoutNanos(HttpHeaders headers) {
-        String text = headers.get(context.names().deadline());
+        String text = headers.get(context.headerNames().deadline());
         if (text == null) {
             return DEFAULT_DEADLINE_NANOS;
         }
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryContext.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryContext.java
@@ -11,7 +11,7 @@
  * What every call at an entry shares; confined to the event loop.
  *
  * @param clock tells the time; all runs where its tasks do
- * @param names headers that callers know
+ * @param headerNames headers that callers know
  * @param callerService service on this VM
  * @param starter sends attempts to owners
  * @param candidates lists nodes
@@ -26,7 +26,7 @@
  */
 record EntryContext(
         Clock clock,
-        HeaderNames names,
+        HeaderNames headerNames,
         Supplier<String> callerService,
         AttemptStarter starter,
         CandidateSource candidates,
