--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -96,7 +96,7 @@
     @Override
     public void start() {
         long now = context.clock().now();
-        context.budget().onRequest(spec.service(), now);
+        context.retryBudget().onRequest(spec.service(), now);
         if (callerRetried) {
             context.returns().onReturned(spec.requestClass());
         }
@@ -254,7 +254,7 @@
     }
 
     private boolean tryTakeRetry(long now) {
-        RetryBudget budget = context.budget();
+        RetryBudget budget = context.retryBudget();
         boolean taken = serverFailure.isPresent()
                 ? budget.tryRepeatOfFailure(spec.service(), now)
                 : budget.tryRepeat(spec.service(), now);
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryContext.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryContext.java
@@ -16,7 +16,7 @@
  * @param starter sends attempts to owners
  * @param candidates lists nodes
  * @param chooser chooses among them
- * @param budget for repeats
+ * @param retryBudget for repeats
  * @param habits of answers
  * @param returns which callers come back
  * @param memory for gathered answers
@@ -31,7 +31,7 @@
         AttemptStarter starter,
         CandidateSource candidates,
         CandidateChooser chooser,
-        RetryBudget budget,
+        RetryBudget retryBudget,
         AnswerHabits habits,
         CallerReturns returns,
         GatherMemory memory,
