--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -124,7 +124,7 @@
         ChoiceQuestion question = new ChoiceQuestion(
                 spec.requestClass(),
                 spec.expectedResponseBytes() + spec.body().length(),
-                context.habits().expectedNanos(route),
+                context.responseEstimates().expectedNanos(route),
                 spec.objectiveAt() - now,
                 spec.deadlineAt() - now,
                 queueWaitUntil - now,
@@ -247,7 +247,7 @@
     }
 
     private boolean mayRetry(int runs) {
-        long enough = (long) (context.habits().expectedNanos(route) * MIN_RETRY_TIME_SHARE);
+        long enough = (long) (context.responseEstimates().expectedNanos(route) * MIN_RETRY_TIME_SHARE);
         return spec.kind().isRepeatable()
                 && runs < Math.max(1, route.maxAttempts())
                 && context.clock().now() + enough < spec.deadlineAt();
@@ -316,10 +316,10 @@
     }
 
     private void respond(EntryAttempt attempt, int status, HttpHeaders headers, ByteBuf body) {
-        context.habits().learnBytes(route, body.readableBytes());
+        context.responseEstimates().learnBytes(route, body.readableBytes());
         Candidate from = attempt.candidate();
         if (from.load().waitNanos(from.ahead()) == 0) {
-            context.habits().learnNanos(route, context.clock().now() - attempt.startedAt());
+            context.responseEstimates().learnNanos(route, context.clock().now() - attempt.startedAt());
         }
         finish();
         boolean good = status < 400;
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
@@ -109,7 +109,7 @@
                 deadline,
                 0,
                 1,
-                (int) context.habits().expectedBytes(route));
+                (int) context.responseEstimates().expectedBytes(route));
         return new EntryCall(context, route, spec, now, version.number(), waited > 0, sink);
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryContext.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryContext.java
@@ -17,7 +17,7 @@
  * @param candidates lists nodes
  * @param chooser chooses among them
  * @param retryBudget for repeats
- * @param habits of answers
+ * @param responseEstimates of answers
  * @param returns which callers come back
  * @param memory for gathered answers
  * @param counters takes counts
@@ -32,7 +32,7 @@
         CandidateSource candidates,
         CandidateChooser chooser,
         RetryBudget retryBudget,
-        AnswerHabits habits,
+        AnswerHabits responseEstimates,
         CallerReturns returns,
         GatherMemory memory,
         Counters counters,
