--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -98,7 +98,7 @@
         long now = context.clock().now();
         context.retryBudget().onRequest(spec.service(), now);
         if (callerRetried) {
-            context.returns().onReturned(spec.requestClass());
+            context.callerRetryRates().onReturned(spec.requestClass());
         }
         deadlineAlarm = context.clock().at(spec.deadlineAt() + DEADLINE_GRACE_NANOS, this::onDeadline);
         sendNext(false);
@@ -128,7 +128,7 @@
                 spec.objectiveAt() - now,
                 spec.deadlineAt() - now,
                 queueWaitUntil - now,
-                callerRetried ? 0 : context.returns().share(spec.requestClass()),
+                callerRetried ? 0 : context.callerRetryRates().share(spec.requestClass()),
                 refusals + 1 >= MAX_REFUSALS);
         return context.chooser().choose(candidates, question);
     }
@@ -397,7 +397,7 @@
         // Callers refused together would come back together.
         double spread = wait * (0.75 + 0.5 * context.chance().getAsDouble());
         double seconds = Math.max(MIN_RETRY_AFTER_S, Math.min(MAX_RETRY_AFTER_S, spread));
-        context.returns().onRefused(spec.requestClass());
+        context.callerRetryRates().onRefused(spec.requestClass());
         context.counters().add(NodeMetricNames.ENTRY_REFUSED);
         log(Event.CALL_REFUSED, 503, "");
         sink.reply(503, retryAfterHeaders(seconds), Unpooled.EMPTY_BUFFER);
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryContext.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryContext.java
@@ -18,7 +18,7 @@
  * @param chooser chooses among them
  * @param retryBudget for repeats
  * @param responseEstimates of answers
- * @param returns which callers come back
+ * @param callerRetryRates which callers come back
  * @param memory for gathered answers
  * @param counters takes counts
  * @param log takes events
@@ -33,7 +33,7 @@
         CandidateChooser chooser,
         RetryBudget retryBudget,
         AnswerHabits responseEstimates,
-        CallerReturns returns,
+        CallerReturns callerRetryRates,
         GatherMemory memory,
         Counters counters,
         EventLog log,
