--- a/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
@@ -79,7 +79,7 @@
             attempt.setAutoRead(call.sink().part(part));
             return;
         }
-        if (call.context().memory().tryHold(bufferedBytes, part.readableBytes())) {
+        if (call.context().responseBuffers().tryHold(bufferedBytes, part.readableBytes())) {
             bufferedBytes += part.readableBytes();
             buffered.addComponent(true, part);
             return;
@@ -88,7 +88,7 @@
         call.onStreamingStarted(this, status, headers);
         ByteBuf begun = buffered;
         buffered = null;
-        call.context().memory().release(bufferedBytes);
+        call.context().responseBuffers().release(bufferedBytes);
         bufferedBytes = 0;
         call.sink().part(begun);
         attempt.setAutoRead(call.sink().part(part));
@@ -106,7 +106,7 @@
         }
         ByteBuf whole = buffered;
         buffered = null;
-        call.context().memory().release(bufferedBytes);
+        call.context().responseBuffers().release(bufferedBytes);
         bufferedBytes = 0;
         call.onResponse(this, status, headers, whole);
     }
@@ -149,7 +149,7 @@
         if (buffered != null) {
             buffered.release();
             buffered = null;
-            call.context().memory().release(bufferedBytes);
+            call.context().responseBuffers().release(bufferedBytes);
             bufferedBytes = 0;
         }
     }
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryContext.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryContext.java
@@ -19,7 +19,7 @@
  * @param retryBudget for repeats
  * @param responseEstimates of answers
  * @param callerRetryRates which callers come back
- * @param memory for gathered answers
+ * @param responseBuffers for gathered answers
  * @param counters takes counts
  * @param log takes events
  * @param chance uniform in [0, 1)
@@ -34,7 +34,7 @@
         RetryBudget retryBudget,
         AnswerHabits responseEstimates,
         CallerReturns callerRetryRates,
-        GatherMemory memory,
+        GatherMemory responseBuffers,
         Counters counters,
         EventLog log,
         DoubleSupplier chance) {}
