--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -395,7 +395,7 @@
         finish();
         double wait = minWaitNanos == Long.MAX_VALUE ? DEFAULT_RETRY_AFTER_S : minWaitNanos / 1e9;
         // Callers refused together would come back together.
-        double spread = wait * (0.75 + 0.5 * context.chance().getAsDouble());
+        double spread = wait * (0.75 + 0.5 * context.random().getAsDouble());
         double seconds = Math.max(MIN_RETRY_AFTER_S, Math.min(MAX_RETRY_AFTER_S, spread));
         context.callerRetryRates().onRefused(spec.requestClass());
         context.counters().add(NodeMetricNames.ENTRY_REFUSED);
@@ -452,7 +452,7 @@
     }
 
     private void log(Event event, int status, String at) {
-        if (event == Event.CALL_ANSWERED && attempts == 1 && context.chance().getAsDouble() >= LOG_SAMPLE_RATE) {
+        if (event == Event.CALL_ANSWERED && attempts == 1 && context.random().getAsDouble() >= LOG_SAMPLE_RATE) {
             return;
         }
         trace.write(event, status, at, attempts, refusals, retryGranted);
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
@@ -102,7 +102,7 @@
                 request.uri(),
                 headers,
                 request.body(),
-                route.serviceAt(context.chance().getAsDouble()),
+                route.serviceAt(context.random().getAsDouble()),
                 context.callerService().get(),
                 RequestClass.of(route),
                 objective,
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryContext.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryContext.java
@@ -22,7 +22,7 @@
  * @param responseBuffers for gathered answers
  * @param counters takes counts
  * @param log takes events
- * @param chance uniform in [0, 1)
+ * @param random uniform in [0, 1)
  */
 record EntryContext(
         Clock clock,
@@ -37,4 +37,4 @@
         GatherMemory responseBuffers,
         Counters counters,
         EventLog log,
-        DoubleSupplier chance) {}
+        DoubleSupplier random) {}
