--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -41,7 +41,7 @@
  */
 final class EntryHandler extends ChannelInboundHandlerAdapter implements ReplySink {
     /** The most of a body that is kept, since an attempt may have to send it again. */
-    private static final long MOST_BODY_BYTES = 8 << 20;
+    private static final long MAX_BODY_BYTES = 8 << 20;
 
     private static final int MOST_PARTS = 1024;
     /** A caller that sends on while its request is answered is read no further than this. */
@@ -124,7 +124,7 @@
         }
         head = request;
         bodyBytes = 0;
-        long most = Math.min(MOST_BODY_BYTES, limits().maxBodyBytes());
+        long most = Math.min(MAX_BODY_BYTES, limits().maxBodyBytes());
         long length = HttpUtil.getContentLength(request, 0L);
         if (length > most) {
             refuseAndClose(413, "body is too long");
@@ -181,7 +181,7 @@
             return;
         }
         bodyBytes += content.content().readableBytes();
-        if (bodyBytes > Math.min(MOST_BODY_BYTES, limits().maxBodyBytes())) {
+        if (bodyBytes > Math.min(MAX_BODY_BYTES, limits().maxBodyBytes())) {
             content.release();
             refuseAndClose(413, "body is too long");
             return;
