--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -43,7 +43,7 @@
     /** The most of a body that is kept, since an attempt may have to send it again. */
     private static final long MAX_BODY_BYTES = 8 << 20;
 
-    private static final int MOST_PARTS = 1024;
+    private static final int MAX_COMPONENTS = 1024;
     /** A caller that sends on while its request is answered is read no further than this. */
     private static final int MOST_AHEAD = 64;
 
@@ -139,7 +139,7 @@
             startCall(body);
             return;
         }
-        gathered = Unpooled.compositeBuffer(MOST_PARTS);
+        gathered = Unpooled.compositeBuffer(MAX_COMPONENTS);
     }
 
     private CallerLimits limits() {
