--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -45,7 +45,7 @@
 
     private static final int MAX_COMPONENTS = 1024;
     /** A caller that sends on while its request is answered is read no further than this. */
-    private static final int MOST_AHEAD = 64;
+    private static final int MAX_PIPELINED_MESSAGES = 64;
 
     private static final long LINGER_MILLIS = 1_000;
     /** When to come back after a refusal that has nothing to do with load. */
@@ -95,7 +95,7 @@
             return;
         }
         ahead.add(message);
-        if (ahead.size() > MOST_AHEAD) {
+        if (ahead.size() > MAX_PIPELINED_MESSAGES) {
             channel.config().setAutoRead(false);
         }
     }
@@ -321,7 +321,7 @@
         while (takesNow() && !ahead.isEmpty()) {
             take(ahead.poll());
         }
-        if (ahead.size() <= MOST_AHEAD) {
+        if (ahead.size() <= MAX_PIPELINED_MESSAGES) {
             channel.config().setAutoRead(true);
         }
     }
