--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -49,7 +49,7 @@
 
     private static final long LINGER_MILLIS = 1_000;
     /** When to come back after a refusal that has nothing to do with load. */
-    private static final double RETRY_ELSEWHERE_S = 0.3;
+    private static final double UNAVAILABLE_RETRY_AFTER_S = 0.3;
 
     /** Idle connections are kept a little longer than the limit says, as a request may be on its way. */
     private static final double IDLE_MARGIN = 1.1;
@@ -216,14 +216,14 @@
         if (server.isRefusing()) {
             whole.release();
             services.counters().add(NodeMetricNames.ENTRY_REFUSED);
-            reply(503, EntryCall.retryAfterHeaders(RETRY_ELSEWHERE_S), Unpooled.EMPTY_BUFFER);
+            reply(503, EntryCall.retryAfterHeaders(UNAVAILABLE_RETRY_AFTER_S), Unpooled.EMPTY_BUFFER);
             return;
         }
         Optional<MeshVersion> version = services.version().get();
         if (version.isEmpty()) {
             whole.release();
             services.counters().add(NodeMetricNames.ENTRY_REFUSED_NO_VERSION);
-            reply(503, EntryCall.retryAfterHeaders(RETRY_ELSEWHERE_S), Unpooled.EMPTY_BUFFER);
+            reply(503, EntryCall.retryAfterHeaders(UNAVAILABLE_RETRY_AFTER_S), Unpooled.EMPTY_BUFFER);
             return;
         }
         String host = request.headers().get(HttpHeaderNames.HOST, "");
