--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -52,7 +52,7 @@
     private static final double UNAVAILABLE_RETRY_AFTER_S = 0.3;
 
     /** Idle connections are kept a little longer than the limit says, as a request may be on its way. */
-    private static final double IDLE_MARGIN = 1.1;
+    private static final double IDLE_TIMEOUT_FACTOR = 1.1;
 
     private final EntryServer server;
     private final EntryServices services;
@@ -343,7 +343,7 @@
         if (busy || closing || unsent > 0) {
             return;
         }
-        if (now - quietSince <= (long) (idleNanos * IDLE_MARGIN)) {
+        if (now - quietSince <= (long) (idleNanos * IDLE_TIMEOUT_FACTOR)) {
             return;
         }
         if (head != null) {
