--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -56,7 +56,7 @@
 
     private final EntryServer server;
     private final EntryServices services;
-    private final ArrayDeque<Object> ahead = new ArrayDeque<>();
+    private final ArrayDeque<Object> pipelined = new ArrayDeque<>();
     private Channel channel;
     private HttpRequest head;
     private CompositeByteBuf gathered;
@@ -90,12 +90,12 @@
             ReferenceCountUtil.release(message);
             return;
         }
-        if (ahead.isEmpty() && takesNow()) {
+        if (pipelined.isEmpty() && takesNow()) {
             take(message);
             return;
         }
-        ahead.add(message);
-        if (ahead.size() > MAX_PIPELINED_MESSAGES) {
+        pipelined.add(message);
+        if (pipelined.size() > MAX_PIPELINED_MESSAGES) {
             channel.config().setAutoRead(false);
         }
     }
@@ -318,10 +318,10 @@
     }
 
     private void takeAhead() {
-        while (takesNow() && !ahead.isEmpty()) {
-            take(ahead.poll());
+        while (takesNow() && !pipelined.isEmpty()) {
+            take(pipelined.poll());
         }
-        if (ahead.size() <= MAX_PIPELINED_MESSAGES) {
+        if (pipelined.size() <= MAX_PIPELINED_MESSAGES) {
             channel.config().setAutoRead(true);
         }
     }
@@ -394,8 +394,8 @@
         closing = true;
         abandonCall();
         dropBody();
-        while (!ahead.isEmpty()) {
-            ReferenceCountUtil.release(ahead.poll());
+        while (!pipelined.isEmpty()) {
+            ReferenceCountUtil.release(pipelined.poll());
         }
     }
 
