--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -59,7 +59,7 @@
     private final ArrayDeque<Object> pipelined = new ArrayDeque<>();
     private Channel channel;
     private HttpRequest head;
-    private CompositeByteBuf gathered;
+    private CompositeByteBuf bufferedBody;
     private RequestBody body;
     private long bodyBytes;
     private CallHandle call;
@@ -139,7 +139,7 @@
             startCall(body);
             return;
         }
-        gathered = Unpooled.compositeBuffer(MAX_COMPONENTS);
+        bufferedBody = Unpooled.compositeBuffer(MAX_COMPONENTS);
     }
 
     private CallerLimits limits() {
@@ -167,7 +167,7 @@
     }
 
     private void takeContent(HttpContent content) {
-        if (gathered == null && body == null) {
+        if (bufferedBody == null && body == null) {
             content.release();
             return;
         }
@@ -186,10 +186,10 @@
             refuseAndClose(413, "body is too long");
             return;
         }
-        gathered.addComponent(true, content.content());
+        bufferedBody.addComponent(true, content.content());
         if (content instanceof LastHttpContent) {
-            RequestBody whole = RequestBody.of(gathered);
-            gathered = null;
+            RequestBody whole = RequestBody.of(bufferedBody);
+            bufferedBody = null;
             startCall(whole);
         }
     }
@@ -408,9 +408,9 @@
 
     private void dropBody() {
         head = null;
-        if (gathered != null) {
-            gathered.release();
-            gathered = null;
+        if (bufferedBody != null) {
+            bufferedBody.release();
+            bufferedBody = null;
         }
         if (body != null) {
             body.release();
