--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -60,7 +60,7 @@
     private Channel channel;
     private HttpRequest head;
     private CompositeByteBuf bufferedBody;
-    private RequestBody body;
+    private RequestBody streamedBody;
     private long bodyBytes;
     private CallHandle call;
     private boolean busy;
@@ -102,7 +102,7 @@
 
     /** Whether what comes next belongs to the request that is being read. */
     private boolean takesNow() {
-        return !busy || body != null;
+        return !busy || streamedBody != null;
     }
 
     private void take(Object message) {
@@ -135,8 +135,8 @@
                     HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
         }
         if (length >= RequestBody.LEAST_STREAMED) {
-            body = RequestBody.coming((int) length, services.link());
-            startCall(body);
+            streamedBody = RequestBody.coming((int) length, services.link());
+            startCall(streamedBody);
             return;
         }
         bufferedBody = Unpooled.compositeBuffer(MAX_COMPONENTS);
@@ -167,7 +167,7 @@
     }
 
     private void takeContent(HttpContent content) {
-        if (bufferedBody == null && body == null) {
+        if (bufferedBody == null && streamedBody == null) {
             content.release();
             return;
         }
@@ -176,7 +176,7 @@
             refuseAndClose(400, "malformed body");
             return;
         }
-        if (body != null) {
+        if (streamedBody != null) {
             takePart(content);
             return;
         }
@@ -196,12 +196,12 @@
 
     private void takePart(HttpContent content) {
         quietSince = System.nanoTime();
-        body.add(content.content());
+        streamedBody.add(content.content());
         if (!(content instanceof LastHttpContent)) {
             return;
         }
-        RequestBody came = body;
-        body = null;
+        RequestBody came = streamedBody;
+        streamedBody = null;
         came.end();
         // It may have been answered before its body was in.
         takeAhead();
@@ -378,7 +378,7 @@
     }
 
     private boolean isReading() {
-        return head != null || body != null;
+        return head != null || streamedBody != null;
     }
 
     @Override
@@ -412,9 +412,9 @@
             bufferedBody.release();
             bufferedBody = null;
         }
-        if (body != null) {
-            body.release();
-            body = null;
+        if (streamedBody != null) {
+            streamedBody.release();
+            streamedBody = null;
         }
     }
 
