--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -61,7 +61,7 @@
     private HttpRequest head;
     private CompositeByteBuf bufferedBody;
     private RequestBody streamedBody;
-    private long bodyBytes;
+    private long bufferedBytes;
     private CallHandle call;
     private boolean busy;
     private boolean keepAlive;
@@ -123,7 +123,7 @@
             return;
         }
         head = request;
-        bodyBytes = 0;
+        bufferedBytes = 0;
         long most = Math.min(MAX_BODY_BYTES, limits().maxBodyBytes());
         long length = HttpUtil.getContentLength(request, 0L);
         if (length > most) {
@@ -180,8 +180,8 @@
             takePart(content);
             return;
         }
-        bodyBytes += content.content().readableBytes();
-        if (bodyBytes > Math.min(MAX_BODY_BYTES, limits().maxBodyBytes())) {
+        bufferedBytes += content.content().readableBytes();
+        if (bufferedBytes > Math.min(MAX_BODY_BYTES, limits().maxBodyBytes())) {
             content.release();
             refuseAndClose(413, "body is too long");
             return;
