--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -63,7 +63,7 @@
     private RequestBody streamedBody;
     private long bufferedBytes;
     private CallHandle call;
-    private boolean busy;
+    private boolean responsePending;
     private boolean keepAlive;
     private boolean headRequest;
     private boolean closing;
@@ -102,7 +102,7 @@
 
     /** Whether what comes next belongs to the request that is being read. */
     private boolean takesNow() {
-        return !busy || streamedBody != null;
+        return !responsePending || streamedBody != null;
     }
 
     private void take(Object message) {
@@ -162,7 +162,7 @@
         abandonCall();
         dropBody();
         keepAlive = false;
-        busy = true;
+        responsePending = true;
         reply(status, Headers.empty(), Unpooled.EMPTY_BUFFER);
     }
 
@@ -211,7 +211,7 @@
     private void startCall(RequestBody whole) {
         HttpRequest request = head;
         head = null;
-        busy = true;
+        responsePending = true;
         services.counters().add(NodeMetricNames.ENTRY_REQUESTS);
         if (server.isRefusing()) {
             whole.release();
@@ -305,7 +305,7 @@
             closing = true;
             return;
         }
-        busy = false;
+        responsePending = false;
         quietSince = System.nanoTime();
         takeAhead();
     }
@@ -340,7 +340,7 @@
 
     /** Closes the connection if it has been idle for too long. */
     void sweep(long now, long idleNanos) {
-        if (busy || closing || unsent > 0) {
+        if (responsePending || closing || unsent > 0) {
             return;
         }
         if (now - quietSince <= (long) (idleNanos * IDLE_TIMEOUT_FACTOR)) {
@@ -363,7 +363,7 @@
 
     /** Closes the connection if nothing is under way on it. */
     void closeIfIdle() {
-        if (busy || isReading() || closing) {
+        if (responsePending || isReading() || closing) {
             return;
         }
         closing = true;
@@ -374,7 +374,7 @@
 
     /** Whether a request is being read, answered, or its answer has not left. */
     boolean isBusy() {
-        return (busy || isReading()) && !closing || unsent > 0;
+        return (responsePending || isReading()) && !closing || unsent > 0;
     }
 
     private boolean isReading() {
