--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -68,7 +68,7 @@
     private boolean headRequest;
     private boolean closing;
     /** Ends of answers that the system has not taken yet. */
-    private int unsent;
+    private int unsentResponses;
 
     private long quietSince;
 
@@ -298,7 +298,7 @@
         if (message instanceof HttpResponse response) {
             markConnection(response);
         }
-        unsent++;
+        unsentResponses++;
         ChannelFuture written = channel.writeAndFlush(message);
         written.addListener(f -> onSent());
         if (!keepAlive) {
@@ -311,8 +311,8 @@
     }
 
     private void onSent() {
-        unsent--;
-        if (closing && unsent == 0) {
+        unsentResponses--;
+        if (closing && unsentResponses == 0) {
             closeGently();
         }
     }
@@ -340,7 +340,7 @@
 
     /** Closes the connection if it has been idle for too long. */
     void sweep(long now, long idleNanos) {
-        if (responsePending || closing || unsent > 0) {
+        if (responsePending || closing || unsentResponses > 0) {
             return;
         }
         if (now - quietSince <= (long) (idleNanos * IDLE_TIMEOUT_FACTOR)) {
@@ -367,14 +367,14 @@
             return;
         }
         closing = true;
-        if (unsent == 0) {
+        if (unsentResponses == 0) {
             closeGently();
         }
     }
 
     /** Whether a request is being read, answered, or its answer has not left. */
     boolean isBusy() {
-        return (responsePending || isReading()) && !closing || unsent > 0;
+        return (responsePending || isReading()) && !closing || unsentResponses > 0;
     }
 
     private boolean isReading() {
