--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -70,7 +70,7 @@
     /** Ends of answers that the system has not taken yet. */
     private int unsentResponses;
 
-    private long quietSince;
+    private long lastActivityAt;
 
     EntryHandler(EntryServer server, EntryServices services) {
         this.server = server;
@@ -80,7 +80,7 @@
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         channel = ctx.channel();
-        quietSince = System.nanoTime();
+        lastActivityAt = System.nanoTime();
         server.add(this);
     }
 
@@ -115,7 +115,7 @@
     }
 
     private void takeHead(HttpRequest request) {
-        quietSince = System.nanoTime();
+        lastActivityAt = System.nanoTime();
         headRequest = "HEAD".equals(request.method().name());
         keepAlive = HttpUtil.isKeepAlive(request);
         if (request.decoderResult().isFailure()) {
@@ -195,7 +195,7 @@
     }
 
     private void takePart(HttpContent content) {
-        quietSince = System.nanoTime();
+        lastActivityAt = System.nanoTime();
         streamedBody.add(content.content());
         if (!(content instanceof LastHttpContent)) {
             return;
@@ -306,7 +306,7 @@
             return;
         }
         responsePending = false;
-        quietSince = System.nanoTime();
+        lastActivityAt = System.nanoTime();
         takeAhead();
     }
 
@@ -343,7 +343,7 @@
         if (responsePending || closing || unsentResponses > 0) {
             return;
         }
-        if (now - quietSince <= (long) (idleNanos * IDLE_TIMEOUT_FACTOR)) {
+        if (now - lastActivityAt <= (long) (idleNanos * IDLE_TIMEOUT_FACTOR)) {
             return;
         }
         if (head != null) {
