--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -90,7 +90,7 @@
             ReferenceCountUtil.release(message);
             return;
         }
-        if (pipelined.isEmpty() && takesNow()) {
+        if (pipelined.isEmpty() && acceptsNow()) {
             take(message);
             return;
         }
@@ -101,7 +101,7 @@
     }
 
     /** Whether what comes next belongs to the request that is being read. */
-    private boolean takesNow() {
+    private boolean acceptsNow() {
         return !responsePending || streamedBody != null;
     }
 
@@ -318,7 +318,7 @@
     }
 
     private void takeAhead() {
-        while (takesNow() && !pipelined.isEmpty()) {
+        while (acceptsNow() && !pipelined.isEmpty()) {
             take(pipelined.poll());
         }
         if (pipelined.size() <= MAX_PIPELINED_MESSAGES) {
