--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -91,7 +91,7 @@
             return;
         }
         if (pipelined.isEmpty() && acceptsNow()) {
-            take(message);
+            process(message);
             return;
         }
         pipelined.add(message);
@@ -105,7 +105,7 @@
         return !responsePending || streamedBody != null;
     }
 
-    private void take(Object message) {
+    private void process(Object message) {
         if (message instanceof HttpRequest request) {
             takeHead(request);
         }
@@ -319,7 +319,7 @@
 
     private void takeAhead() {
         while (acceptsNow() && !pipelined.isEmpty()) {
-            take(pipelined.poll());
+            process(pipelined.poll());
         }
         if (pipelined.size() <= MAX_PIPELINED_MESSAGES) {
             channel.config().setAutoRead(true);
