--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -107,14 +107,14 @@
 
     private void process(Object message) {
         if (message instanceof HttpRequest request) {
-            takeHead(request);
+            processHead(request);
         }
         if (message instanceof HttpContent content) {
             takeContent(content);
         }
     }
 
-    private void takeHead(HttpRequest request) {
+    private void processHead(HttpRequest request) {
         lastActivityAt = System.nanoTime();
         headRequest = "HEAD".equals(request.method().name());
         keepAlive = HttpUtil.isKeepAlive(request);
