--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -119,7 +119,7 @@
         headRequest = "HEAD".equals(request.method().name());
         keepAlive = HttpUtil.isKeepAlive(request);
         if (request.decoderResult().isFailure()) {
-            refuseMalformed(request.decoderResult().cause());
+            rejectMalformed(request.decoderResult().cause());
             return;
         }
         head = request;
@@ -146,7 +146,7 @@
         return services.version().get().map(MeshVersion::limits).orElse(EntryServer.LIMITS_BEFORE_FIRST_VERSION);
     }
 
-    private void refuseMalformed(Throwable cause) {
+    private void rejectMalformed(Throwable cause) {
         if (cause instanceof TooLongHttpLineException) {
             refuseAndClose(414, "request line is too long");
         } else if (cause instanceof TooLongHttpHeaderException) {
