--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -127,7 +127,7 @@
         long most = Math.min(MAX_BODY_BYTES, limits().maxBodyBytes());
         long length = HttpUtil.getContentLength(request, 0L);
         if (length > most) {
-            refuseAndClose(413, "body is too long");
+            rejectAndClose(413, "body is too long");
             return;
         }
         if (HttpUtil.is100ContinueExpected(request)) {
@@ -148,15 +148,15 @@
 
     private void rejectMalformed(Throwable cause) {
         if (cause instanceof TooLongHttpLineException) {
-            refuseAndClose(414, "request line is too long");
+            rejectAndClose(414, "request line is too long");
         } else if (cause instanceof TooLongHttpHeaderException) {
-            refuseAndClose(431, "headers are too long");
+            rejectAndClose(431, "headers are too long");
         } else {
-            refuseAndClose(400, "malformed request");
+            rejectAndClose(400, "malformed request");
         }
     }
 
-    private void refuseAndClose(int status, String why) {
+    private void rejectAndClose(int status, String why) {
         services.log().write(Event.CALLER_FAULT, "status", status, "why", why);
         services.counters().add(NodeMetricNames.ENTRY_CALLER_FAULTS);
         abandonCall();
@@ -173,7 +173,7 @@
         }
         if (content.decoderResult().isFailure()) {
             content.release();
-            refuseAndClose(400, "malformed body");
+            rejectAndClose(400, "malformed body");
             return;
         }
         if (streamedBody != null) {
@@ -183,7 +183,7 @@
         bufferedBytes += content.content().readableBytes();
         if (bufferedBytes > Math.min(MAX_BODY_BYTES, limits().maxBodyBytes())) {
             content.release();
-            refuseAndClose(413, "body is too long");
+            rejectAndClose(413, "body is too long");
             return;
         }
         bufferedBody.addComponent(true, content.content());
@@ -347,7 +347,7 @@
             return;
         }
         if (head != null) {
-            refuseAndClose(408, "body did not come");
+            rejectAndClose(408, "body did not come");
             return;
         }
         closing = true;
