--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -110,7 +110,7 @@
             processHead(request);
         }
         if (message instanceof HttpContent content) {
-            takeContent(content);
+            processContent(content);
         }
     }
 
@@ -166,7 +166,7 @@
         reply(status, Headers.empty(), Unpooled.EMPTY_BUFFER);
     }
 
-    private void takeContent(HttpContent content) {
+    private void processContent(HttpContent content) {
         if (bufferedBody == null && streamedBody == null) {
             content.release();
             return;
