--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -177,7 +177,7 @@
             return;
         }
         if (streamedBody != null) {
-            takePart(content);
+            processStreamedContent(content);
             return;
         }
         bufferedBytes += content.content().readableBytes();
@@ -194,7 +194,7 @@
         }
     }
 
-    private void takePart(HttpContent content) {
+    private void processStreamedContent(HttpContent content) {
         lastActivityAt = System.nanoTime();
         streamedBody.add(content.content());
         if (!(content instanceof LastHttpContent)) {
