--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -251,11 +251,11 @@
         if (headRequest) {
             bytes.release();
         }
-        response.headers().set(HttpHeaderNames.CONTENT_LENGTH, bytesLength(bytes));
+        response.headers().set(HttpHeaderNames.CONTENT_LENGTH, contentLength(bytes));
         finishWith(response);
     }
 
-    private int bytesLength(ByteBuf bytes) {
+    private int contentLength(ByteBuf bytes) {
         return headRequest ? 0 : bytes.readableBytes();
     }
 
