--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -264,7 +264,7 @@
         HttpResponse response =
                 new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), headers);
         HttpUtil.setTransferEncodingChunked(response, true);
-        markConnection(response);
+        setConnectionHeader(response);
         channel.write(response);
     }
 
@@ -286,7 +286,7 @@
         channel.close();
     }
 
-    private void markConnection(HttpResponse response) {
+    private void setConnectionHeader(HttpResponse response) {
         keepAlive &= !server.isDraining();
         if (!keepAlive) {
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
@@ -296,7 +296,7 @@
     private void finishWith(Object message) {
         call = null;
         if (message instanceof HttpResponse response) {
-            markConnection(response);
+            setConnectionHeader(response);
         }
         unsentResponses++;
         ChannelFuture written = channel.writeAndFlush(message);
