--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -252,7 +252,7 @@
             bytes.release();
         }
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, contentLength(bytes));
-        finishWith(response);
+        writeFinal(response);
     }
 
     private int contentLength(ByteBuf bytes) {
@@ -276,7 +276,7 @@
 
     @Override
     public void end() {
-        finishWith(LastHttpContent.EMPTY_LAST_CONTENT);
+        writeFinal(LastHttpContent.EMPTY_LAST_CONTENT);
     }
 
     @Override
@@ -293,7 +293,7 @@
         }
     }
 
-    private void finishWith(Object message) {
+    private void writeFinal(Object message) {
         call = null;
         if (message instanceof HttpResponse response) {
             setConnectionHeader(response);
