--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -204,7 +204,7 @@
         streamedBody = null;
         came.end();
         // It may have been answered before its body was in.
-        takeAhead();
+        processPipelined();
     }
 
     /** Begins a request whose head is there; its body may still be coming, and belongs to its call. */
@@ -307,7 +307,7 @@
         }
         responsePending = false;
         lastActivityAt = System.nanoTime();
-        takeAhead();
+        processPipelined();
     }
 
     private void onSent() {
@@ -317,7 +317,7 @@
         }
     }
 
-    private void takeAhead() {
+    private void processPipelined() {
         while (acceptsNow() && !pipelined.isEmpty()) {
             process(pipelined.poll());
         }
