--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -313,7 +313,7 @@
     private void onSent() {
         unsentResponses--;
         if (closing && unsentResponses == 0) {
-            closeGently();
+            closeGracefully();
         }
     }
 
@@ -329,7 +329,7 @@
     /**
      * Ends the connection so that the answer is not lost to a reset: bytes that come meanwhile are read and dropped.
      */
-    private void closeGently() {
+    private void closeGracefully() {
         if (!channel.isActive()) {
             return;
         }
@@ -368,7 +368,7 @@
         }
         closing = true;
         if (unsentResponses == 0) {
-            closeGently();
+            closeGracefully();
         }
     }
 
