--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -339,7 +339,7 @@
     }
 
     /** Closes the connection if it has been idle for too long. */
-    void sweep(long now, long idleNanos) {
+    void closeIfTimedOut(long now, long idleNanos) {
         if (responsePending || closing || unsentResponses > 0) {
             return;
         }
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryServer.java
@@ -68,7 +68,7 @@
         long now = System.nanoTime();
         long idle = limits().idleTimeoutNanos();
         for (EntryHandler connection : List.copyOf(connections)) {
-            connection.sweep(now, idle);
+            connection.closeIfTimedOut(now, idle);
         }
         loop.schedule(this::sweep, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
     }
