--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -355,7 +355,7 @@
     }
 
     /** The process ends: a call that is under way gets its final answer by then. */
-    void endBy(long at) {
+    void concludeBy(long at) {
         if (call != null) {
             call.concludeBy(at);
         }
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryServer.java
@@ -111,7 +111,7 @@
         draining = true;
         services.calls().capDeadlines(endAt);
         for (EntryHandler connection : List.copyOf(connections)) {
-            connection.endBy(endAt);
+            connection.concludeBy(endAt);
         }
     }
 
