--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -363,7 +363,7 @@
 
     /** Closes the connection if nothing is under way on it. */
     void closeIfIdle() {
-        if (responsePending || isReading() || closing) {
+        if (responsePending || isReceiving() || closing) {
             return;
         }
         closing = true;
@@ -374,10 +374,10 @@
 
     /** Whether a request is being read, answered, or its answer has not left. */
     boolean isBusy() {
-        return (responsePending || isReading()) && !closing || unsentResponses > 0;
+        return (responsePending || isReceiving()) && !closing || unsentResponses > 0;
     }
 
-    private boolean isReading() {
+    private boolean isReceiving() {
         return head != null || streamedBody != null;
     }
 
