--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -160,7 +160,7 @@
         services.log().write(Event.CALLER_FAULT, "status", status, "why", why);
         services.counters().add(NodeMetricNames.ENTRY_CALLER_FAULTS);
         abandonCall();
-        dropBody();
+        releaseBody();
         keepAlive = false;
         responsePending = true;
         reply(status, Headers.empty(), Unpooled.EMPTY_BUFFER);
@@ -393,7 +393,7 @@
         server.remove(this);
         closing = true;
         abandonCall();
-        dropBody();
+        releaseBody();
         while (!pipelined.isEmpty()) {
             ReferenceCountUtil.release(pipelined.poll());
         }
@@ -406,7 +406,7 @@
         }
     }
 
-    private void dropBody() {
+    private void releaseBody() {
         head = null;
         if (bufferedBody != null) {
             bufferedBody.release();
