--- a/org.berylwick.node/src/org/berylwick/node/call/EntryServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryServer.java
@@ -23,7 +23,7 @@
             new CallerLimits(65_536, 64L << 20, 5_000_000_000L, 30_000_000_000L);
 
     private static final int MAX_CHUNK_BYTES = 65_536;
-    private static final long SWEEP_MILLIS = 500;
+    private static final long IDLE_CHECK_MILLIS = 500;
     private static final int BACKLOG = 1024;
 
     private final EntryServices services;
@@ -57,7 +57,7 @@
                 });
         ReceiveWindow.limit(server, services.link());
         listener = server.bind(address).syncUninterruptibly().channel();
-        loop.schedule(this::sweep, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
+        loop.schedule(this::sweep, IDLE_CHECK_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private CallerLimits limits() {
@@ -70,7 +70,7 @@
         for (EntryHandler connection : List.copyOf(connections)) {
             connection.closeIfTimedOut(now, idle);
         }
-        loop.schedule(this::sweep, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
+        loop.schedule(this::sweep, IDLE_CHECK_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     void add(EntryHandler connection) {
