--- a/org.berylwick.node/src/org/berylwick/node/call/EntryServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryServer.java
@@ -24,7 +24,7 @@
 
     private static final int MAX_CHUNK_BYTES = 65_536;
     private static final long IDLE_CHECK_MILLIS = 500;
-    private static final int BACKLOG = 1024;
+    private static final int ACCEPT_BACKLOG = 1024;
 
     private final EntryServices services;
     private final EventLoop loop;
@@ -45,7 +45,7 @@
         ServerBootstrap server = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
