--- a/org.berylwick.node/src/org/berylwick/node/call/EntryServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryServer.java
@@ -27,7 +27,7 @@
     private static final int ACCEPT_BACKLOG = 1024;
 
     private final EntryServices services;
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final InetSocketAddress address;
     private final Set<EntryHandler> connections = new HashSet<>();
     private Channel listener;
@@ -36,14 +36,14 @@
 
     EntryServer(EntryServices services, EventLoop loop, InetSocketAddress address) {
         this.services = services;
-        this.loop = loop;
+        this.eventLoop = loop;
         this.address = address;
     }
 
     /** Opens the port. */
     public void start() {
         ServerBootstrap server = new ServerBootstrap()
-                .group(loop)
+                .group(eventLoop)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                 .childOption(ChannelOption.TCP_NODELAY, true)
@@ -57,7 +57,7 @@
                 });
         ReceiveWindow.limit(server, services.link());
         listener = server.bind(address).syncUninterruptibly().channel();
-        loop.schedule(this::sweep, IDLE_CHECK_MILLIS, TimeUnit.MILLISECONDS);
+        eventLoop.schedule(this::sweep, IDLE_CHECK_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private CallerLimits limits() {
@@ -70,7 +70,7 @@
         for (EntryHandler connection : List.copyOf(connections)) {
             connection.closeIfTimedOut(now, idle);
         }
-        loop.schedule(this::sweep, IDLE_CHECK_MILLIS, TimeUnit.MILLISECONDS);
+        eventLoop.schedule(this::sweep, IDLE_CHECK_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     void add(EntryHandler connection) {
