--- a/org.berylwick.node/src/org/berylwick/node/call/EntryServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryServer.java
@@ -30,7 +30,7 @@
     private final EventLoop eventLoop;
     private final InetSocketAddress address;
     private final Set<EntryHandler> connections = new HashSet<>();
-    private Channel listener;
+    private Channel listenChannel;
     private boolean draining;
     private boolean refusing;
 
@@ -56,7 +56,7 @@
                     }
                 });
         ReceiveWindow.limit(server, services.link());
-        listener = server.bind(address).syncUninterruptibly().channel();
+        listenChannel = server.bind(address).syncUninterruptibly().channel();
         eventLoop.schedule(this::sweep, IDLE_CHECK_MILLIS, TimeUnit.MILLISECONDS);
     }
 
@@ -127,8 +127,8 @@
     /** Takes no more connections, and ends those on which nothing is under way. */
     public void stopListening() {
         draining = true;
-        if (listener != null) {
-            listener.close();
+        if (listenChannel != null) {
+            listenChannel.close();
         }
         for (EntryHandler connection : List.copyOf(connections)) {
             connection.closeIfIdle();
