--- a/org.berylwick.node/src/org/berylwick/node/call/EntryServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryServer.java
@@ -32,7 +32,7 @@
     private final Set<EntryHandler> connections = new HashSet<>();
     private Channel listenChannel;
     private boolean draining;
-    private boolean refusing;
+    private boolean refusingNew;
 
     EntryServer(EntryServices services, EventLoop loop, InetSocketAddress address) {
         this.services = services;
@@ -117,11 +117,11 @@
 
     /** Refuses requests that come from now on; those under way go on. */
     public void refuseNew() {
-        refusing = true;
+        refusingNew = true;
     }
 
     boolean isRefusing() {
-        return refusing;
+        return refusingNew;
     }
 
     /** Takes no more connections, and ends those on which nothing is under way. */
