--- a/org.berylwick.node/src/org/berylwick/node/call/EntryServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryServer.java
@@ -57,20 +57,20 @@
                 });
         ReceiveWindow.limit(server, services.link());
         listenChannel = server.bind(address).syncUninterruptibly().channel();
-        eventLoop.schedule(this::sweep, IDLE_CHECK_MILLIS, TimeUnit.MILLISECONDS);
+        eventLoop.schedule(this::closeIdleConnections, IDLE_CHECK_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private CallerLimits limits() {
         return services.version().get().map(MeshVersion::limits).orElse(LIMITS_BEFORE_FIRST_VERSION);
     }
 
-    private void sweep() {
+    private void closeIdleConnections() {
         long now = System.nanoTime();
         long idle = limits().idleTimeoutNanos();
         for (EntryHandler connection : List.copyOf(connections)) {
             connection.closeIfTimedOut(now, idle);
         }
-        eventLoop.schedule(this::sweep, IDLE_CHECK_MILLIS, TimeUnit.MILLISECONDS);
+        eventLoop.schedule(this::closeIdleConnections, IDLE_CHECK_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     void add(EntryHandler connection) {
