--- a/org.berylwick.node/src/org/berylwick/node/call/CallPath.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallPath.java
@@ -70,7 +70,7 @@
                 new EntryServices(callers.version(), calls, link.incoming(), counters, instruments.log()),
                 loop,
                 settings.callers());
-        counters.gauge(NodeMetricNames.ENTRY_CONNECTIONS, entry::size);
+        counters.gauge(NodeMetricNames.ENTRY_CONNECTIONS, entry::connectionCount);
         counters.gauge(NodeMetricNames.ENTRY_PENDING, entry::pending);
         return entry;
     }
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryServer.java
@@ -87,7 +87,7 @@
     }
 
     /** Connections of callers. */
-    public int size() {
+    public int connectionCount() {
         return connections.size();
     }
 
