--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -406,7 +406,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        log.write(Event.STOPPED, "pending", owner.pending() + entry.pending());
+        log.write(Event.STOPPED, "pending", owner.pending() + entry.pendingRequests());
     }
 
     /** The event loop of all parts. */
--- a/org.berylwick.node/src/org/berylwick/node/NodeStop.java
+++ b/org.berylwick.node/src/org/berylwick/node/NodeStop.java
@@ -130,6 +130,6 @@
     }
 
     private boolean isQuiet() {
-        return owner.pending() + entry.pending() == 0 && !peers.isSending();
+        return owner.pending() + entry.pendingRequests() == 0 && !peers.isSending();
     }
 }
--- a/org.berylwick.node/src/org/berylwick/node/call/CallPath.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallPath.java
@@ -71,7 +71,7 @@
                 loop,
                 settings.callers());
         counters.gauge(NodeMetricNames.ENTRY_CONNECTIONS, entry::connectionCount);
-        counters.gauge(NodeMetricNames.ENTRY_PENDING, entry::pending);
+        counters.gauge(NodeMetricNames.ENTRY_PENDING, entry::pendingRequests);
         return entry;
     }
 }
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryServer.java
@@ -92,7 +92,7 @@
     }
 
     /** Requests that are not answered yet. */
-    public int pending() {
+    public int pendingRequests() {
         int pending = 0;
         for (EntryHandler connection : connections) {
             if (connection.isBusy()) {
