--- a/org.berylwick.node/src/org/berylwick/node/NodeStop.java
+++ b/org.berylwick.node/src/org/berylwick/node/NodeStop.java
@@ -115,7 +115,7 @@
         long now = System.nanoTime();
         boolean late = now >= endAt;
         if (now >= endAt - LAST_REQUESTS_MILLIS * 1_000_000) {
-            entry.refuseNew();
+            entry.refuseNewRequests();
         }
         if (listening && (owner.pending() == 0 || late)) {
             listening = false;
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryServer.java
@@ -116,7 +116,7 @@
     }
 
     /** Refuses requests that come from now on; those under way go on. */
-    public void refuseNew() {
+    public void refuseNewRequests() {
         refusingNew = true;
     }
 
