--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -213,7 +213,7 @@
         head = null;
         responsePending = true;
         services.counters().add(NodeMetricNames.ENTRY_REQUESTS);
-        if (server.isRefusing()) {
+        if (server.isRefusingNew()) {
             whole.release();
             services.counters().add(NodeMetricNames.ENTRY_REFUSED);
             reply(503, EntryCall.retryAfterHeaders(UNAVAILABLE_RETRY_AFTER_S), Unpooled.EMPTY_BUFFER);
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryServer.java
@@ -120,7 +120,7 @@
         refusingNew = true;
     }
 
-    boolean isRefusing() {
+    boolean isRefusingNew() {
         return refusingNew;
     }
 
