--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -236,7 +236,7 @@
         }
         EntryCallFactory.CallerRequest asked =
                 new EntryCallFactory.CallerRequest(request.method(), request.uri(), request.headers(), whole);
-        call = services.calls().open(version.get(), route.get(), asked, this);
+        call = services.callFactory().open(version.get(), route.get(), asked, this);
         call.start();
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryServer.java
@@ -109,7 +109,7 @@
      */
     public void drain(long endAt) {
         draining = true;
-        services.calls().capDeadlines(endAt);
+        services.callFactory().capDeadlines(endAt);
         for (EntryHandler connection : List.copyOf(connections)) {
             connection.concludeBy(endAt);
         }
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryServices.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryServices.java
@@ -11,14 +11,14 @@
  * What the connections of callers share; confined to the event loop.
  *
  * @param version the configuration in force
- * @param calls opens calls
+ * @param callFactory opens calls
  * @param link of this VM
  * @param counters takes counts
  * @param log takes events
  */
 record EntryServices(
         Supplier<Optional<MeshVersion>> version,
-        EntryCallFactory calls,
+        EntryCallFactory callFactory,
         IncomingLink link,
         Counters counters,
         EventLog log) {}
