--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
@@ -57,7 +57,7 @@
                 budget,
                 new AnswerHabits(),
                 new CallerReturns(),
-                new GatherMemory(gatherBytes),
+                new ResponseBufferBudget(gatherBytes),
                 instruments.counters(),
                 instruments.log(),
                 chance);
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryContext.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryContext.java
@@ -34,7 +34,7 @@
         RetryBudget retryBudget,
         AnswerHabits responseEstimates,
         CallerReturns callerRetryRates,
-        GatherMemory responseBuffers,
+        ResponseBufferBudget responseBuffers,
         Counters counters,
         EventLog log,
         DoubleSupplier random) {}
--- a/org.berylwick.node/src/org/berylwick/node/call/GatherMemory.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ResponseBufferBudget.java
@@ -1,7 +1,7 @@
 package org.berylwick.node.call;
 
 /** Bytes that answers may hold while they are gathered; confined to the event loop. */
-final class GatherMemory {
+final class ResponseBufferBudget {
     /** The largest answer that is gathered before it is passed on; a larger one is streamed. */
     private static final int MOST_PER_ANSWER = 4 << 20;
 
@@ -9,7 +9,7 @@
     private long held;
 
     /** @param most bytes for all answers together */
-    GatherMemory(long most) {
+    ResponseBufferBudget(long most) {
         this.most = most;
     }
 
