--- a/org.berylwick.node/src/org/berylwick/node/call/ResponseBufferBudget.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ResponseBufferBudget.java
@@ -3,7 +3,7 @@
 /** Bytes that answers may hold while they are gathered; confined to the event loop. */
 final class ResponseBufferBudget {
     /** The largest answer that is gathered before it is passed on; a larger one is streamed. */
-    private static final int MOST_PER_ANSWER = 4 << 20;
+    private static final int MAX_BYTES_PER_RESPONSE = 4 << 20;
 
     private final long most;
     private long held;
@@ -14,7 +14,7 @@
     }
 
     boolean tryHold(int already, int more) {
-        if (already + more > MOST_PER_ANSWER || held + more > most) {
+        if (already + more > MAX_BYTES_PER_RESPONSE || held + more > most) {
             return false;
         }
         held += more;
