--- a/org.berylwick.node/src/org/berylwick/node/call/ResponseBufferBudget.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ResponseBufferBudget.java
@@ -6,7 +6,7 @@
     private static final int MAX_BYTES_PER_RESPONSE = 4 << 20;
 
     private final long maxBytes;
-    private long held;
+    private long bytesInUse;
 
     /** @param most bytes for all answers together */
     ResponseBufferBudget(long most) {
@@ -14,18 +14,18 @@
     }
 
     boolean tryHold(int already, int more) {
-        if (already + more > MAX_BYTES_PER_RESPONSE || held + more > maxBytes) {
+        if (already + more > MAX_BYTES_PER_RESPONSE || bytesInUse + more > maxBytes) {
             return false;
         }
-        held += more;
+        bytesInUse += more;
         return true;
     }
 
     void release(int bytes) {
-        held -= bytes;
+        bytesInUse -= bytes;
     }
 
     long held() {
-        return held;
+        return bytesInUse;
     }
 }
