--- a/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
@@ -79,7 +79,7 @@
             attempt.setAutoRead(call.sink().part(part));
             return;
         }
-        if (call.context().responseBuffers().tryHold(bufferedBytes, part.readableBytes())) {
+        if (call.context().responseBuffers().tryReserve(bufferedBytes, part.readableBytes())) {
             bufferedBytes += part.readableBytes();
             buffered.addComponent(true, part);
             return;
--- a/org.berylwick.node/src/org/berylwick/node/call/ResponseBufferBudget.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ResponseBufferBudget.java
@@ -13,7 +13,7 @@
         this.maxBytes = most;
     }
 
-    boolean tryHold(int already, int more) {
+    boolean tryReserve(int already, int more) {
         if (already + more > MAX_BYTES_PER_RESPONSE || bytesInUse + more > maxBytes) {
             return false;
         }
