--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
@@ -65,7 +65,7 @@
 
     /** Bytes that answers hold while they are gathered. */
     public long bufferedBytes() {
-        return context.responseBuffers().held();
+        return context.responseBuffers().bytesInUse();
     }
 
     /** The process ends: calls that are opened from now on have their deadline then at the latest. */
--- a/org.berylwick.node/src/org/berylwick/node/call/ResponseBufferBudget.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ResponseBufferBudget.java
@@ -25,7 +25,7 @@
         bytesInUse -= bytes;
     }
 
-    long held() {
+    long bytesInUse() {
         return bytesInUse;
     }
 }
