--- a/org.berylwick.node/src/org/berylwick/node/call/Headers.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Headers.java
@@ -13,7 +13,7 @@
     static final String OUTCOME = "bw-outcome";
 
     // Of a type that keeps its hash: each request looks all of them up, on both hops and both ways.
-    private static final AsciiString[] ONE_CONNECTION = {
+    private static final AsciiString[] HOP_BY_HOP = {
         AsciiString.cached("Connection"),
         AsciiString.cached("Keep-Alive"),
         AsciiString.cached("Proxy-Connection"),
@@ -43,7 +43,7 @@
                 kept.remove(name.strip());
             }
         }
-        for (AsciiString name : ONE_CONNECTION) {
+        for (AsciiString name : HOP_BY_HOP) {
             kept.remove(name);
         }
         return kept;
