--- a/org.berylwick.node/src/org/berylwick/node/call/Headers.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Headers.java
@@ -29,7 +29,7 @@
         AsciiString.cached(OUTCOME)
     };
 
-    private static final DefaultHttpHeadersFactory UNCHECKED =
+    private static final DefaultHttpHeadersFactory WITHOUT_VALIDATION =
             DefaultHttpHeadersFactory.headersFactory().withValidation(false);
 
     private Headers() {}
@@ -51,7 +51,7 @@
 
     /** No headers yet; names and values are not checked. */
     static HttpHeaders empty() {
-        return UNCHECKED.newHeaders();
+        return WITHOUT_VALIDATION.newHeaders();
     }
 
     /** An unchecked copy, for a head of its own. */
