--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedSink.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedSink.java
@@ -2,10 +2,10 @@
 
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpHeaders;
-import org.berylwick.node.call.ReplySink;
+import org.berylwick.node.call.ResponseSink;
 
 /** Takes one answer. */
-final class EmulatedSink implements ReplySink {
+final class EmulatedSink implements ResponseSink {
     private final Hearer hearer;
     private boolean over;
 
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -45,7 +45,7 @@
     private final long receivedAt;
     private final long queueWaitUntil;
     private final boolean callerRetried;
-    private final ReplySink sink;
+    private final ResponseSink sink;
     private final CallTrace trace;
     private final Set<String> triedNodes = new HashSet<>();
     private final Set<String> busyNodes = new HashSet<>();
@@ -70,7 +70,7 @@
             long receivedAt,
             long versionNumber,
             boolean returned,
-            ReplySink sink) {
+            ResponseSink sink) {
         this.context = context;
         this.route = route;
         this.spec = spec;
@@ -85,7 +85,7 @@
         return context;
     }
 
-    ReplySink sink() {
+    ResponseSink sink() {
         return sink;
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
@@ -81,7 +81,7 @@
      * @param request of the caller
      * @param sink takes the answer
      */
-    public CallHandle open(MeshVersion version, Route route, CallerRequest request, ReplySink sink) {
+    public CallHandle open(MeshVersion version, Route route, CallerRequest request, ResponseSink sink) {
         long now = context.clock().now();
         HttpHeaders headers = Headers.endToEnd(request.headers());
         String id = headers.get(context.headerNames().requestId(), "");
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -39,7 +39,7 @@
 /**
  * A caller's connection: reads its requests one after the other and writes their answers; confined to the event loop.
  */
-final class EntryHandler extends ChannelInboundHandlerAdapter implements ReplySink {
+final class EntryHandler extends ChannelInboundHandlerAdapter implements ResponseSink {
     /** The most of a body that is kept, since an attempt may have to send it again. */
     private static final long MAX_BODY_BYTES = 8 << 20;
 
--- a/org.berylwick.node/src/org/berylwick/node/call/ReplySink.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ResponseSink.java
@@ -4,7 +4,7 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /** Where the answer to a caller goes; called on the event loop. */
-public interface ReplySink {
+public interface ResponseSink {
     /**
      * A whole answer.
      *
