--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedSink.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedSink.java
@@ -31,7 +31,7 @@
     }
 
     @Override
-    public void reply(int status, HttpHeaders headers, ByteBuf body) {
+    public void respond(int status, HttpHeaders headers, ByteBuf body) {
         if (over) {
             body.release();
             return;
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -328,7 +328,7 @@
                 good ? Event.CALL_ANSWERED : Event.CALL_FAILED,
                 status,
                 attempt.candidate().key());
-        sink.reply(status, headers, body);
+        sink.respond(status, headers, body);
     }
 
     /** An answer turned out too large to be gathered; it goes out as it comes. */
@@ -400,7 +400,7 @@
         context.callerRetryRates().onRefused(spec.requestClass());
         context.counters().add(NodeMetricNames.ENTRY_REFUSED);
         log(Event.CALL_REFUSED, 503, "");
-        sink.reply(503, retryAfterHeaders(seconds), Unpooled.EMPTY_BUFFER);
+        sink.respond(503, retryAfterHeaders(seconds), Unpooled.EMPTY_BUFFER);
     }
 
     /** Headers of a refusal that tells when to come back. */
@@ -414,7 +414,7 @@
         int status = late ? 504 : 502;
         context.counters().add(NodeMetricNames.ENTRY_FAILED);
         log(Event.CALL_FAILED, status, "");
-        sink.reply(status, Headers.empty(), Unpooled.EMPTY_BUFFER);
+        sink.respond(status, Headers.empty(), Unpooled.EMPTY_BUFFER);
     }
 
     @Override
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -163,7 +163,7 @@
         releaseBody();
         keepAlive = false;
         responsePending = true;
-        reply(status, Headers.empty(), Unpooled.EMPTY_BUFFER);
+        respond(status, Headers.empty(), Unpooled.EMPTY_BUFFER);
     }
 
     private void processContent(HttpContent content) {
@@ -216,14 +216,14 @@
         if (server.isRefusingNew()) {
             whole.release();
             services.counters().add(NodeMetricNames.ENTRY_REFUSED);
-            reply(503, EntryCall.retryAfterHeaders(UNAVAILABLE_RETRY_AFTER_S), Unpooled.EMPTY_BUFFER);
+            respond(503, EntryCall.retryAfterHeaders(UNAVAILABLE_RETRY_AFTER_S), Unpooled.EMPTY_BUFFER);
             return;
         }
         Optional<MeshVersion> version = services.version().get();
         if (version.isEmpty()) {
             whole.release();
             services.counters().add(NodeMetricNames.ENTRY_REFUSED_NO_VERSION);
-            reply(503, EntryCall.retryAfterHeaders(UNAVAILABLE_RETRY_AFTER_S), Unpooled.EMPTY_BUFFER);
+            respond(503, EntryCall.retryAfterHeaders(UNAVAILABLE_RETRY_AFTER_S), Unpooled.EMPTY_BUFFER);
             return;
         }
         String host = request.headers().get(HttpHeaderNames.HOST, "");
@@ -231,7 +231,7 @@
         if (route.isEmpty()) {
             whole.release();
             services.counters().add(NodeMetricNames.ENTRY_NO_ROUTE);
-            reply(404, Headers.empty(), Unpooled.EMPTY_BUFFER);
+            respond(404, Headers.empty(), Unpooled.EMPTY_BUFFER);
             return;
         }
         EntryCallFactory.CallerRequest asked =
@@ -241,7 +241,7 @@
     }
 
     @Override
-    public void reply(int status, HttpHeaders headers, ByteBuf bytes) {
+    public void respond(int status, HttpHeaders headers, ByteBuf bytes) {
         FullHttpResponse response = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1,
                 HttpResponseStatus.valueOf(status),
--- a/org.berylwick.node/src/org/berylwick/node/call/ResponseSink.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ResponseSink.java
@@ -12,7 +12,7 @@
      * @param headers end-to-end headers
      * @param body is released after it was written
      */
-    void reply(int status, HttpHeaders headers, ByteBuf body);
+    void respond(int status, HttpHeaders headers, ByteBuf body);
 
     /** Begins an answer whose length is not known. */
     void begin(int status, HttpHeaders headers);
