--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedSink.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedSink.java
@@ -41,7 +41,7 @@
     }
 
     @Override
-    public void begin(int status, HttpHeaders headers) {
+    public void beginStream(int status, HttpHeaders headers) {
         throw new IllegalStateException("answers are small here");
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -337,7 +337,7 @@
         removeEndedAttempt(attempt);
         cancelAttempts();
         currentAttempt = streamingAttempt;
-        sink.begin(status, headers);
+        sink.beginStream(status, headers);
     }
 
     void onStreamingEnded(EntryAttempt attempt, boolean whole) {
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -260,7 +260,7 @@
     }
 
     @Override
-    public void begin(int status, HttpHeaders headers) {
+    public void beginStream(int status, HttpHeaders headers) {
         HttpResponse response =
                 new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), headers);
         HttpUtil.setTransferEncodingChunked(response, true);
--- a/org.berylwick.node/src/org/berylwick/node/call/ResponseSink.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ResponseSink.java
@@ -15,7 +15,7 @@
     void respond(int status, HttpHeaders headers, ByteBuf body);
 
     /** Begins an answer whose length is not known. */
-    void begin(int status, HttpHeaders headers);
+    void beginStream(int status, HttpHeaders headers);
 
     /** A part of it; false if the caller should be given time to read. */
     boolean part(ByteBuf bytes);
