--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedSink.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedSink.java
@@ -46,7 +46,7 @@
     }
 
     @Override
-    public boolean part(ByteBuf bytes) {
+    public boolean writeChunk(ByteBuf bytes) {
         throw new IllegalStateException("answers are small here");
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
@@ -76,7 +76,7 @@
             return;
         }
         if (streaming) {
-            attempt.setAutoRead(call.sink().part(part));
+            attempt.setAutoRead(call.sink().writeChunk(part));
             return;
         }
         if (call.context().responseBuffers().tryReserve(bufferedBytes, part.readableBytes())) {
@@ -90,8 +90,8 @@
         buffered = null;
         call.context().responseBuffers().release(bufferedBytes);
         bufferedBytes = 0;
-        call.sink().part(begun);
-        attempt.setAutoRead(call.sink().part(part));
+        call.sink().writeChunk(begun);
+        attempt.setAutoRead(call.sink().writeChunk(part));
     }
 
     @Override
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -269,7 +269,7 @@
     }
 
     @Override
-    public boolean part(ByteBuf bytes) {
+    public boolean writeChunk(ByteBuf bytes) {
         channel.writeAndFlush(new DefaultHttpContent(bytes));
         return channel.isWritable();
     }
--- a/org.berylwick.node/src/org/berylwick/node/call/ResponseSink.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ResponseSink.java
@@ -18,7 +18,7 @@
     void beginStream(int status, HttpHeaders headers);
 
     /** A part of it; false if the caller should be given time to read. */
-    boolean part(ByteBuf bytes);
+    boolean writeChunk(ByteBuf bytes);
 
     /** Its end. */
     void end();
