--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedSink.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedSink.java
@@ -51,7 +51,7 @@
     }
 
     @Override
-    public void end() {
+    public void endStream() {
         throw new IllegalStateException("answers are small here");
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -348,7 +348,7 @@
                 200,
                 attempt.candidate().key());
         if (whole) {
-            sink.end();
+            sink.endStream();
         } else {
             sink.breakOff();
         }
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -275,7 +275,7 @@
     }
 
     @Override
-    public void end() {
+    public void endStream() {
         writeFinal(LastHttpContent.EMPTY_LAST_CONTENT);
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/ResponseSink.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ResponseSink.java
@@ -21,7 +21,7 @@
     boolean writeChunk(ByteBuf bytes);
 
     /** Its end. */
-    void end();
+    void endStream();
 
     /** Breaks it off, so that the caller sees that it is not whole. */
     void breakOff();
