--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedSink.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedSink.java
@@ -56,7 +56,7 @@
     }
 
     @Override
-    public void breakOff() {
+    public void abortStream() {
         throw new IllegalStateException("answers are small here");
     }
 }
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -350,7 +350,7 @@
         if (whole) {
             sink.endStream();
         } else {
-            sink.breakOff();
+            sink.abortStream();
         }
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -280,7 +280,7 @@
     }
 
     @Override
-    public void breakOff() {
+    public void abortStream() {
         call = null;
         closing = true;
         channel.close();
--- a/org.berylwick.node/src/org/berylwick/node/call/ResponseSink.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ResponseSink.java
@@ -24,5 +24,5 @@
     void endStream();
 
     /** Breaks it off, so that the caller sees that it is not whole. */
-    void breakOff();
+    void abortStream();
 }
