--- a/org.berylwick.test/tst/org/berylwick/node/AnswerPathTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/ResponsePathTest.java
@@ -19,7 +19,7 @@
 
 /** A caller gets the whole answer to its own request, or one that does not look whole. */
 @Timeout(60)
-class AnswerPathTest {
+class ResponsePathTest {
     private static void readBody(RawServer.Connection connection, RawServer.Request request) throws IOException {
         String length = request.header("content-length");
         connection.read(length.isEmpty() ? 0 : Integer.parseInt(length));
