--- a/org.berylwick.test/tst/org/berylwick/node/ResponsePathTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/ResponsePathTest.java
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void passesAnAnswerUnchangedAndSetsItsOwnHeaders() {
+    void passesResponseThroughAndSetsForwardingHeaders() {
         try (RawServer server = new RawServer((c, r) -> {
                     readBody(c, r);
                     c.write(NodeRig.answerTo(r, "hello"));
