--- a/org.berylwick.test/tst/org/berylwick/node/ResponsePathTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/ResponsePathTest.java
@@ -66,7 +66,7 @@
      * would be given the bytes that are left over; the connection is closed instead.
      */
     @Test
-    void extraAnswerBehindAnAnswerBelongsToNobody() {
+    void extraResponseIsNotDeliveredToNextRequest() {
         try (RawServer server = new RawServer((c, r) -> {
                     readBody(c, r);
                     c.write(NodeRig.answerTo(r, "first") + NodeRig.answerTo(r, "extra"));
