--- a/org.berylwick.test/tst/org/berylwick/node/ResponsePathTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/ResponsePathTest.java
@@ -101,7 +101,7 @@
 
     /** An answer is cut short. A repeatable request is run again; the caller never sees the half. */
     @Test
-    void cutAnswerOfARepeatableRequestIsReplaced() {
+    void truncatedResponseToIdempotentRequestIsRetried() {
         boolean[] cut = {true};
         RawServer.Script script = (c, r) -> {
             readBody(c, r);
