--- a/org.berylwick.test/tst/org/berylwick/node/ResponsePathTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/ResponsePathTest.java
@@ -125,7 +125,7 @@
 
     /** The same cut on a request that must run once at most: no second run, and no answer that looks good. */
     @Test
-    void cutAnswerOfANonIdempotentRequestIsNotRepeated() {
+    void truncatedResponseToNonIdempotentRequestIsNotRetried() {
         RawServer.Script script = (c, r) -> {
             readBody(c, r);
             c.write(NodeRig.answerTo(r, "whole answer")
