--- a/org.berylwick.test/tst/org/berylwick/node/ResponsePathTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/ResponsePathTest.java
@@ -143,7 +143,7 @@
 
     /** An answer without a length that ends with its connection is whole; one that ends with a reset is not. */
     @Test
-    void unframedAnswerIsWholeOnlyIfItsConnectionEndsInOrder() {
+    void responseWithoutLengthIsCompleteOnlyOnOrderlyClose() {
         boolean[] reset = {false};
         try (RawServer server = new RawServer((c, r) -> {
                     readBody(c, r);
