--- a/org.berylwick.test/tst/org/berylwick/node/ResponsePathTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/ResponsePathTest.java
@@ -179,7 +179,7 @@
 
     /** A backend server that says it did not run a request may be followed by another, whatever the request. */
     @Test
-    void requestTurnedAwayRunsElsewhere() {
+    void requestRejectedByServerRunsElsewhere() {
         try (RawServer one = new RawServer((c, r) -> {
                     readBody(c, r);
                     c.write("HTTP/1.1 503 Busy\r\nx-not-run: 1\r\nx-request-id: " + r.id()
