--- a/org.berylwick.test/tst/org/berylwick/node/ResponsePathTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/ResponsePathTest.java
@@ -199,7 +199,7 @@
 
     /** Before its first version a node cannot know that a route does not exist: it says so, and when to come back. */
     @Test
-    void withoutAVersionItRefusesAndDoesNotSayNotFound() {
+    void respondsUnavailableInsteadOfNotFoundBeforeFirstVersion() {
         try (RawServer server = new RawServer();
                 NodeRig rig = new NodeRig()) {
             rig.start(1, Optional.of(server));
