--- a/org.berylwick.test/tst/org/berylwick/node/ResponsePathTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/ResponsePathTest.java
@@ -215,7 +215,7 @@
 
     /** The route's timeout ends a request with a final answer though its caller would wait on. */
     @Test
-    void routeTimeoutEndsARequest() {
+    void routeTimeoutEndsRequest() {
         try (RawServer server = new RawServer((c, r) -> c.awaitClosedByPeer());
                 NodeRig rig = new NodeRig()) {
             rig.configuration.accept(NodeRig.version(
