--- a/org.berylwick.test/tst/org/berylwick/node/ResponsePathTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/ResponsePathTest.java
@@ -231,7 +231,7 @@
 
     /** A caller leaves: the backend server's connection closes, so that it stops work nobody waits for. */
     @Test
-    void callerThatLeavesEndsTheRun() throws IOException {
+    void callerDisconnectCancelsRunningRequest() throws IOException {
         try (RawServer server = new RawServer((c, r) -> c.awaitClosedByPeer());
                 NodeRig rig = rigWith(server)) {
             try (Socket socket = new Socket()) {
