--- a/org.berylwick.test/tst/org/berylwick/node/ResponsePathTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/ResponsePathTest.java
@@ -247,7 +247,7 @@
 
     /** No more requests are sent than there are slots; the others wait and are run in turn. */
     @Test
-    void slotsAreNeverOverfilled() throws InterruptedException {
+    void concurrentRequestsNeverExceedSlots() throws InterruptedException {
         AtomicInteger now = new AtomicInteger();
         AtomicInteger most = new AtomicInteger();
         try (RawServer server = new RawServer((c, r) -> {
