--- a/org.berylwick.test/tst/org/berylwick/node/ResponsePathTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/ResponsePathTest.java
@@ -276,7 +276,7 @@
      * connections.
      */
     @Test
-    void idleConnectionsThatAreDroppedAreNotUsedTwice() {
+    void idleConnectionsAreNotReusedAfterServerDroppedOne() {
         Set<RawServer.Connection> used = ConcurrentHashMap.newKeySet();
         try (RawServer server = new RawServer((c, r) -> {
                     readBody(c, r);
