--- a/org.berylwick.test/tst/org/berylwick/node/LargeAnswerTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/LargeResponseTest.java
@@ -14,7 +14,7 @@
 
 /** Answers that are large for the link of the VM that makes them. */
 @Timeout(60)
-class LargeAnswerTest {
+class LargeResponseTest {
     private static final double NARROW_MBPS = 30;
     /** Takes ten seconds for an answer. */
     private static final double VERY_NARROW_MBPS = 5;
