--- a/org.berylwick.test/tst/org/berylwick/node/LargeResponseTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/LargeResponseTest.java
@@ -19,9 +19,9 @@
     /** Takes ten seconds for an answer. */
     private static final double VERY_NARROW_MBPS = 5;
     /** More than the system takes for a connection whose other end does not read. */
-    private static final int LENGTH = 6_000_000;
+    private static final int BODY_LENGTH = 6_000_000;
 
-    private static final String LARGE = "x".repeat(LENGTH);
+    private static final String LARGE = "x".repeat(BODY_LENGTH);
 
     private static RawServer server() {
         return new RawServer((c, r) -> c.write(NodeRig.answerTo(r, r.path().startsWith("/bulk/") ? LARGE : "small")));
@@ -41,10 +41,10 @@
     void answerIsDroppedAtItsDeadline() throws IOException {
         try (RawServer server = server();
                 NodeRig rig = ownerOf(server)) {
-            try (Socket node = rig.askAsNode(1, "l2", LENGTH, 3_000)) {
+            try (Socket node = rig.askAsNode(1, "l2", BODY_LENGTH, 3_000)) {
                 Await.until("it runs", () -> server.runs("l2") == 1, rig::logged);
                 NodeRig.sleep(4_000);
-                assertTrue(bytesUntilClosed(node) < LENGTH, "all of it came after the deadline");
+                assertTrue(bytesUntilClosed(node) < BODY_LENGTH, "all of it came after the deadline");
             }
         }
     }
@@ -57,7 +57,7 @@
             rig.configuration.accept(NodeRig.version(1));
             Node owner = rig.startOnLink(1, server, 1, VERY_NARROW_MBPS);
             rig.awaitReady(1);
-            try (Socket node = rig.askAsNode(1, "l3", LENGTH, 30_000)) {
+            try (Socket node = rig.askAsNode(1, "l3", BODY_LENGTH, 30_000)) {
                 assertEquals('H', node.getInputStream().read(), "the answer did not begin");
                 NodeRig.sleep(500);
                 long busyMillis = NodeRig.gauge(owner, NodeMetricNames.LINK_OUTGOING_BUSY_MS);
@@ -89,7 +89,7 @@
     void slotIsFreeWhileALargeAnswerLeaves() throws IOException {
         try (RawServer server = server();
                 NodeRig rig = ownerOf(server)) {
-            try (Socket node = rig.askAsNode(1, "l1", LENGTH, 9_000)) {
+            try (Socket node = rig.askAsNode(1, "l1", BODY_LENGTH, 9_000)) {
                 Await.until("it runs", () -> server.runs("l1") == 1, rig::logged);
                 NodeRig.sleep(500);
                 String small = rig.call(1, "GET", "/read/x", "s1", "");
