--- a/org.berylwick.test/tst/org/berylwick/node/LargeResponseTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/LargeResponseTest.java
@@ -21,10 +21,10 @@
     /** More than the system takes for a connection whose other end does not read. */
     private static final int BODY_LENGTH = 6_000_000;
 
-    private static final String LARGE = "x".repeat(BODY_LENGTH);
+    private static final String LARGE_BODY = "x".repeat(BODY_LENGTH);
 
     private static RawServer server() {
-        return new RawServer((c, r) -> c.write(NodeRig.answerTo(r, r.path().startsWith("/bulk/") ? LARGE : "small")));
+        return new RawServer((c, r) -> c.write(NodeRig.answerTo(r, r.path().startsWith("/bulk/") ? LARGE_BODY : "small")));
     }
 
     /** An owner on a narrow link, whose backend server has one slot. */
