--- a/org.berylwick.test/tst/org/berylwick/node/LargeResponseTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/LargeResponseTest.java
@@ -23,7 +23,7 @@
 
     private static final String LARGE_BODY = "x".repeat(BODY_LENGTH);
 
-    private static RawServer server() {
+    private static RawServer startServer() {
         return new RawServer((c, r) -> c.write(NodeRig.answerTo(r, r.path().startsWith("/bulk/") ? LARGE_BODY : "small")));
     }
 
@@ -39,7 +39,7 @@
     /** Guards against bytes that wait for a node that lost power, and keep the link busy for good. */
     @Test
     void answerIsDroppedAtItsDeadline() throws IOException {
-        try (RawServer server = server();
+        try (RawServer server = startServer();
                 NodeRig rig = ownerOf(server)) {
             try (Socket node = rig.askAsNode(1, "l2", BODY_LENGTH, 3_000)) {
                 Await.until("it runs", () -> server.runs("l2") == 1, rig::logged);
@@ -52,7 +52,7 @@
     /** Guards against a link that is told as nearly free while most of a large answer is still to be read. */
     @Test
     void allOfAnAnswerCountsUntilItHasLeft() throws IOException {
-        try (RawServer server = server();
+        try (RawServer server = startServer();
                 NodeRig rig = new NodeRig()) {
             rig.configuration.accept(NodeRig.version(1));
             Node owner = rig.startOnLink(1, server, 1, VERY_NARROW_MBPS);
@@ -87,7 +87,7 @@
     /** Guards against calls refused for want of a slot that only the link, or a slow reader, keeps from being free. */
     @Test
     void slotIsFreeWhileALargeAnswerLeaves() throws IOException {
-        try (RawServer server = server();
+        try (RawServer server = startServer();
                 NodeRig rig = ownerOf(server)) {
             try (Socket node = rig.askAsNode(1, "l1", BODY_LENGTH, 9_000)) {
                 Await.until("it runs", () -> server.runs("l1") == 1, rig::logged);
