--- a/org.berylwick.test/tst/org/berylwick/node/LargeResponseTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/LargeResponseTest.java
@@ -28,7 +28,7 @@
     }
 
     /** An owner on a narrow link, whose backend server has one slot. */
-    private static NodeRig ownerOf(RawServer server) {
+    private static NodeRig startOwner(RawServer server) {
         NodeRig rig = new NodeRig();
         rig.configuration.accept(NodeRig.version(1));
         rig.startOnLink(1, server, 1, NARROW_MBPS);
@@ -40,7 +40,7 @@
     @Test
     void answerIsDroppedAtItsDeadline() throws IOException {
         try (RawServer server = startServer();
-                NodeRig rig = ownerOf(server)) {
+                NodeRig rig = startOwner(server)) {
             try (Socket node = rig.askAsNode(1, "l2", BODY_LENGTH, 3_000)) {
                 Await.until("it runs", () -> server.runs("l2") == 1, rig::logged);
                 NodeRig.sleep(4_000);
@@ -88,7 +88,7 @@
     @Test
     void slotIsFreeWhileALargeAnswerLeaves() throws IOException {
         try (RawServer server = startServer();
-                NodeRig rig = ownerOf(server)) {
+                NodeRig rig = startOwner(server)) {
             try (Socket node = rig.askAsNode(1, "l1", BODY_LENGTH, 9_000)) {
                 Await.until("it runs", () -> server.runs("l1") == 1, rig::logged);
                 NodeRig.sleep(500);
