--- a/org.berylwick.test/tst/org/berylwick/node/LargeResponseTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/LargeResponseTest.java
@@ -38,7 +38,7 @@
 
     /** Guards against bytes that wait for a node that lost power, and keep the link busy for good. */
     @Test
-    void answerIsDroppedAtItsDeadline() throws IOException {
+    void responseIsDroppedAtDeadline() throws IOException {
         try (RawServer server = startServer();
                 NodeRig rig = startOwner(server)) {
             try (Socket node = rig.askAsNode(1, "l2", BODY_LENGTH, 3_000)) {
