--- a/org.berylwick.test/tst/org/berylwick/node/LargeResponseTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/LargeResponseTest.java
@@ -51,7 +51,7 @@
 
     /** Guards against a link that is told as nearly free while most of a large answer is still to be read. */
     @Test
-    void allOfAnAnswerCountsUntilItHasLeft() throws IOException {
+    void unsentResponseBytesCountAsLinkLoad() throws IOException {
         try (RawServer server = startServer();
                 NodeRig rig = new NodeRig()) {
             rig.configuration.accept(NodeRig.version(1));
