--- a/org.berylwick.test/tst/org/berylwick/node/LargeResponseTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/LargeResponseTest.java
@@ -44,7 +44,7 @@
             try (Socket node = rig.askAsNode(1, "l2", BODY_LENGTH, 3_000)) {
                 Await.until("it runs", () -> server.runs("l2") == 1, rig::logged);
                 NodeRig.sleep(4_000);
-                assertTrue(bytesUntilClosed(node) < BODY_LENGTH, "all of it came after the deadline");
+                assertTrue(countBytesUntilClosed(node) < BODY_LENGTH, "all of it came after the deadline");
             }
         }
     }
@@ -66,7 +66,7 @@
         }
     }
 
-    private static int bytesUntilClosed(Socket node) {
+    private static int countBytesUntilClosed(Socket node) {
         int count = 0;
         byte[] part = new byte[65_536];
         try {
