--- a/org.berylwick.test/tst/org/berylwick/node/LargeResponseTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/LargeResponseTest.java
@@ -86,7 +86,7 @@
 
     /** Guards against calls refused for want of a slot that only the link, or a slow reader, keeps from being free. */
     @Test
-    void slotIsFreeWhileALargeAnswerLeaves() throws IOException {
+    void slotIsFreeWhileLargeResponseIsSent() throws IOException {
         try (RawServer server = startServer();
                 NodeRig rig = startOwner(server)) {
             try (Socket node = rig.askAsNode(1, "l1", BODY_LENGTH, 9_000)) {
