--- a/org.berylwick.test/tst/org/berylwick/node/OverloadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/OverloadTest.java
@@ -19,7 +19,7 @@
      * them is served late; here those that can be in time are, and the others are told within a moment to come back.
      */
     @Test
-    void burstLeavesNoBacklogOfLateAnswers() throws InterruptedException {
+    void burstLeavesNoBacklogOfLateResponses() throws InterruptedException {
         AtomicInteger inTime = new AtomicInteger();
         AtomicInteger refusedSoon = new AtomicInteger();
         AtomicInteger late = new AtomicInteger();
