--- a/org.berylwick.test/tst/org/berylwick/node/OverloadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/OverloadTest.java
@@ -63,7 +63,7 @@
      * objective the calls would always go first, and hardly a payment would run; both are served alike.
      */
     @Test
-    void kindsWithAFarObjectiveAreNotStarved() throws InterruptedException {
+    void requestsWithLongObjectiveAreNotStarved() throws InterruptedException {
         AtomicInteger calls = new AtomicInteger();
         AtomicInteger payments = new AtomicInteger();
         try (RawServer server = new RawServer((c, r) -> {
