--- a/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
@@ -23,11 +23,11 @@
  */
 @Timeout(60)
 class StreamedUploadTest {
-    private static final int LENGTH = 200_000;
-    private static final int HALF = LENGTH / 2;
+    private static final int BODY_LENGTH = 200_000;
+    private static final int HALF = BODY_LENGTH / 2;
     private static final int WIDE_MBPS = 1_000;
     private static final int NARROW_MBPS = 5;
-    private static final String BODY = "x".repeat(LENGTH);
+    private static final String BODY = "x".repeat(BODY_LENGTH);
 
     private static NodeRig rig() {
         NodeRig rig = new NodeRig();
@@ -44,7 +44,7 @@
 
     private static String head(String path, String id) {
         String whole = NodeRig.request("POST", path, id, 2_000, BODY);
-        return whole.substring(0, whole.length() - LENGTH);
+        return whole.substring(0, whole.length() - BODY_LENGTH);
     }
 
     private static Socket caller(NodeRig rig) throws IOException {
@@ -64,10 +64,10 @@
                 OutputStream out = caller.getOutputStream();
                 out.write(bytes(head("/pay/x", "s1") + BODY.substring(0, HALF)));
                 try (ScriptedPeer.Call call = peer.accept()) {
-                    assertTrue(call.head().contains("content-length: " + LENGTH));
+                    assertTrue(call.head().contains("content-length: " + BODY_LENGTH));
                     assertEquals(HALF, call.body(HALF).length);
                     out.write(bytes(BODY.substring(HALF)));
-                    assertEquals(LENGTH - HALF, call.body(LENGTH - HALF).length);
+                    assertEquals(BODY_LENGTH - HALF, call.body(BODY_LENGTH - HALF).length);
                     call.answer("s1", "stored");
                     String answer = NodeRig.readAnswer(caller.getInputStream());
                     assertTrue(answer.endsWith("stored"), answer);
@@ -88,7 +88,7 @@
                 assertTrue(call.head().contains("expect: 100-continue"));
                 assertFalse(call.isSentMore(100), "the body came unasked");
                 call.ask();
-                assertEquals(LENGTH, call.body(LENGTH).length);
+                assertEquals(BODY_LENGTH, call.body(BODY_LENGTH).length);
                 call.answer("s2", "stored");
             }
             assertTrue(answer.join().endsWith("stored"), answer.join());
@@ -112,7 +112,7 @@
                 rig.start(2, Optional.of(server));
                 rig.awaitHeard("i-2");
                 call.refuse();
-                assertTrue(answer.join().endsWith("read " + LENGTH), answer.join());
+                assertTrue(answer.join().endsWith("read " + BODY_LENGTH), answer.join());
                 assertFalse(call.isSentMore(50), "the body came though it was refused");
             }
             assertEquals(1, server.runs("s3"));
