--- a/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
@@ -29,7 +29,7 @@
     private static final int NARROW_MBPS = 5;
     private static final String BODY = "x".repeat(BODY_LENGTH);
 
-    private static NodeRig rig() {
+    private static NodeRig startEntry() {
         NodeRig rig = new NodeRig();
         rig.configuration.accept(
                 NodeRig.version(1, b -> b.limits(new CallerLimits(16_384, 1 << 20, 3_000_000_000L, 15_000_000_000L))));
@@ -57,7 +57,7 @@
     /** The owner has the first half before the caller has sent the second. */
     @Test
     void bodyGoesOnAsItComes() throws IOException {
-        try (NodeRig rig = rig();
+        try (NodeRig rig = startEntry();
                 ScriptedPeer peer = new ScriptedPeer(rig)) {
             peer.announce(WIDE_MBPS);
             try (Socket caller = caller(rig)) {
@@ -79,7 +79,7 @@
     /** Over a narrow link an owner gets the head alone, and the body when it asks for it. */
     @Test
     void bodyWaitsUntilAnOwnerOnANarrowLinkAsks() throws IOException {
-        try (NodeRig rig = rig();
+        try (NodeRig rig = startEntry();
                 ScriptedPeer peer = new ScriptedPeer(rig)) {
             peer.announce(NARROW_MBPS);
             CompletableFuture<String> answer =
@@ -98,7 +98,7 @@
     /** Refused before its body was sent, a request runs elsewhere, whole and once; the link carried nothing in vain. */
     @Test
     void refusedHeadRunsElsewhereWithItsWholeBody() throws IOException {
-        try (NodeRig rig = rig();
+        try (NodeRig rig = startEntry();
                 ScriptedPeer peer = new ScriptedPeer(rig);
                 RawServer server = new RawServer((c, r) -> {
                     int read = c.read(Integer.parseInt(r.header("content-length"))).length;
@@ -125,7 +125,7 @@
      */
     @Test
     void orderWhoseOwnerDiesBeforeItsBodyIsThereRunsElsewhere() throws IOException {
-        try (NodeRig rig = rig();
+        try (NodeRig rig = startEntry();
                 ScriptedPeer peer = new ScriptedPeer(rig);
                 RawServer server = new RawServer((c, r) -> {
                     c.read(Integer.parseInt(r.header("content-length")));
@@ -151,7 +151,7 @@
     /** A caller that stalls midway until its deadline is told truly that nothing was run. */
     @Test
     void bodyThatDoesNotComeInTimeRunsNowhere() throws IOException {
-        try (NodeRig rig = rig();
+        try (NodeRig rig = startEntry();
                 RawServer server = new RawServer(NodeRig::answerOk)) {
             rig.start(2, Optional.of(server));
             rig.awaitHeard("i-2");
@@ -170,7 +170,7 @@
      */
     @Test
     void connectionGoesOnAfterAnAnswerBeforeTheEndOfTheBody() throws IOException {
-        try (NodeRig rig = rig();
+        try (NodeRig rig = startEntry();
                 RawServer server = new RawServer(NodeRig::answerOk)) {
             rig.start(2, Optional.of(server));
             rig.awaitHeard("i-2");
@@ -190,7 +190,7 @@
     /** A caller that leaves midway has run nothing, wherever its body was. */
     @Test
     void callerThatLeavesMidwayEndsTheAttempt() throws IOException {
-        try (NodeRig rig = rig();
+        try (NodeRig rig = startEntry();
                 ScriptedPeer peer = new ScriptedPeer(rig)) {
             peer.announce(WIDE_MBPS);
             Socket caller = caller(rig);
