--- a/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
@@ -38,7 +38,7 @@
         return rig;
     }
 
-    private static byte[] bytes(String text) {
+    private static byte[] toBytes(String text) {
         return text.getBytes(StandardCharsets.ISO_8859_1);
     }
 
@@ -62,11 +62,11 @@
             peer.announce(WIDE_MBPS);
             try (Socket caller = caller(rig)) {
                 OutputStream out = caller.getOutputStream();
-                out.write(bytes(head("/pay/x", "s1") + BODY.substring(0, HALF_LENGTH)));
+                out.write(toBytes(head("/pay/x", "s1") + BODY.substring(0, HALF_LENGTH)));
                 try (ScriptedPeer.Call call = peer.accept()) {
                     assertTrue(call.head().contains("content-length: " + BODY_LENGTH));
                     assertEquals(HALF_LENGTH, call.body(HALF_LENGTH).length);
-                    out.write(bytes(BODY.substring(HALF_LENGTH)));
+                    out.write(toBytes(BODY.substring(HALF_LENGTH)));
                     assertEquals(BODY_LENGTH - HALF_LENGTH, call.body(BODY_LENGTH - HALF_LENGTH).length);
                     call.answer("s1", "stored");
                     String answer = NodeRig.readAnswer(caller.getInputStream());
@@ -134,13 +134,13 @@
             peer.announce(WIDE_MBPS);
             try (Socket caller = caller(rig)) {
                 OutputStream out = caller.getOutputStream();
-                out.write(bytes(head("/pay/x", "s4") + BODY.substring(0, HALF_LENGTH)));
+                out.write(toBytes(head("/pay/x", "s4") + BODY.substring(0, HALF_LENGTH)));
                 try (ScriptedPeer.Call call = peer.accept()) {
                     call.body(HALF_LENGTH);
                     rig.start(2, Optional.of(server));
                     rig.awaitHeard("i-2");
                 }
-                out.write(bytes(BODY.substring(HALF_LENGTH)));
+                out.write(toBytes(BODY.substring(HALF_LENGTH)));
                 String answer = NodeRig.readAnswer(caller.getInputStream());
                 assertTrue(answer.endsWith("ok"), answer);
                 assertEquals(1, server.runs("s4"));
@@ -156,7 +156,7 @@
             rig.start(2, Optional.of(server));
             rig.awaitHeard("i-2");
             try (Socket caller = caller(rig)) {
-                caller.getOutputStream().write(bytes(head("/pay/x", "s5") + BODY.substring(0, HALF_LENGTH)));
+                caller.getOutputStream().write(toBytes(head("/pay/x", "s5") + BODY.substring(0, HALF_LENGTH)));
                 String answer = NodeRig.readAnswer(caller.getInputStream());
                 assertTrue(answer.startsWith("HTTP/1.1 503"), answer);
                 assertEquals(0, server.runs("s5"));
@@ -176,10 +176,10 @@
             rig.awaitHeard("i-2");
             try (Socket caller = caller(rig)) {
                 OutputStream out = caller.getOutputStream();
-                out.write(bytes(head("/nowhere/x", "s6") + BODY.substring(0, HALF_LENGTH)));
+                out.write(toBytes(head("/nowhere/x", "s6") + BODY.substring(0, HALF_LENGTH)));
                 String none = NodeRig.readAnswer(caller.getInputStream());
                 assertTrue(none.startsWith("HTTP/1.1 404"), none);
-                out.write(bytes(BODY.substring(HALF_LENGTH) + NodeRig.request("GET", "/read/x", "s7", 2_000, "")));
+                out.write(toBytes(BODY.substring(HALF_LENGTH) + NodeRig.request("GET", "/read/x", "s7", 2_000, "")));
                 String answer = NodeRig.readAnswer(caller.getInputStream());
                 assertTrue(answer.endsWith("ok"), answer);
                 assertEquals(1, server.runs("s7"));
@@ -194,7 +194,7 @@
                 ScriptedPeer peer = new ScriptedPeer(rig)) {
             peer.announce(WIDE_MBPS);
             Socket caller = caller(rig);
-            caller.getOutputStream().write(bytes(head("/pay/x", "s8") + BODY.substring(0, HALF_LENGTH)));
+            caller.getOutputStream().write(toBytes(head("/pay/x", "s8") + BODY.substring(0, HALF_LENGTH)));
             try (ScriptedPeer.Call call = peer.accept()) {
                 call.head();
                 call.body(HALF_LENGTH);
