--- a/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
@@ -42,7 +42,7 @@
         return text.getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    private static String head(String path, String id) {
+    private static String requestHead(String path, String id) {
         String whole = NodeRig.request("POST", path, id, 2_000, BODY);
         return whole.substring(0, whole.length() - BODY_LENGTH);
     }
@@ -62,7 +62,7 @@
             peer.announce(WIDE_MBPS);
             try (Socket caller = caller(rig)) {
                 OutputStream out = caller.getOutputStream();
-                out.write(toBytes(head("/pay/x", "s1") + BODY.substring(0, HALF_LENGTH)));
+                out.write(toBytes(requestHead("/pay/x", "s1") + BODY.substring(0, HALF_LENGTH)));
                 try (ScriptedPeer.Call call = peer.accept()) {
                     assertTrue(call.head().contains("content-length: " + BODY_LENGTH));
                     assertEquals(HALF_LENGTH, call.body(HALF_LENGTH).length);
@@ -134,7 +134,7 @@
             peer.announce(WIDE_MBPS);
             try (Socket caller = caller(rig)) {
                 OutputStream out = caller.getOutputStream();
-                out.write(toBytes(head("/pay/x", "s4") + BODY.substring(0, HALF_LENGTH)));
+                out.write(toBytes(requestHead("/pay/x", "s4") + BODY.substring(0, HALF_LENGTH)));
                 try (ScriptedPeer.Call call = peer.accept()) {
                     call.body(HALF_LENGTH);
                     rig.start(2, Optional.of(server));
@@ -156,7 +156,7 @@
             rig.start(2, Optional.of(server));
             rig.awaitHeard("i-2");
             try (Socket caller = caller(rig)) {
-                caller.getOutputStream().write(toBytes(head("/pay/x", "s5") + BODY.substring(0, HALF_LENGTH)));
+                caller.getOutputStream().write(toBytes(requestHead("/pay/x", "s5") + BODY.substring(0, HALF_LENGTH)));
                 String answer = NodeRig.readAnswer(caller.getInputStream());
                 assertTrue(answer.startsWith("HTTP/1.1 503"), answer);
                 assertEquals(0, server.runs("s5"));
@@ -176,7 +176,7 @@
             rig.awaitHeard("i-2");
             try (Socket caller = caller(rig)) {
                 OutputStream out = caller.getOutputStream();
-                out.write(toBytes(head("/nowhere/x", "s6") + BODY.substring(0, HALF_LENGTH)));
+                out.write(toBytes(requestHead("/nowhere/x", "s6") + BODY.substring(0, HALF_LENGTH)));
                 String none = NodeRig.readAnswer(caller.getInputStream());
                 assertTrue(none.startsWith("HTTP/1.1 404"), none);
                 out.write(toBytes(BODY.substring(HALF_LENGTH) + NodeRig.request("GET", "/read/x", "s7", 2_000, "")));
@@ -194,7 +194,7 @@
                 ScriptedPeer peer = new ScriptedPeer(rig)) {
             peer.announce(WIDE_MBPS);
             Socket caller = caller(rig);
-            caller.getOutputStream().write(toBytes(head("/pay/x", "s8") + BODY.substring(0, HALF_LENGTH)));
+            caller.getOutputStream().write(toBytes(requestHead("/pay/x", "s8") + BODY.substring(0, HALF_LENGTH)));
             try (ScriptedPeer.Call call = peer.accept()) {
                 call.head();
                 call.body(HALF_LENGTH);
