--- a/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
@@ -47,7 +47,7 @@
         return whole.substring(0, whole.length() - BODY_LENGTH);
     }
 
-    private static Socket caller(NodeRig rig) throws IOException {
+    private static Socket connectCaller(NodeRig rig) throws IOException {
         Socket caller = new Socket();
         caller.connect(rig.callers(1));
         caller.setSoTimeout(20_000);
@@ -60,7 +60,7 @@
         try (NodeRig rig = startEntry();
                 ScriptedPeer peer = new ScriptedPeer(rig)) {
             peer.announce(WIDE_MBPS);
-            try (Socket caller = caller(rig)) {
+            try (Socket caller = connectCaller(rig)) {
                 OutputStream out = caller.getOutputStream();
                 out.write(toBytes(requestHead("/pay/x", "s1") + BODY.substring(0, HALF_LENGTH)));
                 try (ScriptedPeer.Call call = peer.accept()) {
@@ -132,7 +132,7 @@
                     NodeRig.answerOk(c, r);
                 })) {
             peer.announce(WIDE_MBPS);
-            try (Socket caller = caller(rig)) {
+            try (Socket caller = connectCaller(rig)) {
                 OutputStream out = caller.getOutputStream();
                 out.write(toBytes(requestHead("/pay/x", "s4") + BODY.substring(0, HALF_LENGTH)));
                 try (ScriptedPeer.Call call = peer.accept()) {
@@ -155,7 +155,7 @@
                 RawServer server = new RawServer(NodeRig::answerOk)) {
             rig.start(2, Optional.of(server));
             rig.awaitHeard("i-2");
-            try (Socket caller = caller(rig)) {
+            try (Socket caller = connectCaller(rig)) {
                 caller.getOutputStream().write(toBytes(requestHead("/pay/x", "s5") + BODY.substring(0, HALF_LENGTH)));
                 String answer = NodeRig.readAnswer(caller.getInputStream());
                 assertTrue(answer.startsWith("HTTP/1.1 503"), answer);
@@ -174,7 +174,7 @@
                 RawServer server = new RawServer(NodeRig::answerOk)) {
             rig.start(2, Optional.of(server));
             rig.awaitHeard("i-2");
-            try (Socket caller = caller(rig)) {
+            try (Socket caller = connectCaller(rig)) {
                 OutputStream out = caller.getOutputStream();
                 out.write(toBytes(requestHead("/nowhere/x", "s6") + BODY.substring(0, HALF_LENGTH)));
                 String none = NodeRig.readAnswer(caller.getInputStream());
@@ -193,7 +193,7 @@
         try (NodeRig rig = startEntry();
                 ScriptedPeer peer = new ScriptedPeer(rig)) {
             peer.announce(WIDE_MBPS);
-            Socket caller = caller(rig);
+            Socket caller = connectCaller(rig);
             caller.getOutputStream().write(toBytes(requestHead("/pay/x", "s8") + BODY.substring(0, HALF_LENGTH)));
             try (ScriptedPeer.Call call = peer.accept()) {
                 call.head();
