--- a/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
@@ -56,7 +56,7 @@
 
     /** The owner has the first half before the caller has sent the second. */
     @Test
-    void bodyGoesOnAsItComes() throws IOException {
+    void bodyIsForwardedAsItArrives() throws IOException {
         try (NodeRig rig = startEntry();
                 ScriptedPeer peer = new ScriptedPeer(rig)) {
             peer.announce(WIDE_MBPS);
