--- a/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
@@ -78,7 +78,7 @@
 
     /** Over a narrow link an owner gets the head alone, and the body when it asks for it. */
     @Test
-    void bodyWaitsUntilAnOwnerOnANarrowLinkAsks() throws IOException {
+    void bodyIsHeldUntilOwnerOnNarrowLinkRequestsIt() throws IOException {
         try (NodeRig rig = startEntry();
                 ScriptedPeer peer = new ScriptedPeer(rig)) {
             peer.announce(NARROW_MBPS);
