--- a/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
@@ -97,7 +97,7 @@
 
     /** Refused before its body was sent, a request runs elsewhere, whole and once; the link carried nothing in vain. */
     @Test
-    void refusedHeadRunsElsewhereWithItsWholeBody() throws IOException {
+    void requestRefusedBeforeBodyRunsElsewhereWithWholeBody() throws IOException {
         try (NodeRig rig = startEntry();
                 ScriptedPeer peer = new ScriptedPeer(rig);
                 RawServer server = new RawServer((c, r) -> {
