--- a/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
@@ -124,7 +124,7 @@
      * elsewhere. Before, its caller was told 502 and could not repeat it.
      */
     @Test
-    void orderWhoseOwnerDiesBeforeItsBodyIsThereRunsElsewhere() throws IOException {
+    void nonIdempotentRequestRunsElsewhereIfOwnerDiesDuringUpload() throws IOException {
         try (NodeRig rig = startEntry();
                 ScriptedPeer peer = new ScriptedPeer(rig);
                 RawServer server = new RawServer((c, r) -> {
