--- a/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
@@ -150,7 +150,7 @@
 
     /** A caller that stalls midway until its deadline is told truly that nothing was run. */
     @Test
-    void bodyThatDoesNotComeInTimeRunsNowhere() throws IOException {
+    void requestWithIncompleteBodyAtDeadlineIsNotRun() throws IOException {
         try (NodeRig rig = startEntry();
                 RawServer server = new RawServer(NodeRig::answerOk)) {
             rig.start(2, Optional.of(server));
