--- a/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
@@ -169,7 +169,7 @@
      * and the next request on the connection is served.
      */
     @Test
-    void connectionGoesOnAfterAnAnswerBeforeTheEndOfTheBody() throws IOException {
+    void connectionStaysUsableAfterResponseBeforeEndOfBody() throws IOException {
         try (NodeRig rig = startEntry();
                 RawServer server = new RawServer(NodeRig::answerOk)) {
             rig.start(2, Optional.of(server));
