--- a/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
@@ -189,7 +189,7 @@
 
     /** A caller that leaves midway has run nothing, wherever its body was. */
     @Test
-    void callerThatLeavesMidwayEndsTheAttempt() throws IOException {
+    void callerDisconnectDuringUploadCancelsAttempt() throws IOException {
         try (NodeRig rig = startEntry();
                 ScriptedPeer peer = new ScriptedPeer(rig)) {
             peer.announce(WIDE_MBPS);
