--- a/org.berylwick.test/tst/org/berylwick/node/UploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/UploadTest.java
@@ -17,12 +17,12 @@
 
 /** Large bodies, of requests that must run once. */
 class UploadTest {
-    private static final int MOST_BYTES = 9_000_000;
+    private static final int MAX_BODY_BYTES = 9_000_000;
 
     private static NodeRig rig() {
         NodeRig rig = new NodeRig();
         rig.configuration.accept(NodeRig.version(
-                1, b -> b.limits(new CallerLimits(16_384, MOST_BYTES, 3_000_000_000L, 15_000_000_000L))));
+                1, b -> b.limits(new CallerLimits(16_384, MAX_BODY_BYTES, 3_000_000_000L, 15_000_000_000L))));
         return rig;
     }
 
