--- a/org.berylwick.test/tst/org/berylwick/node/UploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/UploadTest.java
@@ -19,7 +19,7 @@
 class UploadTest {
     private static final int MAX_BODY_BYTES = 9_000_000;
 
-    private static NodeRig rig() {
+    private static NodeRig newRig() {
         NodeRig rig = new NodeRig();
         rig.configuration.accept(NodeRig.version(
                 1, b -> b.limits(new CallerLimits(16_384, MAX_BODY_BYTES, 3_000_000_000L, 15_000_000_000L))));
@@ -55,7 +55,7 @@
     @CsvSource({"360000, 1", "360000, 2", "8000000, 1", "8000000, 2"})
     void bodyArrivesWholeAndOnce(int length, int at) {
         try (RawServer server = new RawServer(UploadTest::answerSum);
-                NodeRig rig = rig()) {
+                NodeRig rig = newRig()) {
             rig.start(1, at == 1 ? Optional.of(server) : Optional.empty());
             if (at == 2) {
                 rig.start(2, Optional.of(server));
@@ -74,7 +74,7 @@
     @Test
     void tooLongABodyRunsNowhere() {
         try (RawServer server = new RawServer(UploadTest::answerSum);
-                NodeRig rig = rig()) {
+                NodeRig rig = newRig()) {
             rig.start(1, Optional.of(server));
             rig.awaitReady(1);
             String head = "POST /pay/x HTTP/1.1\r\nHost: " + NodeRig.HOST
@@ -94,7 +94,7 @@
                             + "\r\nContent-Length: 0\r\n\r\n");
                 });
                 RawServer two = new RawServer(UploadTest::answerSum);
-                NodeRig rig = rig()) {
+                NodeRig rig = newRig()) {
             rig.start(1, Optional.of(one));
             rig.start(2, Optional.of(two));
             rig.awaitHeard("i-2");
@@ -117,7 +117,7 @@
                             + "\r\nx-signature: s\r\nConnection: close\r\nContent-Length: 2\r\n\r\nno");
                     c.awaitClosedByPeer();
                 });
-                NodeRig rig = rig()) {
+                NodeRig rig = newRig()) {
             rig.start(1, Optional.of(server));
             rig.awaitReady(1);
             String answer = rig.call(1, "POST", "/pay/x", "u4", body(8_000_000));
@@ -131,7 +131,7 @@
     @Test
     void callerThatLeavesMidwayRunsNothing() throws IOException {
         try (RawServer server = new RawServer(UploadTest::answerSum);
-                NodeRig rig = rig()) {
+                NodeRig rig = newRig()) {
             rig.start(1, Optional.of(server));
             rig.awaitReady(1);
             String half = NodeRig.request("POST", "/pay/x", "u5", 2_000, body(8_000_000));
