--- a/org.berylwick.test/tst/org/berylwick/node/UploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/UploadTest.java
@@ -34,20 +34,20 @@
         return text.substring(0, length);
     }
 
-    private static String sum(byte[] bytes) {
+    private static String checksum(byte[] bytes) {
         CRC32 crc = new CRC32();
         crc.update(bytes);
         return bytes.length + "/" + crc.getValue();
     }
 
     private static String sum(String text) {
-        return sum(text.getBytes(StandardCharsets.ISO_8859_1));
+        return checksum(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
     /** Answers with the length and the sum of the body that it read. */
     private static void answerSum(RawServer.Connection connection, RawServer.Request request) throws IOException {
         byte[] read = connection.read(Integer.parseInt(request.header("content-length")));
-        connection.write(NodeRig.answerTo(request, sum(read)));
+        connection.write(NodeRig.answerTo(request, checksum(read)));
     }
 
     /** A body of any length reaches the backend server whole and once, beside the entry and on another VM. */
