--- a/org.berylwick.test/tst/org/berylwick/node/UploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/UploadTest.java
@@ -40,7 +40,7 @@
         return bytes.length + "/" + crc.getValue();
     }
 
-    private static String sum(String text) {
+    private static String checksum(String text) {
         return checksum(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
@@ -65,7 +65,7 @@
             String body = body(length);
             String answer = rig.call(1, "POST", "/pay/x", "u1", body);
             assertTrue(answer.startsWith("HTTP/1.1 200"), answer);
-            assertTrue(answer.endsWith(sum(body)), answer);
+            assertTrue(answer.endsWith(checksum(body)), answer);
             assertEquals(1, server.runs("u1"));
         }
     }
@@ -102,7 +102,7 @@
             String body = body(360_000);
             for (int i = 0; i < 3; i++) {
                 String answer = rig.call(1, "POST", "/pay/x", "u3-" + i, body);
-                assertTrue(answer.endsWith(sum(body)), answer);
+                assertTrue(answer.endsWith(checksum(body)), answer);
                 assertEquals(1, two.runs("u3-" + i));
             }
         }
@@ -144,7 +144,7 @@
             String body = body(8_000_000);
             Await.until(
                     "the next one is served",
-                    () -> rig.call(1, "POST", "/pay/x", "u6", body).endsWith(sum(body)),
+                    () -> rig.call(1, "POST", "/pay/x", "u6", body).endsWith(checksum(body)),
                     rig::logged);
             assertEquals(0, server.runs("u5"));
         }
