--- a/org.berylwick.test/tst/org/berylwick/node/UploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/UploadTest.java
@@ -45,7 +45,7 @@
     }
 
     /** Answers with the length and the sum of the body that it read. */
-    private static void answerSum(RawServer.Connection connection, RawServer.Request request) throws IOException {
+    private static void respondWithChecksum(RawServer.Connection connection, RawServer.Request request) throws IOException {
         byte[] read = connection.read(Integer.parseInt(request.header("content-length")));
         connection.write(NodeRig.answerTo(request, checksum(read)));
     }
@@ -54,7 +54,7 @@
     @ParameterizedTest
     @CsvSource({"360000, 1", "360000, 2", "8000000, 1", "8000000, 2"})
     void bodyArrivesWholeAndOnce(int length, int at) {
-        try (RawServer server = new RawServer(UploadTest::answerSum);
+        try (RawServer server = new RawServer(UploadTest::respondWithChecksum);
                 NodeRig rig = newRig()) {
             rig.start(1, at == 1 ? Optional.of(server) : Optional.empty());
             if (at == 2) {
@@ -73,7 +73,7 @@
     /** What is longer than the platform allows is refused before it is gathered, and runs nowhere. */
     @Test
     void tooLongABodyRunsNowhere() {
-        try (RawServer server = new RawServer(UploadTest::answerSum);
+        try (RawServer server = new RawServer(UploadTest::respondWithChecksum);
                 NodeRig rig = newRig()) {
             rig.start(1, Optional.of(server));
             rig.awaitReady(1);
@@ -93,7 +93,7 @@
                     c.write("HTTP/1.1 503 Busy\r\nx-not-run: 1\r\nx-request-id: " + r.id()
                             + "\r\nContent-Length: 0\r\n\r\n");
                 });
-                RawServer two = new RawServer(UploadTest::answerSum);
+                RawServer two = new RawServer(UploadTest::respondWithChecksum);
                 NodeRig rig = newRig()) {
             rig.start(1, Optional.of(one));
             rig.start(2, Optional.of(two));
@@ -130,7 +130,7 @@
     /** A caller that leaves midway has run nothing, and the next one is served. */
     @Test
     void callerThatLeavesMidwayRunsNothing() throws IOException {
-        try (RawServer server = new RawServer(UploadTest::answerSum);
+        try (RawServer server = new RawServer(UploadTest::respondWithChecksum);
                 NodeRig rig = newRig()) {
             rig.start(1, Optional.of(server));
             rig.awaitReady(1);
