--- a/org.berylwick.test/tst/org/berylwick/node/UploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/UploadTest.java
@@ -53,7 +53,7 @@
     /** A body of any length reaches the backend server whole and once, beside the entry and on another VM. */
     @ParameterizedTest
     @CsvSource({"360000, 1", "360000, 2", "8000000, 1", "8000000, 2"})
-    void bodyArrivesWholeAndOnce(int length, int at) {
+    void bodyArrivesCompleteAndOnce(int length, int at) {
         try (RawServer server = new RawServer(UploadTest::respondWithChecksum);
                 NodeRig rig = newRig()) {
             rig.start(1, at == 1 ? Optional.of(server) : Optional.empty());
