--- a/org.berylwick.test/tst/org/berylwick/node/UploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/UploadTest.java
@@ -72,7 +72,7 @@
 
     /** What is longer than the platform allows is refused before it is gathered, and runs nowhere. */
     @Test
-    void tooLongABodyRunsNowhere() {
+    void oversizedBodyIsRejectedAndNotRun() {
         try (RawServer server = new RawServer(UploadTest::respondWithChecksum);
                 NodeRig rig = newRig()) {
             rig.start(1, Optional.of(server));
