--- a/org.berylwick.test/tst/org/berylwick/node/UploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/UploadTest.java
@@ -87,7 +87,7 @@
 
     /** A backend server that says that it did not run a body is followed by another, which gets it whole. */
     @Test
-    void bodyThatWasTurnedAwayRunsWholeElsewhere() {
+    void requestRejectedByServerRunsElsewhereWithWholeBody() {
         try (RawServer one = new RawServer((c, r) -> {
                     c.read(Integer.parseInt(r.header("content-length")));
                     c.write("HTTP/1.1 503 Busy\r\nx-not-run: 1\r\nx-request-id: " + r.id()
