--- a/org.berylwick.test/tst/org/berylwick/node/UploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/UploadTest.java
@@ -110,7 +110,7 @@
 
     /** A backend server may answer before it has read the body: its answer is the caller's. */
     @Test
-    void answerBeforeTheEndOfTheBodyIsPassedOn() {
+    void responseBeforeEndOfBodyIsPassedOn() {
         try (RawServer server = new RawServer((c, r) -> {
                     c.read(1_000);
                     c.write("HTTP/1.1 422 No\r\nx-request-id: " + r.id()
