--- a/org.berylwick.test/tst/org/berylwick/node/UploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/UploadTest.java
@@ -129,7 +129,7 @@
 
     /** A caller that leaves midway has run nothing, and the next one is served. */
     @Test
-    void callerThatLeavesMidwayRunsNothing() throws IOException {
+    void callerDisconnectDuringUploadRunsNothing() throws IOException {
         try (RawServer server = new RawServer(UploadTest::respondWithChecksum);
                 NodeRig rig = newRig()) {
             rig.start(1, Optional.of(server));
