--- a/org.berylwick.node/src/org/berylwick/node/call/Attempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Attempt.java
@@ -6,5 +6,5 @@
     void cancel();
 
     /** Stops or resumes the flow of the answer's body. */
-    void setAutoRead(boolean on);
+    void setAutoRead(boolean autoRead);
 }
