--- a/org.berylwick.node/src/org/berylwick/node/call/AttemptListener.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/AttemptListener.java
@@ -20,7 +20,7 @@
     void onHead(int status, HttpHeaders headers, OwnerLoad load);
 
     /** A part of the body; the callee releases it. */
-    void onBody(ByteBuf part);
+    void onBody(ByteBuf chunk);
 
     /** The answer is whole. */
     void onEnd();
