--- a/org.berylwick.node/src/org/berylwick/node/call/RequestBodyScheduler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RequestBodyScheduler.java
@@ -45,12 +45,12 @@
     }
 
     /** Takes a request whose body is still to come. */
-    void add(OwnerRun run, boolean timely, long now) {
+    void add(OwnerRun run, boolean canMeetObjective, long now) {
         if (!run.call().body().isKeptBack()) {
             receiving.add(run);
             return;
         }
-        if (timely) {
+        if (canMeetObjective) {
             waiting.addTimely(run);
         } else {
             waiting.addLate(run);
@@ -80,10 +80,10 @@
 
     /** A body is whole, or its request is over. */
     boolean remove(OwnerRun run, long now) {
-        boolean there = receiving.remove(run);
+        boolean wasReceiving = receiving.remove(run);
         waiting.remove(run);
         requestBodies(now);
-        return there;
+        return wasReceiving;
     }
 
     /** Takes out all. */
