--- a/org.berylwick.node/src/org/berylwick/node/call/CallPath.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallPath.java
@@ -32,46 +32,46 @@
     /**
      * Makes the entry.
      *
-     * @param loop all runs on it
+     * @param eventLoop all runs on it
      * @param settings of this node
      * @param callers what is known of them
      * @param owner of the backend server beside this node
      * @param link of this VM
      * @param candidates lists nodes
-     * @param budget for repeats
+     * @param retryBudget for repeats
      * @param instruments take counts and events
      */
     public static EntryServer createEntryServer(
-            EventLoop loop,
+            EventLoop eventLoop,
             NodeSettings settings,
             Callers callers,
             Owner owner,
             VmLink link,
             Candidates candidates,
-            RetryBudget budget,
+            RetryBudget retryBudget,
             Instruments instruments) {
         Counters counters = instruments.counters();
         AttemptStarter starter =
                 (candidate, call, listener) -> candidate.member().isPresent()
                         ? PeerAttempt.start(candidate.member().get(), call, listener)
                         : owner.offer(call, listener);
-        EntryCallFactory calls = new EntryCallFactory(
-                new EventLoopClock(loop),
+        EntryCallFactory callFactory = new EntryCallFactory(
+                new EventLoopClock(eventLoop),
                 callers.headerNames(),
                 callers.callerService(),
                 starter,
                 candidates,
-                budget,
+                retryBudget,
                 (long) settings.memoryMb() * (1 << 20) / BUFFER_MEMORY_DIVISOR,
                 instruments,
                 () -> ThreadLocalRandom.current().nextDouble());
-        counters.gauge(NodeMetricNames.ENTRY_GATHERED_BYTES, calls::bufferedBytes);
-        EntryServer entry = new EntryServer(
-                new EntryServices(callers.version(), calls, link.incoming(), counters, instruments.log()),
-                loop,
+        counters.gauge(NodeMetricNames.ENTRY_GATHERED_BYTES, callFactory::bufferedBytes);
+        EntryServer server = new EntryServer(
+                new EntryServices(callers.version(), callFactory, link.incoming(), counters, instruments.log()),
+                eventLoop,
                 settings.callers());
-        counters.gauge(NodeMetricNames.ENTRY_CONNECTIONS, entry::connectionCount);
-        counters.gauge(NodeMetricNames.ENTRY_PENDING, entry::pendingRequests);
-        return entry;
+        counters.gauge(NodeMetricNames.ENTRY_CONNECTIONS, server::connectionCount);
+        counters.gauge(NodeMetricNames.ENTRY_PENDING, server::pendingRequests);
+        return server;
     }
 }
