--- a/org.berylwick.node/src/org/berylwick/node/call/CallSpec.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallSpec.java
@@ -48,13 +48,13 @@
     }
 
     /** The same request with its body as it comes here. */
-    public CallSpec withBody(RequestBody here) {
+    public CallSpec withBody(RequestBody newBody) {
         return new CallSpec(
                 id,
                 method,
                 uri,
                 headers,
-                here,
+                newBody,
                 service,
                 callerService,
                 requestClass,
@@ -68,11 +68,11 @@
     /**
      * The same request for another attempt.
      *
-     * @param number 1 for the first
-     * @param waitNanos the longest it may wait for a slot at the owner
-     * @param linkBytes that its answer is expected to send over the owner's link
+     * @param newAttemptNumber 1 for the first
+     * @param newMaxWaitNanos the longest it may wait for a slot at the owner
+     * @param newResponseBytes that its answer is expected to send over the owner's link
      */
-    public CallSpec forAttempt(int number, long waitNanos, int linkBytes) {
+    public CallSpec forAttempt(int newAttemptNumber, long newMaxWaitNanos, int newResponseBytes) {
         return new CallSpec(
                 id,
                 method,
@@ -84,8 +84,8 @@
                 requestClass,
                 objectiveAt,
                 deadlineAt,
-                waitNanos,
-                number,
-                linkBytes);
+                newMaxWaitNanos,
+                newAttemptNumber,
+                newResponseBytes);
     }
 }
