--- a/org.berylwick.node/src/org/berylwick/node/call/CallTrace.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallTrace.java
@@ -23,9 +23,9 @@
 
     /** An attempt came to something. */
     void recordOutcome(EntryAttempt attempt, String outcome) {
-        String key = attempt.candidate().key();
+        String nodeKey = attempt.candidate().key();
         outcomes.append(outcomes.isEmpty() ? "" : " ")
-                .append(key.isEmpty() ? "self" : key)
+                .append(nodeKey.isEmpty() ? "self" : nodeKey)
                 .append('=')
                 .append(outcome)
                 .append('+')
@@ -39,16 +39,16 @@
         cause = outcome;
     }
 
-    void setCause(String why) {
-        cause = why;
+    void setCause(String newCause) {
+        cause = newCause;
     }
 
     /** The call ends with what there is. */
-    void recordAbort(String why) {
-        cause = cause.isEmpty() ? why : why + ", before that " + cause;
+    void recordAbort(String reason) {
+        cause = cause.isEmpty() ? reason : reason + ", before that " + cause;
     }
 
-    void write(Event event, int status, String at, int attempts, int refusals, boolean repeated) {
+    void write(Event event, int status, String respondingNode, int attempts, int refusals, boolean retried) {
         context.log()
                 .write(
                         event,
@@ -63,13 +63,13 @@
                         "service",
                         spec.service(),
                         "at",
-                        at,
+                        respondingNode,
                         "attempts",
                         attempts,
                         "refusals",
                         refusals,
                         "repeat",
-                        repeated,
+                        retried,
                         "tried",
                         outcomes,
                         "cause",
