--- a/org.berylwick.node/src/org/berylwick/node/call/CallHandle.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallHandle.java
@@ -8,13 +8,13 @@
     /**
      * The process ends: the caller gets what there is by then, unless its answer is being streamed.
      *
-     * @param at by when, {@link System#nanoTime} terms
+     * @param concludeAt by when, {@link System#nanoTime} terms
      */
-    void concludeBy(long at);
+    void concludeBy(long concludeAt);
 
     /** The caller has gone. */
     void abandon();
 
     /** Resumes or stops the flow of an answer that is streamed. */
-    void setAutoRead(boolean on);
+    void setAutoRead(boolean autoRead);
 }
