--- a/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
@@ -32,8 +32,8 @@
         this.startedAt = startedAt;
     }
 
-    void setAttempt(Attempt started) {
-        attempt = started;
+    void setAttempt(Attempt startedAttempt) {
+        attempt = startedAttempt;
     }
 
     Candidate candidate() {
@@ -55,43 +55,43 @@
         }
     }
 
-    void setAutoRead(boolean on) {
-        attempt.setAutoRead(on);
+    void setAutoRead(boolean autoRead) {
+        attempt.setAutoRead(autoRead);
     }
 
     @Override
-    public void onHead(int answerStatus, HttpHeaders answerHeaders, OwnerLoad load) {
+    public void onHead(int responseStatus, HttpHeaders responseHeaders, OwnerLoad load) {
         if (ended) {
             return;
         }
-        status = answerStatus;
-        headers = answerHeaders;
+        status = responseStatus;
+        headers = responseHeaders;
         buffered = Unpooled.compositeBuffer(MAX_COMPONENTS);
     }
 
     @Override
-    public void onBody(ByteBuf part) {
+    public void onBody(ByteBuf chunk) {
         if (ended) {
-            part.release();
+            chunk.release();
             return;
         }
         if (streaming) {
-            attempt.setAutoRead(call.sink().writeChunk(part));
+            attempt.setAutoRead(call.sink().writeChunk(chunk));
             return;
         }
-        if (call.context().responseBuffers().tryReserve(bufferedBytes, part.readableBytes())) {
-            bufferedBytes += part.readableBytes();
-            buffered.addComponent(true, part);
+        if (call.context().responseBuffers().tryReserve(bufferedBytes, chunk.readableBytes())) {
+            bufferedBytes += chunk.readableBytes();
+            buffered.addComponent(true, chunk);
             return;
         }
         streaming = true;
         call.onStreamingStarted(this, status, headers);
-        ByteBuf begun = buffered;
+        ByteBuf bufferedBody = buffered;
         buffered = null;
         call.context().responseBuffers().release(bufferedBytes);
         bufferedBytes = 0;
-        call.sink().writeChunk(begun);
-        attempt.setAutoRead(call.sink().writeChunk(part));
+        call.sink().writeChunk(bufferedBody);
+        attempt.setAutoRead(call.sink().writeChunk(chunk));
     }
 
     @Override
@@ -104,11 +104,11 @@
             call.onStreamingEnded(this, true);
             return;
         }
-        ByteBuf whole = buffered;
+        ByteBuf completeBody = buffered;
         buffered = null;
         call.context().responseBuffers().release(bufferedBytes);
         bufferedBytes = 0;
-        call.onResponse(this, status, headers, whole);
+        call.onResponse(this, status, headers, completeBody);
     }
 
     @Override
