--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -69,14 +69,14 @@
             CallSpec spec,
             long receivedAt,
             long versionNumber,
-            boolean returned,
+            boolean callerRetried,
             ResponseSink sink) {
         this.context = context;
         this.route = route;
         this.spec = spec;
         this.receivedAt = receivedAt;
         this.queueWaitUntil = receivedAt + (long) (MAX_QUEUE_WAIT_SHARE * (spec.objectiveAt() - receivedAt));
-        this.callerRetried = returned;
+        this.callerRetried = callerRetried;
         this.sink = sink;
         this.trace = new CallTrace(context, spec, route, versionNumber, receivedAt);
     }
@@ -107,12 +107,12 @@
     /**
      * Sends the request to the best node that has not refused it; ends it if there is none.
      *
-     * @param repeat whether a backend server was sent it before, so that the fleet's budget has to allow it
+     * @param isRetry whether a backend server was sent it before, so that the fleet's budget has to allow it
      */
-    private void sendNext(boolean repeat) {
+    private void sendNext(boolean isRetry) {
         long now = context.clock().now();
         Optional<CandidateChooser.Choice> choice = refusals >= MAX_REFUSALS ? Optional.empty() : chooseNode(now);
-        if (choice.isPresent() && (!repeat || tryTakeRetry(now))) {
+        if (choice.isPresent() && (!isRetry || tryTakeRetry(now))) {
             startAttempt(choice.get(), now);
             return;
         }
@@ -121,7 +121,7 @@
 
     private Optional<CandidateChooser.Choice> chooseNode(long now) {
         List<Candidate> candidates = context.candidates().of(spec.service(), triedNodes, now);
-        ChoiceQuestion question = new ChoiceQuestion(
+        ChoiceQuestion criteria = new ChoiceQuestion(
                 spec.requestClass(),
                 spec.expectedResponseBytes() + spec.body().length(),
                 context.responseEstimates().expectedNanos(route),
@@ -130,7 +130,7 @@
                 queueWaitUntil - now,
                 callerRetried ? 0 : context.callerRetryRates().share(spec.requestClass()),
                 refusals + 1 >= MAX_REFUSALS);
-        return context.chooser().choose(candidates, question);
+        return context.chooser().choose(candidates, criteria);
     }
 
     private void startAttempt(CandidateChooser.Choice choice, long now) {
@@ -139,10 +139,10 @@
         triedNodes.add(candidate.key());
         // An answer of this VM's own backend server does not go over the link.
         int linkBytes = candidate.member().isPresent() ? spec.expectedResponseBytes() : 0;
-        CallSpec attempt = spec.forAttempt(attempts, choice.maxWaitNanos(), linkBytes);
-        EntryAttempt listener = new EntryAttempt(this, candidate, now);
-        currentAttempt = Optional.of(listener);
-        listener.setAttempt(context.starter().start(candidate, attempt, listener));
+        CallSpec attemptSpec = spec.forAttempt(attempts, choice.maxWaitNanos(), linkBytes);
+        EntryAttempt attempt = new EntryAttempt(this, candidate, now);
+        currentAttempt = Optional.of(attempt);
+        attempt.setAttempt(context.starter().start(candidate, attemptSpec, attempt));
     }
 
     /** An attempt was not run. */
@@ -164,9 +164,9 @@
         trace.recordDecisiveOutcome(attempt, refusal.reason().name());
         context.counters().add(NodeMetricNames.ENTRY_REFUSALS_BY_REASON + refusal.reason());
         if (refusal.load().slots() > 0) {
-            long wait = refusal.load().waitNanos()
+            long waitNanos = refusal.load().waitNanos()
                     + refusal.load().meanNanos() / Math.max(1, refusal.load().slots());
-            minWaitNanos = Math.min(minWaitNanos, wait);
+            minWaitNanos = Math.min(minWaitNanos, waitNanos);
         }
         if (refusal.reason() != Refusal.Reason.EXPIRED) {
             sendNext(refusal.offered());
@@ -190,8 +190,8 @@
      * are lost; so the request is run elsewhere, too, if it may be.
      */
     void onNodeSilent(EntryAttempt attempt) {
-        boolean settled = done || streamingAttempt.isPresent() || silentAttempt.isPresent();
-        if (settled || refusals >= MAX_REFUSALS || !mayRetry(possibleRuns + 1)) {
+        boolean noSecondAttempt = done || streamingAttempt.isPresent() || silentAttempt.isPresent();
+        if (noSecondAttempt || refusals >= MAX_REFUSALS || !mayRetry(possibleRuns + 1)) {
             return;
         }
         long now = context.clock().now();
@@ -217,7 +217,7 @@
         if (done) {
             return;
         }
-        boolean repeated = removeEndedAttempt(attempt);
+        boolean retryInProgress = removeEndedAttempt(attempt);
         trace.recordOutcome(attempt, "LOST");
         trace.setCause(cause);
         context.log()
@@ -231,7 +231,7 @@
                         cause,
                         "kind",
                         spec.kind());
-        if (!repeated) {
+        if (!retryInProgress) {
             possibleRuns++;
             retryOrConclude();
         }
@@ -246,19 +246,19 @@
         }
     }
 
-    private boolean mayRetry(int runs) {
-        long enough = (long) (context.responseEstimates().expectedNanos(route) * MIN_RETRY_TIME_SHARE);
+    private boolean mayRetry(int runsSoFar) {
+        long requiredNanos = (long) (context.responseEstimates().expectedNanos(route) * MIN_RETRY_TIME_SHARE);
         return spec.kind().isRepeatable()
-                && runs < Math.max(1, route.maxAttempts())
-                && context.clock().now() + enough < spec.deadlineAt();
+                && runsSoFar < Math.max(1, route.maxAttempts())
+                && context.clock().now() + requiredNanos < spec.deadlineAt();
     }
 
     private boolean tryTakeRetry(long now) {
-        RetryBudget budget = context.retryBudget();
-        boolean taken = serverFailure.isPresent()
-                ? budget.tryRepeatOfFailure(spec.service(), now)
-                : budget.tryRepeat(spec.service(), now);
-        if (taken) {
+        RetryBudget retryBudget = context.retryBudget();
+        boolean granted = serverFailure.isPresent()
+                ? retryBudget.tryRepeatOfFailure(spec.service(), now)
+                : retryBudget.tryRepeat(spec.service(), now);
+        if (granted) {
             retryGranted = true;
             return true;
         }
@@ -273,13 +273,13 @@
             body.release();
             return;
         }
-        boolean repeated = removeEndedAttempt(attempt);
-        possibleRuns += repeated ? 0 : 1;
+        boolean retryInProgress = removeEndedAttempt(attempt);
+        possibleRuns += retryInProgress ? 0 : 1;
         if (status >= 500 && spec.kind().isRepeatable()) {
             trace.recordDecisiveOutcome(attempt, "status " + status);
             discardServerFailure();
             serverFailure = Optional.of(new ServerFailure(attempt, status, headers, body));
-            if (!repeated) {
+            if (!retryInProgress) {
                 retryOrConclude();
             }
             return;
@@ -317,15 +317,15 @@
 
     private void respond(EntryAttempt attempt, int status, HttpHeaders headers, ByteBuf body) {
         context.responseEstimates().learnBytes(route, body.readableBytes());
-        Candidate from = attempt.candidate();
-        if (from.load().waitNanos(from.ahead()) == 0) {
+        Candidate candidate = attempt.candidate();
+        if (candidate.load().waitNanos(candidate.ahead()) == 0) {
             context.responseEstimates().learnNanos(route, context.clock().now() - attempt.startedAt());
         }
         finish();
-        boolean good = status < 400;
-        context.counters().add(good ? NodeMetricNames.ENTRY_ANSWERED : NodeMetricNames.ENTRY_ANSWERED_ERRORS);
+        boolean success = status < 400;
+        context.counters().add(success ? NodeMetricNames.ENTRY_ANSWERED : NodeMetricNames.ENTRY_ANSWERED_ERRORS);
         log(
-                good ? Event.CALL_ANSWERED : Event.CALL_FAILED,
+                success ? Event.CALL_ANSWERED : Event.CALL_FAILED,
                 status,
                 attempt.candidate().key());
         sink.respond(status, headers, body);
@@ -340,14 +340,14 @@
         sink.beginStream(status, headers);
     }
 
-    void onStreamingEnded(EntryAttempt attempt, boolean whole) {
+    void onStreamingEnded(EntryAttempt attempt, boolean complete) {
         finish();
-        context.counters().add(whole ? NodeMetricNames.ENTRY_STREAMED : NodeMetricNames.ENTRY_STREAMS_BROKEN);
+        context.counters().add(complete ? NodeMetricNames.ENTRY_STREAMED : NodeMetricNames.ENTRY_STREAMS_BROKEN);
         log(
-                whole ? Event.CALL_ANSWERED : Event.CALL_FAILED,
+                complete ? Event.CALL_ANSWERED : Event.CALL_FAILED,
                 200,
                 attempt.candidate().key());
-        if (whole) {
+        if (complete) {
             sink.endStream();
         } else {
             sink.abortStream();
@@ -355,11 +355,11 @@
     }
 
     @Override
-    public void concludeBy(long at) {
-        if (done || at >= spec.deadlineAt()) {
+    public void concludeBy(long concludeAt) {
+        if (done || concludeAt >= spec.deadlineAt()) {
             return;
         }
-        context.clock().at(at, () -> {
+        context.clock().at(concludeAt, () -> {
             if (!done && streamingAttempt.isEmpty()) {
                 concludeEarly("planned stop");
             }
@@ -379,8 +379,8 @@
         concludeEarly("deadline");
     }
 
-    private void concludeEarly(String why) {
-        trace.recordAbort(why);
+    private void concludeEarly(String reason) {
+        trace.recordAbort(reason);
         currentAttempt.ifPresent(a -> {
             // A backend server is sent nothing of a request before all of it is at its owner.
             possibleRuns += spec.body().isWhole() ? 1 : 0;
@@ -393,14 +393,14 @@
 
     private void refuse() {
         finish();
-        double wait = minWaitNanos == Long.MAX_VALUE ? DEFAULT_RETRY_AFTER_S : minWaitNanos / 1e9;
+        double waitSeconds = minWaitNanos == Long.MAX_VALUE ? DEFAULT_RETRY_AFTER_S : minWaitNanos / 1e9;
         // Callers refused together would come back together.
-        double spread = wait * (0.75 + 0.5 * context.random().getAsDouble());
-        double seconds = Math.max(MIN_RETRY_AFTER_S, Math.min(MAX_RETRY_AFTER_S, spread));
+        double jitteredSeconds = waitSeconds * (0.75 + 0.5 * context.random().getAsDouble());
+        double retryAfterSeconds = Math.max(MIN_RETRY_AFTER_S, Math.min(MAX_RETRY_AFTER_S, jitteredSeconds));
         context.callerRetryRates().onRefused(spec.requestClass());
         context.counters().add(NodeMetricNames.ENTRY_REFUSED);
         log(Event.CALL_REFUSED, 503, "");
-        sink.respond(503, retryAfterHeaders(seconds), Unpooled.EMPTY_BUFFER);
+        sink.respond(503, retryAfterHeaders(retryAfterSeconds), Unpooled.EMPTY_BUFFER);
     }
 
     /** Headers of a refusal that tells when to come back. */
@@ -428,8 +428,8 @@
     }
 
     @Override
-    public void setAutoRead(boolean on) {
-        streamingAttempt.ifPresent(a -> a.setAutoRead(on));
+    public void setAutoRead(boolean autoRead) {
+        streamingAttempt.ifPresent(a -> a.setAutoRead(autoRead));
     }
 
     private void finish() {
@@ -443,18 +443,18 @@
     }
 
     private void cancelAttempts() {
-        Optional<EntryAttempt> last = currentAttempt;
-        Optional<EntryAttempt> before = silentAttempt;
+        Optional<EntryAttempt> current = currentAttempt;
+        Optional<EntryAttempt> silent = silentAttempt;
         currentAttempt = Optional.empty();
         silentAttempt = Optional.empty();
-        last.ifPresent(EntryAttempt::cancel);
-        before.ifPresent(EntryAttempt::cancel);
+        current.ifPresent(EntryAttempt::cancel);
+        silent.ifPresent(EntryAttempt::cancel);
     }
 
-    private void log(Event event, int status, String at) {
+    private void log(Event event, int status, String node) {
         if (event == Event.CALL_ANSWERED && attempts == 1 && context.random().getAsDouble() >= LOG_SAMPLE_RATE) {
             return;
         }
-        trace.write(event, status, at, attempts, refusals, retryGranted);
+        trace.write(event, status, node, attempts, refusals, retryGranted);
     }
 }
