--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
@@ -28,39 +28,39 @@
 
     /**
      * @param clock tells the time; all runs where its tasks do
-     * @param names headers that callers know
+     * @param headerNames headers that callers know
      * @param callerService service on this VM
      * @param starter sends attempts to owners
      * @param candidates lists nodes
-     * @param budget for repeats
-     * @param gatherBytes that answers may hold while they are gathered
+     * @param retryBudget for repeats
+     * @param responseBufferBytes that answers may hold while they are gathered
      * @param instruments take counts and events
-     * @param chance uniform in [0, 1)
+     * @param random uniform in [0, 1)
      */
     public EntryCallFactory(
             Clock clock,
-            HeaderNames names,
+            HeaderNames headerNames,
             Supplier<String> callerService,
             AttemptStarter starter,
             CandidateSource candidates,
-            RetryBudget budget,
-            long gatherBytes,
+            RetryBudget retryBudget,
+            long responseBufferBytes,
             Instruments instruments,
-            DoubleSupplier chance) {
+            DoubleSupplier random) {
         this.context = new EntryContext(
                 clock,
-                names,
+                headerNames,
                 callerService,
                 starter,
                 candidates,
-                new CandidateChooser(chance),
-                budget,
+                new CandidateChooser(random),
+                retryBudget,
                 new AnswerHabits(),
                 new CallerReturns(),
-                new ResponseBufferBudget(gatherBytes),
+                new ResponseBufferBudget(responseBufferBytes),
                 instruments.counters(),
                 instruments.log(),
-                chance);
+                random);
     }
 
     /** Bytes that answers hold while they are gathered. */
@@ -85,9 +85,9 @@
         long now = context.clock().now();
         HttpHeaders headers = Headers.endToEnd(request.headers());
         String id = headers.get(context.headerNames().requestId(), "");
-        long wait = callerTimeoutNanos(headers);
-        long waited = callerWaitTimes.waitedNanos(route.name(), wait);
-        long deadline = now + Math.max(1_000_000L, wait - RESPONSE_TRANSIT_NANOS);
+        long callerTimeout = callerTimeoutNanos(headers);
+        long alreadyWaited = callerWaitTimes.waitedNanos(route.name(), callerTimeout);
+        long deadline = now + Math.max(1_000_000L, callerTimeout - RESPONSE_TRANSIT_NANOS);
         headers.remove(context.headerNames().deadline());
         headers.remove(context.headerNames().target());
         headers.remove(context.headerNames().callerService());
@@ -95,7 +95,7 @@
             deadline = Math.min(deadline, now + route.timeoutNanos());
         }
         deadline = Math.min(deadline, latestDeadline);
-        long objective = route.objectiveNanos() > 0 ? now - waited + route.objectiveNanos() : deadline;
+        long objective = route.objectiveNanos() > 0 ? now - alreadyWaited + route.objectiveNanos() : deadline;
         CallSpec spec = new CallSpec(
                 id,
                 request.method(),
@@ -110,7 +110,7 @@
                 0,
                 1,
                 (int) context.responseEstimates().expectedBytes(route));
-        return new EntryCall(context, route, spec, now, version.number(), waited > 0, sink);
+        return new EntryCall(context, route, spec, now, version.number(), alreadyWaited > 0, sink);
     }
 
     private long callerTimeoutNanos(HttpHeaders headers) {
