--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -124,9 +124,9 @@
         }
         head = request;
         bufferedBytes = 0;
-        long most = Math.min(MAX_BODY_BYTES, limits().maxBodyBytes());
+        long maxBytes = Math.min(MAX_BODY_BYTES, limits().maxBodyBytes());
         long length = HttpUtil.getContentLength(request, 0L);
-        if (length > most) {
+        if (length > maxBytes) {
             rejectAndClose(413, "body is too long");
             return;
         }
@@ -156,8 +156,8 @@
         }
     }
 
-    private void rejectAndClose(int status, String why) {
-        services.log().write(Event.CALLER_FAULT, "status", status, "why", why);
+    private void rejectAndClose(int status, String reason) {
+        services.log().write(Event.CALLER_FAULT, "status", status, "why", reason);
         services.counters().add(NodeMetricNames.ENTRY_CALLER_FAULTS);
         abandonCall();
         releaseBody();
@@ -188,9 +188,9 @@
         }
         bufferedBody.addComponent(true, content.content());
         if (content instanceof LastHttpContent) {
-            RequestBody whole = RequestBody.of(bufferedBody);
+            RequestBody requestBody = RequestBody.of(bufferedBody);
             bufferedBody = null;
-            startCall(whole);
+            startCall(requestBody);
         }
     }
 
@@ -200,28 +200,28 @@
         if (!(content instanceof LastHttpContent)) {
             return;
         }
-        RequestBody came = streamedBody;
+        RequestBody receivedBody = streamedBody;
         streamedBody = null;
-        came.end();
+        receivedBody.end();
         // It may have been answered before its body was in.
         processPipelined();
     }
 
     /** Begins a request whose head is there; its body may still be coming, and belongs to its call. */
-    private void startCall(RequestBody whole) {
+    private void startCall(RequestBody requestBody) {
         HttpRequest request = head;
         head = null;
         responsePending = true;
         services.counters().add(NodeMetricNames.ENTRY_REQUESTS);
         if (server.isRefusingNew()) {
-            whole.release();
+            requestBody.release();
             services.counters().add(NodeMetricNames.ENTRY_REFUSED);
             respond(503, EntryCall.retryAfterHeaders(UNAVAILABLE_RETRY_AFTER_S), Unpooled.EMPTY_BUFFER);
             return;
         }
         Optional<MeshVersion> version = services.version().get();
         if (version.isEmpty()) {
-            whole.release();
+            requestBody.release();
             services.counters().add(NodeMetricNames.ENTRY_REFUSED_NO_VERSION);
             respond(503, EntryCall.retryAfterHeaders(UNAVAILABLE_RETRY_AFTER_S), Unpooled.EMPTY_BUFFER);
             return;
@@ -229,34 +229,34 @@
         String host = request.headers().get(HttpHeaderNames.HOST, "");
         Optional<Route> route = version.get().route(host, request.uri());
         if (route.isEmpty()) {
-            whole.release();
+            requestBody.release();
             services.counters().add(NodeMetricNames.ENTRY_NO_ROUTE);
             respond(404, Headers.empty(), Unpooled.EMPTY_BUFFER);
             return;
         }
-        EntryCallFactory.CallerRequest asked =
-                new EntryCallFactory.CallerRequest(request.method(), request.uri(), request.headers(), whole);
-        call = services.callFactory().open(version.get(), route.get(), asked, this);
+        EntryCallFactory.CallerRequest callerRequest =
+                new EntryCallFactory.CallerRequest(request.method(), request.uri(), request.headers(), requestBody);
+        call = services.callFactory().open(version.get(), route.get(), callerRequest, this);
         call.start();
     }
 
     @Override
-    public void respond(int status, HttpHeaders headers, ByteBuf bytes) {
+    public void respond(int status, HttpHeaders headers, ByteBuf body) {
         FullHttpResponse response = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1,
                 HttpResponseStatus.valueOf(status),
-                headRequest ? Unpooled.EMPTY_BUFFER : bytes,
+                headRequest ? Unpooled.EMPTY_BUFFER : body,
                 headers,
                 EmptyHttpHeaders.INSTANCE);
         if (headRequest) {
-            bytes.release();
+            body.release();
         }
-        response.headers().set(HttpHeaderNames.CONTENT_LENGTH, contentLength(bytes));
+        response.headers().set(HttpHeaderNames.CONTENT_LENGTH, contentLength(body));
         writeFinal(response);
     }
 
-    private int contentLength(ByteBuf bytes) {
-        return headRequest ? 0 : bytes.readableBytes();
+    private int contentLength(ByteBuf body) {
+        return headRequest ? 0 : body.readableBytes();
     }
 
     @Override
@@ -269,8 +269,8 @@
     }
 
     @Override
-    public boolean writeChunk(ByteBuf bytes) {
-        channel.writeAndFlush(new DefaultHttpContent(bytes));
+    public boolean writeChunk(ByteBuf chunk) {
+        channel.writeAndFlush(new DefaultHttpContent(chunk));
         return channel.isWritable();
     }
 
@@ -339,11 +339,11 @@
     }
 
     /** Closes the connection if it has been idle for too long. */
-    void closeIfTimedOut(long now, long idleNanos) {
+    void closeIfTimedOut(long now, long idleTimeoutNanos) {
         if (responsePending || closing || unsentResponses > 0) {
             return;
         }
-        if (now - lastActivityAt <= (long) (idleNanos * IDLE_TIMEOUT_FACTOR)) {
+        if (now - lastActivityAt <= (long) (idleTimeoutNanos * IDLE_TIMEOUT_FACTOR)) {
             return;
         }
         if (head != null) {
@@ -355,9 +355,9 @@
     }
 
     /** The process ends: a call that is under way gets its final answer by then. */
-    void concludeBy(long at) {
+    void concludeBy(long concludeAt) {
         if (call != null) {
-            call.concludeBy(at);
+            call.concludeBy(concludeAt);
         }
     }
 
