--- a/org.berylwick.node/src/org/berylwick/node/call/EntryServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryServer.java
@@ -34,15 +34,15 @@
     private boolean draining;
     private boolean refusingNew;
 
-    EntryServer(EntryServices services, EventLoop loop, InetSocketAddress address) {
+    EntryServer(EntryServices services, EventLoop eventLoop, InetSocketAddress address) {
         this.services = services;
-        this.eventLoop = loop;
+        this.eventLoop = eventLoop;
         this.address = address;
     }
 
     /** Opens the port. */
     public void start() {
-        ServerBootstrap server = new ServerBootstrap()
+        ServerBootstrap bootstrap = new ServerBootstrap()
                 .group(eventLoop)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
@@ -55,8 +55,8 @@
                         channel.pipeline().addLast(new EntryHandler(EntryServer.this, services));
                     }
                 });
-        ReceiveWindow.limit(server, services.link());
-        listenChannel = server.bind(address).syncUninterruptibly().channel();
+        ReceiveWindow.limit(bootstrap, services.link());
+        listenChannel = bootstrap.bind(address).syncUninterruptibly().channel();
         eventLoop.schedule(this::closeIdleConnections, IDLE_CHECK_MILLIS, TimeUnit.MILLISECONDS);
     }
 
@@ -66,9 +66,9 @@
 
     private void closeIdleConnections() {
         long now = System.nanoTime();
-        long idle = limits().idleTimeoutNanos();
+        long idleTimeoutNanos = limits().idleTimeoutNanos();
         for (EntryHandler connection : List.copyOf(connections)) {
-            connection.closeIfTimedOut(now, idle);
+            connection.closeIfTimedOut(now, idleTimeoutNanos);
         }
         eventLoop.schedule(this::closeIdleConnections, IDLE_CHECK_MILLIS, TimeUnit.MILLISECONDS);
     }
@@ -93,25 +93,25 @@
 
     /** Requests that are not answered yet. */
     public int pendingRequests() {
-        int pending = 0;
+        int count = 0;
         for (EntryHandler connection : connections) {
             if (connection.isBusy()) {
-                pending++;
+                count++;
             }
         }
-        return pending;
+        return count;
     }
 
     /**
      * Tells callers with each answer that their connection ends, and has every call end in time.
      *
-     * @param endAt by when calls have their final answer, {@link System#nanoTime} terms
+     * @param concludeAt by when calls have their final answer, {@link System#nanoTime} terms
      */
-    public void drain(long endAt) {
+    public void drain(long concludeAt) {
         draining = true;
-        services.callFactory().capDeadlines(endAt);
+        services.callFactory().capDeadlines(concludeAt);
         for (EntryHandler connection : List.copyOf(connections)) {
-            connection.concludeBy(endAt);
+            connection.concludeBy(concludeAt);
         }
     }
 
