--- a/org.berylwick.node/src/org/berylwick/node/call/ResponseBufferBudget.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ResponseBufferBudget.java
@@ -8,16 +8,16 @@
     private final long maxBytes;
     private long bytesInUse;
 
-    /** @param most bytes for all answers together */
-    ResponseBufferBudget(long most) {
-        this.maxBytes = most;
+    /** @param maxBytes bytes for all answers together */
+    ResponseBufferBudget(long maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
-    boolean tryReserve(int already, int more) {
-        if (already + more > MAX_BYTES_PER_RESPONSE || bytesInUse + more > maxBytes) {
+    boolean tryReserve(int responseBytes, int additionalBytes) {
+        if (responseBytes + additionalBytes > MAX_BYTES_PER_RESPONSE || bytesInUse + additionalBytes > maxBytes) {
             return false;
         }
-        bytesInUse += more;
+        bytesInUse += additionalBytes;
         return true;
     }
 
