--- a/org.berylwick.node/src/org/berylwick/node/call/Headers.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Headers.java
@@ -35,18 +35,18 @@
     private Headers() {}
 
     /** A copy without what concerns one connection only: the named ones and those that {@code Connection} lists. */
-    public static HttpHeaders endToEnd(HttpHeaders from) {
-        HttpHeaders kept = copy(from);
-        String listed = from.get(HttpHeaderNames.CONNECTION);
-        if (listed != null && !"close".equalsIgnoreCase(listed) && !"keep-alive".equalsIgnoreCase(listed)) {
-            for (String name : listed.split(",")) {
-                kept.remove(name.strip());
+    public static HttpHeaders endToEnd(HttpHeaders source) {
+        HttpHeaders endToEnd = copy(source);
+        String connectionOptions = source.get(HttpHeaderNames.CONNECTION);
+        if (connectionOptions != null && !"close".equalsIgnoreCase(connectionOptions) && !"keep-alive".equalsIgnoreCase(connectionOptions)) {
+            for (String name : connectionOptions.split(",")) {
+                endToEnd.remove(name.strip());
             }
         }
         for (AsciiString name : HOP_BY_HOP) {
-            kept.remove(name);
+            endToEnd.remove(name);
         }
-        return kept;
+        return endToEnd;
     }
 
     /** No headers yet; names and values are not checked. */
@@ -55,7 +55,7 @@
     }
 
     /** An unchecked copy, for a head of its own. */
-    static HttpHeaders copy(HttpHeaders from) {
-        return Headers.empty().add(from);
+    static HttpHeaders copy(HttpHeaders source) {
+        return Headers.empty().add(source);
     }
 }
