--- a/org.berylwick.node/src/org/berylwick/node/call/ResponseSink.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ResponseSink.java
@@ -18,7 +18,7 @@
     void beginStream(int status, HttpHeaders headers);
 
     /** A part of it; false if the caller should be given time to read. */
-    boolean writeChunk(ByteBuf bytes);
+    boolean writeChunk(ByteBuf chunk);
 
     /** Its end. */
     void endStream();
