--- a/org.berylwick.test/tst/org/berylwick/node/LargeResponseTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/LargeResponseTest.java
@@ -41,10 +41,10 @@
     void responseIsDroppedAtDeadline() throws IOException {
         try (RawServer server = startServer();
                 NodeRig rig = startOwner(server)) {
-            try (Socket node = rig.askAsNode(1, "l2", BODY_LENGTH, 3_000)) {
+            try (Socket peerSocket = rig.askAsNode(1, "l2", BODY_LENGTH, 3_000)) {
                 Await.until("it runs", () -> server.runs("l2") == 1, rig::logged);
                 NodeRig.sleep(4_000);
-                assertTrue(countBytesUntilClosed(node) < BODY_LENGTH, "all of it came after the deadline");
+                assertTrue(countBytesUntilClosed(peerSocket) < BODY_LENGTH, "all of it came after the deadline");
             }
         }
     }
@@ -57,8 +57,8 @@
             rig.configuration.accept(NodeRig.version(1));
             Node owner = rig.startOnLink(1, server, 1, VERY_NARROW_MBPS);
             rig.awaitReady(1);
-            try (Socket node = rig.askAsNode(1, "l3", BODY_LENGTH, 30_000)) {
-                assertEquals('H', node.getInputStream().read(), "the answer did not begin");
+            try (Socket peerSocket = rig.askAsNode(1, "l3", BODY_LENGTH, 30_000)) {
+                assertEquals('H', peerSocket.getInputStream().read(), "the answer did not begin");
                 NodeRig.sleep(500);
                 long busyMillis = NodeRig.gauge(owner, NodeMetricNames.LINK_OUTGOING_BUSY_MS);
                 assertTrue(busyMillis > 8_000, "busy for " + busyMillis + " ms");
@@ -66,14 +66,14 @@
         }
     }
 
-    private static int countBytesUntilClosed(Socket node) {
+    private static int countBytesUntilClosed(Socket peerSocket) {
         int count = 0;
-        byte[] part = new byte[65_536];
+        byte[] buffer = new byte[65_536];
         try {
-            node.setSoTimeout(10_000);
-            for (int n = node.getInputStream().read(part);
+            peerSocket.setSoTimeout(10_000);
+            for (int n = peerSocket.getInputStream().read(buffer);
                     n >= 0;
-                    n = node.getInputStream().read(part)) {
+                    n = peerSocket.getInputStream().read(buffer)) {
                 count += n;
             }
         } catch (SocketTimeoutException e) {
@@ -89,12 +89,12 @@
     void slotIsFreeWhileLargeResponseIsSent() throws IOException {
         try (RawServer server = startServer();
                 NodeRig rig = startOwner(server)) {
-            try (Socket node = rig.askAsNode(1, "l1", BODY_LENGTH, 9_000)) {
+            try (Socket peerSocket = rig.askAsNode(1, "l1", BODY_LENGTH, 9_000)) {
                 Await.until("it runs", () -> server.runs("l1") == 1, rig::logged);
                 NodeRig.sleep(500);
-                String small = rig.call(1, "GET", "/read/x", "s1", "");
-                assertTrue(small.endsWith("small"), small);
-                assertEquals('H', node.getInputStream().read(), "the large answer did not begin");
+                String response = rig.call(1, "GET", "/read/x", "s1", "");
+                assertTrue(response.endsWith("small"), response);
+                assertEquals('H', peerSocket.getInputStream().read(), "the large answer did not begin");
             }
         }
     }
