--- a/org.berylwick.test/tst/org/berylwick/node/OverloadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/OverloadTest.java
@@ -21,7 +21,7 @@
     @Test
     void burstLeavesNoBacklogOfLateResponses() throws InterruptedException {
         AtomicInteger inTime = new AtomicInteger();
-        AtomicInteger refusedSoon = new AtomicInteger();
+        AtomicInteger refusedEarly = new AtomicInteger();
         AtomicInteger late = new AtomicInteger();
         try (RawServer server = new RawServer((c, r) -> {
                     NodeRig.sleep(200);
@@ -38,23 +38,23 @@
             for (int i = 0; i < CALLERS; i++) {
                 String id = "n" + i;
                 callers[i] = Thread.ofPlatform().start(() -> {
-                    long before = System.nanoTime();
-                    String answer = rig.call(1, "GET", "/read/x", id, "");
-                    long millis = (System.nanoTime() - before) / 1_000_000;
-                    if (answer.startsWith("HTTP/1.1 200")) {
+                    long startNanos = System.nanoTime();
+                    String response = rig.call(1, "GET", "/read/x", id, "");
+                    long millis = (System.nanoTime() - startNanos) / 1_000_000;
+                    if (response.startsWith("HTTP/1.1 200")) {
                         (millis < 900 ? inTime : late).incrementAndGet();
-                    } else if (answer.contains("Retry-After") && millis < 900) {
-                        refusedSoon.incrementAndGet();
+                    } else if (response.contains("Retry-After") && millis < 900) {
+                        refusedEarly.incrementAndGet();
                     }
                 });
             }
             for (Thread caller : callers) {
                 caller.join();
             }
-            String seen = inTime + " in time, " + late + " late, " + refusedSoon + " refused soon";
-            assertTrue(inTime.get() >= 6, seen);
-            assertTrue(late.get() <= 2, seen);
-            assertTrue(inTime.get() + late.get() + refusedSoon.get() == CALLERS, seen);
+            String summary = inTime + " in time, " + late + " late, " + refusedEarly + " refused soon";
+            assertTrue(inTime.get() >= 6, summary);
+            assertTrue(late.get() <= 2, summary);
+            assertTrue(inTime.get() + late.get() + refusedEarly.get() == CALLERS, summary);
         }
     }
 
@@ -89,8 +89,8 @@
                 sender.join();
             }
         }
-        double ofCalls = calls.get() / 600.0;
-        double ofPayments = payments.get() / 120.0;
-        assertTrue(ofPayments > 0.6 * ofCalls, ofCalls + " of the calls, " + ofPayments + " of the payments");
+        double servedCallShare = calls.get() / 600.0;
+        double servedPaymentShare = payments.get() / 120.0;
+        assertTrue(servedPaymentShare > 0.6 * servedCallShare, servedCallShare + " of the calls, " + servedPaymentShare + " of the payments");
     }
 }
