--- a/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
@@ -43,8 +43,8 @@
     }
 
     private static String requestHead(String path, String id) {
-        String whole = NodeRig.request("POST", path, id, 2_000, BODY);
-        return whole.substring(0, whole.length() - BODY_LENGTH);
+        String request = NodeRig.request("POST", path, id, 2_000, BODY);
+        return request.substring(0, request.length() - BODY_LENGTH);
     }
 
     private static Socket connectCaller(NodeRig rig) throws IOException {
@@ -69,8 +69,8 @@
                     out.write(toBytes(BODY.substring(HALF_LENGTH)));
                     assertEquals(BODY_LENGTH - HALF_LENGTH, call.body(BODY_LENGTH - HALF_LENGTH).length);
                     call.answer("s1", "stored");
-                    String answer = NodeRig.readAnswer(caller.getInputStream());
-                    assertTrue(answer.endsWith("stored"), answer);
+                    String response = NodeRig.readAnswer(caller.getInputStream());
+                    assertTrue(response.endsWith("stored"), response);
                 }
             }
         }
@@ -82,7 +82,7 @@
         try (NodeRig rig = startEntry();
                 ScriptedPeer peer = new ScriptedPeer(rig)) {
             peer.announce(NARROW_MBPS);
-            CompletableFuture<String> answer =
+            CompletableFuture<String> response =
                     CompletableFuture.supplyAsync(() -> rig.call(1, "POST", "/pay/x", "s2", BODY));
             try (ScriptedPeer.Call call = peer.accept()) {
                 assertTrue(call.head().contains("expect: 100-continue"));
@@ -91,7 +91,7 @@
                 assertEquals(BODY_LENGTH, call.body(BODY_LENGTH).length);
                 call.answer("s2", "stored");
             }
-            assertTrue(answer.join().endsWith("stored"), answer.join());
+            assertTrue(response.join().endsWith("stored"), response.join());
         }
     }
 
@@ -101,18 +101,18 @@
         try (NodeRig rig = startEntry();
                 ScriptedPeer peer = new ScriptedPeer(rig);
                 RawServer server = new RawServer((c, r) -> {
-                    int read = c.read(Integer.parseInt(r.header("content-length"))).length;
-                    c.write(NodeRig.answerTo(r, "read " + read));
+                    int bodyLength = c.read(Integer.parseInt(r.header("content-length"))).length;
+                    c.write(NodeRig.answerTo(r, "read " + bodyLength));
                 })) {
             peer.announce(NARROW_MBPS);
-            CompletableFuture<String> answer =
+            CompletableFuture<String> response =
                     CompletableFuture.supplyAsync(() -> rig.call(1, "POST", "/pay/x", "s3", BODY));
             try (ScriptedPeer.Call call = peer.accept()) {
                 call.head();
                 rig.start(2, Optional.of(server));
                 rig.awaitHeard("i-2");
                 call.refuse();
-                assertTrue(answer.join().endsWith("read " + BODY_LENGTH), answer.join());
+                assertTrue(response.join().endsWith("read " + BODY_LENGTH), response.join());
                 assertFalse(call.isSentMore(50), "the body came though it was refused");
             }
             assertEquals(1, server.runs("s3"));
@@ -141,8 +141,8 @@
                     rig.awaitHeard("i-2");
                 }
                 out.write(toBytes(BODY.substring(HALF_LENGTH)));
-                String answer = NodeRig.readAnswer(caller.getInputStream());
-                assertTrue(answer.endsWith("ok"), answer);
+                String response = NodeRig.readAnswer(caller.getInputStream());
+                assertTrue(response.endsWith("ok"), response);
                 assertEquals(1, server.runs("s4"));
             }
         }
@@ -157,8 +157,8 @@
             rig.awaitHeard("i-2");
             try (Socket caller = connectCaller(rig)) {
                 caller.getOutputStream().write(toBytes(requestHead("/pay/x", "s5") + BODY.substring(0, HALF_LENGTH)));
-                String answer = NodeRig.readAnswer(caller.getInputStream());
-                assertTrue(answer.startsWith("HTTP/1.1 503"), answer);
+                String response = NodeRig.readAnswer(caller.getInputStream());
+                assertTrue(response.startsWith("HTTP/1.1 503"), response);
                 assertEquals(0, server.runs("s5"));
             }
         }
@@ -177,11 +177,11 @@
             try (Socket caller = connectCaller(rig)) {
                 OutputStream out = caller.getOutputStream();
                 out.write(toBytes(requestHead("/nowhere/x", "s6") + BODY.substring(0, HALF_LENGTH)));
-                String none = NodeRig.readAnswer(caller.getInputStream());
-                assertTrue(none.startsWith("HTTP/1.1 404"), none);
+                String notFound = NodeRig.readAnswer(caller.getInputStream());
+                assertTrue(notFound.startsWith("HTTP/1.1 404"), notFound);
                 out.write(toBytes(BODY.substring(HALF_LENGTH) + NodeRig.request("GET", "/read/x", "s7", 2_000, "")));
-                String answer = NodeRig.readAnswer(caller.getInputStream());
-                assertTrue(answer.endsWith("ok"), answer);
+                String response = NodeRig.readAnswer(caller.getInputStream());
+                assertTrue(response.endsWith("ok"), response);
                 assertEquals(1, server.runs("s7"));
             }
         }
