--- a/org.berylwick.test/tst/org/berylwick/node/UploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/UploadTest.java
@@ -46,26 +46,26 @@
 
     /** Answers with the length and the sum of the body that it read. */
     private static void respondWithChecksum(RawServer.Connection connection, RawServer.Request request) throws IOException {
-        byte[] read = connection.read(Integer.parseInt(request.header("content-length")));
-        connection.write(NodeRig.answerTo(request, checksum(read)));
+        byte[] body = connection.read(Integer.parseInt(request.header("content-length")));
+        connection.write(NodeRig.answerTo(request, checksum(body)));
     }
 
     /** A body of any length reaches the backend server whole and once, beside the entry and on another VM. */
     @ParameterizedTest
     @CsvSource({"360000, 1", "360000, 2", "8000000, 1", "8000000, 2"})
-    void bodyArrivesCompleteAndOnce(int length, int at) {
+    void bodyArrivesCompleteAndOnce(int length, int serverNode) {
         try (RawServer server = new RawServer(UploadTest::respondWithChecksum);
                 NodeRig rig = newRig()) {
-            rig.start(1, at == 1 ? Optional.of(server) : Optional.empty());
-            if (at == 2) {
+            rig.start(1, serverNode == 1 ? Optional.of(server) : Optional.empty());
+            if (serverNode == 2) {
                 rig.start(2, Optional.of(server));
                 rig.awaitHeard("i-2");
             }
             rig.awaitReady(1);
             String body = body(length);
-            String answer = rig.call(1, "POST", "/pay/x", "u1", body);
-            assertTrue(answer.startsWith("HTTP/1.1 200"), answer);
-            assertTrue(answer.endsWith(checksum(body)), answer);
+            String response = rig.call(1, "POST", "/pay/x", "u1", body);
+            assertTrue(response.startsWith("HTTP/1.1 200"), response);
+            assertTrue(response.endsWith(checksum(body)), response);
             assertEquals(1, server.runs("u1"));
         }
     }
@@ -79,8 +79,8 @@
             rig.awaitReady(1);
             String head = "POST /pay/x HTTP/1.1\r\nHost: " + NodeRig.HOST
                     + "\r\nx-request-id: u2\r\nx-deadline: 2000\r\nContent-Length: 9000001\r\n\r\n";
-            String answer = rig.send(1, head + body(1_000));
-            assertTrue(answer.startsWith("HTTP/1.1 413"), answer);
+            String response = rig.send(1, head + body(1_000));
+            assertTrue(response.startsWith("HTTP/1.1 413"), response);
             assertEquals(0, server.runs("u2"));
         }
     }
@@ -88,22 +88,22 @@
     /** A backend server that says that it did not run a body is followed by another, which gets it whole. */
     @Test
     void requestRejectedByServerRunsElsewhereWithWholeBody() {
-        try (RawServer one = new RawServer((c, r) -> {
+        try (RawServer firstServer = new RawServer((c, r) -> {
                     c.read(Integer.parseInt(r.header("content-length")));
                     c.write("HTTP/1.1 503 Busy\r\nx-not-run: 1\r\nx-request-id: " + r.id()
                             + "\r\nContent-Length: 0\r\n\r\n");
                 });
-                RawServer two = new RawServer(UploadTest::respondWithChecksum);
+                RawServer secondServer = new RawServer(UploadTest::respondWithChecksum);
                 NodeRig rig = newRig()) {
-            rig.start(1, Optional.of(one));
-            rig.start(2, Optional.of(two));
+            rig.start(1, Optional.of(firstServer));
+            rig.start(2, Optional.of(secondServer));
             rig.awaitHeard("i-2");
             rig.awaitReady(1);
             String body = body(360_000);
             for (int i = 0; i < 3; i++) {
-                String answer = rig.call(1, "POST", "/pay/x", "u3-" + i, body);
-                assertTrue(answer.endsWith(checksum(body)), answer);
-                assertEquals(1, two.runs("u3-" + i));
+                String response = rig.call(1, "POST", "/pay/x", "u3-" + i, body);
+                assertTrue(response.endsWith(checksum(body)), response);
+                assertEquals(1, secondServer.runs("u3-" + i));
             }
         }
     }
@@ -120,9 +120,9 @@
                 NodeRig rig = newRig()) {
             rig.start(1, Optional.of(server));
             rig.awaitReady(1);
-            String answer = rig.call(1, "POST", "/pay/x", "u4", body(8_000_000));
-            assertTrue(answer.startsWith("HTTP/1.1 422"), answer);
-            assertTrue(answer.endsWith("no"), answer);
+            String response = rig.call(1, "POST", "/pay/x", "u4", body(8_000_000));
+            assertTrue(response.startsWith("HTTP/1.1 422"), response);
+            assertTrue(response.endsWith("no"), response);
             assertEquals(1, server.runs("u4"));
         }
     }
@@ -134,11 +134,11 @@
                 NodeRig rig = newRig()) {
             rig.start(1, Optional.of(server));
             rig.awaitReady(1);
-            String half = NodeRig.request("POST", "/pay/x", "u5", 2_000, body(8_000_000));
+            String request = NodeRig.request("POST", "/pay/x", "u5", 2_000, body(8_000_000));
             for (int i = 0; i < 5; i++) {
                 try (Socket caller = new Socket()) {
                     caller.connect(rig.callers(1));
-                    caller.getOutputStream().write(half.substring(0, 4_000_000).getBytes(StandardCharsets.ISO_8859_1));
+                    caller.getOutputStream().write(request.substring(0, 4_000_000).getBytes(StandardCharsets.ISO_8859_1));
                 }
             }
             String body = body(8_000_000);
