--- a/org.berylwick.node/src/org/berylwick/node/call/CallPath.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallPath.java
@@ -25,7 +25,8 @@
      * @param version in force
      * @param callerService on this VM
      */
-    public record Callers(HeaderNames headerNames, Supplier<Optional<MeshVersion>> version, Supplier<String> callerService) {}
+    public record Callers(
+            HeaderNames headerNames, Supplier<Optional<MeshVersion>> version, Supplier<String> callerService) {}
 
     private CallPath() {}
 
--- a/org.berylwick.node/src/org/berylwick/node/call/Headers.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Headers.java
@@ -38,7 +38,9 @@
     public static HttpHeaders endToEnd(HttpHeaders source) {
         HttpHeaders endToEnd = copy(source);
         String connectionOptions = source.get(HttpHeaderNames.CONNECTION);
-        if (connectionOptions != null && !"close".equalsIgnoreCase(connectionOptions) && !"keep-alive".equalsIgnoreCase(connectionOptions)) {
+        if (connectionOptions != null
+                && !"close".equalsIgnoreCase(connectionOptions)
+                && !"keep-alive".equalsIgnoreCase(connectionOptions)) {
             for (String name : connectionOptions.split(",")) {
                 endToEnd.remove(name.strip());
             }
--- a/org.berylwick.test/tst/org/berylwick/node/LargeResponseTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/LargeResponseTest.java
@@ -24,7 +24,8 @@
     private static final String LARGE_BODY = "x".repeat(BODY_LENGTH);
 
     private static RawServer startServer() {
-        return new RawServer((c, r) -> c.write(NodeRig.answerTo(r, r.path().startsWith("/bulk/") ? LARGE_BODY : "small")));
+        return new RawServer(
+                (c, r) -> c.write(NodeRig.answerTo(r, r.path().startsWith("/bulk/") ? LARGE_BODY : "small")));
     }
 
     /** An owner on a narrow link, whose backend server has one slot. */
--- a/org.berylwick.test/tst/org/berylwick/node/OverloadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/OverloadTest.java
@@ -91,6 +91,8 @@
         }
         double servedCallShare = calls.get() / 600.0;
         double servedPaymentShare = payments.get() / 120.0;
-        assertTrue(servedPaymentShare > 0.6 * servedCallShare, servedCallShare + " of the calls, " + servedPaymentShare + " of the payments");
+        assertTrue(
+                servedPaymentShare > 0.6 * servedCallShare,
+                servedCallShare + " of the calls, " + servedPaymentShare + " of the payments");
     }
 }
--- a/org.berylwick.test/tst/org/berylwick/node/ResponsePathTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/ResponsePathTest.java
@@ -56,7 +56,9 @@
             assertEquals("/pay/x?q=1", receivedRequest.path());
             assertEquals("i-1", receivedRequest.header("x-target"));
             assertEquals("caller-1", receivedRequest.header("x-caller"));
-            assertTrue(Long.parseLong(receivedRequest.header("x-deadline")) <= 2_000, receivedRequest.header("x-deadline"));
+            assertTrue(
+                    Long.parseLong(receivedRequest.header("x-deadline")) <= 2_000,
+                    receivedRequest.header("x-deadline"));
             assertEquals("", receivedRequest.header("bw-call"));
         }
     }
