--- a/org.berylwick.node/src/org/berylwick/node/call/AttemptListener.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/AttemptListener.java
@@ -5,32 +5,36 @@
 import org.berylwick.node.lib.OwnerLoad;
 
 /**
- * Hears what becomes of one attempt: a head, parts and an end, or a refusal, or a loss; called on the event loop.
+ * Callbacks for the outcome of one attempt; called on the event loop.
  *
- * <p>After an end, a refusal or a loss nothing more is told.
+ * <p>An attempt ends with exactly one of {@link #onEnd}, {@link #onRefused} and {@link #onLost}, unless it is
+ * cancelled; no callback follows. A response is delivered as {@link #onHead}, any number of {@link #onBody}, and
+ * {@link #onEnd}; it breaks off with {@link #onLost}.
  */
 public interface AttemptListener {
     /**
-     * The backend server answers.
+     * The backend server has begun to respond.
      *
-     * @param status of its answer
-     * @param headers end-to-end headers of its answer
-     * @param load of its owner
+     * @param status status code of the response
+     * @param headers end-to-end headers of the response
+     * @param load current load of the backend server, as its owner reports it
      */
     void onHead(int status, HttpHeaders headers, OwnerLoad load);
 
-    /** A part of the body; the callee releases it. */
+    /** A chunk of the response body; the callee has to release it. */
     void onBody(ByteBuf chunk);
 
-    /** The answer is whole. */
+    /** The response is complete. */
     void onEnd();
 
-    /** The request was not run and will not be. */
+    /** The request was not run in this attempt and will not be. */
     void onRefused(Refusal refusal);
 
-    /** No whole answer will come, and the request may have run. */
+    /** The attempt failed without a complete response; the request may have run. */
     void onLost(String cause);
 
-    /** Nothing was heard of the attempt's node for a while; the attempt goes on. May be told more than once. */
+    /**
+     * The node that runs the attempt has been silent for a while. The attempt goes on; may be called more than once.
+     */
     default void onNodeSilent() {}
 }
--- a/org.berylwick.node/src/org/berylwick/node/call/CallHandle.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallHandle.java
@@ -1,20 +1,21 @@
 package org.berylwick.node.call;
 
-/** A caller's call that is under way; used on the event loop. */
+/** A call in progress, as seen by the caller's connection. All methods are called on the event loop. */
 public interface CallHandle {
-    /** Sends it; its answer may come before this returns. */
+    /** Starts the call. The response may be delivered before this method returns. */
     void start();
 
     /**
-     * The process ends: the caller gets what there is by then, unless its answer is being streamed.
+     * Makes the call end by a given time, because the process is being shut down. The caller then gets the best final
+     * response available, unless the response is being streamed: streaming may go on until the call's deadline.
      *
-     * @param concludeAt by when, {@link System#nanoTime} terms
+     * @param concludeAt time on the scale of {@link System#nanoTime}
      */
     void concludeBy(long concludeAt);
 
-    /** The caller has gone. */
+    /** Ends the call because the caller has disconnected. */
     void abandon();
 
-    /** Resumes or stops the flow of an answer that is streamed. */
+    /** Resumes ({@code true}) or pauses ({@code false}) reading a response that is being streamed. */
     void setAutoRead(boolean autoRead);
 }
--- a/org.berylwick.node/src/org/berylwick/node/call/CallSpec.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallSpec.java
@@ -9,19 +9,20 @@
 /**
  * One request on its way to a backend server.
  *
- * @param id of the caller's attempt
- * @param method as sent
- * @param uri path and query as sent
- * @param headers end-to-end headers as sent
- * @param body as it comes; each attempt sends it from its beginning
- * @param service that is to run it
- * @param callerService on the VM where it began
- * @param requestClass the class of its route
- * @param objectiveAt when its latency objective ends, {@link System#nanoTime} terms
- * @param deadlineAt when nobody waits any more
- * @param maxWaitNanos the longest it may wait for a slot at the owner
- * @param attemptNumber 1 for the first backend server it is sent to
- * @param expectedResponseBytes that its answer is expected to have, 0 if it does not leave the VM
+ * @param id request id that the caller set; a caller that retries uses a new one
+ * @param method HTTP method as the caller sent it
+ * @param uri path and query as the caller sent them
+ * @param headers end-to-end headers as the caller sent them
+ * @param body body, possibly still being received; each attempt sends it from its beginning
+ * @param service service that is to run the request
+ * @param callerService service on the VM where the request originated
+ * @param requestClass class of the request's route
+ * @param objectiveAt time by which the request should be answered to meet its latency objective, on the scale of
+ *     {@link System#nanoTime}
+ * @param deadlineAt time after which nobody waits for the response, on the same scale
+ * @param maxWaitNanos longest time that the request may wait for a slot at the owner
+ * @param attemptNumber number of this attempt, 1 for the first
+ * @param expectedResponseBytes expected size of the response, 0 if the response does not leave the VM
  */
 public record CallSpec(
         String id,
@@ -37,17 +38,17 @@
         long maxWaitNanos,
         int attemptNumber,
         int expectedResponseBytes) {
-    /** What may be repeated. */
+    /** Kind of the route, which tells whether the request may be run more than once. */
     public RouteKind kind() {
         return requestClass.kind();
     }
 
-    /** Rank, 0 the highest. */
+    /** Priority, 0 the highest. */
     public int priority() {
         return requestClass.priority();
     }
 
-    /** The same request with its body as it comes here. */
+    /** Returns a copy of this request with another body. */
     public CallSpec withBody(RequestBody newBody) {
         return new CallSpec(
                 id,
@@ -66,11 +67,11 @@
     }
 
     /**
-     * The same request for another attempt.
+     * Returns a copy of this request for another attempt.
      *
-     * @param newAttemptNumber 1 for the first
-     * @param newMaxWaitNanos the longest it may wait for a slot at the owner
-     * @param newResponseBytes that its answer is expected to send over the owner's link
+     * @param newAttemptNumber number of the attempt, 1 for the first
+     * @param newMaxWaitNanos longest time that the request may wait for a slot at the owner
+     * @param newResponseBytes expected size of the response on the owner's link, 0 if it does not use the link
      */
     public CallSpec forAttempt(int newAttemptNumber, long newMaxWaitNanos, int newResponseBytes) {
         return new CallSpec(
--- a/org.berylwick.node/src/org/berylwick/node/call/CallTrace.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallTrace.java
@@ -3,7 +3,7 @@
 import org.berylwick.node.lib.Route;
 import org.berylwick.node.log.Event;
 
-/** What became of each attempt of a call, for its line in the log; confined to the event loop. */
+/** Collects the outcomes of a call's attempts for the call's log line; confined to the event loop. */
 final class CallTrace {
     private final EntryContext context;
     private final CallSpec spec;
@@ -21,7 +21,7 @@
         this.receivedAt = receivedAt;
     }
 
-    /** An attempt came to something. */
+    /** Records the outcome of an attempt. */
     void recordOutcome(EntryAttempt attempt, String outcome) {
         String nodeKey = attempt.candidate().key();
         outcomes.append(outcomes.isEmpty() ? "" : " ")
@@ -33,7 +33,7 @@
                 .append("ms");
     }
 
-    /** The same, and it is the reason for what happens next. */
+    /** Records the outcome of an attempt as the cause of what the call does next. */
     void recordDecisiveOutcome(EntryAttempt attempt, String outcome) {
         recordOutcome(attempt, outcome);
         cause = outcome;
@@ -43,7 +43,7 @@
         cause = newCause;
     }
 
-    /** The call ends with what there is. */
+    /** Records why the call is ended early, for example at its deadline, and keeps an earlier cause in the text. */
     void recordAbort(String reason) {
         cause = cause.isEmpty() ? reason : reason + ", before that " + cause;
     }
--- a/org.berylwick.node/src/org/berylwick/node/call/ResponseSink.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ResponseSink.java
@@ -3,26 +3,30 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpHeaders;
 
-/** Where the answer to a caller goes; called on the event loop. */
+/** Receives the response to a caller's request; called on the event loop. */
 public interface ResponseSink {
     /**
-     * A whole answer.
+     * Sends a complete response.
      *
-     * @param status of the answer
+     * @param status status code
      * @param headers end-to-end headers
-     * @param body is released after it was written
+     * @param body body; released after it has been written
      */
     void respond(int status, HttpHeaders headers, ByteBuf body);
 
-    /** Begins an answer whose length is not known. */
+    /** Begins a response whose length is not known. */
     void beginStream(int status, HttpHeaders headers);
 
-    /** A part of it; false if the caller should be given time to read. */
+    /**
+     * Sends a chunk of the response that was begun.
+     *
+     * @return whether the caller keeps up with reading; if not, the response should not be read further for now
+     */
     boolean writeChunk(ByteBuf chunk);
 
-    /** Its end. */
+    /** Ends the response that was begun. */
     void endStream();
 
-    /** Breaks it off, so that the caller sees that it is not whole. */
+    /** Closes the connection in the middle of the response, so that the caller sees that it is incomplete. */
     void abortStream();
 }
