--- a/org.berylwick.node/src/org/berylwick/node/call/CallPath.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallPath.java
@@ -13,17 +13,17 @@
 import org.berylwick.node.transport.EventLoopClock;
 import org.berylwick.node.transport.VmLink;
 
-/** Puts the parts of the call path together. */
+/** Assembles the components that handle the requests of callers on a node. */
 public final class CallPath {
-    /** Part of the process's memory that gathered answers may hold. */
+    /** The memory of the process divided by this is the limit for buffered responses. */
     private static final int BUFFER_MEMORY_DIVISOR = 6;
 
     /**
-     * What an entry knows of those that call.
+     * What an entry needs to know about its callers.
      *
-     * @param headerNames headers that they know
-     * @param version in force
-     * @param callerService on this VM
+     * @param headerNames names of the headers that they use
+     * @param version the configuration version in force, empty until the first one is installed
+     * @param callerService service on this VM, which the callers belong to
      */
     public record Callers(
             HeaderNames headerNames, Supplier<Optional<MeshVersion>> version, Supplier<String> callerService) {}
@@ -31,16 +31,16 @@
     private CallPath() {}
 
     /**
-     * Makes the entry.
+     * Creates the server that accepts the requests of callers on this VM.
      *
-     * @param eventLoop all runs on it
-     * @param settings of this node
-     * @param callers what is known of them
-     * @param owner of the backend server beside this node
-     * @param link of this VM
-     * @param candidates lists nodes
-     * @param retryBudget for repeats
-     * @param instruments take counts and events
+     * @param eventLoop event loop that everything runs on
+     * @param settings settings of this node
+     * @param callers what is known about the callers
+     * @param owner owner of the backend server beside this node
+     * @param link network link of this VM
+     * @param candidates supplies the nodes that may run a request
+     * @param retryBudget limits retries
+     * @param instruments counters and event log
      */
     public static EntryServer createEntryServer(
             EventLoop eventLoop,
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
@@ -7,10 +7,10 @@
 import org.berylwick.node.lib.OwnerLoad;
 
 /**
- * Gathers the answer to one attempt of an {@link EntryCall}; confined to the event loop.
+ * Buffers the response to one attempt of an {@link EntryCall}; confined to the event loop.
  *
- * <p>An answer is passed on when it is whole, so that one that breaks off can be replaced by another attempt's; one
- * that is too large for that is streamed.
+ * <p>A response is passed on only when it is complete, so that a truncated one can be replaced by that of another
+ * attempt. A response that is too large to buffer is streamed instead.
  */
 final class EntryAttempt implements AttemptListener {
     private static final int MAX_COMPONENTS = 1024;
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -14,29 +14,33 @@
 import org.berylwick.node.log.NodeMetricNames;
 
 /**
- * One request of a caller from its last byte to its final answer; confined to the event loop.
+ * One request of a caller, from the time its head (and a small body) has been read to its final response; confined to
+ * the event loop.
  *
- * <p>It is sent again after an attempt that was not run, whatever its kind; after one that may have run only if it is
- * repeatable and the fleet's budget for repeats has room. An attempt at a node that is no longer heard may still be
- * answered: it goes on beside the repeat, and the first good answer counts.
+ * <p>If an attempt was not run, the request is sent to another node, whatever its kind. If the attempt may have run,
+ * the request is retried only if it is idempotent and the retry budget allows it. An attempt at a node that has gone
+ * silent may still be answered, so it continues alongside the retry, and the first response that is not a server
+ * failure is used.
  */
 final class EntryCall implements CallHandle {
-    /** Owners that refuse cost a round trip each; after so many the fleet is full. */
+    /**
+     * Each refusal costs a round trip. After this many, the nodes are taken to be at capacity, and no other is tried.
+     */
     private static final int MAX_REFUSALS = 3;
     /**
-     * Part of its objective that a request waits for slots, at all nodes together: longer waits make others late, and a
-     * caller that is refused early can still come back.
+     * Longest time that a request waits for slots, at all nodes together, as a fraction of its latency objective.
+     * Longer waits make other requests late, and a caller that is refused early still has time to retry.
      */
     private static final double MAX_QUEUE_WAIT_SHARE = 0.4;
-    /** An owner's last word may still be on its way when the deadline has passed. */
+    /** Time after the deadline in which a last message of an owner that is still in transit is awaited. */
     private static final long DEADLINE_GRACE_NANOS = 10_000_000L;
-    /** Part of the usual time that must be left for another run. */
+    /** A retry needs at least this fraction of the request's expected duration before the deadline. */
     private static final double MIN_RETRY_TIME_SHARE = 0.5;
 
     private static final double MIN_RETRY_AFTER_S = 0.05;
     private static final double MAX_RETRY_AFTER_S = 1.0;
     private static final double DEFAULT_RETRY_AFTER_S = 0.25;
-    /** Part of the answers at the first attempt that are logged. */
+    /** Fraction of the successful calls with a single attempt that are logged. */
     private static final double LOG_SAMPLE_RATE = 0.02;
 
     private final EntryContext context;
@@ -50,7 +54,7 @@
     private final Set<String> triedNodes = new HashSet<>();
     private final Set<String> busyNodes = new HashSet<>();
     private Optional<EntryAttempt> currentAttempt = Optional.empty();
-    /** The attempt before, at a node that is not heard. */
+    /** The previous attempt, which continues at a node that has gone silent. */
     private Optional<EntryAttempt> silentAttempt = Optional.empty();
 
     private Clock.Alarm deadlineAlarm;
@@ -105,9 +109,10 @@
     }
 
     /**
-     * Sends the request to the best node that has not refused it; ends it if there is none.
+     * Sends the request to the best node that is left; ends the call if there is none.
      *
-     * @param isRetry whether a backend server was sent it before, so that the fleet's budget has to allow it
+     * @param isRetry whether a backend server has been sent the request before, so that the retry budget has to allow
+     *     another attempt
      */
     private void sendNext(boolean isRetry) {
         long now = context.clock().now();
@@ -137,7 +142,7 @@
         attempts++;
         Candidate candidate = choice.candidate();
         triedNodes.add(candidate.key());
-        // An answer of this VM's own backend server does not go over the link.
+        // A response of the backend server on this VM does not use the network link.
         int linkBytes = candidate.member().isPresent() ? spec.expectedResponseBytes() : 0;
         CallSpec attemptSpec = spec.forAttempt(attempts, choice.maxWaitNanos(), linkBytes);
         EntryAttempt attempt = new EntryAttempt(this, candidate, now);
@@ -145,7 +150,7 @@
         attempt.setAttempt(context.starter().start(candidate, attemptSpec, attempt));
     }
 
-    /** An attempt was not run. */
+    /** Called when an attempt was not run. */
     void onRefused(EntryAttempt attempt, Refusal refusal) {
         if (done) {
             return;
@@ -158,7 +163,8 @@
         refusals++;
         if (refusal.reason() == Refusal.Reason.BUSY
                 && busyNodes.add(attempt.candidate().key())) {
-            // It told how busy it is; the others may be busier.
+            // The refusal carried the node's current load; the other nodes may be busier, so it may be chosen once
+            // more.
             triedNodes.remove(attempt.candidate().key());
         }
         trace.recordDecisiveOutcome(attempt, refusal.reason().name());
@@ -175,7 +181,11 @@
         }
     }
 
-    /** Takes out an attempt that is over; tells whether the repeat that was sent beside it goes on. */
+    /**
+     * Removes an attempt that has ended.
+     *
+     * @return whether it was the attempt at a silent node, so that the retry started alongside it goes on
+     */
     private boolean removeEndedAttempt(EntryAttempt attempt) {
         if (silentAttempt.isPresent() && silentAttempt.get() == attempt) {
             silentAttempt = Optional.empty();
@@ -186,8 +196,8 @@
     }
 
     /**
-     * Nothing is heard of an attempt's node. The VM may have lost power, which sends no reset, or only its datagrams
-     * are lost; so the request is run elsewhere, too, if it may be.
+     * Called when the node of an attempt has gone silent. Its VM may have lost power, in which case no connection reset
+     * arrives, or only its datagrams may be lost. So the request is also sent to another node if it may be retried.
      */
     void onNodeSilent(EntryAttempt attempt) {
         boolean noSecondAttempt = done || streamingAttempt.isPresent() || silentAttempt.isPresent();
@@ -212,7 +222,7 @@
         startAttempt(choice.get(), now);
     }
 
-    /** An attempt may have run, and brought nothing. */
+    /** Called when an attempt that may have run has failed without a response. */
     void onLost(EntryAttempt attempt, String cause) {
         if (done) {
             return;
@@ -237,7 +247,7 @@
         }
     }
 
-    /** Sends it again after an attempt that may have run, if it may and can be; ends it otherwise. */
+    /** Retries the request after an attempt that may have run, if that is allowed; ends the call otherwise. */
     private void retryOrConclude() {
         if (mayRetry(possibleRuns)) {
             sendNext(true);
@@ -267,7 +277,7 @@
         return false;
     }
 
-    /** A whole answer of a backend server. */
+    /** Called when a backend server's complete response to an attempt has arrived. */
     void onResponse(EntryAttempt attempt, int status, HttpHeaders headers, ByteBuf body) {
         if (done) {
             body.release();
@@ -287,7 +297,7 @@
         respond(attempt, status, headers, body);
     }
 
-    /** A backend server's own failure, which is passed on if nothing better comes. */
+    /** A backend server's response with a status of 500 or above, passed on if no attempt gets a better one. */
     private record ServerFailure(EntryAttempt attempt, int status, HttpHeaders headers, ByteBuf body) {}
 
     private void discardServerFailure() {
@@ -296,8 +306,8 @@
     }
 
     /**
-     * Ends the call with the best that there is: a backend server's failure, a refusal if it has not run, or neither.
-     * Waits on if an attempt at an unheard node is still under way.
+     * Ends the call with the best result available: a backend server's failure response, else an error if the request
+     * may have run, else a refusal. If an attempt at a silent node is still in progress, goes on waiting for that.
      */
     private void conclude() {
         if (silentAttempt.isPresent()) {
@@ -331,7 +341,7 @@
         sink.respond(status, headers, body);
     }
 
-    /** An answer turned out too large to be gathered; it goes out as it comes. */
+    /** Called when a response turned out too large to buffer; from now on it is passed on as it arrives. */
     void onStreamingStarted(EntryAttempt attempt, int status, HttpHeaders headers) {
         streamingAttempt = Optional.of(attempt);
         removeEndedAttempt(attempt);
@@ -340,6 +350,12 @@
         sink.beginStream(status, headers);
     }
 
+    /**
+     * Called when the response being streamed has ended.
+     *
+     * @param attempt the attempt it belongs to
+     * @param complete whether it is complete; otherwise the caller's connection is closed
+     */
     void onStreamingEnded(EntryAttempt attempt, boolean complete) {
         finish();
         context.counters().add(complete ? NodeMetricNames.ENTRY_STREAMED : NodeMetricNames.ENTRY_STREAMS_BROKEN);
@@ -382,7 +398,7 @@
     private void concludeEarly(String reason) {
         trace.recordAbort(reason);
         currentAttempt.ifPresent(a -> {
-            // A backend server is sent nothing of a request before all of it is at its owner.
+            // An owner sends a request to its backend server only once it has all of the body.
             possibleRuns += spec.body().isWhole() ? 1 : 0;
             trace.recordOutcome(a, "PENDING");
         });
@@ -394,7 +410,7 @@
     private void refuse() {
         finish();
         double waitSeconds = minWaitNanos == Long.MAX_VALUE ? DEFAULT_RETRY_AFTER_S : minWaitNanos / 1e9;
-        // Callers refused together would come back together.
+        // Jitter, so that callers refused at the same time do not all retry at the same time.
         double jitteredSeconds = waitSeconds * (0.75 + 0.5 * context.random().getAsDouble());
         double retryAfterSeconds = Math.max(MIN_RETRY_AFTER_S, Math.min(MAX_RETRY_AFTER_S, jitteredSeconds));
         context.callerRetryRates().onRefused(spec.requestClass());
@@ -403,7 +419,7 @@
         sink.respond(503, retryAfterHeaders(retryAfterSeconds), Unpooled.EMPTY_BUFFER);
     }
 
-    /** Headers of a refusal that tells when to come back. */
+    /** Returns the headers of a refusal, which tell the caller when to retry. */
     static HttpHeaders retryAfterHeaders(double seconds) {
         return Headers.empty().set("Retry-After", String.format(Locale.ROOT, "%.3f", seconds));
     }
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
@@ -13,13 +13,13 @@
 import org.berylwick.node.transport.RequestBody;
 
 /**
- * Opens the calls of an entry's callers: reads how long a caller waits, and decides from when its objective counts;
- * confined to the event loop.
+ * Creates the calls of an entry, the node that callers send their requests to. Works out each call's deadline and the
+ * time from which its latency objective counts. Confined to the event loop.
  */
 public final class EntryCallFactory {
-    /** What a caller that names no deadline is given. */
+    /** Deadline of a request whose caller states none. */
     private static final long DEFAULT_DEADLINE_NANOS = 10_000_000_000L;
-    /** What the answer needs back to the caller. */
+    /** Time reserved for the response to reach the caller. */
     private static final long RESPONSE_TRANSIT_NANOS = 10_000_000L;
 
     private final EntryContext context;
@@ -27,15 +27,15 @@
     private long latestDeadline = Long.MAX_VALUE;
 
     /**
-     * @param clock tells the time; all runs where its tasks do
-     * @param headerNames headers that callers know
-     * @param callerService service on this VM
+     * @param clock clock whose tasks run on the same thread as everything here
+     * @param headerNames names of the headers that callers use
+     * @param callerService service on this VM, which the callers belong to
      * @param starter sends attempts to owners
-     * @param candidates lists nodes
-     * @param retryBudget for repeats
-     * @param responseBufferBytes that answers may hold while they are gathered
-     * @param instruments take counts and events
-     * @param random uniform in [0, 1)
+     * @param candidates supplies the nodes that may run a request
+     * @param retryBudget limits retries
+     * @param responseBufferBytes memory limit for buffered responses
+     * @param instruments counters and event log
+     * @param random supplies random numbers, uniform in [0, 1)
      */
     public EntryCallFactory(
             Clock clock,
@@ -63,23 +63,27 @@
                 random);
     }
 
-    /** Bytes that answers hold while they are gathered. */
+    /** Returns the number of bytes that buffered responses take up. */
     public long bufferedBytes() {
         return context.responseBuffers().bytesInUse();
     }
 
-    /** The process ends: calls that are opened from now on have their deadline then at the latest. */
+    /**
+     * Limits the deadline of calls created from now on, because the process is being shut down.
+     *
+     * @param at latest deadline, on the scale of {@link System#nanoTime}
+     */
     void capDeadlines(long at) {
         latestDeadline = at;
     }
 
     /**
-     * Opens a call, which is still to be started.
+     * Creates a call; the caller of this method has to start it.
      *
-     * @param version in force
-     * @param route that it takes
-     * @param request of the caller
-     * @param sink takes the answer
+     * @param version configuration version in force
+     * @param route route of the request
+     * @param request the caller's request
+     * @param sink receives the response
      */
     public CallHandle open(MeshVersion version, Route route, CallerRequest request, ResponseSink sink) {
         long now = context.clock().now();
@@ -128,10 +132,10 @@
     /**
      * A caller's request.
      *
-     * @param method as sent
+     * @param method HTTP method as sent
      * @param uri path and query as sent
-     * @param headers as sent
-     * @param body whole or still coming; released when the call is over
+     * @param headers headers as sent
+     * @param body body, complete or still being received; released when the call ends
      */
     public record CallerRequest(HttpMethod method, String uri, HttpHeaders headers, RequestBody body) {}
 }
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryContext.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryContext.java
@@ -8,21 +8,21 @@
 import org.berylwick.node.log.EventLog;
 
 /**
- * What every call at an entry shares; confined to the event loop.
+ * What all calls of an entry share; confined to the event loop.
  *
- * @param clock tells the time; all runs where its tasks do
- * @param headerNames headers that callers know
- * @param callerService service on this VM
+ * @param clock clock whose tasks run on the same thread as everything here
+ * @param headerNames names of the headers that callers use
+ * @param callerService service on this VM, which the callers belong to
  * @param starter sends attempts to owners
- * @param candidates lists nodes
- * @param chooser chooses among them
- * @param retryBudget for repeats
- * @param responseEstimates of answers
- * @param callerRetryRates which callers come back
- * @param responseBuffers for gathered answers
- * @param counters takes counts
- * @param log takes events
- * @param random uniform in [0, 1)
+ * @param candidates supplies the nodes that may run a request
+ * @param chooser chooses one of these nodes
+ * @param retryBudget limits retries
+ * @param responseEstimates expected sizes and durations of responses
+ * @param callerRetryRates how often callers retry after a refusal
+ * @param responseBuffers memory limit for buffered responses
+ * @param counters metrics
+ * @param log event log
+ * @param random supplies random numbers, uniform in [0, 1)
  */
 record EntryContext(
         Clock clock,
--- a/org.berylwick.node/src/org/berylwick/node/call/Headers.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Headers.java
@@ -5,14 +5,14 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.util.AsciiString;
 
-/** Which headers go from hop to hop. */
+/** Tells hop-by-hop headers from end-to-end headers. */
 public final class Headers {
-    /** What an entry tells an owner of a request; see {@link PeerCodec}. */
+    /** Header with which an entry describes a request to an owner; see {@link PeerCodec}. */
     static final String CALL = "bw-call";
-    /** What an owner tells an entry of an attempt; see {@link PeerCodec}. */
+    /** Header with which an owner reports the outcome of an attempt to the entry; see {@link PeerCodec}. */
     static final String OUTCOME = "bw-outcome";
 
-    // Of a type that keeps its hash: each request looks all of them up, on both hops and both ways.
+    // AsciiString caches its hash code: all of these are looked up for each request, on both hops in both directions.
     private static final AsciiString[] HOP_BY_HOP = {
         AsciiString.cached("Connection"),
         AsciiString.cached("Keep-Alive"),
@@ -34,7 +34,7 @@
 
     private Headers() {}
 
-    /** A copy without what concerns one connection only: the named ones and those that {@code Connection} lists. */
+    /** Returns a copy without the hop-by-hop headers: the ones above and those that {@code Connection} lists. */
     public static HttpHeaders endToEnd(HttpHeaders source) {
         HttpHeaders endToEnd = copy(source);
         String connectionOptions = source.get(HttpHeaderNames.CONNECTION);
@@ -51,12 +51,12 @@
         return endToEnd;
     }
 
-    /** No headers yet; names and values are not checked. */
+    /** Returns new, empty headers, which do not validate names and values. */
     static HttpHeaders empty() {
         return WITHOUT_VALIDATION.newHeaders();
     }
 
-    /** An unchecked copy, for a head of its own. */
+    /** Returns a copy for another message; it does not validate names and values. */
     static HttpHeaders copy(HttpHeaders source) {
         return Headers.empty().add(source);
     }
--- a/org.berylwick.node/src/org/berylwick/node/call/RequestBodyScheduler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RequestBodyScheduler.java
@@ -8,16 +8,18 @@
 import org.berylwick.node.transport.RequestBody;
 
 /**
- * Lets bodies come over this VM's link a few at a time; confined to the event loop.
+ * Limits how many request bodies are transferred over this VM's incoming link at a time; confined to the event loop.
  *
- * <p>The load it answers is bodies that are large for the link. Without it every entry sends at once: the link holds
- * seconds of bodies, in front of them the heads that would tell of more, and behind them calls that run for 50 ms. The
- * backend server gets nothing to do, looks idle, and is sent still more. So heads come first, without their bodies; an
- * owner refuses at once what would come too late, and asks for the others in the order of their queue.
+ * <p>It guards against request bodies that are large for the link. If every entry sent its bodies at once, the link
+ * would hold seconds of them, mixed with the heads that announce further requests and followed by calls that run for
+ * only 50 ms. The backend server would be out of work, look idle and attract still more requests. So entries first send
+ * the head alone. The owner refuses at once what would arrive too late, and requests the bodies of the others in the
+ * order of its queue.
  */
 final class RequestBodyScheduler {
     /**
-     * What is asked for at once, in time over the link: enough that it does not run dry while the next one is asked.
+     * Bodies being received at a time, measured as transfer time over the link: enough to keep the link busy until the
+     * next requested body arrives.
      */
     private static final long MAX_RECEIVING_NANOS = 60_000_000L;
 
@@ -25,7 +27,7 @@
     private final RunQueue waiting = new RunQueue();
     private final Set<OwnerRun> receiving = new LinkedHashSet<>();
 
-    /** @param link of this VM */
+    /** @param link incoming link of this VM */
     RequestBodyScheduler(IncomingLink link) {
         this.link = link;
     }
@@ -34,17 +36,23 @@
         return waiting.size() + receiving.size();
     }
 
-    /** How long what was taken before a body still takes over the link. */
+    /** Time that the bodies accepted before this one still need on the link. */
     long transferNanosAhead(RequestBody body) {
         return Math.max(0, link.busyNanos() - link.nanosOf(body.missing()));
     }
 
-    /** How long a body itself takes over the link from when it is asked for. */
+    /** Time that the rest of a body needs on the link once the body has been requested. */
     long transferNanos(RequestBody body) {
         return link.nanosOf(body.missing());
     }
 
-    /** Takes a request whose body is still to come. */
+    /**
+     * Adds a request whose body has not arrived completely.
+     *
+     * @param run the request
+     * @param canMeetObjective whether it can still meet its latency objective
+     * @param now current time
+     */
     void add(OwnerRun run, boolean canMeetObjective, long now) {
         if (!run.call().body().isKeptBack()) {
             receiving.add(run);
@@ -58,7 +66,7 @@
         requestBodies(now);
     }
 
-    /** Asks for more if there is room on the link; called when a part has come. */
+    /** Requests further bodies while the link has room for them; called when a chunk of a body has arrived. */
     void requestBodies(long now) {
         while (receivingNanos() < MAX_RECEIVING_NANOS) {
             Optional<OwnerRun> next = waiting.poll(now);
@@ -78,7 +86,11 @@
         return nanos;
     }
 
-    /** A body is whole, or its request is over. */
+    /**
+     * Removes a request because its body is complete or the request has ended.
+     *
+     * @return whether its body was being received
+     */
     boolean remove(OwnerRun run, long now) {
         boolean wasReceiving = receiving.remove(run);
         waiting.remove(run);
@@ -86,7 +98,7 @@
         return wasReceiving;
     }
 
-    /** Takes out all. */
+    /** Removes all requests and returns them. */
     List<OwnerRun> drain() {
         List<OwnerRun> all = waiting.drain();
         all.addAll(receiving);
--- a/org.berylwick.node/src/org/berylwick/node/call/ResponseBufferBudget.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ResponseBufferBudget.java
@@ -1,18 +1,25 @@
 package org.berylwick.node.call;
 
-/** Bytes that answers may hold while they are gathered; confined to the event loop. */
+/** Limits the memory that buffered responses take up; confined to the event loop. */
 final class ResponseBufferBudget {
-    /** The largest answer that is gathered before it is passed on; a larger one is streamed. */
+    /** Largest response that is buffered before it is passed on; a larger one is streamed. */
     private static final int MAX_BYTES_PER_RESPONSE = 4 << 20;
 
     private final long maxBytes;
     private long bytesInUse;
 
-    /** @param maxBytes bytes for all answers together */
+    /** @param maxBytes limit for all responses together */
     ResponseBufferBudget(long maxBytes) {
         this.maxBytes = maxBytes;
     }
 
+    /**
+     * Reserves memory for a part of a response.
+     *
+     * @param responseBytes bytes reserved for the response so far
+     * @param additionalBytes bytes to add
+     * @return false, with nothing reserved, if that would exceed a limit
+     */
     boolean tryReserve(int responseBytes, int additionalBytes) {
         if (responseBytes + additionalBytes > MAX_BYTES_PER_RESPONSE || bytesInUse + additionalBytes > maxBytes) {
             return false;
