--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -37,21 +37,22 @@
 import org.berylwick.node.transport.RequestBody;
 
 /**
- * A caller's connection: reads its requests one after the other and writes their answers; confined to the event loop.
+ * Handles a caller's connection: processes its requests one after the other and writes the responses; confined to the
+ * event loop.
  */
 final class EntryHandler extends ChannelInboundHandlerAdapter implements ResponseSink {
-    /** The most of a body that is kept, since an attempt may have to send it again. */
+    /** Upper limit for request bodies: a body is kept in memory because another attempt may have to send it again. */
     private static final long MAX_BODY_BYTES = 8 << 20;
 
     private static final int MAX_COMPONENTS = 1024;
-    /** A caller that sends on while its request is answered is read no further than this. */
+    /** Reading from the connection stops when more messages than this wait for the current response to end. */
     private static final int MAX_PIPELINED_MESSAGES = 64;
 
     private static final long LINGER_MILLIS = 1_000;
-    /** When to come back after a refusal that has nothing to do with load. */
+    /** Retry-After of refusals that are not due to load: no configuration version yet, or the node is stopping. */
     private static final double UNAVAILABLE_RETRY_AFTER_S = 0.3;
 
-    /** Idle connections are kept a little longer than the limit says, as a request may be on its way. */
+    /** Idle connections are kept slightly longer than the configured limit, as a request may already be in transit. */
     private static final double IDLE_TIMEOUT_FACTOR = 1.1;
 
     private final EntryServer server;
@@ -67,7 +68,7 @@
     private boolean keepAlive;
     private boolean headRequest;
     private boolean closing;
-    /** Ends of answers that the system has not taken yet. */
+    /** Responses whose last bytes the operating system has not accepted yet. */
     private int unsentResponses;
 
     private long lastActivityAt;
@@ -100,7 +101,7 @@
         }
     }
 
-    /** Whether what comes next belongs to the request that is being read. */
+    /** Whether the next message can be processed now: it belongs to the current request, or none is being answered. */
     private boolean acceptsNow() {
         return !responsePending || streamedBody != null;
     }
@@ -127,7 +128,7 @@
         long maxBytes = Math.min(MAX_BODY_BYTES, limits().maxBodyBytes());
         long length = HttpUtil.getContentLength(request, 0L);
         if (length > maxBytes) {
-            rejectAndClose(413, "body is too long");
+            rejectAndClose(413, "request body exceeds the size limit");
             return;
         }
         if (HttpUtil.is100ContinueExpected(request)) {
@@ -148,9 +149,9 @@
 
     private void rejectMalformed(Throwable cause) {
         if (cause instanceof TooLongHttpLineException) {
-            rejectAndClose(414, "request line is too long");
+            rejectAndClose(414, "request line exceeds the size limit");
         } else if (cause instanceof TooLongHttpHeaderException) {
-            rejectAndClose(431, "headers are too long");
+            rejectAndClose(431, "request headers exceed the size limit");
         } else {
             rejectAndClose(400, "malformed request");
         }
@@ -173,7 +174,7 @@
         }
         if (content.decoderResult().isFailure()) {
             content.release();
-            rejectAndClose(400, "malformed body");
+            rejectAndClose(400, "malformed request body");
             return;
         }
         if (streamedBody != null) {
@@ -183,7 +184,7 @@
         bufferedBytes += content.content().readableBytes();
         if (bufferedBytes > Math.min(MAX_BODY_BYTES, limits().maxBodyBytes())) {
             content.release();
-            rejectAndClose(413, "body is too long");
+            rejectAndClose(413, "request body exceeds the size limit");
             return;
         }
         bufferedBody.addComponent(true, content.content());
@@ -203,11 +204,11 @@
         RequestBody receivedBody = streamedBody;
         streamedBody = null;
         receivedBody.end();
-        // It may have been answered before its body was in.
+        // The response may have been sent before the body was complete.
         processPipelined();
     }
 
-    /** Begins a request whose head is there; its body may still be coming, and belongs to its call. */
+    /** Starts the call of a request whose head has been read. The call owns the body, which may be incomplete. */
     private void startCall(RequestBody requestBody) {
         HttpRequest request = head;
         head = null;
@@ -327,7 +328,8 @@
     }
 
     /**
-     * Ends the connection so that the answer is not lost to a reset: bytes that come meanwhile are read and dropped.
+     * Closes the connection without losing the response: closing with unread input would send a reset, so input is read
+     * and discarded for a while first.
      */
     private void closeGracefully() {
         if (!channel.isActive()) {
@@ -338,7 +340,7 @@
         channel.eventLoop().schedule(() -> channel.close(), LINGER_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Closes the connection if it has been idle for too long. */
+    /** Closes the connection if it has been idle for longer than the limit. */
     void closeIfTimedOut(long now, long idleTimeoutNanos) {
         if (responsePending || closing || unsentResponses > 0) {
             return;
@@ -347,21 +349,21 @@
             return;
         }
         if (head != null) {
-            rejectAndClose(408, "body did not come");
+            rejectAndClose(408, "request body not received within the idle timeout");
             return;
         }
         closing = true;
         channel.close();
     }
 
-    /** The process ends: a call that is under way gets its final answer by then. */
+    /** Makes the call in progress, if any, end by a given time, because the process is being shut down. */
     void concludeBy(long concludeAt) {
         if (call != null) {
             call.concludeBy(concludeAt);
         }
     }
 
-    /** Closes the connection if nothing is under way on it. */
+    /** Closes the connection if no request is in progress on it. */
     void closeIfIdle() {
         if (responsePending || isReceiving() || closing) {
             return;
@@ -372,7 +374,7 @@
         }
     }
 
-    /** Whether a request is being read, answered, or its answer has not left. */
+    /** Whether a request is being read or answered, or a response has not been handed to the operating system. */
     boolean isBusy() {
         return (responsePending || isReceiving()) && !closing || unsentResponses > 0;
     }
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryServer.java
@@ -16,9 +16,9 @@
 import org.berylwick.node.lib.MeshVersion;
 import org.berylwick.node.transport.ReceiveWindow;
 
-/** Takes the connections of callers on this VM; confined to the event loop. */
+/** Accepts the connections of callers on this VM; confined to the event loop. */
 public final class EntryServer implements AutoCloseable {
-    /** What callers may send while no version says so. */
+    /** Limits for callers until the first configuration version is installed. */
     static final CallerLimits LIMITS_BEFORE_FIRST_VERSION =
             new CallerLimits(65_536, 64L << 20, 5_000_000_000L, 30_000_000_000L);
 
@@ -40,7 +40,7 @@
         this.address = address;
     }
 
-    /** Opens the port. */
+    /** Starts listening for callers. */
     public void start() {
         ServerBootstrap bootstrap = new ServerBootstrap()
                 .group(eventLoop)
@@ -81,17 +81,17 @@
         connections.remove(connection);
     }
 
-    /** Whether connections are told to end with their next answer. */
+    /** Whether connections are closed after their next response. */
     public boolean isDraining() {
         return draining;
     }
 
-    /** Connections of callers. */
+    /** Returns the number of open connections. */
     public int connectionCount() {
         return connections.size();
     }
 
-    /** Requests that are not answered yet. */
+    /** Returns the number of connections with a request that has not been answered completely. */
     public int pendingRequests() {
         int count = 0;
         for (EntryHandler connection : connections) {
@@ -103,9 +103,9 @@
     }
 
     /**
-     * Tells callers with each answer that their connection ends, and has every call end in time.
+     * Closes each connection after its next response, and makes all calls end by a given time.
      *
-     * @param concludeAt by when calls have their final answer, {@link System#nanoTime} terms
+     * @param concludeAt time by which calls get their final response, on the scale of {@link System#nanoTime}
      */
     public void drain(long concludeAt) {
         draining = true;
@@ -115,7 +115,7 @@
         }
     }
 
-    /** Refuses requests that come from now on; those under way go on. */
+    /** Refuses requests that arrive from now on; those in progress go on. */
     public void refuseNewRequests() {
         refusingNew = true;
     }
@@ -124,7 +124,7 @@
         return refusingNew;
     }
 
-    /** Takes no more connections, and ends those on which nothing is under way. */
+    /** Stops accepting connections, and closes those without a request in progress. */
     public void stopListening() {
         draining = true;
         if (listenChannel != null) {
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryServices.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryServices.java
@@ -8,13 +8,13 @@
 import org.berylwick.node.transport.IncomingLink;
 
 /**
- * What the connections of callers share; confined to the event loop.
+ * What all connections of callers share; confined to the event loop.
  *
- * @param version the configuration in force
- * @param callFactory opens calls
- * @param link of this VM
- * @param counters takes counts
- * @param log takes events
+ * @param version configuration version in force, empty until the first one is installed
+ * @param callFactory creates calls
+ * @param link incoming link of this VM
+ * @param counters metrics
+ * @param log event log
  */
 record EntryServices(
         Supplier<Optional<MeshVersion>> version,
