--- a/org.berylwick.test/tst/org/berylwick/node/LargeResponseTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/LargeResponseTest.java
@@ -12,13 +12,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Answers that are large for the link of the VM that makes them. */
+/** Responses that are large for the network link of the VM whose backend server sends them. */
 @Timeout(60)
 class LargeResponseTest {
     private static final double NARROW_MBPS = 30;
-    /** Takes ten seconds for an answer. */
+    /** A large response takes about ten seconds on this link. */
     private static final double VERY_NARROW_MBPS = 5;
-    /** More than the system takes for a connection whose other end does not read. */
+    /** More than the operating system buffers for a connection whose other end does not read. */
     private static final int BODY_LENGTH = 6_000_000;
 
     private static final String LARGE_BODY = "x".repeat(BODY_LENGTH);
@@ -28,7 +28,7 @@
                 (c, r) -> c.write(NodeRig.answerTo(r, r.path().startsWith("/bulk/") ? LARGE_BODY : "small")));
     }
 
-    /** An owner on a narrow link, whose backend server has one slot. */
+    /** Starts an owner on a slow link, whose backend server has one slot. */
     private static NodeRig startOwner(RawServer server) {
         NodeRig rig = new NodeRig();
         rig.configuration.accept(NodeRig.version(1));
@@ -37,20 +37,25 @@
         return rig;
     }
 
-    /** Guards against bytes that wait for a node that lost power, and keep the link busy for good. */
+    /**
+     * Guards against an owner that keeps response bytes for a node that lost power, and reports its link as busy
+     * permanently.
+     */
     @Test
     void responseIsDroppedAtDeadline() throws IOException {
         try (RawServer server = startServer();
                 NodeRig rig = startOwner(server)) {
             try (Socket peerSocket = rig.askAsNode(1, "l2", BODY_LENGTH, 3_000)) {
-                Await.until("it runs", () -> server.runs("l2") == 1, rig::logged);
+                Await.until("arrival of the request at the backend server", () -> server.runs("l2") == 1, rig::logged);
                 NodeRig.sleep(4_000);
-                assertTrue(countBytesUntilClosed(peerSocket) < BODY_LENGTH, "all of it came after the deadline");
+                assertTrue(
+                        countBytesUntilClosed(peerSocket) < BODY_LENGTH,
+                        "the response was sent completely after its deadline");
             }
         }
     }
 
-    /** Guards against a link that is told as nearly free while most of a large answer is still to be read. */
+    /** Guards against a link reported as nearly idle while most of a large response is still to be read and sent. */
     @Test
     void unsentResponseBytesCountAsLinkLoad() throws IOException {
         try (RawServer server = startServer();
@@ -59,10 +64,10 @@
             Node owner = rig.startOnLink(1, server, 1, VERY_NARROW_MBPS);
             rig.awaitReady(1);
             try (Socket peerSocket = rig.askAsNode(1, "l3", BODY_LENGTH, 30_000)) {
-                assertEquals('H', peerSocket.getInputStream().read(), "the answer did not begin");
+                assertEquals('H', peerSocket.getInputStream().read(), "no first byte of the response");
                 NodeRig.sleep(500);
                 long busyMillis = NodeRig.gauge(owner, NodeMetricNames.LINK_OUTGOING_BUSY_MS);
-                assertTrue(busyMillis > 8_000, "busy for " + busyMillis + " ms");
+                assertTrue(busyMillis > 8_000, "the link is reported as busy for only " + busyMillis + " ms");
             }
         }
     }
@@ -78,24 +83,26 @@
                 count += n;
             }
         } catch (SocketTimeoutException e) {
-            throw new AssertionError("not closed after " + count + " bytes", e);
+            throw new AssertionError("connection not closed after " + count + " bytes", e);
         } catch (IOException e) {
             return count;
         }
         return count;
     }
 
-    /** Guards against calls refused for want of a slot that only the link, or a slow reader, keeps from being free. */
+    /**
+     * Guards against a slot that stays occupied, so that calls are refused, until a slow link or reader has caught up.
+     */
     @Test
     void slotIsFreeWhileLargeResponseIsSent() throws IOException {
         try (RawServer server = startServer();
                 NodeRig rig = startOwner(server)) {
             try (Socket peerSocket = rig.askAsNode(1, "l1", BODY_LENGTH, 9_000)) {
-                Await.until("it runs", () -> server.runs("l1") == 1, rig::logged);
+                Await.until("arrival of the request at the backend server", () -> server.runs("l1") == 1, rig::logged);
                 NodeRig.sleep(500);
                 String response = rig.call(1, "GET", "/read/x", "s1", "");
                 assertTrue(response.endsWith("small"), response);
-                assertEquals('H', peerSocket.getInputStream().read(), "the large answer did not begin");
+                assertEquals('H', peerSocket.getInputStream().read(), "no first byte of the large response");
             }
         }
     }
--- a/org.berylwick.test/tst/org/berylwick/node/OverloadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/OverloadTest.java
@@ -9,14 +9,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** More requests come than a backend server can run in time. */
+/** Overload: more requests arrive than the backend server can run in time. */
 @Timeout(60)
 class OverloadTest {
     private static final int CALLERS = 80;
 
     /**
-     * A burst brings five times what four slots can run within the latency objective. With one queue for all, each of
-     * them is served late; here those that can be in time are, and the others are told within a moment to come back.
+     * A burst brings five times as many requests as four slots can run within the latency objective. With a single
+     * queue all of them would be served late. Instead, those that can be in time must be, and the others must be
+     * refused early with a time to retry.
      */
     @Test
     void burstLeavesNoBacklogOfLateResponses() throws InterruptedException {
@@ -51,7 +52,7 @@
             for (Thread caller : callers) {
                 caller.join();
             }
-            String summary = inTime + " in time, " + late + " late, " + refusedEarly + " refused soon";
+            String summary = inTime + " in time, " + late + " late, " + refusedEarly + " refused early";
             assertTrue(inTime.get() >= 6, summary);
             assertTrue(late.get() <= 2, summary);
             assertTrue(inTime.get() + late.get() + refusedEarly.get() == CALLERS, summary);
@@ -59,8 +60,9 @@
     }
 
     /**
-     * Calls with a near objective and payments with a far one ask for twice what there is, half each. In order of
-     * objective the calls would always go first, and hardly a payment would run; both are served alike.
+     * Calls with a short latency objective and payments with a long one together need twice the capacity, half of it
+     * each. If requests were served strictly in the order of their objectives, calls would always go first and hardly
+     * any payment would run. Both must get a similar share.
      */
     @Test
     void requestsWithLongObjectiveAreNotStarved() throws InterruptedException {
@@ -93,6 +95,6 @@
         double servedPaymentShare = payments.get() / 120.0;
         assertTrue(
                 servedPaymentShare > 0.6 * servedCallShare,
-                servedCallShare + " of the calls, " + servedPaymentShare + " of the payments");
+                "served share of the calls: " + servedCallShare + ", of the payments: " + servedPaymentShare);
     }
 }
--- a/org.berylwick.test/tst/org/berylwick/node/ResponsePathTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/ResponsePathTest.java
@@ -17,7 +17,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A caller gets the whole answer to its own request, or one that does not look whole. */
+/**
+ * The path of a response from the backend server to the caller: a caller gets the complete response to its own request,
+ * or one that it can recognise as a failure.
+ */
 @Timeout(60)
 class ResponsePathTest {
     private static void readBody(RawServer.Connection connection, RawServer.Request request) throws IOException {
@@ -64,8 +67,8 @@
     }
 
     /**
-     * A backend server sends a second answer to one request right behind the first. The next request on that connection
-     * would be given the bytes that are left over; the connection is closed instead.
+     * Guards against responses delivered to the wrong request: a backend server sends a second response right after the
+     * first, and the next request on that connection would be given the surplus bytes. The connection must be closed.
      */
     @Test
     void extraResponseIsNotDeliveredToNextRequest() {
@@ -83,8 +86,9 @@
     }
 
     /**
-     * The extra answer to an earlier request comes late, where the answer to the next is expected. Its id tells it
-     * apart: it is dropped, and the answer behind it is the right one.
+     * Guards against responses delivered to the wrong request: a surplus response to an earlier request arrives where
+     * the response to the next one is expected. It is recognised by its request id and discarded; the response after it
+     * is the right one.
      */
     @Test
     void strayResponseIsDiscardedByRequestId() {
@@ -101,7 +105,9 @@
         }
     }
 
-    /** An answer is cut short. A repeatable request is run again; the caller never sees the half. */
+    /**
+     * A truncated response to an idempotent request is replaced by a retry; the caller never sees the truncated one.
+     */
     @Test
     void truncatedResponseToIdempotentRequestIsRetried() {
         boolean[] truncateNext = {true};
@@ -125,7 +131,7 @@
         }
     }
 
-    /** The same cut on a request that must run once at most: no second run, and no answer that looks good. */
+    /** A truncated response to a non-idempotent request must lead neither to a second run nor to a success response. */
     @Test
     void truncatedResponseToNonIdempotentRequestIsNotRetried() {
         RawServer.Script script = (c, r) -> {
@@ -143,7 +149,10 @@
         }
     }
 
-    /** An answer without a length that ends with its connection is whole; one that ends with a reset is not. */
+    /**
+     * A response without a length is complete if the backend server closes the connection, and truncated if it resets
+     * the connection.
+     */
     @Test
     void responseWithoutLengthIsCompleteOnlyOnOrderlyClose() {
         boolean[] resetConnection = {false};
@@ -166,7 +175,7 @@
         }
     }
 
-    /** Success without the backend server's signature is not its answer. */
+    /** A success response without the backend server's signature is not accepted as its response. */
     @Test
     void successWithoutSignatureIsRejected() {
         try (RawServer server = new RawServer((c, r) -> {
@@ -179,7 +188,7 @@
         }
     }
 
-    /** A backend server that says it did not run a request may be followed by another, whatever the request. */
+    /** A request that the backend server reports as not run is sent to another one, even if it is not idempotent. */
     @Test
     void requestRejectedByServerRunsElsewhere() {
         try (RawServer firstServer = new RawServer((c, r) -> {
@@ -199,7 +208,10 @@
         }
     }
 
-    /** Before its first version a node cannot know that a route does not exist: it says so, and when to come back. */
+    /**
+     * A node without a configuration version cannot know which routes exist. It must respond 503 with a time to retry,
+     * not 404.
+     */
     @Test
     void respondsUnavailableInsteadOfNotFoundBeforeFirstVersion() {
         try (RawServer server = new RawServer();
@@ -215,7 +227,7 @@
         }
     }
 
-    /** The route's timeout ends a request with a final answer though its caller would wait on. */
+    /** The route's timeout ends a request with a final response even if its caller would wait longer. */
     @Test
     void routeTimeoutEndsRequest() {
         try (RawServer server = new RawServer((c, r) -> c.awaitClosedByPeer());
@@ -227,11 +239,14 @@
             long startNanos = System.nanoTime();
             String response = rig.call(1, "POST", "/quick/x", "l1", "");
             assertTrue(response.startsWith("HTTP/1.1 504"), response);
-            assertTrue(System.nanoTime() - startNanos < 1_500_000_000L, "it took too long");
+            assertTrue(System.nanoTime() - startNanos < 1_500_000_000L, "the response took longer than 1.5 s");
         }
     }
 
-    /** A caller leaves: the backend server's connection closes, so that it stops work nobody waits for. */
+    /**
+     * When a caller disconnects, the connection to the backend server is closed, so that it stops work that nobody
+     * waits for.
+     */
     @Test
     void callerDisconnectCancelsRunningRequest() throws IOException {
         try (RawServer server = new RawServer((c, r) -> c.awaitClosedByPeer());
@@ -241,13 +256,14 @@
                 socket.getOutputStream()
                         .write(NodeRig.request("GET", "/read/x", "m1", 2_000, "")
                                 .getBytes(StandardCharsets.US_ASCII));
-                Await.until("the run", () -> server.runs("m1") == 1, rig::logged);
+                Await.until("arrival of the request at the backend server", () -> server.runs("m1") == 1, rig::logged);
             }
-            Await.until("the end of the run", () -> server.closedByPeer() == 1, rig::logged);
+            Await.until(
+                    "closing of the connection to the backend server", () -> server.closedByPeer() == 1, rig::logged);
         }
     }
 
-    /** No more requests are sent than there are slots; the others wait and are run in turn. */
+    /** At most as many requests as there are slots are at the backend server; the others are queued and run in turn. */
     @Test
     void concurrentRequestsNeverExceedSlots() throws InterruptedException {
         AtomicInteger running = new AtomicInteger();
@@ -267,15 +283,15 @@
             for (Thread caller : callers) {
                 caller.join();
             }
-            assertTrue(maxRunning.get() <= 2, "at once: " + maxRunning.get());
+            assertTrue(maxRunning.get() <= 2, "concurrent requests: " + maxRunning.get());
             assertEquals(6, server.requests().size());
         }
     }
 
     /**
-     * A backend server drops connections that were idle for a moment, without notice: what is sent next on one is
-     * reset, and whether it ran is not known. A request that must run once fails for that; the next ones take fresh
-     * connections.
+     * A backend server drops idle connections after a moment without closing them: the next request on such a
+     * connection is reset, and whether it ran is unknown. One non-idempotent request fails for that reason; the ones
+     * after it must use new connections.
      */
     @Test
     void idleConnectionsAreNotReusedAfterServerDroppedOne() {
--- a/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
@@ -17,9 +17,9 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Bodies that are large for the links between nodes. Gathered at each hop, 60 KB took 0.1 s three times over at 5
- * Mbit/s; sent by all at once, they filled the links of a few owners for seconds, and what was small behind them was
- * late.
+ * Request bodies that are large for the links between nodes. When each hop buffered the whole body, 60 KB took 0.1 s
+ * three times over at 5 Mbit/s. When all entries sent their bodies at once, these filled the links of a few owners for
+ * seconds, and small requests behind them were late.
  */
 @Timeout(60)
 class StreamedUploadTest {
@@ -54,7 +54,7 @@
         return caller;
     }
 
-    /** The owner has the first half before the caller has sent the second. */
+    /** The owner receives the first half of the body before the caller has sent the second. */
     @Test
     void bodyIsForwardedAsItArrives() throws IOException {
         try (NodeRig rig = startEntry();
@@ -76,7 +76,7 @@
         }
     }
 
-    /** Over a narrow link an owner gets the head alone, and the body when it asks for it. */
+    /** Over a slow link an owner first receives the head alone, and the body only after it has requested it. */
     @Test
     void bodyIsHeldUntilOwnerOnNarrowLinkRequestsIt() throws IOException {
         try (NodeRig rig = startEntry();
@@ -86,7 +86,7 @@
                     CompletableFuture.supplyAsync(() -> rig.call(1, "POST", "/pay/x", "s2", BODY));
             try (ScriptedPeer.Call call = peer.accept()) {
                 assertTrue(call.head().contains("expect: 100-continue"));
-                assertFalse(call.isSentMore(100), "the body came unasked");
+                assertFalse(call.isSentMore(100), "the body was sent before it was requested");
                 call.ask();
                 assertEquals(BODY_LENGTH, call.body(BODY_LENGTH).length);
                 call.answer("s2", "stored");
@@ -95,7 +95,10 @@
         }
     }
 
-    /** Refused before its body was sent, a request runs elsewhere, whole and once; the link carried nothing in vain. */
+    /**
+     * A request that is refused before its body was sent runs once on another node with its complete body, and none of
+     * the body is sent to the node that refused it.
+     */
     @Test
     void requestRefusedBeforeBodyRunsElsewhereWithWholeBody() throws IOException {
         try (NodeRig rig = startEntry();
@@ -113,15 +116,16 @@
                 rig.awaitHeard("i-2");
                 call.refuse();
                 assertTrue(response.join().endsWith("read " + BODY_LENGTH), response.join());
-                assertFalse(call.isSentMore(50), "the body came though it was refused");
+                assertFalse(call.isSentMore(50), "the body was sent although the request was refused");
             }
             assertEquals(1, server.runs("s3"));
         }
     }
 
     /**
-     * The owner's node dies while a body comes: it cannot have run what it never had whole, so an order is sent
-     * elsewhere. Before, its caller was told 502 and could not repeat it.
+     * Guards against a 502 for a non-idempotent request whose owner's node dies during the upload, since its caller
+     * could not retry. The owner cannot have run a request whose body it never had completely, so the request is sent
+     * to another node.
      */
     @Test
     void nonIdempotentRequestRunsElsewhereIfOwnerDiesDuringUpload() throws IOException {
@@ -148,7 +152,7 @@
         }
     }
 
-    /** A caller that stalls midway until its deadline is told truly that nothing was run. */
+    /** A caller that stalls in the middle of the body until its deadline gets a 503, and the request is not run. */
     @Test
     void requestWithIncompleteBodyAtDeadlineIsNotRun() throws IOException {
         try (NodeRig rig = startEntry();
@@ -165,8 +169,8 @@
     }
 
     /**
-     * Answered before its body is in, a caller gets its answer at once; the rest of that body belongs to no request,
-     * and the next request on the connection is served.
+     * A response that is ready before the request body has arrived is sent at once. The rest of that body must not be
+     * taken for a request, and the next request on the connection is served.
      */
     @Test
     void connectionStaysUsableAfterResponseBeforeEndOfBody() throws IOException {
@@ -187,7 +191,7 @@
         }
     }
 
-    /** A caller that leaves midway has run nothing, wherever its body was. */
+    /** When a caller disconnects in the middle of the body, the attempt at the other node is cancelled. */
     @Test
     void callerDisconnectDuringUploadCancelsAttempt() throws IOException {
         try (NodeRig rig = startEntry();
@@ -201,7 +205,8 @@
                 caller.close();
                 assertEquals(0, call.body(1).length, "the connection is still open");
             }
-            Await.until("the entry has let go", () -> rig.logged().contains("CALL_ABANDONED"), rig::logged);
+            Await.until(
+                    "the log line of the abandoned call", () -> rig.logged().contains("CALL_ABANDONED"), rig::logged);
         }
     }
 }
--- a/org.berylwick.test/tst/org/berylwick/node/UploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/UploadTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Large bodies, of requests that must run once. */
+/** Large bodies of non-idempotent requests. */
 class UploadTest {
     private static final int MAX_BODY_BYTES = 9_000_000;
 
@@ -44,14 +44,14 @@
         return checksum(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** Answers with the length and the sum of the body that it read. */
+    /** Responds with the length and the CRC-32 of the body received. */
     private static void respondWithChecksum(RawServer.Connection connection, RawServer.Request request)
             throws IOException {
         byte[] body = connection.read(Integer.parseInt(request.header("content-length")));
         connection.write(NodeRig.answerTo(request, checksum(body)));
     }
 
-    /** A body of any length reaches the backend server whole and once, beside the entry and on another VM. */
+    /** A body of any length reaches the backend server complete and once, on the entry's VM and on another one. */
     @ParameterizedTest
     @CsvSource({"360000, 1", "360000, 2", "8000000, 1", "8000000, 2"})
     void bodyArrivesCompleteAndOnce(int length, int serverNode) {
@@ -71,7 +71,7 @@
         }
     }
 
-    /** What is longer than the platform allows is refused before it is gathered, and runs nowhere. */
+    /** A body longer than the limit is rejected before it has been read, and the request is not run. */
     @Test
     void oversizedBodyIsRejectedAndNotRun() {
         try (RawServer server = new RawServer(UploadTest::respondWithChecksum);
@@ -86,7 +86,7 @@
         }
     }
 
-    /** A backend server that says that it did not run a body is followed by another, which gets it whole. */
+    /** A request that a backend server reports as not run is sent to another one with its complete body. */
     @Test
     void requestRejectedByServerRunsElsewhereWithWholeBody() {
         try (RawServer firstServer = new RawServer((c, r) -> {
@@ -109,7 +109,7 @@
         }
     }
 
-    /** A backend server may answer before it has read the body: its answer is the caller's. */
+    /** A response that the backend server sends before it has read the whole body is passed on to the caller. */
     @Test
     void responseBeforeEndOfBodyIsPassedOn() {
         try (RawServer server = new RawServer((c, r) -> {
@@ -128,7 +128,7 @@
         }
     }
 
-    /** A caller that leaves midway has run nothing, and the next one is served. */
+    /** A request whose caller disconnects in the middle of the body is not run, and the next request is served. */
     @Test
     void callerDisconnectDuringUploadRunsNothing() throws IOException {
         try (RawServer server = new RawServer(UploadTest::respondWithChecksum);
@@ -145,7 +145,7 @@
             }
             String body = body(8_000_000);
             Await.until(
-                    "the next one is served",
+                    "a complete response to the next request",
                     () -> rig.call(1, "POST", "/pay/x", "u6", body).endsWith(checksum(body)),
                     rig::logged);
             assertEquals(0, server.runs("u5"));
--- a/org.berylwick.test/tst/org/berylwick/node/package-info.java
+++ b/org.berylwick.test/tst/org/berylwick/node/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the node: whole nodes in this process, on loopback addresses, against backend servers made of bytes. */
+/** Tests of complete nodes: these run in the test process on loopback addresses, against scripted backend servers. */
 package org.berylwick.node;
