--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedNode.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedNode.java
@@ -218,7 +218,7 @@
         EntryCallFactory.CallerRequest request =
                 new EntryCallFactory.CallerRequest(HttpMethod.GET, "/" + kind.name() + "/x", headers, body);
         CallHandle call =
-                entry.open(version, version.route(Emulation.HOST, request.uri()).orElseThrow(), request, sink);
+                entry.create(version, version.route(Emulation.HOST, request.uri()).orElseThrow(), request, sink);
         call.start();
         return call;
     }
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
@@ -85,7 +85,7 @@
      * @param request the caller's request
      * @param sink receives the response
      */
-    public CallHandle open(MeshVersion version, Route route, CallerRequest request, ResponseSink sink) {
+    public CallHandle create(MeshVersion version, Route route, CallerRequest request, ResponseSink sink) {
         long now = context.clock().now();
         HttpHeaders headers = Headers.endToEnd(request.headers());
         String id = headers.get(context.headerNames().requestId(), "");
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -237,7 +237,7 @@
         }
         EntryCallFactory.CallerRequest callerRequest =
                 new EntryCallFactory.CallerRequest(request.method(), request.uri(), request.headers(), requestBody);
-        call = services.callFactory().open(version.get(), route.get(), callerRequest, this);
+        call = services.callFactory().create(version.get(), route.get(), callerRequest, this);
         call.start();
     }
 
