--- a/org.berylwick.test/tst/org/berylwick/node/LargeResponseTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/LargeResponseTest.java
@@ -15,7 +15,7 @@
 /** Responses that are large for the network link of the VM whose backend server sends them. */
 @Timeout(60)
 class LargeResponseTest {
-    private static final double NARROW_MBPS = 30;
+    private static final double SLOW_LINK_MBPS = 30;
     /** A large response takes about ten seconds on this link. */
     private static final double VERY_NARROW_MBPS = 5;
     /** More than the operating system buffers for a connection whose other end does not read. */
@@ -32,7 +32,7 @@
     private static NodeRig startOwner(RawServer server) {
         NodeRig rig = new NodeRig();
         rig.configuration.accept(NodeRig.version(1));
-        rig.startOnLink(1, server, 1, NARROW_MBPS);
+        rig.startOnLink(1, server, 1, SLOW_LINK_MBPS);
         rig.awaitReady(1);
         return rig;
     }
