--- a/org.berylwick.test/tst/org/berylwick/node/LargeResponseTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/LargeResponseTest.java
@@ -17,7 +17,7 @@
 class LargeResponseTest {
     private static final double SLOW_LINK_MBPS = 30;
     /** A large response takes about ten seconds on this link. */
-    private static final double VERY_NARROW_MBPS = 5;
+    private static final double VERY_SLOW_LINK_MBPS = 5;
     /** More than the operating system buffers for a connection whose other end does not read. */
     private static final int BODY_LENGTH = 6_000_000;
 
@@ -61,7 +61,7 @@
         try (RawServer server = startServer();
                 NodeRig rig = new NodeRig()) {
             rig.configuration.accept(NodeRig.version(1));
-            Node owner = rig.startOnLink(1, server, 1, VERY_NARROW_MBPS);
+            Node owner = rig.startOnLink(1, server, 1, VERY_SLOW_LINK_MBPS);
             rig.awaitReady(1);
             try (Socket peerSocket = rig.askAsNode(1, "l3", BODY_LENGTH, 30_000)) {
                 assertEquals('H', peerSocket.getInputStream().read(), "no first byte of the response");
