--- a/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
@@ -25,7 +25,7 @@
 class StreamedUploadTest {
     private static final int BODY_LENGTH = 200_000;
     private static final int HALF_LENGTH = BODY_LENGTH / 2;
-    private static final int WIDE_MBPS = 1_000;
+    private static final int FAST_LINK_MBPS = 1_000;
     private static final int NARROW_MBPS = 5;
     private static final String BODY = "x".repeat(BODY_LENGTH);
 
@@ -59,7 +59,7 @@
     void bodyIsForwardedAsItArrives() throws IOException {
         try (NodeRig rig = startEntry();
                 ScriptedPeer peer = new ScriptedPeer(rig)) {
-            peer.announce(WIDE_MBPS);
+            peer.announce(FAST_LINK_MBPS);
             try (Socket caller = connectCaller(rig)) {
                 OutputStream out = caller.getOutputStream();
                 out.write(toBytes(requestHead("/pay/x", "s1") + BODY.substring(0, HALF_LENGTH)));
@@ -135,7 +135,7 @@
                     c.read(Integer.parseInt(r.header("content-length")));
                     NodeRig.answerOk(c, r);
                 })) {
-            peer.announce(WIDE_MBPS);
+            peer.announce(FAST_LINK_MBPS);
             try (Socket caller = connectCaller(rig)) {
                 OutputStream out = caller.getOutputStream();
                 out.write(toBytes(requestHead("/pay/x", "s4") + BODY.substring(0, HALF_LENGTH)));
@@ -196,7 +196,7 @@
     void callerDisconnectDuringUploadCancelsAttempt() throws IOException {
         try (NodeRig rig = startEntry();
                 ScriptedPeer peer = new ScriptedPeer(rig)) {
-            peer.announce(WIDE_MBPS);
+            peer.announce(FAST_LINK_MBPS);
             Socket caller = connectCaller(rig);
             caller.getOutputStream().write(toBytes(requestHead("/pay/x", "s8") + BODY.substring(0, HALF_LENGTH)));
             try (ScriptedPeer.Call call = peer.accept()) {
