--- a/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
@@ -26,7 +26,7 @@
     private static final int BODY_LENGTH = 200_000;
     private static final int HALF_LENGTH = BODY_LENGTH / 2;
     private static final int FAST_LINK_MBPS = 1_000;
-    private static final int NARROW_MBPS = 5;
+    private static final int SLOW_LINK_MBPS = 5;
     private static final String BODY = "x".repeat(BODY_LENGTH);
 
     private static NodeRig startEntry() {
@@ -81,7 +81,7 @@
     void bodyIsHeldUntilOwnerOnNarrowLinkRequestsIt() throws IOException {
         try (NodeRig rig = startEntry();
                 ScriptedPeer peer = new ScriptedPeer(rig)) {
-            peer.announce(NARROW_MBPS);
+            peer.announce(SLOW_LINK_MBPS);
             CompletableFuture<String> response =
                     CompletableFuture.supplyAsync(() -> rig.call(1, "POST", "/pay/x", "s2", BODY));
             try (ScriptedPeer.Call call = peer.accept()) {
@@ -107,7 +107,7 @@
                     int bodyLength = c.read(Integer.parseInt(r.header("content-length"))).length;
                     c.write(NodeRig.answerTo(r, "read " + bodyLength));
                 })) {
-            peer.announce(NARROW_MBPS);
+            peer.announce(SLOW_LINK_MBPS);
             CompletableFuture<String> response =
                     CompletableFuture.supplyAsync(() -> rig.call(1, "POST", "/pay/x", "s3", BODY));
             try (ScriptedPeer.Call call = peer.accept()) {
