--- a/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
@@ -78,7 +78,7 @@
 
     /** Over a slow link an owner first receives the head alone, and the body only after it has requested it. */
     @Test
-    void bodyIsHeldUntilOwnerOnNarrowLinkRequestsIt() throws IOException {
+    void bodyIsHeldUntilOwnerOnSlowLinkRequestsIt() throws IOException {
         try (NodeRig rig = startEntry();
                 ScriptedPeer peer = new ScriptedPeer(rig)) {
             peer.announce(SLOW_LINK_MBPS);
