--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
@@ -71,10 +71,10 @@
     /**
      * Limits the deadline of calls created from now on, because the process is being shut down.
      *
-     * @param at latest deadline, on the scale of {@link System#nanoTime}
+     * @param latest latest deadline, on the scale of {@link System#nanoTime}
      */
-    void capDeadlines(long at) {
-        latestDeadline = at;
+    void capDeadlines(long latest) {
+        latestDeadline = latest;
     }
 
     /**
