--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedNode.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedNode.java
@@ -217,8 +217,8 @@
         MeshVersion version = emulation.version();
         EntryCallFactory.CallerRequest request =
                 new EntryCallFactory.CallerRequest(HttpMethod.GET, "/" + kind.name() + "/x", headers, body);
-        CallHandle call =
-                entry.create(version, version.route(Emulation.HOST, request.uri()).orElseThrow(), request, sink);
+        CallHandle call = entry.create(
+                version, version.route(Emulation.HOST, request.uri()).orElseThrow(), request, sink);
         call.start();
         return call;
     }
