--- a/org.berylwick.test/tst/org/berylwick/node/OverloadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/OverloadTest.java
@@ -95,6 +95,6 @@
         double servedPaymentShare = payments.get() / 120.0;
         assertTrue(
                 servedPaymentShare > 0.6 * servedCallShare,
-                "served share of the calls: " + servedCallShare + ", of the payments: " + servedPaymentShare);
+                servedCallShare + " of the calls were served, but only " + servedPaymentShare + " of the payments");
     }
 }
