--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -25,7 +25,7 @@
 import org.berylwick.node.log.EventLog;
 import org.berylwick.node.log.Instruments;
 import org.berylwick.node.log.NodeMetricNames;
-import org.berylwick.node.member.Directory;
+import org.berylwick.node.member.NodeDiscovery;
 import org.berylwick.node.member.Gossip;
 import org.berylwick.node.member.HeartbeatProtocol;
 import org.berylwick.node.member.Member;
@@ -63,7 +63,7 @@
     private final VmLink link;
     private final Gossip gossip;
     private final VersionKeeper versions;
-    private final Directory directory;
+    private final NodeDiscovery directory;
     private final EntryServer entry;
     private final PeerServer peers;
     private final NodeStop stop;
@@ -114,7 +114,7 @@
                 counters,
                 log);
         this.directory =
-                new Directory(loop, ports.directory(loop), gossip, counters, log, settings.name(), settings.ip());
+                new NodeDiscovery(loop, ports.directory(loop), gossip, counters, log, settings.name(), settings.ip());
         RetryBudget budget =
                 new RetryBudget(settings.bounds(), this::nodeCount, directory::isListed, System.nanoTime());
         this.entry = CallPath.entry(
--- a/org.berylwick.node/src/org/berylwick/node/member/Directory.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
@@ -9,7 +9,7 @@
 import org.berylwick.node.log.NodeMetricNames;
 
 /** Enters this node in the list that lasts, and looks there for others now and then; confined to the event loop. */
-public final class Directory {
+public final class NodeDiscovery {
     private static final long FIRST_RETRY_MILLIS = 150;
     private static final long LONGEST_RETRY_MILLIS = 2_000;
     /** Others tell of themselves by datagrams; the list only heals what those missed. */
@@ -36,7 +36,7 @@
      * @param name of this VM
      * @param ip of this VM
      */
-    public Directory(
+    public NodeDiscovery(
             EventLoop loop,
             NodeDirectory store,
             Gossip gossip,
