--- a/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
@@ -10,7 +10,7 @@
 
 /** Enters this node in the list that lasts, and looks there for others now and then; confined to the event loop. */
 public final class NodeDiscovery {
-    private static final long FIRST_RETRY_MILLIS = 150;
+    private static final long INITIAL_RETRY_MILLIS = 150;
     private static final long LONGEST_RETRY_MILLIS = 2_000;
     /** Others tell of themselves by datagrams; the list only heals what those missed. */
     private static final long REFRESH_MILLIS_PER_NODE = 1_500;
@@ -24,7 +24,7 @@
     private final EventLog log;
     private final String name;
     private final String ip;
-    private long retryMillis = FIRST_RETRY_MILLIS;
+    private long retryMillis = INITIAL_RETRY_MILLIS;
     private boolean listed;
 
     /**
@@ -79,7 +79,7 @@
             switch (answer) {
                 case NodeDirectory.Answer.Listed found -> {
                     listed = true;
-                    retryMillis = FIRST_RETRY_MILLIS;
+                    retryMillis = INITIAL_RETRY_MILLIS;
                     found.addresses().forEach(gossip::addContact);
                     long refresh =
                             Math.max(SHORTEST_REFRESH_MILLIS, REFRESH_MILLIS_PER_NODE * (gossip.contactCount() + 1));
