--- a/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
@@ -11,7 +11,7 @@
 /** Enters this node in the list that lasts, and looks there for others now and then; confined to the event loop. */
 public final class NodeDiscovery {
     private static final long INITIAL_RETRY_MILLIS = 150;
-    private static final long LONGEST_RETRY_MILLIS = 2_000;
+    private static final long MAX_RETRY_MILLIS = 2_000;
     /** Others tell of themselves by datagrams; the list only heals what those missed. */
     private static final long REFRESH_MILLIS_PER_NODE = 1_500;
 
@@ -97,7 +97,7 @@
 
     private long backOff() {
         long millis = retryMillis + ThreadLocalRandom.current().nextLong(retryMillis);
-        retryMillis = Math.min(LONGEST_RETRY_MILLIS, retryMillis * 2);
+        retryMillis = Math.min(MAX_RETRY_MILLIS, retryMillis * 2);
         return millis;
     }
 }
