--- a/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
@@ -15,7 +15,7 @@
     /** Others tell of themselves by datagrams; the list only heals what those missed. */
     private static final long REFRESH_MILLIS_PER_NODE = 1_500;
 
-    private static final long SHORTEST_REFRESH_MILLIS = 8_000;
+    private static final long MIN_REFRESH_MILLIS = 8_000;
 
     private final EventLoop loop;
     private final NodeDirectory store;
@@ -82,7 +82,7 @@
                     retryMillis = INITIAL_RETRY_MILLIS;
                     found.addresses().forEach(gossip::addContact);
                     long refresh =
-                            Math.max(SHORTEST_REFRESH_MILLIS, REFRESH_MILLIS_PER_NODE * (gossip.contactCount() + 1));
+                            Math.max(MIN_REFRESH_MILLIS, REFRESH_MILLIS_PER_NODE * (gossip.contactCount() + 1));
                     long jitter = ThreadLocalRandom.current().nextLong(refresh / 2);
                     loop.schedule(this::list, refresh + jitter, TimeUnit.MILLISECONDS);
                 }
