--- a/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
@@ -18,7 +18,7 @@
     private static final long MIN_REFRESH_MILLIS = 8_000;
 
     private final EventLoop loop;
-    private final NodeDirectory store;
+    private final NodeDirectory directory;
     private final Gossip gossip;
     private final Counters counters;
     private final EventLog log;
@@ -45,7 +45,7 @@
             String name,
             String ip) {
         this.loop = loop;
-        this.store = store;
+        this.directory = store;
         this.gossip = gossip;
         this.counters = counters;
         this.log = log;
@@ -64,7 +64,7 @@
     }
 
     private void enter() {
-        store.enter(name, ip, entered -> {
+        directory.enter(name, ip, entered -> {
             if (!entered) {
                 counters.add(NodeMetricNames.DIRECTORY_FAILURES);
                 loop.schedule(this::enter, backOff(), TimeUnit.MILLISECONDS);
@@ -75,7 +75,7 @@
     }
 
     private void list() {
-        store.list(answer -> {
+        directory.list(answer -> {
             switch (answer) {
                 case NodeDirectory.Answer.Listed found -> {
                     listed = true;
