--- a/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
@@ -25,7 +25,7 @@
     private final String name;
     private final String ip;
     private long retryMillis = INITIAL_RETRY_MILLIS;
-    private boolean listed;
+    private boolean directoryRead;
 
     /**
      * @param loop all runs on it
@@ -60,7 +60,7 @@
 
     /** Whether the list was read in this life. */
     public boolean isListed() {
-        return listed;
+        return directoryRead;
     }
 
     private void enter() {
@@ -78,7 +78,7 @@
         directory.list(answer -> {
             switch (answer) {
                 case NodeDirectory.Answer.Listed found -> {
-                    listed = true;
+                    directoryRead = true;
                     retryMillis = INITIAL_RETRY_MILLIS;
                     found.addresses().forEach(gossip::addContact);
                     long refresh =
