--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -116,7 +116,7 @@
         this.directory =
                 new NodeDiscovery(loop, ports.directory(loop), gossip, counters, log, settings.name(), settings.ip());
         RetryBudget budget =
-                new RetryBudget(settings.bounds(), this::nodeCount, directory::isListed, System.nanoTime());
+                new RetryBudget(settings.bounds(), this::nodeCount, directory::isDirectoryRead, System.nanoTime());
         this.entry = CallPath.entry(
                 loop,
                 settings,
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
@@ -59,7 +59,7 @@
     }
 
     /** Whether the list was read in this life. */
-    public boolean isListed() {
+    public boolean isDirectoryRead() {
         return directoryRead;
     }
 
