--- a/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
@@ -55,7 +55,7 @@
 
     /** Starts. */
     public void start() {
-        enter();
+        register();
     }
 
     /** Whether the list was read in this life. */
@@ -63,11 +63,11 @@
         return directoryRead;
     }
 
-    private void enter() {
+    private void register() {
         directory.enter(name, ip, entered -> {
             if (!entered) {
                 counters.add(NodeMetricNames.DIRECTORY_FAILURES);
-                loop.schedule(this::enter, backOff(), TimeUnit.MILLISECONDS);
+                loop.schedule(this::register, backOff(), TimeUnit.MILLISECONDS);
                 return;
             }
             list();
