--- a/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
@@ -70,11 +70,11 @@
                 loop.schedule(this::register, backOff(), TimeUnit.MILLISECONDS);
                 return;
             }
-            list();
+            refresh();
         });
     }
 
-    private void list() {
+    private void refresh() {
         directory.list(answer -> {
             switch (answer) {
                 case NodeDirectory.Answer.Listed found -> {
@@ -84,12 +84,12 @@
                     long refresh =
                             Math.max(MIN_REFRESH_MILLIS, REFRESH_MILLIS_PER_NODE * (gossip.contactCount() + 1));
                     long jitter = ThreadLocalRandom.current().nextLong(refresh / 2);
-                    loop.schedule(this::list, refresh + jitter, TimeUnit.MILLISECONDS);
+                    loop.schedule(this::refresh, refresh + jitter, TimeUnit.MILLISECONDS);
                 }
                 case NodeDirectory.Answer.Failed failed -> {
                     log.write(Event.STORE_CALL_FAILED, "call", "list nodes", "cause", failed.cause());
                     counters.add(NodeMetricNames.DIRECTORY_FAILURES);
-                    loop.schedule(this::list, backOff(), TimeUnit.MILLISECONDS);
+                    loop.schedule(this::refresh, backOff(), TimeUnit.MILLISECONDS);
                 }
             }
         });
