--- a/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
@@ -67,7 +67,7 @@
         directory.enter(name, ip, entered -> {
             if (!entered) {
                 counters.add(NodeMetricNames.DIRECTORY_FAILURES);
-                loop.schedule(this::register, backOff(), TimeUnit.MILLISECONDS);
+                loop.schedule(this::register, nextRetryDelayMillis(), TimeUnit.MILLISECONDS);
                 return;
             }
             refresh();
@@ -89,13 +89,13 @@
                 case NodeDirectory.Answer.Failed failed -> {
                     log.write(Event.STORE_CALL_FAILED, "call", "list nodes", "cause", failed.cause());
                     counters.add(NodeMetricNames.DIRECTORY_FAILURES);
-                    loop.schedule(this::refresh, backOff(), TimeUnit.MILLISECONDS);
+                    loop.schedule(this::refresh, nextRetryDelayMillis(), TimeUnit.MILLISECONDS);
                 }
             }
         });
     }
 
-    private long backOff() {
+    private long nextRetryDelayMillis() {
         long millis = retryMillis + ThreadLocalRandom.current().nextLong(retryMillis);
         retryMillis = Math.min(MAX_RETRY_MILLIS, retryMillis * 2);
         return millis;
