--- a/org.berylwick.node/src/org/berylwick/node/member/NodeDirectory.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeDirectory.java
@@ -6,12 +6,12 @@
 /** The list of nodes that lasts; asynchronous, answers come on the event loop. */
 public interface NodeDirectory {
     /** What became of a call. */
-    sealed interface Answer {
+    sealed interface ListResult {
         /** Addresses of nodes, some of which may be gone. */
-        record Listed(List<String> addresses) implements Answer {}
+        record Listed(List<String> addresses) implements ListResult {}
 
         /** The store did not answer, or refused. */
-        record Failed(String cause) implements Answer {}
+        record Failed(String cause) implements ListResult {}
     }
 
     /**
@@ -24,5 +24,5 @@
     void enter(String name, String ip, Consumer<Boolean> onAnswer);
 
     /** Lists the nodes that entered themselves. */
-    void list(Consumer<Answer> onAnswer);
+    void list(Consumer<ListResult> onAnswer);
 }
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
@@ -77,7 +77,7 @@
     private void refresh() {
         directory.list(answer -> {
             switch (answer) {
-                case NodeDirectory.Answer.Listed found -> {
+                case NodeDirectory.ListResult.Listed found -> {
                     directoryRead = true;
                     retryMillis = INITIAL_RETRY_MILLIS;
                     found.addresses().forEach(gossip::addContact);
@@ -86,7 +86,7 @@
                     long jitter = ThreadLocalRandom.current().nextLong(refresh / 2);
                     loop.schedule(this::refresh, refresh + jitter, TimeUnit.MILLISECONDS);
                 }
-                case NodeDirectory.Answer.Failed failed -> {
+                case NodeDirectory.ListResult.Failed failed -> {
                     log.write(Event.STORE_CALL_FAILED, "call", "list nodes", "cause", failed.cause());
                     counters.add(NodeMetricNames.DIRECTORY_FAILURES);
                     loop.schedule(this::refresh, nextRetryDelayMillis(), TimeUnit.MILLISECONDS);
--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -393,12 +393,12 @@
                 }
 
                 @Override
-                public void list(Consumer<Answer> onAnswer) {
+                public void list(Consumer<ListResult> onAnswer) {
                     List<String> all = new ArrayList<>();
                     for (int i = 1; i <= 4; i++) {
                         all.add(ip(i));
                     }
-                    loop.execute(() -> onAnswer.accept(new Answer.Listed(all)));
+                    loop.execute(() -> onAnswer.accept(new ListResult.Listed(all)));
                 }
             };
         }
--- a/org.berylwick.test/tst/org/berylwick/platform/ForeignEntriesTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/ForeignEntriesTest.java
@@ -25,7 +25,7 @@
 import org.berylwick.node.lib.BackendReport;
 import org.berylwick.node.lib.BackendState;
 import org.berylwick.node.member.HeartbeatProtocol.Announcement;
-import org.berylwick.node.member.NodeDirectory.Answer;
+import org.berylwick.node.member.NodeDirectory.ListResult;
 import org.berylwick.node.transport.SmallHttpServer;
 import org.berylwick.node.version.ConfigurationSource;
 import org.junit.jupiter.api.Test;
@@ -130,9 +130,9 @@
         })) {
             StoredDirectory directory =
                     new StoredDirectory(new ObjectStore(loop, new InetSocketAddress("127.0.0.1", server.port())));
-            CompletableFuture<Answer> answer = new CompletableFuture<>();
+            CompletableFuture<ListResult> answer = new CompletableFuture<>();
             loop.execute(() -> directory.list(answer::complete));
-            Answer.Listed listed = assertInstanceOf(Answer.Listed.class, answer.get(10, TimeUnit.SECONDS));
+            ListResult.Listed listed = assertInstanceOf(ListResult.Listed.class, answer.get(10, TimeUnit.SECONDS));
             assertEquals(List.of("10.0.0.1", "10.0.0.3", "10.0.0.4"), listed.addresses());
             assertEquals(3, asked.size());
         } finally {
