--- a/org.berylwick.node/src/org/berylwick/node/member/NodeDirectory.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeDirectory.java
@@ -21,7 +21,7 @@
      * @param ip of its VM
      * @param onAnswer hears whether it is entered
      */
-    void enter(String name, String ip, Consumer<Boolean> onAnswer);
+    void register(String name, String ip, Consumer<Boolean> onAnswer);
 
     /** Lists the nodes that entered themselves. */
     void list(Consumer<ListResult> onAnswer);
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
@@ -64,7 +64,7 @@
     }
 
     private void register() {
-        directory.enter(name, ip, entered -> {
+        directory.register(name, ip, entered -> {
             if (!entered) {
                 counters.add(NodeMetricNames.DIRECTORY_FAILURES);
                 loop.schedule(this::register, nextRetryDelayMillis(), TimeUnit.MILLISECONDS);
--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -388,7 +388,7 @@
         public NodeDirectory directory(EventLoop loop) {
             return new NodeDirectory() {
                 @Override
-                public void enter(String name, String ip, Consumer<Boolean> onAnswer) {
+                public void register(String name, String ip, Consumer<Boolean> onAnswer) {
                     loop.execute(() -> onAnswer.accept(true));
                 }
 
