--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -35,7 +35,7 @@
     private static final long PERIOD_PER_NODE_NANOS = 25_000_000L;
 
     private static final long MIN_PERIOD_NANOS = 500_000_000L;
-    private static final long LONGEST_PERIOD_NANOS = 4_000_000_000L;
+    private static final long MAX_PERIOD_NANOS = 4_000_000_000L;
     /** Rounds without a word after which a node counts as silent. */
     private static final double SILENT_ROUNDS = 3.5;
 
@@ -195,7 +195,7 @@
 
     private long periodNanos() {
         long period = PERIOD_PER_NODE_NANOS * (contacts.size() + 1);
-        return Math.max(MIN_PERIOD_NANOS, Math.min(LONGEST_PERIOD_NANOS, period));
+        return Math.max(MIN_PERIOD_NANOS, Math.min(MAX_PERIOD_NANOS, period));
     }
 
     private void runRound() {
