--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -37,7 +37,7 @@
     private static final long MIN_PERIOD_NANOS = 500_000_000L;
     private static final long MAX_PERIOD_NANOS = 4_000_000_000L;
     /** Rounds without a word after which a node counts as silent. */
-    private static final double SILENT_ROUNDS = 3.5;
+    private static final double SILENCE_TIMEOUT_ROUNDS = 3.5;
 
     private static final long[] REPEATS_MILLIS = {40, 80};
     /** Changes within this are told together. */
@@ -126,7 +126,7 @@
 
     /** After this span without a word a node counts as silent. */
     public long silentNanos() {
-        return (long) (periodNanos() * SILENT_ROUNDS);
+        return (long) (periodNanos() * SILENCE_TIMEOUT_ROUNDS);
     }
 
     /**
