--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -39,7 +39,7 @@
     /** Rounds without a word after which a node counts as silent. */
     private static final double SILENCE_TIMEOUT_ROUNDS = 3.5;
 
-    private static final long[] REPEATS_MILLIS = {40, 80};
+    private static final long[] REPEAT_DELAYS_MILLIS = {40, 80};
     /** Changes within this are told together. */
     private static final long TOGETHER_NANOS = 15_000_000L;
 
@@ -165,12 +165,12 @@
                 () -> {
                     tellAll(false);
                     repeatsTold++;
-                    repeating = repeatsTold < REPEATS_MILLIS.length;
+                    repeating = repeatsTold < REPEAT_DELAYS_MILLIS.length;
                     if (repeating) {
                         planRepeat();
                     }
                 },
-                REPEATS_MILLIS[Math.min(repeatsTold, REPEATS_MILLIS.length - 1)],
+                REPEAT_DELAYS_MILLIS[Math.min(repeatsTold, REPEAT_DELAYS_MILLIS.length - 1)],
                 TimeUnit.MILLISECONDS);
     }
 
@@ -187,7 +187,7 @@
         };
         tell.run();
         long after = 0;
-        for (long millis : REPEATS_MILLIS) {
+        for (long millis : REPEAT_DELAYS_MILLIS) {
             after += millis;
             loop.schedule(tell, after, TimeUnit.MILLISECONDS);
         }
