--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -41,7 +41,7 @@
 
     private static final long[] REPEAT_DELAYS_MILLIS = {40, 80};
     /** Changes within this are told together. */
-    private static final long TOGETHER_NANOS = 15_000_000L;
+    private static final long COALESCING_WINDOW_NANOS = 15_000_000L;
 
     private static final int OTHERS_TOLD = 3;
     private static final int USUAL_BYTES = 160;
@@ -63,7 +63,7 @@
     private Channel channel;
     private long round;
     private int changes;
-    private long toldAt = System.nanoTime() - TOGETHER_NANOS;
+    private long toldAt = System.nanoTime() - COALESCING_WINDOW_NANOS;
     private boolean repeating;
     private int repeatsTold;
 
@@ -140,7 +140,7 @@
             return;
         }
         long sinceTold = System.nanoTime() - toldAt;
-        long wait = round == 0 ? TOGETHER_NANOS : Math.max(0, TOGETHER_NANOS - sinceTold);
+        long wait = round == 0 ? COALESCING_WINDOW_NANOS : Math.max(0, COALESCING_WINDOW_NANOS - sinceTold);
         if (wait == 0) {
             tellChanges();
         } else {
