--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -43,7 +43,7 @@
     /** Changes within this are told together. */
     private static final long COALESCING_WINDOW_NANOS = 15_000_000L;
 
-    private static final int OTHERS_TOLD = 3;
+    private static final int MAX_PEER_ADDRESSES = 3;
     private static final int USUAL_BYTES = 160;
     /** Addresses of others are a quarter of a datagram, and only needed by nodes that missed each other's start. */
     private static final int ROUNDS_PER_INTRODUCTION = 4;
@@ -247,14 +247,14 @@
             return List.of();
         }
         // Two nodes that never learnt of each other hear of each other by a third within some rounds.
-        List<String> known = new ArrayList<>(OTHERS_TOLD);
+        List<String> known = new ArrayList<>(MAX_PEER_ADDRESSES);
         int skip = ThreadLocalRandom.current().nextInt(contacts.size());
         for (String address : contacts.keySet()) {
             if (skip-- > 0) {
                 continue;
             }
             known.add(address);
-            if (known.size() == OTHERS_TOLD) {
+            if (known.size() == MAX_PEER_ADDRESSES) {
                 break;
             }
         }
