--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -44,7 +44,7 @@
     private static final long COALESCING_WINDOW_NANOS = 15_000_000L;
 
     private static final int MAX_PEER_ADDRESSES = 3;
-    private static final int USUAL_BYTES = 160;
+    private static final int INITIAL_BUFFER_BYTES = 160;
     /** Addresses of others are a quarter of a datagram, and only needed by nodes that missed each other's start. */
     private static final int ROUNDS_PER_INTRODUCTION = 4;
 
@@ -231,7 +231,7 @@
         }
         boolean withOthers = answerWanted || round % ROUNDS_PER_INTRODUCTION == 0;
         List<String> others = withOthers ? someContacts() : List.of();
-        ByteBuf bytes = Unpooled.buffer(USUAL_BYTES);
+        ByteBuf bytes = Unpooled.buffer(INITIAL_BUFFER_BYTES);
         NodeStateCodec.write(new NodeStateCodec.Message(self.get(), answerWanted, others), bytes);
         counters.add(NodeMetricNames.GOSSIP_SENT_DATAGRAMS, addresses.size());
         counters.add(NodeMetricNames.GOSSIP_SENT_BYTES, (long) bytes.readableBytes() * addresses.size());
