--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -46,7 +46,7 @@
     private static final int MAX_PEER_ADDRESSES = 3;
     private static final int INITIAL_BUFFER_BYTES = 160;
     /** Addresses of others are a quarter of a datagram, and only needed by nodes that missed each other's start. */
-    private static final int ROUNDS_PER_INTRODUCTION = 4;
+    private static final int ROUNDS_PER_PEER_EXCHANGE = 4;
 
     /** An address that does not answer is tried every tenth round after this span. */
     private static final long QUIET_NANOS = 15_000_000_000L;
@@ -229,7 +229,7 @@
         if (!channel.isActive() || addresses.isEmpty()) {
             return;
         }
-        boolean withOthers = answerWanted || round % ROUNDS_PER_INTRODUCTION == 0;
+        boolean withOthers = answerWanted || round % ROUNDS_PER_PEER_EXCHANGE == 0;
         List<String> others = withOthers ? someContacts() : List.of();
         ByteBuf bytes = Unpooled.buffer(INITIAL_BUFFER_BYTES);
         NodeStateCodec.write(new NodeStateCodec.Message(self.get(), answerWanted, others), bytes);
