--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -49,7 +49,7 @@
     private static final int ROUNDS_PER_PEER_EXCHANGE = 4;
 
     /** An address that does not answer is tried every tenth round after this span. */
-    private static final long QUIET_NANOS = 15_000_000_000L;
+    private static final long UNRESPONSIVE_NANOS = 15_000_000_000L;
 
     private final EventLoop loop;
     private final String ip;
@@ -214,7 +214,7 @@
         List<String> told = new ArrayList<>(contacts.size());
         List<String> asked = new ArrayList<>();
         for (Map.Entry<String, Long> contact : contacts.entrySet()) {
-            boolean quiet = now - contact.getValue() > QUIET_NANOS;
+            boolean quiet = now - contact.getValue() > UNRESPONSIVE_NANOS;
             if (quiet && round % 10 != 0) {
                 continue;
             }
