--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -55,7 +55,7 @@
     private final String ip;
     private final int port;
     private final MemberTable table;
-    private final Supplier<NodeState> self;
+    private final Supplier<NodeState> ownState;
     private final Counters counters;
     private final EventLog log;
     private final BiConsumer<Member, MemberTable.Hearing> onHeard;
@@ -90,7 +90,7 @@
         this.ip = ip;
         this.port = port;
         this.table = table;
-        this.self = self;
+        this.ownState = self;
         this.counters = counters;
         this.log = log;
         this.onHeard = onHeard;
@@ -232,7 +232,7 @@
         boolean withOthers = answerWanted || round % ROUNDS_PER_PEER_EXCHANGE == 0;
         List<String> others = withOthers ? someContacts() : List.of();
         ByteBuf bytes = Unpooled.buffer(INITIAL_BUFFER_BYTES);
-        NodeStateCodec.write(new NodeStateCodec.Message(self.get(), answerWanted, others), bytes);
+        NodeStateCodec.write(new NodeStateCodec.Message(ownState.get(), answerWanted, others), bytes);
         counters.add(NodeMetricNames.GOSSIP_SENT_DATAGRAMS, addresses.size());
         counters.add(NodeMetricNames.GOSSIP_SENT_BYTES, (long) bytes.readableBytes() * addresses.size());
         for (String address : addresses) {
