--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -58,7 +58,7 @@
     private final Supplier<NodeState> ownState;
     private final Counters counters;
     private final EventLog log;
-    private final BiConsumer<Member, MemberTable.Hearing> onHeard;
+    private final BiConsumer<Member, MemberTable.Hearing> onStateReceived;
     private final Map<String, Long> contacts = new HashMap<>();
     private Channel channel;
     private long round;
@@ -93,7 +93,7 @@
         this.ownState = self;
         this.counters = counters;
         this.log = log;
-        this.onHeard = onHeard;
+        this.onStateReceived = onHeard;
     }
 
     /** Opens the socket and starts the rounds. */
@@ -274,7 +274,7 @@
             }
         }
         if (hearing != MemberTable.Hearing.STALE) {
-            table.find(from).ifPresent(m -> onHeard.accept(m, hearing));
+            table.find(from).ifPresent(m -> onStateReceived.accept(m, hearing));
         }
     }
 
