--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -59,7 +59,7 @@
     private final Counters counters;
     private final EventLog log;
     private final BiConsumer<Member, MemberTable.Hearing> onStateReceived;
-    private final Map<String, Long> contacts = new HashMap<>();
+    private final Map<String, Long> lastHeardByAddress = new HashMap<>();
     private Channel channel;
     private long round;
     private int changes;
@@ -110,10 +110,10 @@
 
     /** Adds an address where a node may be; it is asked for its state at once. */
     public void addContact(String address) {
-        if (address.equals(ip) || contacts.containsKey(address)) {
+        if (address.equals(ip) || lastHeardByAddress.containsKey(address)) {
             return;
         }
-        contacts.put(address, System.nanoTime());
+        lastHeardByAddress.put(address, System.nanoTime());
         if (channel != null) {
             send(List.of(address), true);
         }
@@ -121,7 +121,7 @@
 
     /** How many addresses are told of this node. */
     public int contactCount() {
-        return contacts.size();
+        return lastHeardByAddress.size();
     }
 
     /** After this span without a word a node counts as silent. */
@@ -194,7 +194,7 @@
     }
 
     private long periodNanos() {
-        long period = PERIOD_PER_NODE_NANOS * (contacts.size() + 1);
+        long period = PERIOD_PER_NODE_NANOS * (lastHeardByAddress.size() + 1);
         return Math.max(MIN_PERIOD_NANOS, Math.min(MAX_PERIOD_NANOS, period));
     }
 
@@ -211,9 +211,9 @@
 
     private void tellAll(boolean answerWanted) {
         long now = System.nanoTime();
-        List<String> told = new ArrayList<>(contacts.size());
+        List<String> told = new ArrayList<>(lastHeardByAddress.size());
         List<String> asked = new ArrayList<>();
-        for (Map.Entry<String, Long> contact : contacts.entrySet()) {
+        for (Map.Entry<String, Long> contact : lastHeardByAddress.entrySet()) {
             boolean quiet = now - contact.getValue() > UNRESPONSIVE_NANOS;
             if (quiet && round % 10 != 0) {
                 continue;
@@ -243,13 +243,13 @@
     }
 
     private List<String> someContacts() {
-        if (contacts.size() < 2) {
+        if (lastHeardByAddress.size() < 2) {
             return List.of();
         }
         // Two nodes that never learnt of each other hear of each other by a third within some rounds.
         List<String> known = new ArrayList<>(MAX_PEER_ADDRESSES);
-        int skip = ThreadLocalRandom.current().nextInt(contacts.size());
-        for (String address : contacts.keySet()) {
+        int skip = ThreadLocalRandom.current().nextInt(lastHeardByAddress.size());
+        for (String address : lastHeardByAddress.keySet()) {
             if (skip-- > 0) {
                 continue;
             }
@@ -263,7 +263,7 @@
 
     private void receive(String from, NodeStateCodec.Message message) {
         long now = System.nanoTime();
-        boolean unknown = contacts.put(from, now) == null;
+        boolean unknown = lastHeardByAddress.put(from, now) == null;
         MemberTable.Hearing hearing = table.hear(from, message.state(), now);
         if (unknown || message.answerWanted()) {
             send(List.of(from), false);
