--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -62,7 +62,7 @@
     private final Map<String, Long> lastHeardByAddress = new HashMap<>();
     private Channel channel;
     private long round;
-    private int changes;
+    private int pendingChanges;
     private long toldAt = System.nanoTime() - COALESCING_WINDOW_NANOS;
     private boolean repeating;
     private int repeatsTold;
@@ -135,8 +135,8 @@
      * processor time to spare.
      */
     public void tellNow() {
-        changes++;
-        if (changes > 1) {
+        pendingChanges++;
+        if (pendingChanges > 1) {
             return;
         }
         long sinceTold = System.nanoTime() - toldAt;
@@ -149,7 +149,7 @@
     }
 
     private void tellChanges() {
-        changes = 0;
+        pendingChanges = 0;
         toldAt = System.nanoTime();
         repeatsTold = 0;
         tellAll(false);
