--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -63,7 +63,7 @@
     private Channel channel;
     private long round;
     private int pendingChanges;
-    private long toldAt = System.nanoTime() - COALESCING_WINDOW_NANOS;
+    private long lastBroadcastAt = System.nanoTime() - COALESCING_WINDOW_NANOS;
     private boolean repeating;
     private int repeatsTold;
 
@@ -139,7 +139,7 @@
         if (pendingChanges > 1) {
             return;
         }
-        long sinceTold = System.nanoTime() - toldAt;
+        long sinceTold = System.nanoTime() - lastBroadcastAt;
         long wait = round == 0 ? COALESCING_WINDOW_NANOS : Math.max(0, COALESCING_WINDOW_NANOS - sinceTold);
         if (wait == 0) {
             tellChanges();
@@ -150,7 +150,7 @@
 
     private void tellChanges() {
         pendingChanges = 0;
-        toldAt = System.nanoTime();
+        lastBroadcastAt = System.nanoTime();
         repeatsTold = 0;
         tellAll(false);
         if (!repeating) {
