--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -64,7 +64,7 @@
     private long round;
     private int pendingChanges;
     private long lastBroadcastAt = System.nanoTime() - COALESCING_WINDOW_NANOS;
-    private boolean repeating;
+    private boolean repeatScheduled;
     private int repeatsTold;
 
     /**
@@ -153,8 +153,8 @@
         lastBroadcastAt = System.nanoTime();
         repeatsTold = 0;
         tellAll(false);
-        if (!repeating) {
-            repeating = true;
+        if (!repeatScheduled) {
+            repeatScheduled = true;
             planRepeat();
         }
     }
@@ -165,8 +165,8 @@
                 () -> {
                     tellAll(false);
                     repeatsTold++;
-                    repeating = repeatsTold < REPEAT_DELAYS_MILLIS.length;
-                    if (repeating) {
+                    repeatScheduled = repeatsTold < REPEAT_DELAYS_MILLIS.length;
+                    if (repeatScheduled) {
                         planRepeat();
                     }
                 },
