--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -65,7 +65,7 @@
     private int pendingChanges;
     private long lastBroadcastAt = System.nanoTime() - COALESCING_WINDOW_NANOS;
     private boolean repeatScheduled;
-    private int repeatsTold;
+    private int repeatsSent;
 
     /**
      * @param loop all runs on it
@@ -151,7 +151,7 @@
     private void tellChanges() {
         pendingChanges = 0;
         lastBroadcastAt = System.nanoTime();
-        repeatsTold = 0;
+        repeatsSent = 0;
         tellAll(false);
         if (!repeatScheduled) {
             repeatScheduled = true;
@@ -164,13 +164,13 @@
         loop.schedule(
                 () -> {
                     tellAll(false);
-                    repeatsTold++;
-                    repeatScheduled = repeatsTold < REPEAT_DELAYS_MILLIS.length;
+                    repeatsSent++;
+                    repeatScheduled = repeatsSent < REPEAT_DELAYS_MILLIS.length;
                     if (repeatScheduled) {
                         planRepeat();
                     }
                 },
-                REPEAT_DELAYS_MILLIS[Math.min(repeatsTold, REPEAT_DELAYS_MILLIS.length - 1)],
+                REPEAT_DELAYS_MILLIS[Math.min(repeatsSent, REPEAT_DELAYS_MILLIS.length - 1)],
                 TimeUnit.MILLISECONDS);
     }
 
