--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -193,7 +193,7 @@
 
     private void startDuties() {
         for (InetSocketAddress seed : settings.seeds()) {
-            gossip.addContact(seed.getAddress().getHostAddress());
+            gossip.addPeerAddress(seed.getAddress().getHostAddress());
         }
         versions.start();
         directory.start();
@@ -380,7 +380,7 @@
         service = fresh.get().service();
         loop.execute(() -> {
             for (InetSocketAddress seed : fresh.get().seeds()) {
-                gossip.addContact(seed.getAddress().getHostAddress());
+                gossip.addPeerAddress(seed.getAddress().getHostAddress());
             }
         });
         log.write(
--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -109,7 +109,7 @@
     }
 
     /** Adds an address where a node may be; it is asked for its state at once. */
-    public void addContact(String address) {
+    public void addPeerAddress(String address) {
         if (address.equals(ip) || lastHeardByAddress.containsKey(address)) {
             return;
         }
@@ -270,7 +270,7 @@
         }
         for (String other : message.others()) {
             if (!table.find(other).isPresent()) {
-                addContact(other);
+                addPeerAddress(other);
             }
         }
         if (hearing != MemberTable.Hearing.STALE) {
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
@@ -80,7 +80,7 @@
                 case NodeDirectory.ListResult.Listed found -> {
                     directoryRead = true;
                     retryMillis = INITIAL_RETRY_MILLIS;
-                    found.addresses().forEach(gossip::addContact);
+                    found.addresses().forEach(gossip::addPeerAddress);
                     long refresh =
                             Math.max(MIN_REFRESH_MILLIS, REFRESH_MILLIS_PER_NODE * (gossip.contactCount() + 1));
                     long jitter = ThreadLocalRandom.current().nextLong(refresh / 2);
