--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -153,7 +153,7 @@
 
     /** How many nodes there are, with this one: those that were heard, or those that are listed if these are more. */
     private int nodeCount() {
-        return Math.max(table.all().size(), gossip.contactCount()) + 1;
+        return Math.max(table.all().size(), gossip.peerAddressCount()) + 1;
     }
 
     private ConnectionPool connect(String ip) {
--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -120,7 +120,7 @@
     }
 
     /** How many addresses are told of this node. */
-    public int contactCount() {
+    public int peerAddressCount() {
         return lastHeardByAddress.size();
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
@@ -82,7 +82,7 @@
                     retryMillis = INITIAL_RETRY_MILLIS;
                     found.addresses().forEach(gossip::addPeerAddress);
                     long refresh =
-                            Math.max(MIN_REFRESH_MILLIS, REFRESH_MILLIS_PER_NODE * (gossip.contactCount() + 1));
+                            Math.max(MIN_REFRESH_MILLIS, REFRESH_MILLIS_PER_NODE * (gossip.peerAddressCount() + 1));
                     long jitter = ThreadLocalRandom.current().nextLong(refresh / 2);
                     loop.schedule(this::refresh, refresh + jitter, TimeUnit.MILLISECONDS);
                 }
