--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -146,7 +146,7 @@
                 settings.region(),
                 ports.regionOfZone(),
                 table,
-                gossip::silentNanos,
+                gossip::silenceTimeoutNanos,
                 owner,
                 () -> ThreadLocalRandom.current().nextDouble());
     }
@@ -213,7 +213,7 @@
                 NodeMetricNames.VERSION_IN_FORCE,
                 () -> versions.version().map(v -> v.number()).orElse(0L));
         counters.gauge(
-                NodeMetricNames.MEMBERS_HEARD, () -> table.countHeardWithin(gossip.silentNanos(), System.nanoTime()));
+                NodeMetricNames.MEMBERS_HEARD, () -> table.countHeardWithin(gossip.silenceTimeoutNanos(), System.nanoTime()));
         counters.gauge(
                 NodeMetricNames.OWNER_CONNECTIONS_OPENED,
                 () -> owner.backend().map(Backend::connectionsOpened).orElse(0L));
@@ -260,7 +260,7 @@
 
     private boolean isReader() {
         long now = System.nanoTime();
-        long silent = gossip.silentNanos();
+        long silent = gossip.silenceTimeoutNanos();
         int before = 0;
         for (Member member : table.all()) {
             NodeState state = member.state();
--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -125,7 +125,7 @@
     }
 
     /** After this span without a word a node counts as silent. */
-    public long silentNanos() {
+    public long silenceTimeoutNanos() {
         return (long) (periodNanos() * SILENCE_TIMEOUT_ROUNDS);
     }
 
@@ -202,7 +202,7 @@
         round++;
         tellAll(round == 1);
         long now = System.nanoTime();
-        table.tellSilent(silentNanos(), now);
+        table.tellSilent(silenceTimeoutNanos(), now);
         table.tidy(now);
         long period = periodNanos();
         long jitter = ThreadLocalRandom.current().nextLong(period / 10 + 1);
