--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -135,7 +135,7 @@
                 peers,
                 () -> {
                     leaving = true;
-                    gossip.tellNow();
+                    gossip.broadcastNow();
                 },
                 stopped::countDown);
     }
@@ -304,13 +304,13 @@
     }
 
     private void onBackendChange() {
-        gossip.tellNow();
+        gossip.broadcastNow();
     }
 
     private void onInstalled(VersionKeeper.Origin origin) {
         // Those that read it themselves tell all; one that got it from far away saves its neighbours the way.
         switch (origin) {
-            case STORE -> gossip.tellNow();
+            case STORE -> gossip.broadcastNow();
             case FAR -> gossip.tellZoneNow(settings.zone());
             case NEAR -> {}
         }
--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -134,7 +134,7 @@
      * has just started learns of its backend server, the version and others at about the same time, and has no
      * processor time to spare.
      */
-    public void tellNow() {
+    public void broadcastNow() {
         pendingChanges++;
         if (pendingChanges > 1) {
             return;
