--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -142,13 +142,13 @@
         long sinceTold = System.nanoTime() - lastBroadcastAt;
         long wait = round == 0 ? COALESCING_WINDOW_NANOS : Math.max(0, COALESCING_WINDOW_NANOS - sinceTold);
         if (wait == 0) {
-            tellChanges();
+            broadcastChanges();
         } else {
-            loop.schedule(this::tellChanges, wait, TimeUnit.NANOSECONDS);
+            loop.schedule(this::broadcastChanges, wait, TimeUnit.NANOSECONDS);
         }
     }
 
-    private void tellChanges() {
+    private void broadcastChanges() {
         pendingChanges = 0;
         lastBroadcastAt = System.nanoTime();
         repeatsSent = 0;
