--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -155,19 +155,19 @@
         tellAll(false);
         if (!repeatScheduled) {
             repeatScheduled = true;
-            planRepeat();
+            scheduleRepeat();
         }
     }
 
     /** Repeats what was told last; a change in between is told at once and starts the repeats anew. */
-    private void planRepeat() {
+    private void scheduleRepeat() {
         loop.schedule(
                 () -> {
                     tellAll(false);
                     repeatsSent++;
                     repeatScheduled = repeatsSent < REPEAT_DELAYS_MILLIS.length;
                     if (repeatScheduled) {
-                        planRepeat();
+                        scheduleRepeat();
                     }
                 },
                 REPEAT_DELAYS_MILLIS[Math.min(repeatsSent, REPEAT_DELAYS_MILLIS.length - 1)],
