--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -311,7 +311,7 @@
         // Those that read it themselves tell all; one that got it from far away saves its neighbours the way.
         switch (origin) {
             case STORE -> gossip.broadcastNow();
-            case FAR -> gossip.tellZoneNow(settings.zone());
+            case FAR -> gossip.broadcastToZoneNow(settings.zone());
             case NEAR -> {}
         }
         versions.version().ifPresent(probe::ask);
--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -175,7 +175,7 @@
     }
 
     /** Tells the nodes of one availability zone at once, and again twice soon after. */
-    public void tellZoneNow(String zone) {
+    public void broadcastToZoneNow(String zone) {
         Runnable tell = () -> {
             List<String> near = new ArrayList<>();
             for (Member member : table.all()) {
