--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -152,7 +152,7 @@
         pendingChanges = 0;
         lastBroadcastAt = System.nanoTime();
         repeatsSent = 0;
-        tellAll(false);
+        broadcast(false);
         if (!repeatScheduled) {
             repeatScheduled = true;
             scheduleRepeat();
@@ -163,7 +163,7 @@
     private void scheduleRepeat() {
         loop.schedule(
                 () -> {
-                    tellAll(false);
+                    broadcast(false);
                     repeatsSent++;
                     repeatScheduled = repeatsSent < REPEAT_DELAYS_MILLIS.length;
                     if (repeatScheduled) {
@@ -200,7 +200,7 @@
 
     private void runRound() {
         round++;
-        tellAll(round == 1);
+        broadcast(round == 1);
         long now = System.nanoTime();
         table.tellSilent(silenceTimeoutNanos(), now);
         table.tidy(now);
@@ -209,7 +209,7 @@
         loop.schedule(this::runRound, period - period / 20 + jitter, TimeUnit.NANOSECONDS);
     }
 
-    private void tellAll(boolean answerWanted) {
+    private void broadcast(boolean answerWanted) {
         long now = System.nanoTime();
         List<String> told = new ArrayList<>(lastHeardByAddress.size());
         List<String> asked = new ArrayList<>();
