--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -230,7 +230,7 @@
             return;
         }
         boolean withOthers = answerWanted || round % ROUNDS_PER_PEER_EXCHANGE == 0;
-        List<String> others = withOthers ? someContacts() : List.of();
+        List<String> others = withOthers ? samplePeerAddresses() : List.of();
         ByteBuf bytes = Unpooled.buffer(INITIAL_BUFFER_BYTES);
         NodeStateCodec.write(new NodeStateCodec.Message(ownState.get(), answerWanted, others), bytes);
         counters.add(NodeMetricNames.GOSSIP_SENT_DATAGRAMS, addresses.size());
@@ -242,7 +242,7 @@
         bytes.release();
     }
 
-    private List<String> someContacts() {
+    private List<String> samplePeerAddresses() {
         if (lastHeardByAddress.size() < 2) {
             return List.of();
         }
