--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -362,7 +362,7 @@
             case HeartbeatProtocol.Announcement.Report report -> owner.onReport(report.report());
             case HeartbeatProtocol.Announcement.Leave leave -> owner.onLeave(leave.incarnation());
             case HeartbeatProtocol.Announcement.Malformed malformed -> {
-                log.write(Event.BACKEND_REPORT_IGNORED, "incarnation", "", "why", malformed.why());
+                log.write(Event.BACKEND_REPORT_IGNORED, "incarnation", "", "why", malformed.reason());
                 return SmallHttpServer.Answer.ofStatus(400);
             }
         }
--- a/org.berylwick.node/src/org/berylwick/node/member/HeartbeatProtocol.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/HeartbeatProtocol.java
@@ -13,7 +13,7 @@
         record Leave(String incarnation) implements Announcement {}
 
         /** Nothing that can be read. */
-        record Malformed(String why) implements Announcement {}
+        record Malformed(String reason) implements Announcement {}
     }
 
     /**
