--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -13,7 +13,7 @@
 /** What a node believes of another node and of the backend server beside it; confined to the event loop. */
 public final class Member {
     private static final long MIN_SUSPICION_NANOS = 100_000_000L;
-    private static final long LONGEST_SUSPICION_NANOS = 2_000_000_000L;
+    private static final long MAX_SUSPICION_NANOS = 2_000_000_000L;
     /** A request that was sent a moment ago is not overdue, however long its node was not heard before. */
     private static final long LEAST_OVERDUE_NANOS = 500_000_000L;
 
@@ -200,7 +200,7 @@
      * @param now in {@link System#nanoTime} terms
      */
     public void onFailure(String cause, long now) {
-        long span = Math.min(LONGEST_SUSPICION_NANOS, MIN_SUSPICION_NANOS << Math.min(failures, 5));
+        long span = Math.min(MAX_SUSPICION_NANOS, MIN_SUSPICION_NANOS << Math.min(failures, 5));
         failures++;
         suspectUntil = now + span;
         onSuspected.accept(this, cause);
