--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -15,7 +15,7 @@
     private static final long MIN_SUSPICION_NANOS = 100_000_000L;
     private static final long MAX_SUSPICION_NANOS = 2_000_000_000L;
     /** A request that was sent a moment ago is not overdue, however long its node was not heard before. */
-    private static final long LEAST_OVERDUE_NANOS = 500_000_000L;
+    private static final long MIN_OVERDUE_NANOS = 500_000_000L;
 
     private final String ip;
     private final BiConsumer<Member, String> onSuspected;
@@ -177,7 +177,7 @@
         }
         List<Waiting> overdue = new ArrayList<>();
         outstanding.forEach((waiting, sentAt) -> {
-            if (now - sentAt > LEAST_OVERDUE_NANOS) {
+            if (now - sentAt > MIN_OVERDUE_NANOS) {
                 overdue.add(waiting);
             }
         });
