--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -20,7 +20,7 @@
     private final String ip;
     private final BiConsumer<Member, String> onSuspected;
     private NodeState state;
-    private long heardAt;
+    private long lastHeardAt;
     private long suspectUntil;
     private int failures;
     private OwnerLoad load = OwnerLoad.NONE;
@@ -42,7 +42,7 @@
         this.onSuspected = onSuspected;
         this.ip = ip;
         this.state = state;
-        this.heardAt = now;
+        this.lastHeardAt = now;
         this.suspectUntil = now;
         this.progressAt = now;
         learn(state.load(), now);
@@ -60,7 +60,7 @@
 
     /** When it was last heard. */
     public long heardAt() {
-        return heardAt;
+        return lastHeardAt;
     }
 
     /** The newest load told by its owner. */
@@ -105,7 +105,7 @@
     void hear(NodeState told, long now) {
         boolean restarted = told.boot() != state.boot();
         state = told;
-        heardAt = now;
+        lastHeardAt = now;
         learn(told.load(), now);
         if (restarted) {
             failures = 0;
@@ -172,7 +172,7 @@
 
     /** Tells requests that have waited for a while if neither datagrams nor answers came for a span. */
     void tellIfSilent(long spanNanos, long now) {
-        if (now - heardAt <= spanNanos || now - progressAt <= spanNanos) {
+        if (now - lastHeardAt <= spanNanos || now - progressAt <= spanNanos) {
             return;
         }
         List<Waiting> overdue = new ArrayList<>();
