--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -267,7 +267,7 @@
             boolean able = state.zone().equals(settings.zone())
                     && state.storeReached()
                     && !state.leaving()
-                    && now - member.heardAt() < silent;
+                    && now - member.lastHeardAt() < silent;
             if (able && readsBefore(member)) {
                 before++;
             }
@@ -353,7 +353,7 @@
                 "failures",
                 member.failures(),
                 "unheardMs",
-                (System.nanoTime() - member.heardAt()) / 1_000_000);
+                (System.nanoTime() - member.lastHeardAt()) / 1_000_000);
     }
 
     private SmallHttpServer.Answer answerHeartbeat(SmallHttpServer.Question question) {
--- a/org.berylwick.node/src/org/berylwick/node/call/Candidates.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Candidates.java
@@ -104,7 +104,7 @@
     }
 
     private boolean isSuspect(Member member, long now) {
-        return member.isSuspect(now) || now - member.heardAt() > silentNanos.getAsLong();
+        return member.isSuspect(now) || now - member.lastHeardAt() > silentNanos.getAsLong();
     }
 
     private Candidate self(long now) {
@@ -129,7 +129,7 @@
                 member.load(),
                 member.state().times(),
                 member.expectedAhead(),
-                Math.max(0, member.state().warmUpNanos() - (now - member.heardAt())),
+                Math.max(0, member.state().warmUpNanos() - (now - member.lastHeardAt())),
                 member.link(now),
                 distance(member),
                 member.isUntried(),
--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -59,7 +59,7 @@
     }
 
     /** When it was last heard. */
-    public long heardAt() {
+    public long lastHeardAt() {
         return lastHeardAt;
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
@@ -86,7 +86,7 @@
     public int countHeardWithin(long spanNanos, long now) {
         int count = 0;
         for (Member member : byIp.values()) {
-            if (now - member.heardAt() <= spanNanos) {
+            if (now - member.lastHeardAt() <= spanNanos) {
                 count++;
             }
         }
@@ -105,7 +105,7 @@
         List<Member> lost = new ArrayList<>();
         for (Member member : byIp.values()) {
             member.pool().trim();
-            if (now - member.heardAt() > FORGET_NANOS) {
+            if (now - member.lastHeardAt() > FORGET_NANOS) {
                 lost.add(member);
             }
         }
