--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -22,7 +22,7 @@
     private NodeState state;
     private long lastHeardAt;
     private long suspectUntil;
-    private int failures;
+    private int consecutiveFailures;
     private OwnerLoad load = OwnerLoad.NONE;
     private String usedIncarnation = "";
     /** Requests that it has not answered, and when each was sent. */
@@ -85,7 +85,7 @@
 
     /** Failures in a row. */
     public int failures() {
-        return failures;
+        return consecutiveFailures;
     }
 
     /** Whether its backend server takes work, as last heard. */
@@ -108,7 +108,7 @@
         lastHeardAt = now;
         learn(told.load(), now);
         if (restarted) {
-            failures = 0;
+            consecutiveFailures = 0;
             suspectUntil = now;
         }
     }
@@ -190,7 +190,7 @@
 
     /** A call to it went well. */
     public void onSuccess() {
-        failures = 0;
+        consecutiveFailures = 0;
     }
 
     /**
@@ -200,8 +200,8 @@
      * @param now in {@link System#nanoTime} terms
      */
     public void onFailure(String cause, long now) {
-        long span = Math.min(MAX_SUSPICION_NANOS, MIN_SUSPICION_NANOS << Math.min(failures, 5));
-        failures++;
+        long span = Math.min(MAX_SUSPICION_NANOS, MIN_SUSPICION_NANOS << Math.min(consecutiveFailures, 5));
+        consecutiveFailures++;
         suspectUntil = now + span;
         onSuspected.accept(this, cause);
     }
