--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -351,7 +351,7 @@
                 "cause",
                 cause,
                 "failures",
-                member.failures(),
+                member.consecutiveFailures(),
                 "unheardMs",
                 (System.nanoTime() - member.lastHeardAt()) / 1_000_000);
     }
--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -84,7 +84,7 @@
     }
 
     /** Failures in a row. */
-    public int failures() {
+    public int consecutiveFailures() {
         return consecutiveFailures;
     }
 
