--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -24,7 +24,7 @@
     private long suspectUntil;
     private int consecutiveFailures;
     private OwnerLoad load = OwnerLoad.NONE;
-    private String usedIncarnation = "";
+    private String lastUsedIncarnation = "";
     /** Requests that it has not answered, and when each was sent. */
     private final Map<Waiting, Long> outstanding = new HashMap<>();
 
@@ -128,7 +128,7 @@
 
     /** Whether no request was sent to its backend server since that joined. */
     public boolean isUntried() {
-        return !state.incarnation().equals(usedIncarnation);
+        return !state.incarnation().equals(lastUsedIncarnation);
     }
 
     /** A request that waits for this node's answer. */
@@ -156,7 +156,7 @@
         }
         inFlight++;
         outstanding.put(waiting, now);
-        usedIncarnation = state.incarnation();
+        lastUsedIncarnation = state.incarnation();
     }
 
     /** A request there is over. */
