--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -28,7 +28,7 @@
     /** Requests that it has not answered, and when each was sent. */
     private final Map<Waiting, Long> outstanding = new HashMap<>();
 
-    private long progressAt;
+    private long lastProgressAt;
     private int inFlight;
     private int inFlightAtReport;
     /** When the bodies that are known to be on their way there have come over its link. */
@@ -44,7 +44,7 @@
         this.state = state;
         this.lastHeardAt = now;
         this.suspectUntil = now;
-        this.progressAt = now;
+        this.lastProgressAt = now;
         learn(state.load(), now);
     }
 
@@ -167,12 +167,12 @@
 
     /** Bytes of an answer came from it. */
     public void onProgress(long now) {
-        progressAt = now;
+        lastProgressAt = now;
     }
 
     /** Tells requests that have waited for a while if neither datagrams nor answers came for a span. */
     void tellIfSilent(long spanNanos, long now) {
-        if (now - lastHeardAt <= spanNanos || now - progressAt <= spanNanos) {
+        if (now - lastHeardAt <= spanNanos || now - lastProgressAt <= spanNanos) {
             return;
         }
         List<Waiting> overdue = new ArrayList<>();
