--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -30,7 +30,7 @@
 
     private long lastProgressAt;
     private int inFlight;
-    private int inFlightAtReport;
+    private int inFlightAtLoadReport;
     /** When the bodies that are known to be on their way there have come over its link. */
     private long linkFreeAt;
     /** When the large answers that are known to be made there have left over its link. */
@@ -75,7 +75,7 @@
 
     /** Requests there now, as far as this node can know: the last report and what was sent or answered since. */
     public int expectedAhead() {
-        return Math.max(inFlight, load.running() + load.queued() + inFlight - inFlightAtReport);
+        return Math.max(inFlight, load.running() + load.queued() + inFlight - inFlightAtLoadReport);
     }
 
     /** Whether calls to it failed a short time ago. */
@@ -116,7 +116,7 @@
     /** Takes over a load that its owner told with an answer. */
     public void learn(OwnerLoad told, long now) {
         load = told;
-        inFlightAtReport = inFlight;
+        inFlightAtLoadReport = inFlight;
         linkFreeAt = now + told.incomingNanos();
         answersLeftAt = now + told.outgoingNanos();
     }
