--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -32,7 +32,7 @@
     private int inFlight;
     private int inFlightAtLoadReport;
     /** When the bodies that are known to be on their way there have come over its link. */
-    private long linkFreeAt;
+    private long incomingLinkFreeAt;
     /** When the large answers that are known to be made there have left over its link. */
     private long answersLeftAt;
 
@@ -117,13 +117,13 @@
     public void learn(OwnerLoad told, long now) {
         load = told;
         inFlightAtLoadReport = inFlight;
-        linkFreeAt = now + told.incomingNanos();
+        incomingLinkFreeAt = now + told.incomingNanos();
         answersLeftAt = now + told.outgoingNanos();
     }
 
     /** The link that leads there, as far as this node can know. */
     public LinkLoad link(long now) {
-        return new LinkLoad(Math.max(0, linkFreeAt - now), Math.max(0, answersLeftAt - now), state.linkMbps());
+        return new LinkLoad(Math.max(0, incomingLinkFreeAt - now), Math.max(0, answersLeftAt - now), state.linkMbps());
     }
 
     /** Whether no request was sent to its backend server since that joined. */
@@ -150,7 +150,7 @@
      */
     public void onSent(Waiting waiting, int bodyBytes, int answerBytes, long now) {
         LinkLoad link = link(now);
-        linkFreeAt = Math.max(now, linkFreeAt) + link.nanosOf(bodyBytes);
+        incomingLinkFreeAt = Math.max(now, incomingLinkFreeAt) + link.nanosOf(bodyBytes);
         if (link.isLarge(answerBytes)) {
             answersLeftAt = Math.max(now, answersLeftAt) + link.nanosOf(answerBytes);
         }
