--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -34,7 +34,7 @@
     /** When the bodies that are known to be on their way there have come over its link. */
     private long incomingLinkFreeAt;
     /** When the large answers that are known to be made there have left over its link. */
-    private long answersLeftAt;
+    private long outgoingLinkFreeAt;
 
     private ConnectionPool pool;
 
@@ -118,12 +118,12 @@
         load = told;
         inFlightAtLoadReport = inFlight;
         incomingLinkFreeAt = now + told.incomingNanos();
-        answersLeftAt = now + told.outgoingNanos();
+        outgoingLinkFreeAt = now + told.outgoingNanos();
     }
 
     /** The link that leads there, as far as this node can know. */
     public LinkLoad link(long now) {
-        return new LinkLoad(Math.max(0, incomingLinkFreeAt - now), Math.max(0, answersLeftAt - now), state.linkMbps());
+        return new LinkLoad(Math.max(0, incomingLinkFreeAt - now), Math.max(0, outgoingLinkFreeAt - now), state.linkMbps());
     }
 
     /** Whether no request was sent to its backend server since that joined. */
@@ -152,7 +152,7 @@
         LinkLoad link = link(now);
         incomingLinkFreeAt = Math.max(now, incomingLinkFreeAt) + link.nanosOf(bodyBytes);
         if (link.isLarge(answerBytes)) {
-            answersLeftAt = Math.max(now, answersLeftAt) + link.nanosOf(answerBytes);
+            outgoingLinkFreeAt = Math.max(now, outgoingLinkFreeAt) + link.nanosOf(answerBytes);
         }
         inFlight++;
         outstanding.put(waiting, now);
