--- a/org.berylwick.node/src/org/berylwick/node/call/Candidates.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Candidates.java
@@ -128,7 +128,7 @@
                 Optional.of(member),
                 member.load(),
                 member.state().times(),
-                member.expectedAhead(),
+                member.estimatedRequestCount(),
                 Math.max(0, member.state().warmUpNanos() - (now - member.lastHeardAt())),
                 member.link(now),
                 distance(member),
--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -74,7 +74,7 @@
     }
 
     /** Requests there now, as far as this node can know: the last report and what was sent or answered since. */
-    public int expectedAhead() {
+    public int estimatedRequestCount() {
         return Math.max(inFlight, load.running() + load.queued() + inFlight - inFlightAtLoadReport);
     }
 
