--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -89,7 +89,7 @@
     }
 
     /** Whether its backend server takes work, as last heard. */
-    public boolean takesWork() {
+    public boolean acceptsRequests() {
         return state.backend() == BackendState.READY && !state.leaving();
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
@@ -121,7 +121,7 @@
     private void index() {
         byService.clear();
         for (Member member : byIp.values()) {
-            if (member.takesWork()) {
+            if (member.acceptsRequests()) {
                 byService
                         .computeIfAbsent(member.state().service(), s -> new ArrayList<>())
                         .add(member);
