--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -98,7 +98,7 @@
         return pool;
     }
 
-    void use(ConnectionPool connections) {
+    void setPool(ConnectionPool connections) {
         pool = connections;
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
@@ -46,7 +46,7 @@
         Member member = byIp.get(ip);
         if (member == null) {
             Member fresh = new Member(ip, state, now, onSuspected);
-            fresh.use(connector.apply(ip));
+            fresh.setPool(connector.apply(ip));
             byIp.put(ip, fresh);
             index();
             return Hearing.NEW;
