--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -102,7 +102,7 @@
         pool = connections;
     }
 
-    void hear(NodeState told, long now) {
+    void update(NodeState told, long now) {
         boolean restarted = told.boot() != state.boot();
         state = told;
         lastHeardAt = now;
--- a/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
@@ -60,7 +60,7 @@
                 || known.leaving() != state.leaving()
                 || !known.service().equals(state.service())
                 || !known.incarnation().equals(state.incarnation());
-        member.hear(state, now);
+        member.update(state, now);
         if (changed) {
             index();
         }
