--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedAttempt.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedAttempt.java
@@ -130,7 +130,7 @@
         }
         count(withHead);
         later(withHead, () -> {
-            member.learn(load, emulation.clock().now());
+            member.updateLoad(load, emulation.clock().now());
             listener.onHead(status, headers, load);
         });
     }
@@ -196,7 +196,7 @@
     public void onRefused(Refusal refusal) {
         ended = true;
         later(HEADER_BYTES, () -> {
-            member.learn(refusal.load(), emulation.clock().now());
+            member.updateLoad(refusal.load(), emulation.clock().now());
             done();
             listener.onRefused(refusal);
         });
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
@@ -85,7 +85,7 @@
         member.onProgress(System.nanoTime());
         outcome = PeerCodec.readOutcome(head.headers());
         if (outcome.orElse(null) instanceof PeerCodec.Outcome.Answered answered) {
-            member.learn(answered.load(), System.nanoTime());
+            member.updateLoad(answered.load(), System.nanoTime());
             listener.onHead(head.status().code(), Headers.endToEnd(head.headers()), answered.load());
         }
     }
@@ -109,7 +109,7 @@
         switch (told) {
             case PeerCodec.Outcome.Answered answered -> listener.onEnd();
             case PeerCodec.Outcome.Refused refused -> {
-                member.learn(refused.refusal().load(), System.nanoTime());
+                member.updateLoad(refused.refusal().load(), System.nanoTime());
                 listener.onRefused(refused.refusal());
             }
             case PeerCodec.Outcome.Lost lost -> listener.onLost(lost.cause());
--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -45,7 +45,7 @@
         this.lastHeardAt = now;
         this.suspectUntil = now;
         this.lastProgressAt = now;
-        learn(state.load(), now);
+        updateLoad(state.load(), now);
     }
 
     /** The VM's address. */
@@ -106,7 +106,7 @@
         boolean restarted = told.boot() != state.boot();
         state = told;
         lastHeardAt = now;
-        learn(told.load(), now);
+        updateLoad(told.load(), now);
         if (restarted) {
             consecutiveFailures = 0;
             suspectUntil = now;
@@ -114,7 +114,7 @@
     }
 
     /** Takes over a load that its owner told with an answer. */
-    public void learn(OwnerLoad told, long now) {
+    public void updateLoad(OwnerLoad told, long now) {
         load = told;
         inFlightAtLoadReport = inFlight;
         incomingLinkFreeAt = now + told.incomingNanos();
