--- a/org.berylwick.node/src/org/berylwick/node/call/Candidates.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Candidates.java
@@ -130,7 +130,7 @@
                 member.state().times(),
                 member.estimatedRequestCount(),
                 Math.max(0, member.state().warmUpNanos() - (now - member.lastHeardAt())),
-                member.link(now),
+                member.linkLoad(now),
                 distance(member),
                 member.isUntried(),
                 isSuspect(member, now));
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
@@ -61,7 +61,7 @@
         HttpConnection.setLength(head, call.body().length());
         // A large body is sent when the owner asks for it: several at once would hold up all that is small behind
         // them, and what is refused would have taken the link in vain.
-        boolean large = member.link(System.nanoTime()).isLarge(call.body().length());
+        boolean large = member.linkLoad(System.nanoTime()).isLarge(call.body().length());
         HttpUtil.set100ContinueExpected(head, large);
         to.send(head, call.body(), this);
     }
--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -122,7 +122,7 @@
     }
 
     /** The link that leads there, as far as this node can know. */
-    public LinkLoad link(long now) {
+    public LinkLoad linkLoad(long now) {
         return new LinkLoad(Math.max(0, incomingLinkFreeAt - now), Math.max(0, outgoingLinkFreeAt - now), state.linkMbps());
     }
 
@@ -149,7 +149,7 @@
      * @param now in {@link System#nanoTime} terms
      */
     public void onSent(Waiting waiting, int bodyBytes, int answerBytes, long now) {
-        LinkLoad link = link(now);
+        LinkLoad link = linkLoad(now);
         incomingLinkFreeAt = Math.max(now, incomingLinkFreeAt) + link.nanosOf(bodyBytes);
         if (link.isLarge(answerBytes)) {
             outgoingLinkFreeAt = Math.max(now, outgoingLinkFreeAt) + link.nanosOf(answerBytes);
