--- a/org.berylwick.node/src/org/berylwick/node/call/Candidates.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Candidates.java
@@ -132,7 +132,7 @@
                 Math.max(0, member.state().warmUpNanos() - (now - member.lastHeardAt())),
                 member.linkLoad(now),
                 distance(member),
-                member.isUntried(),
+                member.isIncarnationUnused(),
                 isSuspect(member, now));
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -127,7 +127,7 @@
     }
 
     /** Whether no request was sent to its backend server since that joined. */
-    public boolean isUntried() {
+    public boolean isIncarnationUnused() {
         return !state.incarnation().equals(lastUsedIncarnation);
     }
 
