--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedAttempt.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedAttempt.java
@@ -13,7 +13,7 @@
 import org.berylwick.node.transport.RequestBody;
 
 /** An attempt at another node's owner: all that is said takes the way between the two, and their links. */
-final class EmulatedAttempt implements Attempt, AttemptListener, Member.Waiting {
+final class EmulatedAttempt implements Attempt, AttemptListener, Member.PendingRequest {
     private static final int HEADER_BYTES = 700;
     private static final int ASK_BYTES = 100;
     /** What is behind the answer's head and part of the answer. */
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
@@ -15,7 +15,7 @@
 import org.berylwick.node.transport.ServerConnection;
 
 /** One attempt at the owner of another node; confined to the event loop. */
-final class PeerAttempt implements Attempt, HttpExchange, Member.Waiting {
+final class PeerAttempt implements Attempt, HttpExchange, Member.PendingRequest {
     /** Connections between nodes are kept this long by both ends; the entry lets go of them first. */
     static final long IDLE_NANOS = 20_000_000_000L;
 
--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -26,7 +26,7 @@
     private OwnerLoad load = OwnerLoad.NONE;
     private String lastUsedIncarnation = "";
     /** Requests that it has not answered, and when each was sent. */
-    private final Map<Waiting, Long> outstanding = new HashMap<>();
+    private final Map<PendingRequest, Long> outstanding = new HashMap<>();
 
     private long lastProgressAt;
     private int inFlight;
@@ -132,7 +132,7 @@
     }
 
     /** A request that waits for this node's answer. */
-    public interface Waiting {
+    public interface PendingRequest {
         /**
          * Neither datagrams nor answers of the node come any more. It may be lost, or its datagrams may be: a request
          * that runs there goes on.
@@ -148,7 +148,7 @@
      * @param answerBytes that its answer is expected to have
      * @param now in {@link System#nanoTime} terms
      */
-    public void onSent(Waiting waiting, int bodyBytes, int answerBytes, long now) {
+    public void onSent(PendingRequest waiting, int bodyBytes, int answerBytes, long now) {
         LinkLoad link = linkLoad(now);
         incomingLinkFreeAt = Math.max(now, incomingLinkFreeAt) + link.nanosOf(bodyBytes);
         if (link.isLarge(answerBytes)) {
@@ -160,7 +160,7 @@
     }
 
     /** A request there is over. */
-    public void onDone(Waiting waiting) {
+    public void onDone(PendingRequest waiting) {
         inFlight--;
         outstanding.remove(waiting);
     }
@@ -175,7 +175,7 @@
         if (now - lastHeardAt <= spanNanos || now - lastProgressAt <= spanNanos) {
             return;
         }
-        List<Waiting> overdue = new ArrayList<>();
+        List<PendingRequest> overdue = new ArrayList<>();
         outstanding.forEach((waiting, sentAt) -> {
             if (now - sentAt > MIN_OVERDUE_NANOS) {
                 overdue.add(waiting);
@@ -185,7 +185,7 @@
             return;
         }
         onFailure("silent", now);
-        overdue.forEach(Waiting::onSilent);
+        overdue.forEach(PendingRequest::onSilent);
     }
 
     /** A call to it went well. */
