--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedAttempt.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedAttempt.java
@@ -229,5 +229,5 @@
     public void readOn(boolean on) {}
 
     @Override
-    public void onSilent() {}
+    public void onNodeSilent() {}
 }
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
@@ -67,7 +67,7 @@
     }
 
     @Override
-    public void onSilent() {
+    public void onNodeSilent() {
         if (over || connection == null) {
             return;
         }
--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -137,7 +137,7 @@
          * Neither datagrams nor answers of the node come any more. It may be lost, or its datagrams may be: a request
          * that runs there goes on.
          */
-        void onSilent();
+        void onNodeSilent();
     }
 
     /**
@@ -185,7 +185,7 @@
             return;
         }
         onFailure("silent", now);
-        overdue.forEach(PendingRequest::onSilent);
+        overdue.forEach(PendingRequest::onNodeSilent);
     }
 
     /** A call to it went well. */
