--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedAttempt.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedAttempt.java
@@ -53,7 +53,7 @@
     void start(CallSpec call, RequestKind kind) {
         dueAt = call.objectiveAt();
         answerBytes = kind.bytes().answer();
-        member.onSent(
+        member.onRequestSent(
                 this,
                 call.body().length(),
                 call.answerBytes(),
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
@@ -35,7 +35,7 @@
     /** Sends a request to another node. */
     static PeerAttempt start(Member member, CallSpec call, AttemptListener listener) {
         PeerAttempt attempt = new PeerAttempt(member, call, listener);
-        member.onSent(attempt, call.body().length(), call.answerBytes(), System.nanoTime());
+        member.onRequestSent(attempt, call.body().length(), call.answerBytes(), System.nanoTime());
         member.pool().acquire(IDLE_NANOS, attempt::send, attempt::onUnreachable);
         return attempt;
     }
--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -148,7 +148,7 @@
      * @param answerBytes that its answer is expected to have
      * @param now in {@link System#nanoTime} terms
      */
-    public void onSent(PendingRequest waiting, int bodyBytes, int answerBytes, long now) {
+    public void onRequestSent(PendingRequest waiting, int bodyBytes, int answerBytes, long now) {
         LinkLoad link = linkLoad(now);
         incomingLinkFreeAt = Math.max(now, incomingLinkFreeAt) + link.nanosOf(bodyBytes);
         if (link.isLarge(answerBytes)) {
