--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedAttempt.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedAttempt.java
@@ -106,7 +106,7 @@
     private void done() {
         if (!over) {
             over = true;
-            member.onDone(this);
+            member.onRequestEnded(this);
             stopBody();
         }
     }
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
@@ -136,7 +136,7 @@
     private void finish() {
         if (!over) {
             over = true;
-            member.onDone(this);
+            member.onRequestEnded(this);
         }
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -160,7 +160,7 @@
     }
 
     /** A request there is over. */
-    public void onDone(PendingRequest waiting) {
+    public void onRequestEnded(PendingRequest waiting) {
         inFlight--;
         outstanding.remove(waiting);
     }
