--- a/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
@@ -82,7 +82,7 @@
 
     @Override
     public void onHead(HttpResponse head) {
-        member.onProgress(System.nanoTime());
+        member.onResponseProgress(System.nanoTime());
         outcome = PeerCodec.readOutcome(head.headers());
         if (outcome.orElse(null) instanceof PeerCodec.Outcome.Answered answered) {
             member.updateLoad(answered.load(), System.nanoTime());
@@ -92,7 +92,7 @@
 
     @Override
     public void onBody(ByteBuf part) {
-        member.onProgress(System.nanoTime());
+        member.onResponseProgress(System.nanoTime());
         if (outcome.orElse(null) instanceof PeerCodec.Outcome.Answered) {
             listener.onBody(part);
             return;
--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -166,7 +166,7 @@
     }
 
     /** Bytes of an answer came from it. */
-    public void onProgress(long now) {
+    public void onResponseProgress(long now) {
         lastProgressAt = now;
     }
 
