--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -171,7 +171,7 @@
     }
 
     /** Tells requests that have waited for a while if neither datagrams nor answers came for a span. */
-    void tellIfSilent(long spanNanos, long now) {
+    void notifyIfSilent(long spanNanos, long now) {
         if (now - lastHeardAt <= spanNanos || now - lastProgressAt <= spanNanos) {
             return;
         }
--- a/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
@@ -96,7 +96,7 @@
     /** Tells what waits for nodes that fell silent. */
     public void tellSilent(long spanNanos, long now) {
         for (Member member : List.copyOf(byIp.values())) {
-            member.tellIfSilent(spanNanos, now);
+            member.notifyIfSilent(spanNanos, now);
         }
     }
 
