--- a/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
@@ -13,7 +13,7 @@
 /** All nodes that were heard, but this one; confined to the event loop. */
 public final class MemberTable {
     /** A node unheard for this long is forgotten with its connections. */
-    private static final long FORGET_NANOS = 60_000_000_000L;
+    private static final long EXPIRY_NANOS = 60_000_000_000L;
 
     private final Map<String, Member> byIp = new HashMap<>();
     private final Map<String, List<Member>> byService = new HashMap<>();
@@ -105,7 +105,7 @@
         List<Member> lost = new ArrayList<>();
         for (Member member : byIp.values()) {
             member.pool().trim();
-            if (now - member.lastHeardAt() > FORGET_NANOS) {
+            if (now - member.lastHeardAt() > EXPIRY_NANOS) {
                 lost.add(member);
             }
         }
