--- a/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
@@ -17,7 +17,7 @@
 
     private final Map<String, Member> byIp = new HashMap<>();
     private final Map<String, List<Member>> byService = new HashMap<>();
-    private final Function<String, ConnectionPool> connector;
+    private final Function<String, ConnectionPool> poolFactory;
     private final BiConsumer<Member, String> onSuspected;
 
     /**
@@ -25,7 +25,7 @@
      * @param onSuspected hears of a node to which a call failed, and why
      */
     public MemberTable(Function<String, ConnectionPool> connector, BiConsumer<Member, String> onSuspected) {
-        this.connector = connector;
+        this.poolFactory = connector;
         this.onSuspected = onSuspected;
     }
 
@@ -46,7 +46,7 @@
         Member member = byIp.get(ip);
         if (member == null) {
             Member fresh = new Member(ip, state, now, onSuspected);
-            fresh.setPool(connector.apply(ip));
+            fresh.setPool(poolFactory.apply(ip));
             byIp.put(ip, fresh);
             index();
             return Hearing.NEW;
