--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -318,9 +318,9 @@
         tellReadiness();
     }
 
-    private void onHeard(Member member, MemberTable.Hearing hearing) {
+    private void onHeard(Member member, MemberTable.UpdateResult hearing) {
         versions.onHeard(member);
-        if (hearing == MemberTable.Hearing.SAME) {
+        if (hearing == MemberTable.UpdateResult.SAME) {
             return;
         }
         NodeState state = member.state();
--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -58,7 +58,7 @@
     private final Supplier<NodeState> ownState;
     private final Counters counters;
     private final EventLog log;
-    private final BiConsumer<Member, MemberTable.Hearing> onStateReceived;
+    private final BiConsumer<Member, MemberTable.UpdateResult> onStateReceived;
     private final Map<String, Long> lastHeardByAddress = new HashMap<>();
     private Channel channel;
     private long round;
@@ -85,7 +85,7 @@
             Supplier<NodeState> self,
             Counters counters,
             EventLog log,
-            BiConsumer<Member, MemberTable.Hearing> onHeard) {
+            BiConsumer<Member, MemberTable.UpdateResult> onHeard) {
         this.loop = loop;
         this.ip = ip;
         this.port = port;
@@ -264,7 +264,7 @@
     private void receive(String from, NodeStateCodec.Message message) {
         long now = System.nanoTime();
         boolean unknown = lastHeardByAddress.put(from, now) == null;
-        MemberTable.Hearing hearing = table.hear(from, message.state(), now);
+        MemberTable.UpdateResult hearing = table.hear(from, message.state(), now);
         if (unknown || message.answerWanted()) {
             send(List.of(from), false);
         }
@@ -273,7 +273,7 @@
                 addPeerAddress(other);
             }
         }
-        if (hearing != MemberTable.Hearing.STALE) {
+        if (hearing != MemberTable.UpdateResult.STALE) {
             table.find(from).ifPresent(m -> onStateReceived.accept(m, hearing));
         }
     }
--- a/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
@@ -30,7 +30,7 @@
     }
 
     /** What a datagram changed. */
-    public enum Hearing {
+    public enum UpdateResult {
         /** A node that was not known. */
         NEW,
         /** It was started anew, or its backend server changed. */
@@ -42,18 +42,18 @@
     }
 
     /** Takes over what a node says of itself. */
-    public Hearing hear(String ip, NodeState state, long now) {
+    public UpdateResult hear(String ip, NodeState state, long now) {
         Member member = byIp.get(ip);
         if (member == null) {
             Member fresh = new Member(ip, state, now, onSuspected);
             fresh.setPool(poolFactory.apply(ip));
             byIp.put(ip, fresh);
             index();
-            return Hearing.NEW;
+            return UpdateResult.NEW;
         }
         NodeState known = member.state();
         if (known.boot() == state.boot() && known.sequence() > state.sequence()) {
-            return Hearing.STALE;
+            return UpdateResult.STALE;
         }
         boolean changed = known.boot() != state.boot()
                 || known.backend() != state.backend()
@@ -64,7 +64,7 @@
         if (changed) {
             index();
         }
-        return changed ? Hearing.CHANGED : Hearing.SAME;
+        return changed ? UpdateResult.CHANGED : UpdateResult.SAME;
     }
 
     /** Nodes whose backend server serves a service and takes work, as last heard. */
