--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedNode.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedNode.java
@@ -184,7 +184,7 @@
                         .clock()
                         .after(
                                 emulation.wayNanos(this, other),
-                                () -> other.table.hear(
+                                () -> other.table.update(
                                         ip, state, emulation.clock().now()));
             }
         }
--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -264,7 +264,7 @@
     private void receive(String from, NodeStateCodec.Message message) {
         long now = System.nanoTime();
         boolean unknown = lastHeardByAddress.put(from, now) == null;
-        MemberTable.UpdateResult hearing = table.hear(from, message.state(), now);
+        MemberTable.UpdateResult hearing = table.update(from, message.state(), now);
         if (unknown || message.answerWanted()) {
             send(List.of(from), false);
         }
--- a/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
@@ -42,7 +42,7 @@
     }
 
     /** Takes over what a node says of itself. */
-    public UpdateResult hear(String ip, NodeState state, long now) {
+    public UpdateResult update(String ip, NodeState state, long now) {
         Member member = byIp.get(ip);
         if (member == null) {
             Member fresh = new Member(ip, state, now, onSuspected);
--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidatesTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidatesTest.java
@@ -67,7 +67,7 @@
                     0,
                     new OwnerLoad(0, 0, 8, 1),
                     List.of());
-            table.hear("10.0.0." + i, state, clock.now());
+            table.update("10.0.0." + i, state, clock.now());
         }
     }
 
