--- a/org.berylwick.node/src/org/berylwick/node/call/Candidates.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Candidates.java
@@ -66,7 +66,7 @@
         List<Member> region = new ArrayList<>();
         List<Member> far = new ArrayList<>();
         List<Member> suspects = new ArrayList<>();
-        for (Member member : table.takingWork(service)) {
+        for (Member member : table.acceptingRequests(service)) {
             if (tried.contains(member.ip())) {
                 continue;
             }
--- a/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
@@ -68,7 +68,7 @@
     }
 
     /** Nodes whose backend server serves a service and takes work, as last heard. */
-    public List<Member> takingWork(String service) {
+    public List<Member> acceptingRequests(String service) {
         return byService.getOrDefault(service, List.of());
     }
 
