--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -202,7 +202,7 @@
         round++;
         broadcast(round == 1);
         long now = System.nanoTime();
-        table.tellSilent(silenceTimeoutNanos(), now);
+        table.notifySilent(silenceTimeoutNanos(), now);
         table.tidy(now);
         long period = periodNanos();
         long jitter = ThreadLocalRandom.current().nextLong(period / 10 + 1);
--- a/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
@@ -94,7 +94,7 @@
     }
 
     /** Tells what waits for nodes that fell silent. */
-    public void tellSilent(long spanNanos, long now) {
+    public void notifySilent(long spanNanos, long now) {
         for (Member member : List.copyOf(byIp.values())) {
             member.notifyIfSilent(spanNanos, now);
         }
