--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -203,7 +203,7 @@
         broadcast(round == 1);
         long now = System.nanoTime();
         table.notifySilent(silenceTimeoutNanos(), now);
-        table.tidy(now);
+        table.removeExpired(now);
         long period = periodNanos();
         long jitter = ThreadLocalRandom.current().nextLong(period / 10 + 1);
         loop.schedule(this::runRound, period - period / 20 + jitter, TimeUnit.NANOSECONDS);
--- a/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
@@ -101,7 +101,7 @@
     }
 
     /** Forgets nodes that were not heard for a long time and closes idle connections. */
-    public void tidy(long now) {
+    public void removeExpired(long now) {
         List<Member> lost = new ArrayList<>();
         for (Member member : byIp.values()) {
             member.pool().trim();
