--- a/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
@@ -48,7 +48,7 @@
             Member fresh = new Member(ip, state, now, onSuspected);
             fresh.setPool(poolFactory.apply(ip));
             byIp.put(ip, fresh);
-            index();
+            rebuildServiceIndex();
             return UpdateResult.NEW;
         }
         NodeState known = member.state();
@@ -62,7 +62,7 @@
                 || !known.incarnation().equals(state.incarnation());
         member.update(state, now);
         if (changed) {
-            index();
+            rebuildServiceIndex();
         }
         return changed ? UpdateResult.CHANGED : UpdateResult.SAME;
     }
@@ -114,11 +114,11 @@
             member.pool().close();
         }
         if (!lost.isEmpty()) {
-            index();
+            rebuildServiceIndex();
         }
     }
 
-    private void index() {
+    private void rebuildServiceIndex() {
         byService.clear();
         for (Member member : byIp.values()) {
             if (member.acceptsRequests()) {
