--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -331,7 +331,7 @@
                 "hearing",
                 hearing,
                 "boot",
-                state.boot(),
+                state.bootId(),
                 "service",
                 state.service(),
                 "incarnation",
--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -103,7 +103,7 @@
     }
 
     void update(NodeState told, long now) {
-        boolean restarted = told.boot() != state.boot();
+        boolean restarted = told.bootId() != state.bootId();
         state = told;
         lastHeardAt = now;
         updateLoad(told.load(), now);
--- a/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
@@ -52,10 +52,10 @@
             return UpdateResult.NEW;
         }
         NodeState known = member.state();
-        if (known.boot() == state.boot() && known.sequence() > state.sequence()) {
+        if (known.bootId() == state.bootId() && known.sequence() > state.sequence()) {
             return UpdateResult.STALE;
         }
-        boolean changed = known.boot() != state.boot()
+        boolean changed = known.bootId() != state.bootId()
                 || known.backend() != state.backend()
                 || known.leaving() != state.leaving()
                 || !known.service().equals(state.service())
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeState.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeState.java
@@ -8,7 +8,7 @@
 /**
  * What a node says of itself.
  *
- * @param boot differs between two starts of the node
+ * @param bootId differs between two starts of the node
  * @param sequence increases with each change it tells
  * @param zone availability zone
  * @param linkMbps bandwidth of its VM's link, {@link #MOST_LINK_MBPS} at most
@@ -23,7 +23,7 @@
  * @param times of its backend server for each kind of request that it has seen
  */
 public record NodeState(
-        long boot,
+        long bootId,
         long sequence,
         String zone,
         int linkMbps,
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
@@ -57,7 +57,7 @@
                 | (s.leaving() ? FLAG_LEAVING : 0)
                 | (message.answerWanted() ? FLAG_ANSWER_WANTED : 0);
         out.writeByte(flags);
-        out.writeLong(s.boot());
+        out.writeLong(s.bootId());
         out.writeLong(s.sequence());
         out.writeShort(s.linkMbps());
         out.writeLong(s.version());
