--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -265,7 +265,7 @@
         for (Member member : table.all()) {
             NodeState state = member.state();
             boolean able = state.zone().equals(settings.zone())
-                    && state.storeReached()
+                    && state.storeReachable()
                     && !state.leaving()
                     && now - member.lastHeardAt() < silent;
             if (able && readsBefore(member)) {
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeState.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeState.java
@@ -13,7 +13,7 @@
  * @param zone availability zone
  * @param linkMbps bandwidth of its VM's link, {@link #MOST_LINK_MBPS} at most
  * @param version the configuration version in force there, 0 for none
- * @param storeReached whether its last calls to the platform's store were answered
+ * @param storeReachable whether its last calls to the platform's store were answered
  * @param leaving whether it was told to stop
  * @param service of its backend server
  * @param incarnation of its backend server
@@ -28,7 +28,7 @@
         String zone,
         int linkMbps,
         long version,
-        boolean storeReached,
+        boolean storeReachable,
         boolean leaving,
         String service,
         String incarnation,
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
@@ -53,7 +53,7 @@
     public static void write(Message message, ByteBuf out) {
         NodeState s = message.state();
         out.writeInt(MAGIC);
-        int flags = (s.storeReached() ? FLAG_STORE : 0)
+        int flags = (s.storeReachable() ? FLAG_STORE : 0)
                 | (s.leaving() ? FLAG_LEAVING : 0)
                 | (message.answerWanted() ? FLAG_ANSWER_WANTED : 0);
         out.writeByte(flags);
