--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -337,7 +337,7 @@
                 "incarnation",
                 state.incarnation(),
                 "state",
-                state.backend(),
+                state.backendState(),
                 "leaving",
                 state.leaving());
     }
--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -90,7 +90,7 @@
 
     /** Whether its backend server takes work, as last heard. */
     public boolean acceptsRequests() {
-        return state.backend() == BackendState.READY && !state.leaving();
+        return state.backendState() == BackendState.READY && !state.leaving();
     }
 
     /** Connections to it. */
--- a/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
@@ -56,7 +56,7 @@
             return UpdateResult.STALE;
         }
         boolean changed = known.bootId() != state.bootId()
-                || known.backend() != state.backend()
+                || known.backendState() != state.backendState()
                 || known.leaving() != state.leaving()
                 || !known.service().equals(state.service())
                 || !known.incarnation().equals(state.incarnation());
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeState.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeState.java
@@ -17,7 +17,7 @@
  * @param leaving whether it was told to stop
  * @param service of its backend server
  * @param incarnation of its backend server
- * @param backend whether its backend server takes work
+ * @param backendState whether its backend server takes work
  * @param warmUpNanos how much longer its backend server is slow
  * @param load of its backend server
  * @param times of its backend server for each kind of request that it has seen
@@ -32,7 +32,7 @@
         boolean leaving,
         String service,
         String incarnation,
-        BackendState backend,
+        BackendState backendState,
         long warmUpNanos,
         OwnerLoad load,
         List<KindTime> times) {
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
@@ -61,7 +61,7 @@
         out.writeLong(s.sequence());
         out.writeShort(s.linkMbps());
         out.writeLong(s.version());
-        out.writeByte(s.backend().ordinal());
+        out.writeByte(s.backendState().ordinal());
         out.writeInt((int) (s.warmUpNanos() / 1_000_000));
         out.writeShort(s.load().running());
         out.writeShort(s.load().queued());
