--- a/org.berylwick.node/src/org/berylwick/node/call/Candidates.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Candidates.java
@@ -129,7 +129,7 @@
                 member.load(),
                 member.state().times(),
                 member.estimatedRequestCount(),
-                Math.max(0, member.state().warmUpNanos() - (now - member.lastHeardAt())),
+                Math.max(0, member.state().warmUpRemainingNanos() - (now - member.lastHeardAt())),
                 member.linkLoad(now),
                 distance(member),
                 member.isIncarnationUnused(),
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeState.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeState.java
@@ -18,7 +18,7 @@
  * @param service of its backend server
  * @param incarnation of its backend server
  * @param backendState whether its backend server takes work
- * @param warmUpNanos how much longer its backend server is slow
+ * @param warmUpRemainingNanos how much longer its backend server is slow
  * @param load of its backend server
  * @param times of its backend server for each kind of request that it has seen
  */
@@ -33,7 +33,7 @@
         String service,
         String incarnation,
         BackendState backendState,
-        long warmUpNanos,
+        long warmUpRemainingNanos,
         OwnerLoad load,
         List<KindTime> times) {
     /** Wider links are told as this wide. */
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
@@ -62,7 +62,7 @@
         out.writeShort(s.linkMbps());
         out.writeLong(s.version());
         out.writeByte(s.backendState().ordinal());
-        out.writeInt((int) (s.warmUpNanos() / 1_000_000));
+        out.writeInt((int) (s.warmUpRemainingNanos() / 1_000_000));
         out.writeShort(s.load().running());
         out.writeShort(s.load().queued());
         out.writeShort(s.load().slots());
