--- a/org.berylwick.node/src/org/berylwick/node/call/Candidates.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Candidates.java
@@ -127,7 +127,7 @@
         return new Candidate(
                 Optional.of(member),
                 member.load(),
-                member.state().times(),
+                member.state().requestTimes(),
                 member.estimatedRequestCount(),
                 Math.max(0, member.state().warmUpRemainingNanos() - (now - member.lastHeardAt())),
                 member.linkLoad(now),
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeState.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeState.java
@@ -20,7 +20,7 @@
  * @param backendState whether its backend server takes work
  * @param warmUpRemainingNanos how much longer its backend server is slow
  * @param load of its backend server
- * @param times of its backend server for each kind of request that it has seen
+ * @param requestTimes of its backend server for each kind of request that it has seen
  */
 public record NodeState(
         long bootId,
@@ -35,11 +35,11 @@
         BackendState backendState,
         long warmUpRemainingNanos,
         OwnerLoad load,
-        List<KindTime> times) {
+        List<KindTime> requestTimes) {
     /** Wider links are told as this wide. */
     public static final int MOST_LINK_MBPS = 65_535;
 
     public NodeState {
-        times = List.copyOf(times);
+        requestTimes = List.copyOf(requestTimes);
     }
 }
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
@@ -73,8 +73,8 @@
         writeText(s.zone(), out);
         writeText(s.service(), out);
         writeText(s.incarnation(), out);
-        out.writeByte(s.times().size());
-        for (KindTime time : s.times()) {
+        out.writeByte(s.requestTimes().size());
+        for (KindTime time : s.requestTimes()) {
             out.writeByte(time.like().kind().ordinal());
             out.writeByte(time.like().priority());
             out.writeInt(time.like().objectiveMillis());
