--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -282,7 +282,7 @@
     }
 
     private int linkMbps() {
-        return (int) Math.max(1, Math.min(NodeState.MOST_LINK_MBPS, Math.round(settings.linkMbps())));
+        return (int) Math.max(1, Math.min(NodeState.MAX_LINK_MBPS, Math.round(settings.linkMbps())));
     }
 
     private NodeState selfState() {
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeState.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeState.java
@@ -11,7 +11,7 @@
  * @param bootId differs between two starts of the node
  * @param sequence increases with each change it tells
  * @param zone availability zone
- * @param linkMbps bandwidth of its VM's link, {@link #MOST_LINK_MBPS} at most
+ * @param linkMbps bandwidth of its VM's link, {@link #MAX_LINK_MBPS} at most
  * @param version the configuration version in force there, 0 for none
  * @param storeReachable whether its last calls to the platform's store were answered
  * @param leaving whether it was told to stop
@@ -37,7 +37,7 @@
         OwnerLoad load,
         List<KindTime> requestTimes) {
     /** Wider links are told as this wide. */
-    public static final int MOST_LINK_MBPS = 65_535;
+    public static final int MAX_LINK_MBPS = 65_535;
 
     public NodeState {
         requestTimes = List.copyOf(requestTimes);
