--- a/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
@@ -14,7 +14,7 @@
 /** The datagram between nodes: the sender's state and some addresses of other nodes. */
 public final class NodeStateCodec {
     private static final int MAGIC = 0x4257_4e36;
-    private static final int FLAG_STORE = 1;
+    private static final int FLAG_STORE_REACHABLE = 1;
     private static final int FLAG_LEAVING = 2;
     private static final int FLAG_ANSWER_WANTED = 4;
 
@@ -53,7 +53,7 @@
     public static void write(Message message, ByteBuf out) {
         NodeState s = message.state();
         out.writeInt(MAGIC);
-        int flags = (s.storeReachable() ? FLAG_STORE : 0)
+        int flags = (s.storeReachable() ? FLAG_STORE_REACHABLE : 0)
                 | (s.leaving() ? FLAG_LEAVING : 0)
                 | (message.answerWanted() ? FLAG_ANSWER_WANTED : 0);
         out.writeByte(flags);
@@ -118,7 +118,7 @@
                     zone,
                     linkMbps,
                     version,
-                    (flags & FLAG_STORE) != 0,
+                    (flags & FLAG_STORE_REACHABLE) != 0,
                     (flags & FLAG_LEAVING) != 0,
                     service,
                     incarnation,
