--- a/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
@@ -16,7 +16,7 @@
     private static final int MAGIC = 0x4257_4e36;
     private static final int FLAG_STORE_REACHABLE = 1;
     private static final int FLAG_LEAVING = 2;
-    private static final int FLAG_ANSWER_WANTED = 4;
+    private static final int FLAG_REPLY_REQUESTED = 4;
 
     private static final double PER_MILLE = 1e3;
     private static final long MOST_LINK_MILLIS = 65_535;
@@ -55,7 +55,7 @@
         out.writeInt(MAGIC);
         int flags = (s.storeReachable() ? FLAG_STORE_REACHABLE : 0)
                 | (s.leaving() ? FLAG_LEAVING : 0)
-                | (message.answerWanted() ? FLAG_ANSWER_WANTED : 0);
+                | (message.answerWanted() ? FLAG_REPLY_REQUESTED : 0);
         out.writeByte(flags);
         out.writeLong(s.bootId());
         out.writeLong(s.sequence());
@@ -131,7 +131,7 @@
             for (int i = 0; i < count; i++) {
                 others.add(readText(in));
             }
-            return Optional.of(new Message(state, (flags & FLAG_ANSWER_WANTED) != 0, others));
+            return Optional.of(new Message(state, (flags & FLAG_REPLY_REQUESTED) != 0, others));
         } catch (IndexOutOfBoundsException e) {
             // A datagram cut short; its sender tells again soon.
             return Optional.empty();
