--- a/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
@@ -19,7 +19,7 @@
     private static final int FLAG_REPLY_REQUESTED = 4;
 
     private static final double PER_MILLE = 1e3;
-    private static final long MOST_LINK_MILLIS = 65_535;
+    private static final long MAX_LINK_MILLIS = 65_535;
     private static final RouteKind[] KINDS = RouteKind.values();
 
     private NodeStateCodec() {}
@@ -68,8 +68,8 @@
         out.writeShort(s.load().slots());
         out.writeInt((int) (s.load().meanNanos() / 1_000));
         out.writeShort(s.load().lostPerMille());
-        out.writeShort((int) Math.min(MOST_LINK_MILLIS, s.load().incomingNanos() / 1_000_000));
-        out.writeShort((int) Math.min(MOST_LINK_MILLIS, s.load().outgoingNanos() / 1_000_000));
+        out.writeShort((int) Math.min(MAX_LINK_MILLIS, s.load().incomingNanos() / 1_000_000));
+        out.writeShort((int) Math.min(MAX_LINK_MILLIS, s.load().outgoingNanos() / 1_000_000));
         writeText(s.zone(), out);
         writeText(s.service(), out);
         writeText(s.incarnation(), out);
