--- a/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
@@ -20,7 +20,7 @@
 
     private static final double PER_MILLE = 1e3;
     private static final long MAX_LINK_MILLIS = 65_535;
-    private static final RouteKind[] KINDS = RouteKind.values();
+    private static final RouteKind[] ROUTE_KINDS = RouteKind.values();
 
     private NodeStateCodec() {}
 
@@ -33,8 +33,8 @@
             int objective = in.readInt();
             long median = in.readInt() * 1_000L;
             double spread = in.readUnsignedShort() / PER_MILLE;
-            if (kind < KINDS.length && median > 0) {
-                times.add(new KindTime(new RequestClass(KINDS[kind], priority, objective), median, spread));
+            if (kind < ROUTE_KINDS.length && median > 0) {
+                times.add(new KindTime(new RequestClass(ROUTE_KINDS[kind], priority, objective), median, spread));
             }
         }
         return times;
