--- a/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
@@ -24,7 +24,7 @@
 
     private NodeStateCodec() {}
 
-    private static List<KindTime> readTimes(ByteBuf in) {
+    private static List<KindTime> readRequestTimes(ByteBuf in) {
         int count = in.readUnsignedByte();
         List<KindTime> times = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
@@ -111,7 +111,7 @@
             String zone = readText(in);
             String service = readText(in);
             String incarnation = readText(in);
-            List<KindTime> times = readTimes(in);
+            List<KindTime> times = readRequestTimes(in);
             NodeState state = new NodeState(
                     boot,
                     sequence,
