--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -265,7 +265,7 @@
         long now = System.nanoTime();
         boolean unknown = lastHeardByAddress.put(from, now) == null;
         MemberTable.UpdateResult hearing = table.update(from, message.state(), now);
-        if (unknown || message.answerWanted()) {
+        if (unknown || message.replyRequested()) {
             send(List.of(from), false);
         }
         for (String other : message.others()) {
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
@@ -44,10 +44,10 @@
      * A datagram.
      *
      * @param state of the sender
-     * @param answerWanted whether the sender asks for the receiver's state
+     * @param replyRequested whether the sender asks for the receiver's state
      * @param others IPv4 addresses of other nodes
      */
-    public record Message(NodeState state, boolean answerWanted, List<String> others) {}
+    public record Message(NodeState state, boolean replyRequested, List<String> others) {}
 
     /** Writes a datagram. */
     public static void write(Message message, ByteBuf out) {
@@ -55,7 +55,7 @@
         out.writeInt(MAGIC);
         int flags = (s.storeReachable() ? FLAG_STORE_REACHABLE : 0)
                 | (s.leaving() ? FLAG_LEAVING : 0)
-                | (message.answerWanted() ? FLAG_REPLY_REQUESTED : 0);
+                | (message.replyRequested() ? FLAG_REPLY_REQUESTED : 0);
         out.writeByte(flags);
         out.writeLong(s.bootId());
         out.writeLong(s.sequence());
