--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -268,7 +268,7 @@
         if (unknown || message.replyRequested()) {
             send(List.of(from), false);
         }
-        for (String other : message.others()) {
+        for (String other : message.peerAddresses()) {
             if (!table.find(other).isPresent()) {
                 addPeerAddress(other);
             }
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
@@ -45,9 +45,9 @@
      *
      * @param state of the sender
      * @param replyRequested whether the sender asks for the receiver's state
-     * @param others IPv4 addresses of other nodes
+     * @param peerAddresses IPv4 addresses of other nodes
      */
-    public record Message(NodeState state, boolean replyRequested, List<String> others) {}
+    public record Message(NodeState state, boolean replyRequested, List<String> peerAddresses) {}
 
     /** Writes a datagram. */
     public static void write(Message message, ByteBuf out) {
@@ -81,8 +81,8 @@
             out.writeInt((int) (time.medianNanos() / 1_000));
             out.writeShort((int) (time.spread() * PER_MILLE));
         }
-        out.writeByte(message.others().size());
-        for (String ip : message.others()) {
+        out.writeByte(message.peerAddresses().size());
+        for (String ip : message.peerAddresses()) {
             writeText(ip, out);
         }
     }
