--- a/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
@@ -70,9 +70,9 @@
         out.writeShort(s.load().lostPerMille());
         out.writeShort((int) Math.min(MAX_LINK_MILLIS, s.load().incomingNanos() / 1_000_000));
         out.writeShort((int) Math.min(MAX_LINK_MILLIS, s.load().outgoingNanos() / 1_000_000));
-        writeText(s.zone(), out);
-        writeText(s.service(), out);
-        writeText(s.incarnation(), out);
+        writeString(s.zone(), out);
+        writeString(s.service(), out);
+        writeString(s.incarnation(), out);
         out.writeByte(s.requestTimes().size());
         for (KindTime time : s.requestTimes()) {
             out.writeByte(time.like().kind().ordinal());
@@ -83,7 +83,7 @@
         }
         out.writeByte(message.peerAddresses().size());
         for (String ip : message.peerAddresses()) {
-            writeText(ip, out);
+            writeString(ip, out);
         }
     }
 
@@ -138,7 +138,7 @@
         }
     }
 
-    private static void writeText(String text, ByteBuf out) {
+    private static void writeString(String text, ByteBuf out) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         int length = Math.min(bytes.length, 255);
         out.writeByte(length);
