--- a/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
@@ -108,9 +108,9 @@
                     in.readUnsignedShort(),
                     in.readUnsignedShort() * 1_000_000L,
                     in.readUnsignedShort() * 1_000_000L);
-            String zone = readText(in);
-            String service = readText(in);
-            String incarnation = readText(in);
+            String zone = readString(in);
+            String service = readString(in);
+            String incarnation = readString(in);
             List<KindTime> times = readRequestTimes(in);
             NodeState state = new NodeState(
                     boot,
@@ -129,7 +129,7 @@
             int count = in.readUnsignedByte();
             List<String> others = new ArrayList<>(count);
             for (int i = 0; i < count; i++) {
-                others.add(readText(in));
+                others.add(readString(in));
             }
             return Optional.of(new Message(state, (flags & FLAG_REPLY_REQUESTED) != 0, others));
         } catch (IndexOutOfBoundsException e) {
@@ -145,7 +145,7 @@
         out.writeBytes(bytes, 0, length);
     }
 
-    private static String readText(ByteBuf in) {
+    private static String readString(ByteBuf in) {
         int length = in.readUnsignedByte();
         return in.readCharSequence(length, StandardCharsets.UTF_8).toString();
     }
