--- a/org.berylwick.node/src/org/berylwick/node/version/ConfigurationSource.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/ConfigurationSource.java
@@ -6,24 +6,24 @@
 /** Where accepted versions are kept; asynchronous, answers come on the event loop. */
 public interface ConfigurationSource {
     /** What became of a read. */
-    sealed interface Answer {
+    sealed interface ReadResult {
         /** The newest version, and the store's revision to watch from. */
-        record Found(MeshVersion version, long revision) implements Answer {}
+        record Found(MeshVersion version, long revision) implements ReadResult {}
 
         /** Nothing new since the revision that was watched. */
-        record Unchanged(long revision) implements Answer {}
+        record Unchanged(long revision) implements ReadResult {}
 
         /** There is no version yet. */
-        record Missing() implements Answer {}
+        record Missing() implements ReadResult {}
 
         /** What was read is no version that can be installed. */
-        record Invalid(String why) implements Answer {}
+        record Invalid(String why) implements ReadResult {}
 
         /** The store no longer knows what happened since the revision. */
-        record HistoryGone() implements Answer {}
+        record HistoryGone() implements ReadResult {}
 
         /** The store did not answer, or refused. */
-        record Failed(String cause) implements Answer {}
+        record Failed(String cause) implements ReadResult {}
     }
 
     /** How new an answer has to be. */
@@ -40,7 +40,7 @@
      * @param freshness of the answer
      * @param onAnswer gets it
      */
-    void read(Freshness freshness, Consumer<Answer> onAnswer);
+    void read(Freshness freshness, Consumer<ReadResult> onAnswer);
 
     /**
      * Waits for a version accepted after a revision.
@@ -49,13 +49,13 @@
      * @param waitMillis the longest wait
      * @param onAnswer gets the answer
      */
-    void watch(long revision, long waitMillis, Consumer<Answer> onAnswer);
+    void watch(long revision, long waitMillis, Consumer<ReadResult> onAnswer);
 
     /**
      * Reads a version that another node sent.
      *
      * @param source its bytes
-     * @return {@link Answer.Found} or {@link Answer.Invalid}
+     * @return {@link ReadResult.Found} or {@link ReadResult.Invalid}
      */
-    Answer decode(byte[] source);
+    ReadResult decode(byte[] source);
 }
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionKeeper.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionKeeper.java
@@ -146,35 +146,35 @@
         });
     }
 
-    private void onAnswer(ConfigurationSource.Answer answer) {
+    private void onAnswer(ConfigurationSource.ReadResult answer) {
         switch (answer) {
-            case ConfigurationSource.Answer.Found found -> {
+            case ConfigurationSource.ReadResult.Found found -> {
                 onReached();
                 revision = Math.max(revision, found.revision());
                 boolean burst = isWithinSpacing(System.nanoTime());
                 install(found.version(), "store", Origin.STORE);
                 readOn(burst);
             }
-            case ConfigurationSource.Answer.Unchanged unchanged -> {
+            case ConfigurationSource.ReadResult.Unchanged unchanged -> {
                 onReached();
                 revision = Math.max(revision, unchanged.revision());
                 watchOn();
             }
-            case ConfigurationSource.Answer.Missing missing -> {
+            case ConfigurationSource.ReadResult.Missing missing -> {
                 onReached();
                 retry(this::read);
             }
-            case ConfigurationSource.Answer.Invalid invalid -> {
+            case ConfigurationSource.ReadResult.Invalid invalid -> {
                 onReached();
                 log.write(Event.VERSION_REFUSED, "from", "store", "why", invalid.why());
                 retry(this::read);
             }
-            case ConfigurationSource.Answer.HistoryGone gone -> {
+            case ConfigurationSource.ReadResult.HistoryGone gone -> {
                 // Not at once: a store that has lost its history to an overload would be asked without pause.
                 counters.add(NodeMetricNames.STORE_HISTORY_GONE);
                 retry(this::read);
             }
-            case ConfigurationSource.Answer.Failed failed -> {
+            case ConfigurationSource.ReadResult.Failed failed -> {
                 onLost(failed.cause());
                 retry(this::read);
             }
@@ -288,8 +288,8 @@
     private void onFetched(Member from, byte[] whole) {
         Origin origin = from.state().zone().equals(zone) ? Origin.NEAR : Origin.FAR;
         switch (source.decode(whole)) {
-            case ConfigurationSource.Answer.Found found -> install(found.version(), from.ip(), origin);
-            case ConfigurationSource.Answer.Invalid invalid ->
+            case ConfigurationSource.ReadResult.Found found -> install(found.version(), from.ip(), origin);
+            case ConfigurationSource.ReadResult.Invalid invalid ->
                 log.write(Event.VERSION_REFUSED, "from", from.ip(), "why", invalid.why());
             default -> log.write(Event.VERSION_REFUSED, "from", from.ip(), "why", "unexpected answer");
         }
--- a/org.berylwick.test/tst/org/berylwick/node/MemoryConfiguration.java
+++ b/org.berylwick.test/tst/org/berylwick/node/MemoryConfiguration.java
@@ -44,14 +44,14 @@
         down = isDown;
     }
 
-    private synchronized ConfigurationSource.Answer read() {
+    private synchronized ConfigurationSource.ReadResult read() {
         if (down) {
-            return new ConfigurationSource.Answer.Failed("down");
+            return new ConfigurationSource.ReadResult.Failed("down");
         }
         if (newest == 0) {
-            return new ConfigurationSource.Answer.Missing();
+            return new ConfigurationSource.ReadResult.Missing();
         }
-        return new ConfigurationSource.Answer.Found(versions.get(newest), newest);
+        return new ConfigurationSource.ReadResult.Found(versions.get(newest), newest);
     }
 
     private synchronized void watch(long revision, Runnable onChange) {
@@ -70,21 +70,21 @@
     ConfigurationSource on(EventLoop loop) {
         return new ConfigurationSource() {
             @Override
-            public void read(Freshness freshness, Consumer<Answer> onAnswer) {
+            public void read(Freshness freshness, Consumer<ReadResult> onAnswer) {
                 loop.execute(() -> onAnswer.accept(MemoryConfiguration.this.read()));
             }
 
             @Override
-            public void watch(long revision, long waitMillis, Consumer<Answer> onAnswer) {
+            public void watch(long revision, long waitMillis, Consumer<ReadResult> onAnswer) {
                 MemoryConfiguration.this.watch(
                         revision, () -> loop.execute(() -> onAnswer.accept(MemoryConfiguration.this.read())));
             }
 
             @Override
-            public Answer decode(byte[] source) {
+            public ReadResult decode(byte[] source) {
                 String text = new String(source, StandardCharsets.US_ASCII);
                 long number = Long.parseLong(text.substring(0, text.indexOf(' ')));
-                return new Answer.Found(versions.get(number), 0);
+                return new ReadResult.Found(versions.get(number), 0);
             }
         };
     }
--- a/org.berylwick.test/tst/org/berylwick/platform/CodecsTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/CodecsTest.java
@@ -10,7 +10,7 @@
 import org.berylwick.node.lib.MeshVersion;
 import org.berylwick.node.lib.RouteKind;
 import org.berylwick.node.member.HeartbeatProtocol.Announcement;
-import org.berylwick.node.version.ConfigurationSource.Answer;
+import org.berylwick.node.version.ConfigurationSource.ReadResult;
 import org.junit.jupiter.api.Test;
 
 /** The platform's names are decoded once, and what cannot be decoded is told apart. */
@@ -34,7 +34,7 @@
                 "trafficSplit":[{"service":"s1","weight":3},{"service":"s2","weight":1}]}]}]}
             """;
 
-    private static Answer decode(String text) {
+    private static ReadResult decode(String text) {
         return ConfigurationCodec.decode(text.getBytes(StandardCharsets.UTF_8), 5);
     }
 
@@ -63,7 +63,7 @@
     @Test
     void configurationIsReadWithItsLongestPrefixFirst() {
         MeshVersion version =
-                assertInstanceOf(Answer.Found.class, decode(CONFIGURATION)).version();
+                assertInstanceOf(ReadResult.Found.class, decode(CONFIGURATION)).version();
         assertEquals(0x1c, version.number());
         assertEquals(
                 "long", version.route("h.example:80", "/a/b/c").orElseThrow().name());
@@ -79,11 +79,11 @@
 
     @Test
     void configurationThatCannotBeWholeIsRefused() {
-        assertInstanceOf(Answer.Invalid.class, decode("{\"version\":"));
-        assertInstanceOf(Answer.Invalid.class, decode(CONFIGURATION.replace("\"name\":\"s2\"", "\"name\":\"s3\"")));
-        assertInstanceOf(Answer.Invalid.class, decode(CONFIGURATION.replace("0000001c", "new")));
-        assertInstanceOf(Answer.Invalid.class, decode(CONFIGURATION.replace("\"/a/\"", "\"a\"")));
-        assertInstanceOf(Answer.Invalid.class, decode(CONFIGURATION.replace("\"weight\":3", "\"weight\":-3")));
+        assertInstanceOf(ReadResult.Invalid.class, decode("{\"version\":"));
+        assertInstanceOf(ReadResult.Invalid.class, decode(CONFIGURATION.replace("\"name\":\"s2\"", "\"name\":\"s3\"")));
+        assertInstanceOf(ReadResult.Invalid.class, decode(CONFIGURATION.replace("0000001c", "new")));
+        assertInstanceOf(ReadResult.Invalid.class, decode(CONFIGURATION.replace("\"/a/\"", "\"a\"")));
+        assertInstanceOf(ReadResult.Invalid.class, decode(CONFIGURATION.replace("\"weight\":3", "\"weight\":-3")));
     }
 
     @Test
--- a/org.berylwick.test/tst/org/berylwick/platform/ForeignEntriesTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/ForeignEntriesTest.java
@@ -98,9 +98,9 @@
 
     @Property(tries = 2_000)
     void anyBytesAreReadOrRefusedAsAConfiguration(@ForAll byte[] body) {
-        ConfigurationSource.Answer answer = ConfigurationCodec.decode(body, 1);
-        assertTrue(answer instanceof ConfigurationSource.Answer.Invalid
-                || answer instanceof ConfigurationSource.Answer.Found);
+        ConfigurationSource.ReadResult answer = ConfigurationCodec.decode(body, 1);
+        assertTrue(answer instanceof ConfigurationSource.ReadResult.Invalid
+                || answer instanceof ConfigurationSource.ReadResult.Found);
     }
 
     @Test
--- a/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.berylwick.node.transport.SmallHttpServer;
-import org.berylwick.node.version.ConfigurationSource.Answer;
+import org.berylwick.node.version.ConfigurationSource.ReadResult;
 import org.berylwick.node.version.ConfigurationSource.Freshness;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -68,19 +68,19 @@
         group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
     }
 
-    private Answer await(Consumer<Consumer<Answer>> call) throws Exception {
-        CompletableFuture<Answer> answer = new CompletableFuture<>();
+    private ReadResult await(Consumer<Consumer<ReadResult>> call) throws Exception {
+        CompletableFuture<ReadResult> answer = new CompletableFuture<>();
         loop.execute(() -> call.accept(answer::complete));
         return answer.get(10, TimeUnit.SECONDS);
     }
 
     @Test
     void watchGoesOnFromTheListsRevision() throws Exception {
-        Answer.Found found = assertInstanceOf(Answer.Found.class, await(a -> configuration.read(Freshness.NEWEST, a)));
+        ReadResult.Found found = assertInstanceOf(ReadResult.Found.class, await(a -> configuration.read(Freshness.NEWEST, a)));
         assertEquals(10, found.version().number());
-        Answer next = await(a -> configuration.watch(found.revision(), 100, a));
-        assertEquals(new Answer.Unchanged(REVISION + 1), next);
-        assertInstanceOf(Answer.HistoryGone.class, await(a -> configuration.watch(15, 100, a)));
+        ReadResult next = await(a -> configuration.watch(found.revision(), 100, a));
+        assertEquals(new ReadResult.Unchanged(REVISION + 1), next);
+        assertInstanceOf(ReadResult.HistoryGone.class, await(a -> configuration.watch(15, 100, a)));
     }
 
     /** The questions by which a node finds out that nothing else told it of a version cost a tenth that way. */
