--- a/org.berylwick.node/src/org/berylwick/node/version/ConfigurationSource.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/ConfigurationSource.java
@@ -17,7 +17,7 @@
         record Missing() implements ReadResult {}
 
         /** What was read is no version that can be installed. */
-        record Invalid(String why) implements ReadResult {}
+        record Invalid(String reason) implements ReadResult {}
 
         /** The store no longer knows what happened since the revision. */
         record HistoryGone() implements ReadResult {}
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionKeeper.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionKeeper.java
@@ -166,7 +166,7 @@
             }
             case ConfigurationSource.ReadResult.Invalid invalid -> {
                 onReached();
-                log.write(Event.VERSION_REFUSED, "from", "store", "why", invalid.why());
+                log.write(Event.VERSION_REFUSED, "from", "store", "why", invalid.reason());
                 retry(this::read);
             }
             case ConfigurationSource.ReadResult.HistoryGone gone -> {
@@ -290,7 +290,7 @@
         switch (source.decode(whole)) {
             case ConfigurationSource.ReadResult.Found found -> install(found.version(), from.ip(), origin);
             case ConfigurationSource.ReadResult.Invalid invalid ->
-                log.write(Event.VERSION_REFUSED, "from", from.ip(), "why", invalid.why());
+                log.write(Event.VERSION_REFUSED, "from", from.ip(), "why", invalid.reason());
             default -> log.write(Event.VERSION_REFUSED, "from", from.ip(), "why", "unexpected answer");
         }
     }
