--- a/org.berylwick.node/src/org/berylwick/node/version/ConfigurationSource.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/ConfigurationSource.java
@@ -27,7 +27,7 @@
     }
 
     /** How new an answer has to be. */
-    enum Freshness {
+    enum Consistency {
         /** With all that was accepted before it was asked. */
         NEWEST,
         /** It may be seconds old, at a tenth of the price. */
@@ -40,7 +40,7 @@
      * @param freshness of the answer
      * @param onAnswer gets it
      */
-    void read(Freshness freshness, Consumer<ReadResult> onAnswer);
+    void read(Consistency freshness, Consumer<ReadResult> onAnswer);
 
     /**
      * Waits for a version accepted after a revision.
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionKeeper.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionKeeper.java
@@ -131,10 +131,10 @@
     }
 
     private void read() {
-        read(ConfigurationSource.Freshness.NEWEST);
+        read(ConfigurationSource.Consistency.NEWEST);
     }
 
-    private void read(ConfigurationSource.Freshness freshness) {
+    private void read(ConfigurationSource.Consistency freshness) {
         if (reading) {
             return;
         }
@@ -245,8 +245,8 @@
                     // Only to find out that nothing else told of a version for seconds.
                     read(
                             isReader.getAsBoolean()
-                                    ? ConfigurationSource.Freshness.NEWEST
-                                    : ConfigurationSource.Freshness.RECENT);
+                                    ? ConfigurationSource.Consistency.NEWEST
+                                    : ConfigurationSource.Consistency.RECENT);
                     planPoll();
                 },
                 millis,
--- a/org.berylwick.test/tst/org/berylwick/node/MemoryConfiguration.java
+++ b/org.berylwick.test/tst/org/berylwick/node/MemoryConfiguration.java
@@ -70,7 +70,7 @@
     ConfigurationSource on(EventLoop loop) {
         return new ConfigurationSource() {
             @Override
-            public void read(Freshness freshness, Consumer<ReadResult> onAnswer) {
+            public void read(Consistency freshness, Consumer<ReadResult> onAnswer) {
                 loop.execute(() -> onAnswer.accept(MemoryConfiguration.this.read()));
             }
 
--- a/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
@@ -15,7 +15,7 @@
 import java.util.function.Consumer;
 import org.berylwick.node.transport.SmallHttpServer;
 import org.berylwick.node.version.ConfigurationSource.ReadResult;
-import org.berylwick.node.version.ConfigurationSource.Freshness;
+import org.berylwick.node.version.ConfigurationSource.Consistency;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -76,7 +76,7 @@
 
     @Test
     void watchGoesOnFromTheListsRevision() throws Exception {
-        ReadResult.Found found = assertInstanceOf(ReadResult.Found.class, await(a -> configuration.read(Freshness.NEWEST, a)));
+        ReadResult.Found found = assertInstanceOf(ReadResult.Found.class, await(a -> configuration.read(Consistency.NEWEST, a)));
         assertEquals(10, found.version().number());
         ReadResult next = await(a -> configuration.watch(found.revision(), 100, a));
         assertEquals(new ReadResult.Unchanged(REVISION + 1), next);
@@ -86,8 +86,8 @@
     /** The questions by which a node finds out that nothing else told it of a version cost a tenth that way. */
     @Test
     void recentVersionIsReadAtTheLowPrice() throws Exception {
-        await(a -> configuration.read(Freshness.RECENT, a));
-        await(a -> configuration.read(Freshness.NEWEST, a));
+        await(a -> configuration.read(Consistency.RECENT, a));
+        await(a -> configuration.read(Consistency.NEWEST, a));
         assertEquals(List.of("/objects/config?serializable=1", "/objects/config"), asked);
     }
 }
