--- a/org.berylwick.node/src/org/berylwick/node/version/ConfigurationSource.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/ConfigurationSource.java
@@ -29,7 +29,7 @@
     /** How new an answer has to be. */
     enum Consistency {
         /** With all that was accepted before it was asked. */
-        NEWEST,
+        LINEARIZABLE,
         /** It may be seconds old, at a tenth of the price. */
         RECENT
     }
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionKeeper.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionKeeper.java
@@ -131,7 +131,7 @@
     }
 
     private void read() {
-        read(ConfigurationSource.Consistency.NEWEST);
+        read(ConfigurationSource.Consistency.LINEARIZABLE);
     }
 
     private void read(ConfigurationSource.Consistency freshness) {
@@ -245,7 +245,7 @@
                     // Only to find out that nothing else told of a version for seconds.
                     read(
                             isReader.getAsBoolean()
-                                    ? ConfigurationSource.Consistency.NEWEST
+                                    ? ConfigurationSource.Consistency.LINEARIZABLE
                                     : ConfigurationSource.Consistency.RECENT);
                     planPoll();
                 },
--- a/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
@@ -76,7 +76,7 @@
 
     @Test
     void watchGoesOnFromTheListsRevision() throws Exception {
-        ReadResult.Found found = assertInstanceOf(ReadResult.Found.class, await(a -> configuration.read(Consistency.NEWEST, a)));
+        ReadResult.Found found = assertInstanceOf(ReadResult.Found.class, await(a -> configuration.read(Consistency.LINEARIZABLE, a)));
         assertEquals(10, found.version().number());
         ReadResult next = await(a -> configuration.watch(found.revision(), 100, a));
         assertEquals(new ReadResult.Unchanged(REVISION + 1), next);
@@ -87,7 +87,7 @@
     @Test
     void recentVersionIsReadAtTheLowPrice() throws Exception {
         await(a -> configuration.read(Consistency.RECENT, a));
-        await(a -> configuration.read(Consistency.NEWEST, a));
+        await(a -> configuration.read(Consistency.LINEARIZABLE, a));
         assertEquals(List.of("/objects/config?serializable=1", "/objects/config"), asked);
     }
 }
