--- a/org.berylwick.node/src/org/berylwick/node/version/ConfigurationSource.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/ConfigurationSource.java
@@ -31,7 +31,7 @@
         /** With all that was accepted before it was asked. */
         LINEARIZABLE,
         /** It may be seconds old, at a tenth of the price. */
-        RECENT
+        STALE_ALLOWED
     }
 
     /**
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionKeeper.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionKeeper.java
@@ -246,7 +246,7 @@
                     read(
                             isReader.getAsBoolean()
                                     ? ConfigurationSource.Consistency.LINEARIZABLE
-                                    : ConfigurationSource.Consistency.RECENT);
+                                    : ConfigurationSource.Consistency.STALE_ALLOWED);
                     planPoll();
                 },
                 millis,
--- a/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
@@ -86,7 +86,7 @@
     /** The questions by which a node finds out that nothing else told it of a version cost a tenth that way. */
     @Test
     void recentVersionIsReadAtTheLowPrice() throws Exception {
-        await(a -> configuration.read(Consistency.RECENT, a));
+        await(a -> configuration.read(Consistency.STALE_ALLOWED, a));
         await(a -> configuration.read(Consistency.LINEARIZABLE, a));
         assertEquals(List.of("/objects/config?serializable=1", "/objects/config"), asked);
     }
