--- a/org.berylwick.node/src/org/berylwick/node/version/VersionDeltaCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionDeltaCodec.java
@@ -19,7 +19,7 @@
  */
 public final class VersionDeltaCodec {
     /** Bytes that two versions must have in common for a copy to be found; about a quarter of a route. */
-    private static final int BLOCK = 32;
+    private static final int BLOCK_BYTES = 32;
 
     private static final int FACTOR = 0x01000193;
     private static final int CHECK_BYTES = 4;
@@ -60,7 +60,7 @@
 
     /** Writes {@code later[from, to)} as copies of blocks that the earlier version has, and bytes between them. */
     private static void writeMiddle(ByteArrayOutputStream parts, byte[] earlier, byte[] later, int from, int to) {
-        if (to - from < BLOCK || earlier.length < BLOCK) {
+        if (to - from < BLOCK_BYTES || earlier.length < BLOCK_BYTES) {
             writeBytes(parts, later, from, to);
             return;
         }
@@ -68,11 +68,11 @@
         int pending = from;
         int at = from;
         int hash = BlockIndex.hash(later, at);
-        while (at + BLOCK <= to) {
+        while (at + BLOCK_BYTES <= to) {
             int offset = index.find(hash, later, at);
             if (offset < 0) {
-                if (at + BLOCK < to) {
-                    hash = BlockIndex.roll(hash, later[at], later[at + BLOCK]);
+                if (at + BLOCK_BYTES < to) {
+                    hash = BlockIndex.roll(hash, later[at], later[at + BLOCK_BYTES]);
                 }
                 at++;
                 continue;
@@ -82,7 +82,7 @@
             writeCopy(parts, offset, length);
             at += length;
             pending = at;
-            if (at + BLOCK <= to) {
+            if (at + BLOCK_BYTES <= to) {
                 hash = BlockIndex.hash(later, at);
             }
         }
@@ -222,7 +222,7 @@
     /** Where blocks of a version are, by a hash that moves on by one byte at small cost. */
     private static final class BlockIndex {
         /** {@code FACTOR} to the power of {@code BLOCK}: what the byte that leaves the block was multiplied by. */
-        private static final int LEAVING = power(FACTOR, BLOCK);
+        private static final int LEAVING = power(FACTOR, BLOCK_BYTES);
 
         private final byte[] bytes;
         private final int[] offsets;
@@ -230,10 +230,10 @@
 
         BlockIndex(byte[] bytes) {
             this.bytes = bytes;
-            int size = Integer.highestOneBit(Math.max(16, bytes.length / BLOCK * 2)) * 2;
+            int size = Integer.highestOneBit(Math.max(16, bytes.length / BLOCK_BYTES * 2)) * 2;
             mask = size - 1;
             offsets = new int[size];
-            for (int at = 0; at + BLOCK <= bytes.length; at += BLOCK) {
+            for (int at = 0; at + BLOCK_BYTES <= bytes.length; at += BLOCK_BYTES) {
                 offsets[slot(hash(bytes, at))] = at + 1;
             }
         }
@@ -253,7 +253,7 @@
 
         static int hash(byte[] of, int at) {
             int hash = 0;
-            for (int i = 0; i < BLOCK; i++) {
+            for (int i = 0; i < BLOCK_BYTES; i++) {
                 hash = hash * FACTOR + of[at + i];
             }
             return hash;
@@ -266,7 +266,7 @@
         /** Where the block {@code of[at, at + BLOCK)} is found, or -1. */
         int find(int hash, byte[] of, int at) {
             int offset = offsets[slot(hash)] - 1;
-            if (offset < 0 || !Arrays.equals(bytes, offset, offset + BLOCK, of, at, at + BLOCK)) {
+            if (offset < 0 || !Arrays.equals(bytes, offset, offset + BLOCK_BYTES, of, at, at + BLOCK_BYTES)) {
                 return -1;
             }
             return offset;
