--- a/org.berylwick.node/src/org/berylwick/node/version/VersionDeltaCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionDeltaCodec.java
@@ -21,7 +21,7 @@
     /** Bytes that two versions must have in common for a copy to be found; about a quarter of a route. */
     private static final int BLOCK_BYTES = 32;
 
-    private static final int FACTOR = 0x01000193;
+    private static final int HASH_MULTIPLIER = 0x01000193;
     private static final int CHECK_BYTES = 4;
     /** No version is as long; a damaged delta must not ask for more memory than that. */
     private static final int MOST_BYTES = 16 << 20;
@@ -222,7 +222,7 @@
     /** Where blocks of a version are, by a hash that moves on by one byte at small cost. */
     private static final class BlockIndex {
         /** {@code FACTOR} to the power of {@code BLOCK}: what the byte that leaves the block was multiplied by. */
-        private static final int LEAVING = power(FACTOR, BLOCK_BYTES);
+        private static final int LEAVING = power(HASH_MULTIPLIER, BLOCK_BYTES);
 
         private final byte[] bytes;
         private final int[] offsets;
@@ -254,13 +254,13 @@
         static int hash(byte[] of, int at) {
             int hash = 0;
             for (int i = 0; i < BLOCK_BYTES; i++) {
-                hash = hash * FACTOR + of[at + i];
+                hash = hash * HASH_MULTIPLIER + of[at + i];
             }
             return hash;
         }
 
         static int roll(int hash, byte leaves, byte enters) {
-            return hash * FACTOR - LEAVING * leaves + enters;
+            return hash * HASH_MULTIPLIER - LEAVING * leaves + enters;
         }
 
         /** Where the block {@code of[at, at + BLOCK)} is found, or -1. */
