--- a/org.berylwick.node/src/org/berylwick/node/version/VersionDeltaCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionDeltaCodec.java
@@ -22,7 +22,7 @@
     private static final int BLOCK_BYTES = 32;
 
     private static final int HASH_MULTIPLIER = 0x01000193;
-    private static final int CHECK_BYTES = 4;
+    private static final int CHECKSUM_BYTES = 4;
     /** No version is as long; a damaged delta must not ask for more memory than that. */
     private static final int MOST_BYTES = 16 << 20;
 
@@ -53,7 +53,7 @@
         check.update(later);
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.writeBytes(
-                ByteBuffer.allocate(CHECK_BYTES).putInt((int) check.getValue()).array());
+                ByteBuffer.allocate(CHECKSUM_BYTES).putInt((int) check.getValue()).array());
         deflate(parts.toByteArray(), out);
         return out.toByteArray();
     }
@@ -140,7 +140,7 @@
      * @return the later version's bytes; empty if the delta is damaged or was written against another version
      */
     public static Optional<byte[]> decode(byte[] earlier, byte[] delta) {
-        if (delta.length < CHECK_BYTES) {
+        if (delta.length < CHECKSUM_BYTES) {
             return Optional.empty();
         }
         int check = ByteBuffer.wrap(delta).getInt();
@@ -162,7 +162,7 @@
     private static Optional<byte[]> inflate(byte[] delta) throws DataFormatException {
         Inflater inflater = new Inflater(true);
         try {
-            inflater.setInput(delta, CHECK_BYTES, delta.length - CHECK_BYTES);
+            inflater.setInput(delta, CHECKSUM_BYTES, delta.length - CHECKSUM_BYTES);
             ByteArrayOutputStream out = new ByteArrayOutputStream();
             byte[] buffer = new byte[BUFFER];
             while (!inflater.finished()) {
