--- a/org.berylwick.node/src/org/berylwick/node/version/VersionDeltaCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionDeltaCodec.java
@@ -24,7 +24,7 @@
     private static final int HASH_MULTIPLIER = 0x01000193;
     private static final int CHECKSUM_BYTES = 4;
     /** No version is as long; a damaged delta must not ask for more memory than that. */
-    private static final int MOST_BYTES = 16 << 20;
+    private static final int MAX_VERSION_BYTES = 16 << 20;
 
     private static final int BUFFER = 8_192;
 
@@ -167,7 +167,7 @@
             byte[] buffer = new byte[BUFFER];
             while (!inflater.finished()) {
                 int count = inflater.inflate(buffer);
-                if (count == 0 && (inflater.needsInput() || inflater.needsDictionary()) || out.size() > MOST_BYTES) {
+                if (count == 0 && (inflater.needsInput() || inflater.needsDictionary()) || out.size() > MAX_VERSION_BYTES) {
                     return Optional.empty();
                 }
                 out.write(buffer, 0, count);
@@ -180,7 +180,7 @@
 
     private static Optional<byte[]> join(byte[] earlier, ByteBuffer parts) {
         long size = readNumber(parts);
-        if (size > MOST_BYTES) {
+        if (size > MAX_VERSION_BYTES) {
             return Optional.empty();
         }
         ByteBuffer later = ByteBuffer.allocate((int) size);
