--- a/org.berylwick.node/src/org/berylwick/node/version/VersionDeltaCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionDeltaCodec.java
@@ -26,7 +26,7 @@
     /** No version is as long; a damaged delta must not ask for more memory than that. */
     private static final int MAX_VERSION_BYTES = 16 << 20;
 
-    private static final int BUFFER = 8_192;
+    private static final int BUFFER_BYTES = 8_192;
 
     private VersionDeltaCodec() {}
 
@@ -123,7 +123,7 @@
         try {
             deflater.setInput(bytes);
             deflater.finish();
-            byte[] buffer = new byte[BUFFER];
+            byte[] buffer = new byte[BUFFER_BYTES];
             while (!deflater.finished()) {
                 out.write(buffer, 0, deflater.deflate(buffer));
             }
@@ -164,7 +164,7 @@
         try {
             inflater.setInput(delta, CHECKSUM_BYTES, delta.length - CHECKSUM_BYTES);
             ByteArrayOutputStream out = new ByteArrayOutputStream();
-            byte[] buffer = new byte[BUFFER];
+            byte[] buffer = new byte[BUFFER_BYTES];
             while (!inflater.finished()) {
                 int count = inflater.inflate(buffer);
                 if (count == 0 && (inflater.needsInput() || inflater.needsDictionary()) || out.size() > MAX_VERSION_BYTES) {
