--- a/org.berylwick.node/src/org/berylwick/node/version/VersionDeltaCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionDeltaCodec.java
@@ -147,13 +147,13 @@
         try {
             return inflate(delta)
                     .flatMap(parts -> join(earlier, ByteBuffer.wrap(parts)))
-                    .filter(later -> checkOf(later) == check);
+                    .filter(later -> checksumOf(later) == check);
         } catch (DataFormatException | java.nio.BufferUnderflowException e) {
             return Optional.empty();
         }
     }
 
-    private static int checkOf(byte[] bytes) {
+    private static int checksumOf(byte[] bytes) {
         CRC32 check = new CRC32();
         check.update(bytes);
         return (int) check.getValue();
