--- a/org.berylwick.node/src/org/berylwick/node/version/VersionDeltaCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionDeltaCodec.java
@@ -47,7 +47,7 @@
             tail++;
         }
         writeCopy(parts, 0, head);
-        writeMiddle(parts, earlier, later, head, later.length - tail);
+        writeChangedRange(parts, earlier, later, head, later.length - tail);
         writeCopy(parts, earlier.length - tail, tail);
         CRC32 check = new CRC32();
         check.update(later);
@@ -59,7 +59,7 @@
     }
 
     /** Writes {@code later[from, to)} as copies of blocks that the earlier version has, and bytes between them. */
-    private static void writeMiddle(ByteArrayOutputStream parts, byte[] earlier, byte[] later, int from, int to) {
+    private static void writeChangedRange(ByteArrayOutputStream parts, byte[] earlier, byte[] later, int from, int to) {
         if (to - from < BLOCK_BYTES || earlier.length < BLOCK_BYTES) {
             writeBytes(parts, later, from, to);
             return;
