--- a/org.berylwick.node/src/org/berylwick/node/version/VersionDeltaCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionDeltaCodec.java
@@ -61,7 +61,7 @@
     /** Writes {@code later[from, to)} as copies of blocks that the earlier version has, and bytes between them. */
     private static void writeChangedRange(ByteArrayOutputStream parts, byte[] earlier, byte[] later, int from, int to) {
         if (to - from < BLOCK_BYTES || earlier.length < BLOCK_BYTES) {
-            writeBytes(parts, later, from, to);
+            writeLiteral(parts, later, from, to);
             return;
         }
         BlockIndex index = new BlockIndex(earlier);
@@ -78,7 +78,7 @@
                 continue;
             }
             int length = matchLength(earlier, offset, later, at, to);
-            writeBytes(parts, later, pending, at);
+            writeLiteral(parts, later, pending, at);
             writeCopy(parts, offset, length);
             at += length;
             pending = at;
@@ -86,7 +86,7 @@
                 hash = BlockIndex.hash(later, at);
             }
         }
-        writeBytes(parts, later, pending, to);
+        writeLiteral(parts, later, pending, to);
     }
 
     private static int matchLength(byte[] earlier, int offset, byte[] later, int at, int to) {
@@ -102,7 +102,7 @@
         }
     }
 
-    private static void writeBytes(ByteArrayOutputStream parts, byte[] later, int from, int to) {
+    private static void writeLiteral(ByteArrayOutputStream parts, byte[] later, int from, int to) {
         if (to > from) {
             writeNumber(parts, (to - from) * 2L);
             parts.write(later, from, to - from);
