--- a/org.berylwick.node/src/org/berylwick/node/version/VersionDeltaCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionDeltaCodec.java
@@ -38,7 +38,7 @@
      */
     public static byte[] encode(byte[] earlier, byte[] later) {
         ByteArrayOutputStream parts = new ByteArrayOutputStream();
-        writeNumber(parts, later.length);
+        writeVarint(parts, later.length);
         int common = Math.min(earlier.length, later.length);
         int mismatch = Arrays.mismatch(earlier, 0, common, later, 0, common);
         int head = mismatch < 0 ? common : mismatch;
@@ -97,19 +97,19 @@
 
     private static void writeCopy(ByteArrayOutputStream parts, int offset, int length) {
         if (length > 0) {
-            writeNumber(parts, length * 2L + 1);
-            writeNumber(parts, offset);
+            writeVarint(parts, length * 2L + 1);
+            writeVarint(parts, offset);
         }
     }
 
     private static void writeLiteral(ByteArrayOutputStream parts, byte[] later, int from, int to) {
         if (to > from) {
-            writeNumber(parts, (to - from) * 2L);
+            writeVarint(parts, (to - from) * 2L);
             parts.write(later, from, to - from);
         }
     }
 
-    private static void writeNumber(ByteArrayOutputStream out, long number) {
+    private static void writeVarint(ByteArrayOutputStream out, long number) {
         long rest = number;
         while (rest >= 0x80) {
             out.write((int) (rest & 0x7f) | 0x80);
