--- a/org.berylwick.node/src/org/berylwick/node/version/VersionDeltaCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionDeltaCodec.java
@@ -146,7 +146,7 @@
         int check = ByteBuffer.wrap(delta).getInt();
         try {
             return inflate(delta)
-                    .flatMap(parts -> join(earlier, ByteBuffer.wrap(parts)))
+                    .flatMap(parts -> apply(earlier, ByteBuffer.wrap(parts)))
                     .filter(later -> checksumOf(later) == check);
         } catch (DataFormatException | java.nio.BufferUnderflowException e) {
             return Optional.empty();
@@ -178,7 +178,7 @@
         }
     }
 
-    private static Optional<byte[]> join(byte[] earlier, ByteBuffer parts) {
+    private static Optional<byte[]> apply(byte[] earlier, ByteBuffer parts) {
         long size = readNumber(parts);
         if (size > MAX_VERSION_BYTES) {
             return Optional.empty();
