--- a/org.berylwick.node/src/org/berylwick/node/version/VersionDeltaCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionDeltaCodec.java
@@ -179,13 +179,13 @@
     }
 
     private static Optional<byte[]> apply(byte[] earlier, ByteBuffer parts) {
-        long size = readNumber(parts);
+        long size = readVarint(parts);
         if (size > MAX_VERSION_BYTES) {
             return Optional.empty();
         }
         ByteBuffer later = ByteBuffer.allocate((int) size);
         while (parts.hasRemaining()) {
-            long part = readNumber(parts);
+            long part = readVarint(parts);
             long length = part >>> 1;
             if (length > later.remaining()) {
                 return Optional.empty();
@@ -198,7 +198,7 @@
                 parts.position(parts.position() + (int) length);
                 continue;
             }
-            long offset = readNumber(parts);
+            long offset = readVarint(parts);
             if (offset > earlier.length - length) {
                 return Optional.empty();
             }
@@ -207,7 +207,7 @@
         return later.hasRemaining() ? Optional.empty() : Optional.of(later.array());
     }
 
-    private static long readNumber(ByteBuffer in) {
+    private static long readVarint(ByteBuffer in) {
         long number = 0;
         for (int shift = 0; shift < 35; shift += 7) {
             byte b = in.get();
