--- a/org.berylwick.node/src/org/berylwick/node/version/VersionDeltaCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionDeltaCodec.java
@@ -222,7 +222,7 @@
     /** Where blocks of a version are, by a hash that moves on by one byte at small cost. */
     private static final class BlockIndex {
         /** {@code FACTOR} to the power of {@code BLOCK}: what the byte that leaves the block was multiplied by. */
-        private static final int LEAVING = power(HASH_MULTIPLIER, BLOCK_BYTES);
+        private static final int REMOVED_BYTE_MULTIPLIER = power(HASH_MULTIPLIER, BLOCK_BYTES);
 
         private final byte[] bytes;
         private final int[] offsets;
@@ -260,7 +260,7 @@
         }
 
         static int roll(int hash, byte leaves, byte enters) {
-            return hash * HASH_MULTIPLIER - LEAVING * leaves + enters;
+            return hash * HASH_MULTIPLIER - REMOVED_BYTE_MULTIPLIER * leaves + enters;
         }
 
         /** Where the block {@code of[at, at + BLOCK)} is found, or -1. */
