--- a/org.berylwick.node/src/org/berylwick/node/version/VersionDeltaCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionDeltaCodec.java
@@ -234,7 +234,7 @@
             mask = size - 1;
             offsets = new int[size];
             for (int at = 0; at + BLOCK_BYTES <= bytes.length; at += BLOCK_BYTES) {
-                offsets[slot(hash(bytes, at))] = at + 1;
+                offsets[bucket(hash(bytes, at))] = at + 1;
             }
         }
 
@@ -246,7 +246,7 @@
             return result;
         }
 
-        private int slot(int hash) {
+        private int bucket(int hash) {
             int mixed = hash * 0x9e3779b1;
             return mixed >>> 8 & mask;
         }
@@ -265,7 +265,7 @@
 
         /** Where the block {@code of[at, at + BLOCK)} is found, or -1. */
         int find(int hash, byte[] of, int at) {
-            int offset = offsets[slot(hash)] - 1;
+            int offset = offsets[bucket(hash)] - 1;
             if (offset < 0 || !Arrays.equals(bytes, offset, offset + BLOCK_BYTES, of, at, at + BLOCK_BYTES)) {
                 return -1;
             }
