--- a/org.berylwick.node/src/org/berylwick/node/version/VersionFetcher.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionFetcher.java
@@ -23,7 +23,7 @@
     /**
      * A node of this zone will have a version a little after one elsewhere; fetching from it costs no zone crossing.
      */
-    private static final long FAR_DELAY_NANOS = 40_000_000L;
+    private static final long OTHER_ZONE_DELAY_NANOS = 40_000_000L;
 
     private static final long RETRY_MILLIS = 150;
     private static final long TIMEOUT_MILLIS = 1_200;
@@ -76,7 +76,7 @@
             return;
         }
         planned = true;
-        long delay = member.state().zone().equals(zone) ? 0 : FAR_DELAY_NANOS;
+        long delay = member.state().zone().equals(zone) ? 0 : OTHER_ZONE_DELAY_NANOS;
         loop.schedule(this::fetch, Math.max(delay, notBefore - System.nanoTime()), TimeUnit.NANOSECONDS);
     }
 
