--- a/org.berylwick.node/src/org/berylwick/node/version/VersionFetcher.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionFetcher.java
@@ -31,7 +31,7 @@
     private final EventLoop loop;
     private final MemberTable table;
     private final String zone;
-    private final VersionShelf shelf;
+    private final VersionShelf history;
     private final LongSupplier number;
     private final BiConsumer<Member, byte[]> onFetched;
     private final Instruments instruments;
@@ -60,7 +60,7 @@
         this.loop = loop;
         this.table = table;
         this.zone = zone;
-        this.shelf = shelf;
+        this.history = shelf;
         this.number = number;
         this.onFetched = onFetched;
         this.instruments = instruments;
@@ -133,7 +133,7 @@
             return;
         }
         instruments.counters().add(NodeMetricNames.VERSIONS_FETCHED_BYTES, answered.body().length);
-        Optional<byte[]> whole = VersionShelf.Delivery.read(answered.body()).flatMap(shelf::join);
+        Optional<byte[]> whole = VersionShelf.Delivery.read(answered.body()).flatMap(history::join);
         if (whole.isEmpty()) {
             // The next one is asked for whole, or two nodes that differ in an old version would never agree again.
             wholeWanted = true;
