--- a/org.berylwick.node/src/org/berylwick/node/version/VersionFetcher.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionFetcher.java
@@ -32,7 +32,7 @@
     private final MemberTable table;
     private final String zone;
     private final VersionShelf history;
-    private final LongSupplier number;
+    private final LongSupplier currentNumber;
     private final BiConsumer<Member, byte[]> onFetched;
     private final Instruments instruments;
     private boolean fetching;
@@ -61,7 +61,7 @@
         this.table = table;
         this.zone = zone;
         this.history = shelf;
-        this.number = number;
+        this.currentNumber = number;
         this.onFetched = onFetched;
         this.instruments = instruments;
     }
@@ -72,7 +72,7 @@
      * @param notBefore when the next version may be installed, in {@link System#nanoTime} terms
      */
     void onHeard(Member member, long notBefore) {
-        if (planned || fetching || member.state().version() <= number.getAsLong()) {
+        if (planned || fetching || member.state().version() <= currentNumber.getAsLong()) {
             return;
         }
         planned = true;
@@ -91,7 +91,7 @@
         }
         fetching = true;
         Member member = from.get();
-        long base = wholeWanted ? 0 : number.getAsLong();
+        long base = wholeWanted ? 0 : currentNumber.getAsLong();
         SmallHttpCall.start(
                 loop,
                 member.pool(),
@@ -106,7 +106,7 @@
         List<Member> near = new ArrayList<>();
         List<Member> far = new ArrayList<>();
         for (Member member : table.all()) {
-            if (member.state().version() <= number.getAsLong() || member.isSuspect(now)) {
+            if (member.state().version() <= currentNumber.getAsLong() || member.isSuspect(now)) {
                 continue;
             }
             (member.state().zone().equals(zone) ? near : far).add(member);
