--- a/org.berylwick.node/src/org/berylwick/node/version/VersionFetcher.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionFetcher.java
@@ -36,7 +36,7 @@
     private final BiConsumer<Member, byte[]> onFetched;
     private final Instruments instruments;
     private boolean fetching;
-    private boolean planned;
+    private boolean fetchScheduled;
     private boolean wholeWanted;
     private String lastDeliverer = "";
 
@@ -72,16 +72,16 @@
      * @param notBefore when the next version may be installed, in {@link System#nanoTime} terms
      */
     void onHeard(Member member, long notBefore) {
-        if (planned || fetching || member.state().version() <= currentNumber.getAsLong()) {
+        if (fetchScheduled || fetching || member.state().version() <= currentNumber.getAsLong()) {
             return;
         }
-        planned = true;
+        fetchScheduled = true;
         long delay = member.state().zone().equals(zone) ? 0 : OTHER_ZONE_DELAY_NANOS;
         loop.schedule(this::fetch, Math.max(delay, notBefore - System.nanoTime()), TimeUnit.NANOSECONDS);
     }
 
     private void fetch() {
-        planned = false;
+        fetchScheduled = false;
         if (fetching) {
             return;
         }
@@ -148,7 +148,7 @@
 
     private void fetchAgain() {
         lastDeliverer = "";
-        planned = true;
+        fetchScheduled = true;
         loop.schedule(this::fetch, RETRY_MILLIS, TimeUnit.MILLISECONDS);
     }
 }
