--- a/org.berylwick.node/src/org/berylwick/node/version/VersionFetcher.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionFetcher.java
@@ -37,7 +37,7 @@
     private final Instruments instruments;
     private boolean fetching;
     private boolean fetchScheduled;
-    private boolean wholeWanted;
+    private boolean fullVersionRequired;
     private String lastDeliverer = "";
 
     /**
@@ -91,7 +91,7 @@
         }
         fetching = true;
         Member member = from.get();
-        long base = wholeWanted ? 0 : currentNumber.getAsLong();
+        long base = fullVersionRequired ? 0 : currentNumber.getAsLong();
         SmallHttpCall.start(
                 loop,
                 member.pool(),
@@ -136,12 +136,12 @@
         Optional<byte[]> whole = VersionShelf.Delivery.read(answered.body()).flatMap(history::join);
         if (whole.isEmpty()) {
             // The next one is asked for whole, or two nodes that differ in an old version would never agree again.
-            wholeWanted = true;
+            fullVersionRequired = true;
             instruments.log().write(Event.VERSION_REFUSED, "from", from.ip(), "why", "does not fit the version here");
             fetchAgain();
             return;
         }
-        wholeWanted = false;
+        fullVersionRequired = false;
         lastDeliverer = from.ip();
         onFetched.accept(from, whole.get());
     }
