--- a/org.berylwick.node/src/org/berylwick/node/version/VersionFetcher.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionFetcher.java
@@ -38,7 +38,7 @@
     private boolean fetching;
     private boolean fetchScheduled;
     private boolean fullVersionRequired;
-    private String lastDeliverer = "";
+    private String lastSourceIp = "";
 
     /**
      * @param loop all runs on it
@@ -117,7 +117,7 @@
         }
         // The one that delivered last has the version that is here, and needs to send only what changed since.
         for (Member member : from) {
-            if (member.ip().equals(lastDeliverer)) {
+            if (member.ip().equals(lastSourceIp)) {
                 return Optional.of(member);
             }
         }
@@ -142,12 +142,12 @@
             return;
         }
         fullVersionRequired = false;
-        lastDeliverer = from.ip();
+        lastSourceIp = from.ip();
         onFetched.accept(from, whole.get());
     }
 
     private void fetchAgain() {
-        lastDeliverer = "";
+        lastSourceIp = "";
         fetchScheduled = true;
         loop.schedule(this::fetch, RETRY_MILLIS, TimeUnit.MILLISECONDS);
     }
