--- a/org.berylwick.node/src/org/berylwick/node/version/VersionFetcher.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionFetcher.java
@@ -71,7 +71,7 @@
      *
      * @param notBefore when the next version may be installed, in {@link System#nanoTime} terms
      */
-    void onHeard(Member member, long notBefore) {
+    void onMemberUpdated(Member member, long notBefore) {
         if (fetchScheduled || fetching || member.state().version() <= currentNumber.getAsLong()) {
             return;
         }
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionKeeper.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionKeeper.java
@@ -278,7 +278,7 @@
 
     /** Another node told which version it has. */
     public void onHeard(Member member) {
-        fetcher.onHeard(member, version.isEmpty() ? System.nanoTime() : installedAt + SPACING_NANOS);
+        fetcher.onMemberUpdated(member, version.isEmpty() ? System.nanoTime() : installedAt + SPACING_NANOS);
     }
 
     private long number() {
