--- a/org.berylwick.node/src/org/berylwick/node/version/VersionFetcher.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionFetcher.java
@@ -85,7 +85,7 @@
         if (fetching) {
             return;
         }
-        Optional<Member> from = nearestAhead();
+        Optional<Member> from = chooseSource();
         if (from.isEmpty()) {
             return;
         }
@@ -101,7 +101,7 @@
                 result -> onResult(member, result));
     }
 
-    private Optional<Member> nearestAhead() {
+    private Optional<Member> chooseSource() {
         long now = System.nanoTime();
         List<Member> near = new ArrayList<>();
         List<Member> far = new ArrayList<>();
