--- a/org.berylwick.node/src/org/berylwick/node/version/VersionFetcher.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionFetcher.java
@@ -129,7 +129,7 @@
         if (!(result instanceof SmallHttpCall.Result.Answered answered) || answered.status() != 200) {
             // Its link may be full of this very version: that says nothing of the requests it runs.
             instruments.counters().add(NodeMetricNames.VERSIONS_FETCH_FAILURES);
-            fetchAgain();
+            scheduleRetry();
             return;
         }
         instruments.counters().add(NodeMetricNames.VERSIONS_FETCHED_BYTES, answered.body().length);
@@ -138,7 +138,7 @@
             // The next one is asked for whole, or two nodes that differ in an old version would never agree again.
             fullVersionRequired = true;
             instruments.log().write(Event.VERSION_REFUSED, "from", from.ip(), "why", "does not fit the version here");
-            fetchAgain();
+            scheduleRetry();
             return;
         }
         fullVersionRequired = false;
@@ -146,7 +146,7 @@
         onFetched.accept(from, whole.get());
     }
 
-    private void fetchAgain() {
+    private void scheduleRetry() {
         lastSourceIp = "";
         fetchScheduled = true;
         loop.schedule(this::fetch, RETRY_MILLIS, TimeUnit.MILLISECONDS);
