--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -35,7 +35,7 @@
 import org.berylwick.node.transport.EventLoopClock;
 import org.berylwick.node.transport.SmallHttpServer;
 import org.berylwick.node.transport.VmLink;
-import org.berylwick.node.version.VersionKeeper;
+import org.berylwick.node.version.VersionUpdater;
 
 /** One node: opens its ports, joins the parts, and stops in order. All state lives on one event loop. */
 public final class Node implements AutoCloseable {
@@ -62,7 +62,7 @@
     private final Owner owner;
     private final VmLink link;
     private final Gossip gossip;
-    private final VersionKeeper versions;
+    private final VersionUpdater versions;
     private final NodeDiscovery directory;
     private final EntryServer entry;
     private final PeerServer peers;
@@ -104,7 +104,7 @@
         this.probe = new BackendProbe(loop, settings, ports.headerNames(), owner, log);
         this.gossip = new Gossip(
                 loop, settings.ip(), settings.gossipPort(), table, this::selfState, counters, log, this::onHeard);
-        this.versions = new VersionKeeper(
+        this.versions = new VersionUpdater(
                 loop,
                 ports.configurationSource(loop),
                 table,
@@ -307,7 +307,7 @@
         gossip.broadcastNow();
     }
 
-    private void onInstalled(VersionKeeper.Origin origin) {
+    private void onInstalled(VersionUpdater.Origin origin) {
         // Those that read it themselves tell all; one that got it from far away saves its neighbours the way.
         switch (origin) {
             case STORE -> gossip.broadcastNow();
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -28,7 +28,7 @@
 import org.berylwick.node.transport.OutgoingLink;
 import org.berylwick.node.transport.RequestBody;
 import org.berylwick.node.transport.VmLink;
-import org.berylwick.node.version.VersionKeeper;
+import org.berylwick.node.version.VersionUpdater;
 
 /** A connection of another node: its requests for the backend server here, or for the version; on the event loop. */
 final class PeerHandler extends ChannelInboundHandlerAdapter implements AttemptListener, OutgoingLink.Wire {
@@ -168,11 +168,11 @@
     }
 
     private static Optional<Long> baseOf(String uri) {
-        if (!uri.startsWith(VersionKeeper.VERSION_PATH)) {
+        if (!uri.startsWith(VersionUpdater.VERSION_PATH)) {
             return Optional.empty();
         }
         try {
-            return Optional.of(Long.parseLong(uri.substring(VersionKeeper.VERSION_PATH.length())));
+            return Optional.of(Long.parseLong(uri.substring(VersionUpdater.VERSION_PATH.length())));
         } catch (NumberFormatException e) {
             return Optional.empty();
         }
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionFetcher.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionFetcher.java
@@ -95,7 +95,7 @@
         SmallHttpCall.start(
                 loop,
                 member.pool(),
-                new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, VersionKeeper.VERSION_PATH + base),
+                new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, VersionUpdater.VERSION_PATH + base),
                 new byte[0],
                 TIMEOUT_MILLIS,
                 result -> onResult(member, result));
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionKeeper.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
@@ -23,7 +23,7 @@
  * question a second over the fleet: a watch whose connection went silent looks like one with nothing to tell. Only a
  * higher version is ever installed.
  */
-public final class VersionKeeper {
+public final class VersionUpdater {
     /** Where nodes read the version in force at another; the number of the one they have follows. */
     public static final String VERSION_PATH = "/bw/version?base=";
 
@@ -66,7 +66,7 @@
      * @param counters takes counts
      * @param log takes events
      */
-    public VersionKeeper(
+    public VersionUpdater(
             EventLoop loop,
             ConfigurationSource source,
             MemberTable table,
--- a/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
@@ -20,7 +20,7 @@
 import org.berylwick.node.member.NodeState;
 import org.berylwick.node.transport.SmallHttpServer;
 import org.berylwick.node.version.VersionDeltaCodec;
-import org.berylwick.node.version.VersionKeeper;
+import org.berylwick.node.version.VersionUpdater;
 import org.berylwick.testing.Await;
 import org.berylwick.testing.RawServer;
 import org.junit.jupiter.api.Test;
@@ -163,7 +163,7 @@
                 node.setSoTimeout(10_000);
                 long askedAt = System.nanoTime();
                 node.getOutputStream()
-                        .write(("GET " + VersionKeeper.VERSION_PATH + "0 HTTP/1.1\r\n\r\n").getBytes(US_ASCII));
+                        .write(("GET " + VersionUpdater.VERSION_PATH + "0 HTTP/1.1\r\n\r\n").getBytes(US_ASCII));
                 String answer = NodeRig.readAnswer(node.getInputStream());
                 long millis = (System.nanoTime() - askedAt) / 1_000_000;
                 assertTrue(answer.startsWith("HTTP/1.1 200") && !answer.endsWith("[closed]"));
