--- a/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
@@ -27,7 +27,7 @@
     /** Where nodes read the version in force at another; the number of the one they have follows. */
     public static final String VERSION_PATH = "/bw/version?base=";
 
-    private static final long WATCH_MILLIS = 8_000;
+    private static final long WATCH_TIMEOUT_MILLIS = 8_000;
     private static final long FIRST_RETRY_MILLIS = 100;
     private static final long LONGEST_RETRY_MILLIS = 1_000;
     private static final long POLL_MILLIS_PER_NODE = 1_000;
@@ -230,7 +230,7 @@
         }
         watching = true;
         counters.add(NodeMetricNames.STORE_WATCHES);
-        source.watch(revision, WATCH_MILLIS, answer -> {
+        source.watch(revision, WATCH_TIMEOUT_MILLIS, answer -> {
             watching = false;
             onAnswer(answer);
         });
