--- a/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
@@ -28,7 +28,7 @@
     public static final String VERSION_PATH = "/bw/version?base=";
 
     private static final long WATCH_TIMEOUT_MILLIS = 8_000;
-    private static final long FIRST_RETRY_MILLIS = 100;
+    private static final long INITIAL_RETRY_MILLIS = 100;
     private static final long LONGEST_RETRY_MILLIS = 1_000;
     private static final long POLL_MILLIS_PER_NODE = 1_000;
     private static final long SHORTEST_POLL_MILLIS = 2_000;
@@ -51,7 +51,7 @@
     private Optional<MeshVersion> version = Optional.empty();
     private long installedAt;
     private boolean storeReached = true;
-    private long retryMillis = FIRST_RETRY_MILLIS;
+    private long retryMillis = INITIAL_RETRY_MILLIS;
     private boolean reading;
     private boolean watching;
     private long revision;
@@ -203,7 +203,7 @@
     }
 
     private void onReached() {
-        retryMillis = FIRST_RETRY_MILLIS;
+        retryMillis = INITIAL_RETRY_MILLIS;
         if (!storeReached) {
             storeReached = true;
             log.write(Event.STORE_REGAINED, "revision", revision);
