--- a/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
@@ -29,7 +29,7 @@
 
     private static final long WATCH_TIMEOUT_MILLIS = 8_000;
     private static final long INITIAL_RETRY_MILLIS = 100;
-    private static final long LONGEST_RETRY_MILLIS = 1_000;
+    private static final long MAX_RETRY_MILLIS = 1_000;
     private static final long POLL_MILLIS_PER_NODE = 1_000;
     private static final long SHORTEST_POLL_MILLIS = 2_000;
     /**
@@ -220,7 +220,7 @@
 
     private void retry(Runnable task) {
         long millis = retryMillis / 2 + ThreadLocalRandom.current().nextLong(retryMillis);
-        retryMillis = Math.min(LONGEST_RETRY_MILLIS, retryMillis * 2);
+        retryMillis = Math.min(MAX_RETRY_MILLIS, retryMillis * 2);
         loop.schedule(task, millis, TimeUnit.MILLISECONDS);
     }
 
