--- a/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
@@ -31,7 +31,7 @@
     private static final long INITIAL_RETRY_MILLIS = 100;
     private static final long MAX_RETRY_MILLIS = 1_000;
     private static final long POLL_MILLIS_PER_NODE = 1_000;
-    private static final long SHORTEST_POLL_MILLIS = 2_000;
+    private static final long MIN_POLL_MILLIS = 2_000;
     /**
      * Between two versions that are installed here. Of versions that come faster only the newest is read: each costs a
      * parse of the whole, on VMs with 0.3 of a core.
@@ -238,7 +238,7 @@
 
     private void planPoll() {
         long nodes = table.all().size() + 1L;
-        long period = Math.max(SHORTEST_POLL_MILLIS, POLL_MILLIS_PER_NODE * nodes);
+        long period = Math.max(MIN_POLL_MILLIS, POLL_MILLIS_PER_NODE * nodes);
         long millis = period / 2 + ThreadLocalRandom.current().nextLong(period);
         loop.schedule(
                 () -> {
