--- a/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
@@ -36,7 +36,7 @@
      * Between two versions that are installed here. Of versions that come faster only the newest is read: each costs a
      * parse of the whole, on VMs with 0.3 of a core.
      */
-    private static final long SPACING_NANOS = 250_000_000L;
+    private static final long MIN_INSTALL_INTERVAL_NANOS = 250_000_000L;
 
     private final EventLoop loop;
     private final ConfigurationSource source;
@@ -189,7 +189,7 @@
             watchOn();
             return;
         }
-        loop.schedule(this::readAsReader, SPACING_NANOS, TimeUnit.NANOSECONDS);
+        loop.schedule(this::readAsReader, MIN_INSTALL_INTERVAL_NANOS, TimeUnit.NANOSECONDS);
     }
 
     private void readAsReader() {
@@ -199,7 +199,7 @@
     }
 
     private boolean isWithinSpacing(long now) {
-        return version.isPresent() && now - installedAt < SPACING_NANOS;
+        return version.isPresent() && now - installedAt < MIN_INSTALL_INTERVAL_NANOS;
     }
 
     private void onReached() {
@@ -278,7 +278,7 @@
 
     /** Another node told which version it has. */
     public void onHeard(Member member) {
-        fetcher.onMemberUpdated(member, version.isEmpty() ? System.nanoTime() : installedAt + SPACING_NANOS);
+        fetcher.onMemberUpdated(member, version.isEmpty() ? System.nanoTime() : installedAt + MIN_INSTALL_INTERVAL_NANOS);
     }
 
     private long number() {
