--- a/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
@@ -46,7 +46,7 @@
     private final Consumer<Origin> onInstalled;
     private final Counters counters;
     private final EventLog log;
-    private final VersionShelf shelf = new VersionShelf();
+    private final VersionShelf history = new VersionShelf();
     private final VersionFetcher fetcher;
     private Optional<MeshVersion> version = Optional.empty();
     private long installedAt;
@@ -84,7 +84,7 @@
         this.counters = counters;
         this.log = log;
         this.fetcher = new VersionFetcher(
-                loop, table, zone, shelf, this::number, this::onFetched, new Instruments(counters, log));
+                loop, table, zone, history, this::number, this::onFetched, new Instruments(counters, log));
     }
 
     /** The version in force here. */
@@ -114,7 +114,7 @@
      * @return empty if there is nothing newer here
      */
     public Optional<byte[]> deliver(long base) {
-        return shelf.deliver(base).map(VersionShelf.Delivery::bytes);
+        return history.deliver(base).map(VersionShelf.Delivery::bytes);
     }
 
     /** Starts. */
@@ -259,7 +259,7 @@
         }
         version = Optional.of(fresh);
         installedAt = System.nanoTime();
-        shelf.add(fresh);
+        history.add(fresh);
         counters.add(NodeMetricNames.VERSIONS_INSTALLED);
         log.write(
                 Event.VERSION_INSTALLED,
