--- a/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
@@ -49,7 +49,7 @@
     private final VersionShelf history = new VersionShelf();
     private final VersionFetcher fetcher;
     private Optional<MeshVersion> version = Optional.empty();
-    private long installedAt;
+    private long lastInstalledAt;
     private boolean storeReached = true;
     private long retryMillis = INITIAL_RETRY_MILLIS;
     private boolean reading;
@@ -199,7 +199,7 @@
     }
 
     private boolean isWithinSpacing(long now) {
-        return version.isPresent() && now - installedAt < MIN_INSTALL_INTERVAL_NANOS;
+        return version.isPresent() && now - lastInstalledAt < MIN_INSTALL_INTERVAL_NANOS;
     }
 
     private void onReached() {
@@ -258,7 +258,7 @@
             return;
         }
         version = Optional.of(fresh);
-        installedAt = System.nanoTime();
+        lastInstalledAt = System.nanoTime();
         history.add(fresh);
         counters.add(NodeMetricNames.VERSIONS_INSTALLED);
         log.write(
@@ -278,7 +278,7 @@
 
     /** Another node told which version it has. */
     public void onHeard(Member member) {
-        fetcher.onMemberUpdated(member, version.isEmpty() ? System.nanoTime() : installedAt + MIN_INSTALL_INTERVAL_NANOS);
+        fetcher.onMemberUpdated(member, version.isEmpty() ? System.nanoTime() : lastInstalledAt + MIN_INSTALL_INTERVAL_NANOS);
     }
 
     private long number() {
