--- a/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
@@ -50,7 +50,7 @@
     private final VersionFetcher fetcher;
     private Optional<MeshVersion> version = Optional.empty();
     private long lastInstalledAt;
-    private boolean storeReached = true;
+    private boolean storeReachable = true;
     private long retryMillis = INITIAL_RETRY_MILLIS;
     private boolean reading;
     private boolean watching;
@@ -94,7 +94,7 @@
 
     /** Whether the store answered the last call. */
     public boolean storeReached() {
-        return storeReached;
+        return storeReachable;
     }
 
     /** Where a version came from. */
@@ -204,16 +204,16 @@
 
     private void onReached() {
         retryMillis = INITIAL_RETRY_MILLIS;
-        if (!storeReached) {
-            storeReached = true;
+        if (!storeReachable) {
+            storeReachable = true;
             log.write(Event.STORE_REGAINED, "revision", revision);
         }
     }
 
     private void onLost(String cause) {
         counters.add(NodeMetricNames.STORE_FAILURES);
-        if (storeReached) {
-            storeReached = false;
+        if (storeReachable) {
+            storeReachable = false;
             log.write(Event.STORE_LOST, "cause", cause, "follows", "versions come from other nodes");
         }
     }
