--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -293,7 +293,7 @@
                 settings.zone(),
                 linkMbps(),
                 versions.version().map(v -> v.number()).orElse(0L),
-                versions.storeReached(),
+                versions.isStoreReachable(),
                 leaving,
                 backend.map(Backend::service).orElse(service),
                 backend.map(Backend::incarnation).orElse(""),
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
@@ -93,7 +93,7 @@
     }
 
     /** Whether the store answered the last call. */
-    public boolean storeReached() {
+    public boolean isStoreReachable() {
         return storeReachable;
     }
 
