--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -126,7 +126,7 @@
                 candidates(),
                 budget,
                 new Instruments(counters, log));
-        this.peers = new PeerServer(loop, settings.peers(), owner, link, versions::deliver);
+        this.peers = new PeerServer(loop, settings.peers(), owner, link, versions::encodeDeltaFrom);
         this.stop = new NodeStop(
                 loop,
                 settings.bounds().graceNanos(),
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
@@ -113,7 +113,7 @@
      * @param base number of the version it has, 0 for none
      * @return empty if there is nothing newer here
      */
-    public Optional<byte[]> deliver(long base) {
+    public Optional<byte[]> encodeDeltaFrom(long base) {
         return history.deliver(base).map(VersionShelf.Delivery::bytes);
     }
 
