--- a/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
@@ -142,11 +142,11 @@
         counters.add(NodeMetricNames.STORE_READS);
         source.read(freshness, answer -> {
             reading = false;
-            onAnswer(answer);
+            onReadResult(answer);
         });
     }
 
-    private void onAnswer(ConfigurationSource.ReadResult answer) {
+    private void onReadResult(ConfigurationSource.ReadResult answer) {
         switch (answer) {
             case ConfigurationSource.ReadResult.Found found -> {
                 onReached();
@@ -232,7 +232,7 @@
         counters.add(NodeMetricNames.STORE_WATCHES);
         source.watch(revision, WATCH_TIMEOUT_MILLIS, answer -> {
             watching = false;
-            onAnswer(answer);
+            onReadResult(answer);
         });
     }
 
