--- a/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
@@ -153,7 +153,7 @@
                 revision = Math.max(revision, found.revision());
                 boolean burst = isWithinSpacing(System.nanoTime());
                 install(found.version(), "store", Origin.STORE);
-                readOn(burst);
+                continueReading(burst);
             }
             case ConfigurationSource.ReadResult.Unchanged unchanged -> {
                 onReached();
@@ -184,7 +184,7 @@
     /**
      * Watches on. In a burst it waits and reads the newest version alone: a watch is answered with every one of them.
      */
-    private void readOn(boolean burst) {
+    private void continueReading(boolean burst) {
         if (!burst || reading) {
             watchOn();
             return;
