--- a/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
@@ -189,10 +189,10 @@
             watchOn();
             return;
         }
-        loop.schedule(this::readAsReader, MIN_INSTALL_INTERVAL_NANOS, TimeUnit.NANOSECONDS);
+        loop.schedule(this::readIfReader, MIN_INSTALL_INTERVAL_NANOS, TimeUnit.NANOSECONDS);
     }
 
-    private void readAsReader() {
+    private void readIfReader() {
         if (!watching && isReader.getAsBoolean()) {
             read();
         }
