--- a/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
@@ -151,7 +151,7 @@
             case ConfigurationSource.ReadResult.Found found -> {
                 onReached();
                 revision = Math.max(revision, found.revision());
-                boolean burst = isWithinSpacing(System.nanoTime());
+                boolean burst = isWithinInstallInterval(System.nanoTime());
                 install(found.version(), "store", Origin.STORE);
                 continueReading(burst);
             }
@@ -198,7 +198,7 @@
         }
     }
 
-    private boolean isWithinSpacing(long now) {
+    private boolean isWithinInstallInterval(long now) {
         return version.isPresent() && now - lastInstalledAt < MIN_INSTALL_INTERVAL_NANOS;
     }
 
