--- a/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
@@ -149,23 +149,23 @@
     private void onReadResult(ConfigurationSource.ReadResult answer) {
         switch (answer) {
             case ConfigurationSource.ReadResult.Found found -> {
-                onReached();
+                onStoreReachable();
                 revision = Math.max(revision, found.revision());
                 boolean burst = isWithinInstallInterval(System.nanoTime());
                 install(found.version(), "store", Origin.STORE);
                 continueReading(burst);
             }
             case ConfigurationSource.ReadResult.Unchanged unchanged -> {
-                onReached();
+                onStoreReachable();
                 revision = Math.max(revision, unchanged.revision());
                 watchOn();
             }
             case ConfigurationSource.ReadResult.Missing missing -> {
-                onReached();
+                onStoreReachable();
                 retry(this::read);
             }
             case ConfigurationSource.ReadResult.Invalid invalid -> {
-                onReached();
+                onStoreReachable();
                 log.write(Event.VERSION_REFUSED, "from", "store", "why", invalid.reason());
                 retry(this::read);
             }
@@ -202,7 +202,7 @@
         return version.isPresent() && now - lastInstalledAt < MIN_INSTALL_INTERVAL_NANOS;
     }
 
-    private void onReached() {
+    private void onStoreReachable() {
         retryMillis = INITIAL_RETRY_MILLIS;
         if (!storeReachable) {
             storeReachable = true;
