--- a/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
@@ -175,7 +175,7 @@
                 retry(this::read);
             }
             case ConfigurationSource.ReadResult.Failed failed -> {
-                onLost(failed.cause());
+                onStoreUnreachable(failed.cause());
                 retry(this::read);
             }
         }
@@ -210,7 +210,7 @@
         }
     }
 
-    private void onLost(String cause) {
+    private void onStoreUnreachable(String cause) {
         counters.add(NodeMetricNames.STORE_FAILURES);
         if (storeReachable) {
             storeReachable = false;
