--- a/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
@@ -162,21 +162,21 @@
             }
             case ConfigurationSource.ReadResult.Missing missing -> {
                 onStoreReachable();
-                retry(this::read);
+                scheduleRetry(this::read);
             }
             case ConfigurationSource.ReadResult.Invalid invalid -> {
                 onStoreReachable();
                 log.write(Event.VERSION_REFUSED, "from", "store", "why", invalid.reason());
-                retry(this::read);
+                scheduleRetry(this::read);
             }
             case ConfigurationSource.ReadResult.HistoryGone gone -> {
                 // Not at once: a store that has lost its history to an overload would be asked without pause.
                 counters.add(NodeMetricNames.STORE_HISTORY_GONE);
-                retry(this::read);
+                scheduleRetry(this::read);
             }
             case ConfigurationSource.ReadResult.Failed failed -> {
                 onStoreUnreachable(failed.cause());
-                retry(this::read);
+                scheduleRetry(this::read);
             }
         }
     }
@@ -218,7 +218,7 @@
         }
     }
 
-    private void retry(Runnable task) {
+    private void scheduleRetry(Runnable task) {
         long millis = retryMillis / 2 + ThreadLocalRandom.current().nextLong(retryMillis);
         retryMillis = Math.min(MAX_RETRY_MILLIS, retryMillis * 2);
         loop.schedule(task, millis, TimeUnit.MILLISECONDS);
