--- a/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
@@ -158,7 +158,7 @@
             case ConfigurationSource.ReadResult.Unchanged unchanged -> {
                 onStoreReachable();
                 revision = Math.max(revision, unchanged.revision());
-                watchOn();
+                watch();
             }
             case ConfigurationSource.ReadResult.Missing missing -> {
                 onStoreReachable();
@@ -186,7 +186,7 @@
      */
     private void continueReading(boolean burst) {
         if (!burst || reading) {
-            watchOn();
+            watch();
             return;
         }
         loop.schedule(this::readIfReader, MIN_INSTALL_INTERVAL_NANOS, TimeUnit.NANOSECONDS);
@@ -224,7 +224,7 @@
         loop.schedule(task, millis, TimeUnit.MILLISECONDS);
     }
 
-    private void watchOn() {
+    private void watch() {
         if (watching || !isReader.getAsBoolean()) {
             return;
         }
