--- a/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
@@ -120,7 +120,7 @@
     /** Starts. */
     public void start() {
         read();
-        planPoll();
+        schedulePoll();
     }
 
     /** Takes up the watch if this node became a reader; called about once a second. */
@@ -236,7 +236,7 @@
         });
     }
 
-    private void planPoll() {
+    private void schedulePoll() {
         long nodes = table.all().size() + 1L;
         long period = Math.max(MIN_POLL_MILLIS, POLL_MILLIS_PER_NODE * nodes);
         long millis = period / 2 + ThreadLocalRandom.current().nextLong(period);
@@ -247,7 +247,7 @@
                             isReader.getAsBoolean()
                                     ? ConfigurationSource.Consistency.LINEARIZABLE
                                     : ConfigurationSource.Consistency.STALE_ALLOWED);
-                    planPoll();
+                    schedulePoll();
                 },
                 millis,
                 TimeUnit.MILLISECONDS);
