--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -319,7 +319,7 @@
     }
 
     private void onHeard(Member member, MemberTable.UpdateResult hearing) {
-        versions.onHeard(member);
+        versions.onMemberUpdated(member);
         if (hearing == MemberTable.UpdateResult.SAME) {
             return;
         }
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
@@ -277,7 +277,7 @@
     }
 
     /** Another node told which version it has. */
-    public void onHeard(Member member) {
+    public void onMemberUpdated(Member member) {
         fetcher.onMemberUpdated(member, version.isEmpty() ? System.nanoTime() : lastInstalledAt + MIN_INSTALL_INTERVAL_NANOS);
     }
 
