--- a/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
@@ -84,7 +84,7 @@
         this.counters = counters;
         this.log = log;
         this.fetcher = new VersionFetcher(
-                loop, table, zone, history, this::number, this::onFetched, new Instruments(counters, log));
+                loop, table, zone, history, this::currentNumber, this::onFetched, new Instruments(counters, log));
     }
 
     /** The version in force here. */
@@ -281,7 +281,7 @@
         fetcher.onMemberUpdated(member, version.isEmpty() ? System.nanoTime() : lastInstalledAt + MIN_INSTALL_INTERVAL_NANOS);
     }
 
-    private long number() {
+    private long currentNumber() {
         return version.map(MeshVersion::number).orElse(0L);
     }
 
