--- a/org.berylwick.node/src/org/berylwick/node/version/VersionFetcher.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionFetcher.java
@@ -31,7 +31,7 @@
     private final EventLoop loop;
     private final MemberTable table;
     private final String zone;
-    private final VersionShelf history;
+    private final VersionHistory history;
     private final LongSupplier currentNumber;
     private final BiConsumer<Member, byte[]> onFetched;
     private final Instruments instruments;
@@ -53,7 +53,7 @@
             EventLoop loop,
             MemberTable table,
             String zone,
-            VersionShelf shelf,
+            VersionHistory shelf,
             LongSupplier number,
             BiConsumer<Member, byte[]> onFetched,
             Instruments instruments) {
@@ -133,7 +133,7 @@
             return;
         }
         instruments.counters().add(NodeMetricNames.VERSIONS_FETCHED_BYTES, answered.body().length);
-        Optional<byte[]> whole = VersionShelf.Delivery.read(answered.body()).flatMap(history::join);
+        Optional<byte[]> whole = VersionHistory.Delivery.read(answered.body()).flatMap(history::join);
         if (whole.isEmpty()) {
             // The next one is asked for whole, or two nodes that differ in an old version would never agree again.
             fullVersionRequired = true;
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionShelf.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
@@ -9,7 +9,7 @@
 import org.berylwick.node.lib.MeshVersion;
 
 /** The last versions that were in force here, so that other nodes can be sent what changed; on the event loop. */
-final class VersionShelf {
+final class VersionHistory {
     private static final int MOST_VERSIONS = 6;
     /** Bytes of versions that are kept; six with 3,000 routes each are 2.6 MB. */
     private static final long MOST_BYTES = 3 << 20;
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
@@ -46,7 +46,7 @@
     private final Consumer<Origin> onInstalled;
     private final Counters counters;
     private final EventLog log;
-    private final VersionShelf history = new VersionShelf();
+    private final VersionHistory history = new VersionHistory();
     private final VersionFetcher fetcher;
     private Optional<MeshVersion> version = Optional.empty();
     private long lastInstalledAt;
@@ -114,7 +114,7 @@
      * @return empty if there is nothing newer here
      */
     public Optional<byte[]> encodeDeltaFrom(long base) {
-        return history.deliver(base).map(VersionShelf.Delivery::bytes);
+        return history.deliver(base).map(VersionHistory.Delivery::bytes);
     }
 
     /** Starts. */
