--- a/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
@@ -12,7 +12,7 @@
 final class VersionHistory {
     private static final int MAX_VERSIONS = 6;
     /** Bytes of versions that are kept; six with 3,000 routes each are 2.6 MB. */
-    private static final long MOST_BYTES = 3 << 20;
+    private static final long MAX_BYTES = 3 << 20;
 
     private static final byte[] NOTHING = new byte[0];
 
@@ -25,7 +25,7 @@
         sources.put(newest, version.source());
         deltas.clear();
         long bytes = sources.values().stream().mapToLong(s -> s.length).sum();
-        while (sources.size() > 1 && (sources.size() > MAX_VERSIONS || bytes > MOST_BYTES)) {
+        while (sources.size() > 1 && (sources.size() > MAX_VERSIONS || bytes > MAX_BYTES)) {
             Map.Entry<Long, byte[]> oldest = sources.entrySet().iterator().next();
             bytes -= oldest.getValue().length;
             sources.remove(oldest.getKey());
