--- a/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
@@ -14,7 +14,7 @@
     /** Bytes of versions that are kept; six with 3,000 routes each are 2.6 MB. */
     private static final long MAX_BYTES = 3 << 20;
 
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] EMPTY = new byte[0];
 
     private final LinkedHashMap<Long, byte[]> sources = new LinkedHashMap<>();
     private final Map<Long, byte[]> deltas = new HashMap<>();
@@ -42,7 +42,7 @@
         }
         long from = sources.containsKey(base) ? base : 0;
         byte[] delta = deltas.computeIfAbsent(
-                from, f -> VersionDeltaCodec.encode(sources.getOrDefault(f, NOTHING), sources.get(newest)));
+                from, f -> VersionDeltaCodec.encode(sources.getOrDefault(f, EMPTY), sources.get(newest)));
         return Optional.of(new Delivery(from, delta));
     }
 
@@ -73,7 +73,7 @@
 
     /** The whole version that a delivery leads to; empty if it is written against one that is not kept here. */
     Optional<byte[]> join(Delivery delivery) {
-        byte[] earlier = delivery.base() == 0 ? NOTHING : sources.get(delivery.base());
+        byte[] earlier = delivery.base() == 0 ? EMPTY : sources.get(delivery.base());
         return earlier == null ? Optional.empty() : VersionDeltaCodec.decode(earlier, delivery.delta());
     }
 }
