--- a/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
@@ -16,19 +16,19 @@
 
     private static final byte[] EMPTY = new byte[0];
 
-    private final LinkedHashMap<Long, byte[]> sources = new LinkedHashMap<>();
+    private final LinkedHashMap<Long, byte[]> encodedByNumber = new LinkedHashMap<>();
     private final Map<Long, byte[]> deltas = new HashMap<>();
     private long newest;
 
     void add(MeshVersion version) {
         newest = version.number();
-        sources.put(newest, version.source());
+        encodedByNumber.put(newest, version.source());
         deltas.clear();
-        long bytes = sources.values().stream().mapToLong(s -> s.length).sum();
-        while (sources.size() > 1 && (sources.size() > MAX_VERSIONS || bytes > MAX_BYTES)) {
-            Map.Entry<Long, byte[]> oldest = sources.entrySet().iterator().next();
+        long bytes = encodedByNumber.values().stream().mapToLong(s -> s.length).sum();
+        while (encodedByNumber.size() > 1 && (encodedByNumber.size() > MAX_VERSIONS || bytes > MAX_BYTES)) {
+            Map.Entry<Long, byte[]> oldest = encodedByNumber.entrySet().iterator().next();
             bytes -= oldest.getValue().length;
-            sources.remove(oldest.getKey());
+            encodedByNumber.remove(oldest.getKey());
         }
     }
 
@@ -37,12 +37,12 @@
      * Empty if there is nothing newer.
      */
     Optional<Delivery> deliver(long base) {
-        if (sources.isEmpty() || base >= newest) {
+        if (encodedByNumber.isEmpty() || base >= newest) {
             return Optional.empty();
         }
-        long from = sources.containsKey(base) ? base : 0;
+        long from = encodedByNumber.containsKey(base) ? base : 0;
         byte[] delta = deltas.computeIfAbsent(
-                from, f -> VersionDeltaCodec.encode(sources.getOrDefault(f, EMPTY), sources.get(newest)));
+                from, f -> VersionDeltaCodec.encode(encodedByNumber.getOrDefault(f, EMPTY), encodedByNumber.get(newest)));
         return Optional.of(new Delivery(from, delta));
     }
 
@@ -73,7 +73,7 @@
 
     /** The whole version that a delivery leads to; empty if it is written against one that is not kept here. */
     Optional<byte[]> join(Delivery delivery) {
-        byte[] earlier = delivery.base() == 0 ? EMPTY : sources.get(delivery.base());
+        byte[] earlier = delivery.base() == 0 ? EMPTY : encodedByNumber.get(delivery.base());
         return earlier == null ? Optional.empty() : VersionDeltaCodec.decode(earlier, delivery.delta());
     }
 }
