--- a/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
@@ -17,13 +17,13 @@
     private static final byte[] EMPTY = new byte[0];
 
     private final LinkedHashMap<Long, byte[]> encodedByNumber = new LinkedHashMap<>();
-    private final Map<Long, byte[]> deltas = new HashMap<>();
+    private final Map<Long, byte[]> deltasByBase = new HashMap<>();
     private long newest;
 
     void add(MeshVersion version) {
         newest = version.number();
         encodedByNumber.put(newest, version.source());
-        deltas.clear();
+        deltasByBase.clear();
         long bytes = encodedByNumber.values().stream().mapToLong(s -> s.length).sum();
         while (encodedByNumber.size() > 1 && (encodedByNumber.size() > MAX_VERSIONS || bytes > MAX_BYTES)) {
             Map.Entry<Long, byte[]> oldest = encodedByNumber.entrySet().iterator().next();
@@ -41,7 +41,7 @@
             return Optional.empty();
         }
         long from = encodedByNumber.containsKey(base) ? base : 0;
-        byte[] delta = deltas.computeIfAbsent(
+        byte[] delta = deltasByBase.computeIfAbsent(
                 from, f -> VersionDeltaCodec.encode(encodedByNumber.getOrDefault(f, EMPTY), encodedByNumber.get(newest)));
         return Optional.of(new Delivery(from, delta));
     }
