--- a/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
@@ -18,11 +18,11 @@
 
     private final LinkedHashMap<Long, byte[]> encodedByNumber = new LinkedHashMap<>();
     private final Map<Long, byte[]> deltasByBase = new HashMap<>();
-    private long newest;
+    private long newestNumber;
 
     void add(MeshVersion version) {
-        newest = version.number();
-        encodedByNumber.put(newest, version.source());
+        newestNumber = version.number();
+        encodedByNumber.put(newestNumber, version.source());
         deltasByBase.clear();
         long bytes = encodedByNumber.values().stream().mapToLong(s -> s.length).sum();
         while (encodedByNumber.size() > 1 && (encodedByNumber.size() > MAX_VERSIONS || bytes > MAX_BYTES)) {
@@ -37,12 +37,12 @@
      * Empty if there is nothing newer.
      */
     Optional<Delivery> deliver(long base) {
-        if (encodedByNumber.isEmpty() || base >= newest) {
+        if (encodedByNumber.isEmpty() || base >= newestNumber) {
             return Optional.empty();
         }
         long from = encodedByNumber.containsKey(base) ? base : 0;
         byte[] delta = deltasByBase.computeIfAbsent(
-                from, f -> VersionDeltaCodec.encode(encodedByNumber.getOrDefault(f, EMPTY), encodedByNumber.get(newest)));
+                from, f -> VersionDeltaCodec.encode(encodedByNumber.getOrDefault(f, EMPTY), encodedByNumber.get(newestNumber)));
         return Optional.of(new Delivery(from, delta));
     }
 
