--- a/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
@@ -36,7 +36,7 @@
      * What a node needs that has a version: the number of the version it is written against, 0 for none, and the delta.
      * Empty if there is nothing newer.
      */
-    Optional<Delivery> deliver(long base) {
+    Optional<Delivery> deltaFrom(long base) {
         if (encodedByNumber.isEmpty() || base >= newestNumber) {
             return Optional.empty();
         }
