--- a/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
@@ -36,14 +36,14 @@
      * What a node needs that has a version: the number of the version it is written against, 0 for none, and the delta.
      * Empty if there is nothing newer.
      */
-    Optional<Delivery> deltaFrom(long base) {
+    Optional<VersionDelta> deltaFrom(long base) {
         if (encodedByNumber.isEmpty() || base >= newestNumber) {
             return Optional.empty();
         }
         long from = encodedByNumber.containsKey(base) ? base : 0;
         byte[] delta = deltasByBase.computeIfAbsent(
                 from, f -> VersionDeltaCodec.encode(encodedByNumber.getOrDefault(f, EMPTY), encodedByNumber.get(newestNumber)));
-        return Optional.of(new Delivery(from, delta));
+        return Optional.of(new VersionDelta(from, delta));
     }
 
     /**
@@ -52,7 +52,7 @@
      * @param base number of the version it is written against, 0 for none
      * @param delta as {@link VersionDeltaCodec} reads it
      */
-    record Delivery(long base, byte[] delta) {
+    record VersionDelta(long base, byte[] delta) {
         /** The form between nodes: the base as 8 bytes, then the delta. */
         byte[] bytes() {
             return ByteBuffer.allocate(Long.BYTES + delta.length)
@@ -62,17 +62,17 @@
         }
 
         /** Reads the form between nodes; empty if it is too short. */
-        static Optional<Delivery> read(byte[] bytes) {
+        static Optional<VersionDelta> read(byte[] bytes) {
             if (bytes.length < Long.BYTES) {
                 return Optional.empty();
             }
             long base = ByteBuffer.wrap(bytes).getLong();
-            return Optional.of(new Delivery(base, Arrays.copyOfRange(bytes, Long.BYTES, bytes.length)));
+            return Optional.of(new VersionDelta(base, Arrays.copyOfRange(bytes, Long.BYTES, bytes.length)));
         }
     }
 
     /** The whole version that a delivery leads to; empty if it is written against one that is not kept here. */
-    Optional<byte[]> join(Delivery delivery) {
+    Optional<byte[]> join(VersionDelta delivery) {
         byte[] earlier = delivery.base() == 0 ? EMPTY : encodedByNumber.get(delivery.base());
         return earlier == null ? Optional.empty() : VersionDeltaCodec.decode(earlier, delivery.delta());
     }
