--- a/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
@@ -49,14 +49,14 @@
     /**
      * A delta on its way.
      *
-     * @param base number of the version it is written against, 0 for none
+     * @param baseNumber number of the version it is written against, 0 for none
      * @param delta as {@link VersionDeltaCodec} reads it
      */
-    record VersionDelta(long base, byte[] delta) {
+    record VersionDelta(long baseNumber, byte[] delta) {
         /** The form between nodes: the base as 8 bytes, then the delta. */
         byte[] bytes() {
             return ByteBuffer.allocate(Long.BYTES + delta.length)
-                    .putLong(base)
+                    .putLong(baseNumber)
                     .put(delta)
                     .array();
         }
@@ -73,7 +73,7 @@
 
     /** The whole version that a delivery leads to; empty if it is written against one that is not kept here. */
     Optional<byte[]> join(VersionDelta delivery) {
-        byte[] earlier = delivery.base() == 0 ? EMPTY : encodedByNumber.get(delivery.base());
+        byte[] earlier = delivery.baseNumber() == 0 ? EMPTY : encodedByNumber.get(delivery.baseNumber());
         return earlier == null ? Optional.empty() : VersionDeltaCodec.decode(earlier, delivery.delta());
     }
 }
