--- a/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
@@ -50,14 +50,14 @@
      * A delta on its way.
      *
      * @param baseNumber number of the version it is written against, 0 for none
-     * @param delta as {@link VersionDeltaCodec} reads it
+     * @param payload as {@link VersionDeltaCodec} reads it
      */
-    record VersionDelta(long baseNumber, byte[] delta) {
+    record VersionDelta(long baseNumber, byte[] payload) {
         /** The form between nodes: the base as 8 bytes, then the delta. */
         byte[] bytes() {
-            return ByteBuffer.allocate(Long.BYTES + delta.length)
+            return ByteBuffer.allocate(Long.BYTES + payload.length)
                     .putLong(baseNumber)
-                    .put(delta)
+                    .put(payload)
                     .array();
         }
 
@@ -74,6 +74,6 @@
     /** The whole version that a delivery leads to; empty if it is written against one that is not kept here. */
     Optional<byte[]> join(VersionDelta delivery) {
         byte[] earlier = delivery.baseNumber() == 0 ? EMPTY : encodedByNumber.get(delivery.baseNumber());
-        return earlier == null ? Optional.empty() : VersionDeltaCodec.decode(earlier, delivery.delta());
+        return earlier == null ? Optional.empty() : VersionDeltaCodec.decode(earlier, delivery.payload());
     }
 }
