--- a/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
@@ -54,7 +54,7 @@
      */
     record VersionDelta(long baseNumber, byte[] payload) {
         /** The form between nodes: the base as 8 bytes, then the delta. */
-        byte[] bytes() {
+        byte[] encode() {
             return ByteBuffer.allocate(Long.BYTES + payload.length)
                     .putLong(baseNumber)
                     .put(payload)
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
@@ -114,7 +114,7 @@
      * @return empty if there is nothing newer here
      */
     public Optional<byte[]> encodeDeltaFrom(long base) {
-        return history.deltaFrom(base).map(VersionHistory.VersionDelta::bytes);
+        return history.deltaFrom(base).map(VersionHistory.VersionDelta::encode);
     }
 
     /** Starts. */
