--- a/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
@@ -62,7 +62,7 @@
         }
 
         /** Reads the form between nodes; empty if it is too short. */
-        static Optional<VersionDelta> read(byte[] bytes) {
+        static Optional<VersionDelta> decode(byte[] bytes) {
             if (bytes.length < Long.BYTES) {
                 return Optional.empty();
             }
