--- a/org.berylwick.node/src/org/berylwick/node/version/VersionFetcher.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionFetcher.java
@@ -133,7 +133,7 @@
             return;
         }
         instruments.counters().add(NodeMetricNames.VERSIONS_FETCHED_BYTES, answered.body().length);
-        Optional<byte[]> whole = VersionHistory.VersionDelta.decode(answered.body()).flatMap(history::join);
+        Optional<byte[]> whole = VersionHistory.VersionDelta.decode(answered.body()).flatMap(history::apply);
         if (whole.isEmpty()) {
             // The next one is asked for whole, or two nodes that differ in an old version would never agree again.
             fullVersionRequired = true;
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
@@ -72,7 +72,7 @@
     }
 
     /** The whole version that a delivery leads to; empty if it is written against one that is not kept here. */
-    Optional<byte[]> join(VersionDelta delivery) {
+    Optional<byte[]> apply(VersionDelta delivery) {
         byte[] earlier = delivery.baseNumber() == 0 ? EMPTY : encodedByNumber.get(delivery.baseNumber());
         return earlier == null ? Optional.empty() : VersionDeltaCodec.decode(earlier, delivery.payload());
     }
