--- a/org.berylwick.test/tst/org/berylwick/node/MembershipTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/MembershipTest.java
@@ -14,7 +14,7 @@
 @Timeout(60)
 class MembershipTest {
     @Test
-    void nodeWithoutBackendServerSendsToAnother() {
+    void nodeWithoutBackendServerForwardsToAnotherNode() {
         try (RawServer server = new RawServer(NodeRig::answerOk);
                 NodeRig rig = new NodeRig()) {
             rig.configuration.accept(NodeRig.version(1));
