--- a/org.berylwick.test/tst/org/berylwick/node/MembershipTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/MembershipTest.java
@@ -34,7 +34,7 @@
      * after that. It must not bring work back.
      */
     @Test
-    void acknowledgedLeaveIsNotUndoneByALateHeartbeat() {
+    void delayedHeartbeatDoesNotUndoAcknowledgedLeave() {
         try (RawServer server = new RawServer(NodeRig::answerOk);
                 NodeRig rig = new NodeRig()) {
             rig.configuration.accept(NodeRig.version(1));
