--- a/org.berylwick.test/tst/org/berylwick/node/MembershipTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/MembershipTest.java
@@ -54,7 +54,7 @@
 
     /** A heartbeat of an incarnation that has crashed arrives after its successor's: the successor stays. */
     @Test
-    void lateHeartbeatOfAnEarlierIncarnationChangesNothing() {
+    void delayedHeartbeatOfEarlierIncarnationIsIgnored() {
         try (RawServer server = new RawServer(NodeRig::answerOk);
                 NodeRig rig = new NodeRig()) {
             rig.configuration.accept(NodeRig.version(1));
