--- a/org.berylwick.test/tst/org/berylwick/node/MembershipTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/MembershipTest.java
@@ -70,7 +70,7 @@
 
     /** A version reaches a node that cannot read the store, through one that can. */
     @Test
-    void versionSpreadsToANodeThatTheStoreTurnsAway() {
+    void nodeWithoutStoreAccessFetchesVersionFromAnotherNode() {
         try (RawServer server = new RawServer(NodeRig::answerOk);
                 NodeRig rig = new NodeRig()) {
             rig.configuration.accept(NodeRig.version(1));
