--- a/org.berylwick.test/tst/org/berylwick/node/MembershipTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/MembershipTest.java
@@ -88,7 +88,7 @@
      * runs has been answered.
      */
     @Test
-    void plannedStopLosesNoRequest() throws InterruptedException {
+    void plannedStopCompletesRunningRequest() throws InterruptedException {
         try (RawServer server = new RawServer((c, r) -> {
                     NodeRig.sleep(800);
                     NodeRig.answerOk(c, r);
