--- a/org.berylwick.test/tst/org/berylwick/node/MembershipTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/MembershipTest.java
@@ -113,7 +113,7 @@
      * payment would be lost, and each must run once at most, so none can be repeated.
      */
     @Test
-    void backendServerThatLosesAnswersGetsFewPayments() {
+    void backendServerThatDropsResponsesReceivesFewNonIdempotentRequests() {
         int[] runs = {0};
         try (RawServer bad = new RawServer((c, r) -> {
                     if (runs[0]++ % 2 == 0) {
