--- a/org.berylwick.test/tst/org/berylwick/node/MemoryConfiguration.java
+++ b/org.berylwick.test/tst/org/berylwick/node/InMemoryConfigurationStore.java
@@ -13,7 +13,7 @@
 import org.berylwick.node.version.ConfigurationSource;
 
 /** The place where versions are kept, in memory, shared by the nodes of a test; it can be out of reach. */
-final class MemoryConfiguration {
+final class InMemoryConfigurationStore {
     /** Makes a version about as long as one with 600 routes. */
     private static final String ROUTES = new Random(1)
             .longs(8_000)
@@ -71,13 +71,13 @@
         return new ConfigurationSource() {
             @Override
             public void read(Consistency freshness, Consumer<ReadResult> onAnswer) {
-                loop.execute(() -> onAnswer.accept(MemoryConfiguration.this.read()));
+                loop.execute(() -> onAnswer.accept(InMemoryConfigurationStore.this.read()));
             }
 
             @Override
             public void watch(long revision, long waitMillis, Consumer<ReadResult> onAnswer) {
-                MemoryConfiguration.this.watch(
-                        revision, () -> loop.execute(() -> onAnswer.accept(MemoryConfiguration.this.read())));
+                InMemoryConfigurationStore.this.watch(
+                        revision, () -> loop.execute(() -> onAnswer.accept(InMemoryConfigurationStore.this.read())));
             }
 
             @Override
