--- a/org.berylwick.test/tst/org/berylwick/node/InMemoryConfigurationStore.java
+++ b/org.berylwick.test/tst/org/berylwick/node/InMemoryConfigurationStore.java
@@ -15,7 +15,7 @@
 /** The place where versions are kept, in memory, shared by the nodes of a test; it can be out of reach. */
 final class InMemoryConfigurationStore {
     /** Makes a version about as long as one with 600 routes. */
-    private static final String ROUTES = new Random(1)
+    private static final String FILLER = new Random(1)
             .longs(8_000)
             .mapToObj(Long::toHexString)
             .map(text -> text.substring(Math.max(0, text.length() - 12)))
@@ -63,7 +63,7 @@
     }
 
     static byte[] sourceOf(long number) {
-        return (number + " " + ROUTES).getBytes(StandardCharsets.US_ASCII);
+        return (number + " " + FILLER).getBytes(StandardCharsets.US_ASCII);
     }
 
     /** What one node sees of it. */
