--- a/org.berylwick.test/tst/org/berylwick/node/InMemoryConfigurationStore.java
+++ b/org.berylwick.test/tst/org/berylwick/node/InMemoryConfigurationStore.java
@@ -23,13 +23,13 @@
 
     private final Map<Long, MeshVersion> versions = new ConcurrentHashMap<>();
     private final List<Runnable> watchers = new ArrayList<>();
-    private long newest;
+    private long newestNumber;
     private boolean down;
 
     /** Accepts a version. */
     synchronized void accept(MeshVersion version) {
         versions.put(version.number(), version);
-        newest = version.number();
+        newestNumber = version.number();
         List<Runnable> waiting = new ArrayList<>(watchers);
         watchers.clear();
         waiting.forEach(Runnable::run);
@@ -48,14 +48,14 @@
         if (down) {
             return new ConfigurationSource.ReadResult.Failed("down");
         }
-        if (newest == 0) {
+        if (newestNumber == 0) {
             return new ConfigurationSource.ReadResult.Missing();
         }
-        return new ConfigurationSource.ReadResult.Found(versions.get(newest), newest);
+        return new ConfigurationSource.ReadResult.Found(versions.get(newestNumber), newestNumber);
     }
 
     private synchronized void watch(long revision, Runnable onChange) {
-        if (down || newest > revision) {
+        if (down || newestNumber > revision) {
             onChange.run();
             return;
         }
