--- a/org.berylwick.test/tst/org/berylwick/node/InMemoryConfigurationStore.java
+++ b/org.berylwick.test/tst/org/berylwick/node/InMemoryConfigurationStore.java
@@ -24,7 +24,7 @@
     private final Map<Long, MeshVersion> versions = new ConcurrentHashMap<>();
     private final List<Runnable> watchers = new ArrayList<>();
     private long newestNumber;
-    private boolean down;
+    private boolean unavailable;
 
     /** Accepts a version. */
     synchronized void accept(MeshVersion version) {
@@ -41,11 +41,11 @@
     }
 
     synchronized void setDown(boolean isDown) {
-        down = isDown;
+        unavailable = isDown;
     }
 
     private synchronized ConfigurationSource.ReadResult read() {
-        if (down) {
+        if (unavailable) {
             return new ConfigurationSource.ReadResult.Failed("down");
         }
         if (newestNumber == 0) {
@@ -55,7 +55,7 @@
     }
 
     private synchronized void watch(long revision, Runnable onChange) {
-        if (down || newestNumber > revision) {
+        if (unavailable || newestNumber > revision) {
             onChange.run();
             return;
         }
