--- a/org.berylwick.test/tst/org/berylwick/node/AnswerPathTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/AnswerPathTest.java
@@ -27,7 +27,7 @@
 
     private static NodeRig rigWith(RawServer server) {
         NodeRig rig = new NodeRig();
-        rig.configuration.accept(NodeRig.version(1));
+        rig.configuration.publish(NodeRig.version(1));
         rig.start(1, Optional.of(server));
         rig.awaitReady(1);
         return rig;
@@ -207,7 +207,7 @@
             assertTrue(answer.startsWith("HTTP/1.1 503"), answer);
             assertTrue(answer.contains("Retry-After: 0."), answer);
             assertFalse(rig.isReady(1));
-            rig.configuration.accept(NodeRig.version(1));
+            rig.configuration.publish(NodeRig.version(1));
             rig.awaitReady(1);
             assertTrue(rig.call(1, "GET", "/none/x", "k2", "").startsWith("HTTP/1.1 404"));
         }
@@ -218,7 +218,7 @@
     void routeTimeoutEndsARequest() {
         try (RawServer server = new RawServer((c, r) -> c.awaitClosedByPeer());
                 NodeRig rig = new NodeRig()) {
-            rig.configuration.accept(NodeRig.version(
+            rig.configuration.publish(NodeRig.version(
                     1, b -> b.route(NodeRig.HOST, NodeRig.route("quick", "/quick/", RouteKind.NON_IDEMPOTENT, 300))));
             rig.start(1, Optional.of(server));
             rig.awaitReady(1);
--- a/org.berylwick.test/tst/org/berylwick/node/InMemoryConfigurationStore.java
+++ b/org.berylwick.test/tst/org/berylwick/node/InMemoryConfigurationStore.java
@@ -27,7 +27,7 @@
     private boolean unavailable;
 
     /** Accepts a version. */
-    synchronized void accept(MeshVersion version) {
+    synchronized void publish(MeshVersion version) {
         versions.put(version.number(), version);
         newestNumber = version.number();
         List<Runnable> waiting = new ArrayList<>(watchers);
--- a/org.berylwick.test/tst/org/berylwick/node/LargeAnswerTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/LargeAnswerTest.java
@@ -30,7 +30,7 @@
     /** An owner on a narrow link, whose backend server has one slot. */
     private static NodeRig ownerOf(RawServer server) {
         NodeRig rig = new NodeRig();
-        rig.configuration.accept(NodeRig.version(1));
+        rig.configuration.publish(NodeRig.version(1));
         rig.startOnLink(1, server, 1, NARROW_MBPS);
         rig.awaitReady(1);
         return rig;
@@ -54,7 +54,7 @@
     void allOfAnAnswerCountsUntilItHasLeft() throws IOException {
         try (RawServer server = server();
                 NodeRig rig = new NodeRig()) {
-            rig.configuration.accept(NodeRig.version(1));
+            rig.configuration.publish(NodeRig.version(1));
             Node owner = rig.startOnLink(1, server, 1, VERY_NARROW_MBPS);
             rig.awaitReady(1);
             try (Socket node = rig.askAsNode(1, "l3", LENGTH, 30_000)) {
--- a/org.berylwick.test/tst/org/berylwick/node/MembershipTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/MembershipTest.java
@@ -17,7 +17,7 @@
     void nodeWithoutBackendServerForwardsToAnotherNode() {
         try (RawServer server = new RawServer(NodeRig::answerOk);
                 NodeRig rig = new NodeRig()) {
-            rig.configuration.accept(NodeRig.version(1));
+            rig.configuration.publish(NodeRig.version(1));
             rig.start(1, Optional.empty());
             rig.start(2, Optional.of(server));
             rig.awaitReady(1);
@@ -37,7 +37,7 @@
     void delayedHeartbeatDoesNotUndoAcknowledgedLeave() {
         try (RawServer server = new RawServer(NodeRig::answerOk);
                 NodeRig rig = new NodeRig()) {
-            rig.configuration.accept(NodeRig.version(1));
+            rig.configuration.publish(NodeRig.version(1));
             rig.start(1, Optional.of(server));
             rig.awaitReady(1);
             assertTrue(rig.call(1, "GET", "/read/x", "a1", "").endsWith("ok"));
@@ -57,7 +57,7 @@
     void delayedHeartbeatOfEarlierIncarnationIsIgnored() {
         try (RawServer server = new RawServer(NodeRig::answerOk);
                 NodeRig rig = new NodeRig()) {
-            rig.configuration.accept(NodeRig.version(1));
+            rig.configuration.publish(NodeRig.version(1));
             rig.start(1, Optional.of(server));
             rig.report(1, server, "i-new", 1, BackendState.READY, 2);
             rig.report(1, server, "i-1", 9, BackendState.READY, 2);
@@ -73,7 +73,7 @@
     void nodeWithoutStoreAccessFetchesVersionFromAnotherNode() {
         try (RawServer server = new RawServer(NodeRig::answerOk);
                 NodeRig rig = new NodeRig()) {
-            rig.configuration.accept(NodeRig.version(1));
+            rig.configuration.publish(NodeRig.version(1));
             rig.start(1, Optional.of(server));
             rig.awaitReady(1);
             rig.configuration.setDown(true);
@@ -94,7 +94,7 @@
                     NodeRig.answerOk(c, r);
                 });
                 NodeRig rig = new NodeRig()) {
-            rig.configuration.accept(NodeRig.version(1));
+            rig.configuration.publish(NodeRig.version(1));
             Node node = rig.start(1, Optional.of(server));
             rig.awaitReady(1);
             String[] answers = new String[1];
@@ -124,7 +124,7 @@
                 });
                 RawServer good = new RawServer(NodeRig::answerOk);
                 NodeRig rig = new NodeRig()) {
-            rig.configuration.accept(NodeRig.version(1));
+            rig.configuration.publish(NodeRig.version(1));
             rig.start(1, Optional.of(bad));
             rig.start(2, Optional.of(good));
             rig.awaitReady(1);
--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -62,7 +62,7 @@
     /** A rig with node 1, which has no backend server. */
     static NodeRig ofEntry(MeshVersion version) {
         NodeRig rig = new NodeRig();
-        rig.configuration.accept(version);
+        rig.configuration.publish(version);
         rig.start(1, Optional.empty());
         rig.awaitReady(1);
         return rig;
--- a/org.berylwick.test/tst/org/berylwick/node/OverloadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/OverloadTest.java
@@ -28,7 +28,7 @@
                     NodeRig.answerOk(c, r);
                 });
                 NodeRig rig = new NodeRig()) {
-            rig.configuration.accept(NodeRig.version(1));
+            rig.configuration.publish(NodeRig.version(1));
             rig.start(1, "zone-a", Optional.of(server), 4);
             rig.awaitReady(1);
             for (int i = 0; i < 3; i++) {
@@ -73,7 +73,7 @@
                     NodeRig.answerOk(c, r);
                 });
                 NodeRig rig = new NodeRig()) {
-            rig.configuration.accept(NodeRig.version(
+            rig.configuration.publish(NodeRig.version(
                     1, b -> b.route(NodeRig.HOST, NodeRig.route("call", "/call/", RouteKind.IDEMPOTENT, 600, 200))));
             rig.start(1, "zone-a", Optional.of(server), 4);
             rig.awaitReady(1);
--- a/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
@@ -57,7 +57,7 @@
     void nodeThatIsBackServesBeforeTheNextHeartbeat() {
         try (RawServer server = new RawServer((c, r) -> answerAs("i-running", 200, c, r));
                 NodeRig rig = new NodeRig()) {
-            rig.configuration.accept(version());
+            rig.configuration.publish(version());
             rig.startUnreported(1, server);
             rig.awaitReady(1);
             Await.until(
@@ -78,7 +78,7 @@
                     answerAs("i-leaving", 503, c, r);
                 });
                 NodeRig rig = new NodeRig()) {
-            rig.configuration.accept(version());
+            rig.configuration.publish(version());
             rig.startUnreported(1, server);
             rig.awaitReady(1);
             Await.until("that it was asked", () -> asked.size() >= 2, rig::logged);
@@ -92,7 +92,7 @@
     void heartbeatTakesOverFromWhatWasAsked() {
         try (RawServer server = new RawServer((c, r) -> answerAs("i-old", 200, c, r));
                 NodeRig rig = new NodeRig()) {
-            rig.configuration.accept(version());
+            rig.configuration.publish(version());
             rig.startUnreported(1, server);
             rig.awaitReady(1);
             Await.until("that it was asked", () -> rig.logged().contains("i-old"), rig::logged);
@@ -110,7 +110,7 @@
     void backendServerOfANodeThatStopsServesOthersUntilCallersAreGone() throws InterruptedException {
         try (RawServer server = new RawServer(NodeRig::answerOk);
                 NodeRig rig = new NodeRig()) {
-            rig.configuration.accept(NodeRig.version(1));
+            rig.configuration.publish(NodeRig.version(1));
             Node stopped = rig.start(1, Optional.of(server));
             rig.start(2, Optional.empty());
             rig.awaitReady(2);
@@ -153,7 +153,7 @@
                 RawServer other = new RawServer(NodeRig::answerOk);
                 NodeRig rig = new NodeRig()) {
             held[0] = rig;
-            rig.configuration.accept(NodeRig.version(1));
+            rig.configuration.publish(NodeRig.version(1));
             Node stopped = rig.start(1, Optional.of(server));
             rig.start(2, "zone-b", Optional.of(other), 2);
             rig.awaitReady(1);
--- a/org.berylwick.test/tst/org/berylwick/node/SilentBackendTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/SilentBackendTest.java
@@ -37,7 +37,7 @@
                 });
                 RawServer good = new RawServer(NodeRig::answerOk);
                 NodeRig rig = new NodeRig()) {
-            rig.configuration.accept(NodeRig.version(1));
+            rig.configuration.publish(NodeRig.version(1));
             rig.start(1, "zone-a", Optional.of(silent), 100);
             rig.start(2, "zone-b", Optional.of(good), 100);
             rig.awaitReady(1);
@@ -69,7 +69,7 @@
     void oneWithoutHeartbeatsIsGivenUpWhileRequestsHangThere() throws InterruptedException {
         try (RawServer silent = new RawServer((c, r) -> {});
                 NodeRig rig = new NodeRig()) {
-            rig.configuration.accept(NodeRig.version(
+            rig.configuration.publish(NodeRig.version(
                     1, b -> b.route(NodeRig.HOST, NodeRig.route("slow", "/slow/", RouteKind.NON_IDEMPOTENT, 12_000))));
             rig.start(1, "zone-a", Optional.of(silent), 100);
             rig.awaitReady(1);
--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -57,7 +57,7 @@
     void answerToASlowCallerLeavesBeforeTheStopEnds() throws IOException {
         try (RawServer server = new RawServer((c, r) -> c.write(NodeRig.answerTo(r, LARGE)));
                 NodeRig rig = new NodeRig()) {
-            rig.configuration.accept(NodeRig.version(1));
+            rig.configuration.publish(NodeRig.version(1));
             Node node = rig.start(1, Optional.of(server));
             rig.awaitReady(1);
             try (Socket caller = new Socket()) {
@@ -91,7 +91,7 @@
         try (RawServer here = new RawServer(script);
                 RawServer elsewhere = new RawServer(script);
                 NodeRig rig = new NodeRig()) {
-            rig.configuration.accept(NodeRig.version(
+            rig.configuration.publish(NodeRig.version(
                     1,
                     b -> b.route(
                             NodeRig.HOST, NodeRig.route("hang", "/hang/", RouteKind.NON_IDEMPOTENT, HANGS_MILLIS))));
@@ -188,7 +188,7 @@
         String paced = "y".repeat(PACED_LENGTH);
         try (RawServer server = new RawServer((c, r) -> c.write(NodeRig.answerTo(r, paced)));
                 NodeRig rig = new NodeRig()) {
-            rig.configuration.accept(NodeRig.version(1));
+            rig.configuration.publish(NodeRig.version(1));
             Node node = rig.startOnLink(1, server, 1, NARROW_MBPS);
             rig.awaitReady(1);
             try (Socket other = rig.askAsNode(1, "p1", PACED_LENGTH, 9_000)) {
--- a/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
@@ -31,7 +31,7 @@
 
     private static NodeRig rig() {
         NodeRig rig = new NodeRig();
-        rig.configuration.accept(
+        rig.configuration.publish(
                 NodeRig.version(1, b -> b.limits(new CallerLimits(16_384, 1 << 20, 3_000_000_000L, 15_000_000_000L))));
         rig.start(1, Optional.empty());
         rig.awaitReady(1);
--- a/org.berylwick.test/tst/org/berylwick/node/UploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/UploadTest.java
@@ -21,7 +21,7 @@
 
     private static NodeRig rig() {
         NodeRig rig = new NodeRig();
-        rig.configuration.accept(NodeRig.version(
+        rig.configuration.publish(NodeRig.version(
                 1, b -> b.limits(new CallerLimits(16_384, MOST_BYTES, 3_000_000_000L, 15_000_000_000L))));
         return rig;
     }
--- a/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
@@ -51,7 +51,7 @@
     @Test
     void ofABurstOnlySomeVersionsAreInstalledAndTheLastOneSoon() throws InterruptedException {
         try (NodeRig rig = new NodeRig()) {
-            rig.configuration.accept(NodeRig.version(1));
+            rig.configuration.publish(NodeRig.version(1));
             Node[] nodes = new Node[4];
             for (int i = 1; i <= 3; i++) {
                 nodes[i] = rig.start(i, Optional.empty());
@@ -60,7 +60,7 @@
             Await.until("the first version everywhere", () -> inForce(nodes[3]) == 1, rig::logged);
             Thread.sleep(300);
             for (int i = 2; i <= BURST; i++) {
-                rig.configuration.accept(NodeRig.version(i));
+                rig.configuration.publish(NodeRig.version(i));
                 Thread.sleep(GAP_MILLIS);
             }
             long before = System.nanoTime();
@@ -81,14 +81,14 @@
     @Test
     void onlyWhatChangedIsSent() {
         try (NodeRig rig = new NodeRig()) {
-            rig.configuration.accept(NodeRig.version(1));
+            rig.configuration.publish(NodeRig.version(1));
             rig.start(1, Optional.empty());
             rig.start(2, Optional.empty());
             Node third = rig.start(3, Optional.empty());
             rig.awaitReady(3);
             for (int i = 2; i <= 6; i++) {
                 long number = i;
-                rig.configuration.accept(NodeRig.version(number));
+                rig.configuration.publish(NodeRig.version(number));
                 Await.until("version " + number, () -> inForce(third) == number, rig::logged);
             }
             long bytes = value(third, "versions.fetched.bytes");
@@ -113,7 +113,7 @@
                 asked.add(q.uri().substring(q.uri().indexOf('=') + 1));
                 return SmallHttpServer.Answer.of("", asked.size() == 1 ? delivery(5, changed) : delivery(0, whole));
             });
-            rig.configuration.accept(NodeRig.version(5));
+            rig.configuration.publish(NodeRig.version(5));
             rig.configuration.keep(NodeRig.version(6));
             Node node = rig.start(1, Optional.empty());
             Await.until("version 5", () -> inForce(node) == 5, rig::logged);
@@ -155,7 +155,7 @@
     void wholeVersionLeavesAtTheLinksPace() throws IOException {
         try (RawServer server = new RawServer(NodeRig::answerOk);
                 NodeRig rig = new NodeRig()) {
-            rig.configuration.accept(NodeRig.version(1));
+            rig.configuration.publish(NodeRig.version(1));
             rig.startOnLink(1, server, 1, NARROW_MBPS);
             rig.awaitReady(1);
             try (Socket node = new Socket()) {
