--- a/org.berylwick.test/tst/org/berylwick/node/InMemoryConfigurationStore.java
+++ b/org.berylwick.test/tst/org/berylwick/node/InMemoryConfigurationStore.java
@@ -36,7 +36,7 @@
     }
 
     /** Makes a version readable that only another node has so far. */
-    synchronized void keep(MeshVersion version) {
+    synchronized void addUnpublished(MeshVersion version) {
         versions.put(version.number(), version);
     }
 
--- a/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
@@ -114,7 +114,7 @@
                 return SmallHttpServer.Answer.of("", asked.size() == 1 ? delivery(5, changed) : delivery(0, whole));
             });
             rig.configuration.publish(NodeRig.version(5));
-            rig.configuration.keep(NodeRig.version(6));
+            rig.configuration.addUnpublished(NodeRig.version(6));
             Node node = rig.start(1, Optional.empty());
             Await.until("version 5", () -> inForce(node) == 5, rig::logged);
             tell(rig, socket);
