--- a/org.berylwick.test/tst/org/berylwick/node/InMemoryConfigurationStore.java
+++ b/org.berylwick.test/tst/org/berylwick/node/InMemoryConfigurationStore.java
@@ -40,7 +40,7 @@
         versions.put(version.number(), version);
     }
 
-    synchronized void setDown(boolean isDown) {
+    synchronized void setUnavailable(boolean isDown) {
         unavailable = isDown;
     }
 
--- a/org.berylwick.test/tst/org/berylwick/node/MembershipTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/MembershipTest.java
@@ -76,7 +76,7 @@
             rig.configuration.publish(NodeRig.version(1));
             rig.start(1, Optional.of(server));
             rig.awaitReady(1);
-            rig.configuration.setDown(true);
+            rig.configuration.setUnavailable(true);
             rig.start(2, Optional.empty());
             rig.awaitReady(2);
             assertTrue(rig.logged().contains("\"from\":\"" + rig.ip(1) + "\""), rig::logged);
