--- a/org.berylwick.test/tst/org/berylwick/node/InMemoryConfigurationStore.java
+++ b/org.berylwick.test/tst/org/berylwick/node/InMemoryConfigurationStore.java
@@ -62,7 +62,7 @@
         watchers.add(onChange);
     }
 
-    static byte[] sourceOf(long number) {
+    static byte[] encodedVersion(long number) {
         return (number + " " + FILLER).getBytes(StandardCharsets.US_ASCII);
     }
 
--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -284,7 +284,7 @@
 
     /** A version with a route of each kind under {@code /read/}, {@code /pay/} and {@code /bulk/}. */
     static MeshVersion version(long number, Consumer<MeshVersion.Builder> more) {
-        MeshVersion.Builder builder = new MeshVersion.Builder(number, InMemoryConfigurationStore.sourceOf(number))
+        MeshVersion.Builder builder = new MeshVersion.Builder(number, InMemoryConfigurationStore.encodedVersion(number))
                 .service("work", 100)
                 .limits(new CallerLimits(16_384, 1 << 20, 3_000_000_000L, 15_000_000_000L))
                 .route(HOST, route("read", "/read/", RouteKind.IDEMPOTENT, 2_000))
--- a/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
@@ -102,9 +102,9 @@
      */
     @Test
     void versionThatDoesNotFitIsAskedForWhole() throws IOException {
-        byte[] whole = VersionDeltaCodec.encode(new byte[0], InMemoryConfigurationStore.sourceOf(6));
-        byte[] other = InMemoryConfigurationStore.sourceOf(1_000);
-        byte[] changed = VersionDeltaCodec.encode(other, InMemoryConfigurationStore.sourceOf(6));
+        byte[] whole = VersionDeltaCodec.encode(new byte[0], InMemoryConfigurationStore.encodedVersion(6));
+        byte[] other = InMemoryConfigurationStore.encodedVersion(1_000);
+        byte[] changed = VersionDeltaCodec.encode(other, InMemoryConfigurationStore.encodedVersion(6));
         List<String> asked = new CopyOnWriteArrayList<>();
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try (NodeRig rig = new NodeRig();
