--- a/org.berylwick.test/tst/org/berylwick/node/InMemoryConfigurationStore.java
+++ b/org.berylwick.test/tst/org/berylwick/node/InMemoryConfigurationStore.java
@@ -67,7 +67,7 @@
     }
 
     /** What one node sees of it. */
-    ConfigurationSource on(EventLoop loop) {
+    ConfigurationSource sourceFor(EventLoop loop) {
         return new ConfigurationSource() {
             @Override
             public void read(Consistency freshness, Consumer<ReadResult> onAnswer) {
--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -381,7 +381,7 @@
 
         @Override
         public ConfigurationSource configurationSource(EventLoop loop) {
-            return configuration.on(loop);
+            return configuration.sourceFor(loop);
         }
 
         @Override
