--- a/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
@@ -20,12 +20,12 @@
 /** A node is stopped or killed and started again while the backend server beside it runs on. */
 @Timeout(60)
 class RestartTest {
-    private static final String HEALTH = "/healthy";
+    private static final String HEALTH_PATH = "/healthy";
 
     private static MeshVersion version() {
         return NodeRig.version(
                 1,
-                b -> b.service("caller-1", 10, HEALTH)
+                b -> b.service("caller-1", 10, HEALTH_PATH)
                         .route(
                                 NodeRig.HOST,
                                 new Route(
@@ -41,7 +41,7 @@
 
     private static void answerAs(String incarnation, int status, RawServer.Connection c, RawServer.Request r)
             throws IOException {
-        if (!r.path().equals(HEALTH)) {
+        if (!r.path().equals(HEALTH_PATH)) {
             NodeRig.answerOk(c, r);
             return;
         }
@@ -83,7 +83,7 @@
             rig.awaitReady(1);
             Await.until("that it was asked", () -> asked.size() >= 2, rig::logged);
             assertTrue(rig.call(1, "POST", "/own/x", "a1", "").startsWith("HTTP/1.1 503"));
-            assertTrue(asked.stream().allMatch(HEALTH::equals), asked.toString());
+            assertTrue(asked.stream().allMatch(HEALTH_PATH::equals), asked.toString());
         }
     }
 
