--- a/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
@@ -39,7 +39,7 @@
                                         List.of(new WeightedService("caller-1", 1)))));
     }
 
-    private static void answerAs(String incarnation, int status, RawServer.Connection c, RawServer.Request r)
+    private static void answerWithHealth(String incarnation, int status, RawServer.Connection c, RawServer.Request r)
             throws IOException {
         if (!r.path().equals(HEALTH_PATH)) {
             NodeRig.answerOk(c, r);
@@ -55,7 +55,7 @@
      */
     @Test
     void nodeThatIsBackServesBeforeTheNextHeartbeat() {
-        try (RawServer server = new RawServer((c, r) -> answerAs("i-running", 200, c, r));
+        try (RawServer server = new RawServer((c, r) -> answerWithHealth("i-running", 200, c, r));
                 NodeRig rig = new NodeRig()) {
             rig.configuration.publish(version());
             rig.startUnreported(1, server);
@@ -75,7 +75,7 @@
         List<String> asked = new CopyOnWriteArrayList<>();
         try (RawServer server = new RawServer((c, r) -> {
                     asked.add(r.path());
-                    answerAs("i-leaving", 503, c, r);
+                    answerWithHealth("i-leaving", 503, c, r);
                 });
                 NodeRig rig = new NodeRig()) {
             rig.configuration.publish(version());
@@ -90,7 +90,7 @@
     /** The backend server was replaced meanwhile: the first heartbeat of the new one goes before what was asked. */
     @Test
     void heartbeatTakesOverFromWhatWasAsked() {
-        try (RawServer server = new RawServer((c, r) -> answerAs("i-old", 200, c, r));
+        try (RawServer server = new RawServer((c, r) -> answerWithHealth("i-old", 200, c, r));
                 NodeRig rig = new NodeRig()) {
             rig.configuration.publish(version());
             rig.startUnreported(1, server);
