--- a/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
@@ -54,7 +54,7 @@
      * refused until then; the node asks the backend server who it is, and serves.
      */
     @Test
-    void nodeThatIsBackServesBeforeTheNextHeartbeat() {
+    void restartedNodeServesBeforeNextHeartbeat() {
         try (RawServer server = new RawServer((c, r) -> answerWithHealth("i-running", 200, c, r));
                 NodeRig rig = new NodeRig()) {
             rig.configuration.publish(version());
