--- a/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
@@ -71,7 +71,7 @@
 
     /** The same of one that is leaving: it says that it is not healthy, and gets nothing. */
     @Test
-    void backendServerThatIsLeavingGetsNoWorkFromANodeThatIsBack() {
+    void restartedNodeSendsNoRequestsToUnhealthyBackendServer() {
         List<String> asked = new CopyOnWriteArrayList<>();
         try (RawServer server = new RawServer((c, r) -> {
                     asked.add(r.path());
