--- a/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
@@ -89,7 +89,7 @@
 
     /** The backend server was replaced meanwhile: the first heartbeat of the new one goes before what was asked. */
     @Test
-    void heartbeatTakesOverFromWhatWasAsked() {
+    void firstHeartbeatReplacesProbedIncarnation() {
         try (RawServer server = new RawServer((c, r) -> answerWithHealth("i-old", 200, c, r));
                 NodeRig rig = new NodeRig()) {
             rig.configuration.publish(version());
