--- a/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
@@ -107,7 +107,7 @@
      * it would be out of reach all that time; it serves other nodes' callers until the node's own are gone.
      */
     @Test
-    void backendServerOfANodeThatStopsServesOthersUntilCallersAreGone() throws InterruptedException {
+    void stoppingNodeServesOtherNodesUntilItsCallersAreGone() throws InterruptedException {
         try (RawServer server = new RawServer(NodeRig::answerOk);
                 NodeRig rig = new NodeRig()) {
             rig.configuration.publish(NodeRig.version(1));
