--- a/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
@@ -140,7 +140,7 @@
      * after that node's callers are gone. With the port closed the call and the run would fail.
      */
     @Test
-    void runsOfANodeThatStopsStillMakeTheirCalls() throws InterruptedException {
+    void requestRunningOnStoppingNodeCanStillMakeCalls() throws InterruptedException {
         NodeRig[] held = new NodeRig[1];
         String[] inner = new String[1];
         try (RawServer server = new RawServer((c, r) -> {
