--- a/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
@@ -65,7 +65,7 @@
                     () -> rig.call(1, "POST", "/own/x", "a" + System.nanoTime(), "")
                             .endsWith("ok"),
                     rig::logged);
-            assertEquals("i-running", lastOf(server).header("x-target"));
+            assertEquals("i-running", lastRequest(server).header("x-target"));
         }
     }
 
@@ -98,7 +98,7 @@
             Await.until("that it was asked", () -> rig.logged().contains("i-old"), rig::logged);
             rig.report(1, "caller-1", server, "i-new", 1, BackendState.READY, 2);
             assertTrue(rig.call(1, "POST", "/own/x", "a1", "").endsWith("ok"));
-            assertEquals("i-new", lastOf(server).header("x-target"));
+            assertEquals("i-new", lastRequest(server).header("x-target"));
         }
     }
 
@@ -172,7 +172,7 @@
         }
     }
 
-    private static RawServer.Request lastOf(RawServer server) {
+    private static RawServer.Request lastRequest(RawServer server) {
         return server.requests().get(server.requests().size() - 1);
     }
 }
