--- a/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
@@ -26,7 +26,7 @@
 
     private static final int BODY_LENGTH = 60_000;
     /** Longer than a node of a fleet of two may be unheard. */
-    private static final int SILENCE_MILLIS = 2_500;
+    private static final int LONGER_THAN_SILENCE_TIMEOUT_MILLIS = 2_500;
     /** Longer than a round of datagrams, after which unheard nodes are looked for. */
     private static final int WORK_MILLIS = 1_200;
 
@@ -52,7 +52,7 @@
     void requestStaysAtAnUnheardNodeWhenNoOtherCanRunIt() throws Exception {
         try (NodeRig rig = NodeRig.ofEntry(NodeRig.version(1));
                 ScriptedPeer unheard = ScriptedPeer.announced(rig, LINK_MBPS)) {
-            NodeRig.sleep(SILENCE_MILLIS);
+            NodeRig.sleep(LONGER_THAN_SILENCE_TIMEOUT_MILLIS);
             CompletableFuture<String> answer = callLater(rig, "GET", "/read/x", "b1");
             try (ScriptedPeer.Call call = unheard.accept()) {
                 call.head();
@@ -75,7 +75,7 @@
             try (ScriptedPeer.Call call = unheard.accept()) {
                 call.head();
                 rig.start(2, Optional.of(server));
-                NodeRig.sleep(2 * SILENCE_MILLIS);
+                NodeRig.sleep(2 * LONGER_THAN_SILENCE_TIMEOUT_MILLIS);
                 call.answer("b2", "late but whole");
                 assertTrue(answer.join().endsWith("late but whole"), answer.join());
                 assertEquals(0, server.runs("b2"));
