--- a/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
@@ -28,7 +28,7 @@
     /** Longer than a node of a fleet of two may be unheard. */
     private static final int LONGER_THAN_SILENCE_TIMEOUT_MILLIS = 2_500;
     /** Longer than a round of datagrams, after which unheard nodes are looked for. */
-    private static final int WORK_MILLIS = 1_200;
+    private static final int LONGER_THAN_GOSSIP_ROUND_MILLIS = 1_200;
 
     @Test
     void repeatableRequestLeavesANodeThatLostPower() throws IOException, InterruptedException {
@@ -56,7 +56,7 @@
             CompletableFuture<String> answer = callLater(rig, "GET", "/read/x", "b1");
             try (ScriptedPeer.Call call = unheard.accept()) {
                 call.head();
-                NodeRig.sleep(WORK_MILLIS);
+                NodeRig.sleep(LONGER_THAN_GOSSIP_ROUND_MILLIS);
                 call.answer("b1", "late but whole");
                 assertTrue(answer.join().endsWith("late but whole"), answer.join());
             }
