--- a/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
@@ -31,7 +31,7 @@
     private static final int LONGER_THAN_GOSSIP_ROUND_MILLIS = 1_200;
 
     @Test
-    void repeatableRequestLeavesANodeThatLostPower() throws IOException, InterruptedException {
+    void idempotentRequestIsRetriedWhenNodeLosesPower() throws IOException, InterruptedException {
         try (RawServer server = new RawServer(NodeRig::answerOk);
                 NodeRig rig = NodeRig.ofEntry(versionWith(NodeRig.route("long", "/long/", RouteKind.BULK, 20_000)));
                 ScriptedPeer silent = ScriptedPeer.announced(rig, LINK_MBPS)) {
