--- a/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
@@ -49,7 +49,7 @@
 
     /** A node whose datagrams are lost, as on a full link, but which has a request at work: its answer is passed on. */
     @Test
-    void requestStaysAtAnUnheardNodeWhenNoOtherCanRunIt() throws Exception {
+    void responseOfSilentNodeIsAcceptedWhenNoOtherNodeIsAvailable() throws Exception {
         try (NodeRig rig = NodeRig.ofEntry(NodeRig.version(1));
                 ScriptedPeer unheard = ScriptedPeer.announced(rig, LINK_MBPS)) {
             NodeRig.sleep(LONGER_THAN_SILENCE_TIMEOUT_MILLIS);
