--- a/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
@@ -65,7 +65,7 @@
 
     /** A request that must run once gains nothing by leaving an unheard node, and loses its answer. */
     @Test
-    void nonIdempotentRequestStaysAtAnUnheardNode() throws Exception {
+    void nonIdempotentRequestIsNotRetriedWhenNodeIsSilent() throws Exception {
         try (RawServer server = new RawServer(NodeRig::answerOk);
                 NodeRig rig = NodeRig.ofEntry(
                         versionWith(NodeRig.route("slow", "/slow/", RouteKind.NON_IDEMPOTENT, 12_000)));
