--- a/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
@@ -85,7 +85,7 @@
 
     /** Guards against an order that waits for its deadline at a node that never asked for its body. */
     @Test
-    void requestWhoseBodyWasNotAskedForLeavesAnUnheardNode() throws Exception {
+    void requestIsRetriedWhenSilentNodeHasNotRequestedItsBody() throws Exception {
         String body = "b".repeat(BODY_LENGTH);
         try (RawServer server = new RawServer((c, r) -> {
                     c.read(BODY_LENGTH);
