--- a/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
@@ -107,7 +107,7 @@
 
     /** The other node refuses the repeat of a request: the run at the unheard node is still the best there is. */
     @Test
-    void requestGoesBackToAnUnheardNodeWhenTheOtherRefuses() throws Exception {
+    void responseOfSilentNodeIsAcceptedWhenRetryIsRefused() throws Exception {
         try (RawServer full = new RawServer((c, r) -> c.write("HTTP/1.1 503 Full\r\nx-request-id: " + r.id()
                         + "\r\nx-not-run: 1\r\nContent-Length: 0\r\n\r\n"));
                 NodeRig rig = NodeRig.ofEntry(versionWith(NodeRig.route("long", "/long/", RouteKind.BULK, 20_000)));
