--- a/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
@@ -53,7 +53,7 @@
         try (NodeRig rig = NodeRig.ofEntry(NodeRig.version(1));
                 ScriptedPeer unheard = ScriptedPeer.announced(rig, LINK_MBPS)) {
             NodeRig.sleep(LONGER_THAN_SILENCE_TIMEOUT_MILLIS);
-            CompletableFuture<String> answer = callLater(rig, "GET", "/read/x", "b1");
+            CompletableFuture<String> answer = callAsync(rig, "GET", "/read/x", "b1");
             try (ScriptedPeer.Call call = unheard.accept()) {
                 call.head();
                 NodeRig.sleep(LONGER_THAN_GOSSIP_ROUND_MILLIS);
@@ -129,7 +129,7 @@
         return NodeRig.version(1, b -> b.route(NodeRig.HOST, route));
     }
 
-    private static CompletableFuture<String> callLater(NodeRig rig, String method, String path, String id) {
+    private static CompletableFuture<String> callAsync(NodeRig rig, String method, String path, String id) {
         return CompletableFuture.supplyAsync(() -> rig.call(1, method, path, id, ""));
     }
 
