--- a/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
@@ -137,7 +137,7 @@
      * A call that ends by its deadline names the node that it waited for; without that its cause is anybody's guess.
      */
     @Test
-    void callThatEndsByItsDeadlineNamesTheNodeItWaitedFor() throws IOException {
+    void logOfExpiredCallNamesTheNodeItWaitedFor() throws IOException {
         try (NodeRig rig =
                         NodeRig.ofEntry(versionWith(NodeRig.route("quick", "/quick/", RouteKind.NON_IDEMPOTENT, 300)));
                 ScriptedPeer mute = new ScriptedPeer(rig)) {
