--- a/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
@@ -30,7 +30,7 @@
 @Timeout(60)
 class VersionSpreadTest {
     private static final int NARROW_MBPS = 2;
-    private static final int BURST = 40;
+    private static final int BURST_VERSIONS = 40;
     private static final int GAP_MILLIS = 25;
 
     private static long inForce(Node node) {
@@ -59,14 +59,14 @@
             rig.awaitReady(3);
             Await.until("the first version everywhere", () -> inForce(nodes[3]) == 1, rig::logged);
             Thread.sleep(300);
-            for (int i = 2; i <= BURST; i++) {
+            for (int i = 2; i <= BURST_VERSIONS; i++) {
                 rig.configuration.publish(NodeRig.version(i));
                 Thread.sleep(GAP_MILLIS);
             }
             long before = System.nanoTime();
             for (int i = 1; i <= 3; i++) {
                 Node node = nodes[i];
-                Await.until("the last version", () -> inForce(node) == BURST, rig::logged);
+                Await.until("the last version", () -> inForce(node) == BURST_VERSIONS, rig::logged);
             }
             long millis = (System.nanoTime() - before) / 1_000_000;
             assertTrue(millis < 1_500, "in force after " + millis + " ms");
