--- a/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
@@ -31,7 +31,7 @@
 class VersionSpreadTest {
     private static final int NARROW_MBPS = 2;
     private static final int BURST_VERSIONS = 40;
-    private static final int GAP_MILLIS = 25;
+    private static final int BURST_INTERVAL_MILLIS = 25;
 
     private static long inForce(Node node) {
         return value(node, "version.in_force");
@@ -61,7 +61,7 @@
             Thread.sleep(300);
             for (int i = 2; i <= BURST_VERSIONS; i++) {
                 rig.configuration.publish(NodeRig.version(i));
-                Thread.sleep(GAP_MILLIS);
+                Thread.sleep(BURST_INTERVAL_MILLIS);
             }
             long before = System.nanoTime();
             for (int i = 1; i <= 3; i++) {
