--- a/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
@@ -33,7 +33,7 @@
     private static final int BURST_VERSIONS = 40;
     private static final int BURST_INTERVAL_MILLIS = 25;
 
-    private static long inForce(Node node) {
+    private static long versionInForce(Node node) {
         return value(node, "version.in_force");
     }
 
@@ -57,7 +57,7 @@
                 nodes[i] = rig.start(i, Optional.empty());
             }
             rig.awaitReady(3);
-            Await.until("the first version everywhere", () -> inForce(nodes[3]) == 1, rig::logged);
+            Await.until("the first version everywhere", () -> versionInForce(nodes[3]) == 1, rig::logged);
             Thread.sleep(300);
             for (int i = 2; i <= BURST_VERSIONS; i++) {
                 rig.configuration.publish(NodeRig.version(i));
@@ -66,7 +66,7 @@
             long before = System.nanoTime();
             for (int i = 1; i <= 3; i++) {
                 Node node = nodes[i];
-                Await.until("the last version", () -> inForce(node) == BURST_VERSIONS, rig::logged);
+                Await.until("the last version", () -> versionInForce(node) == BURST_VERSIONS, rig::logged);
             }
             long millis = (System.nanoTime() - before) / 1_000_000;
             assertTrue(millis < 1_500, "in force after " + millis + " ms");
@@ -89,7 +89,7 @@
             for (int i = 2; i <= 6; i++) {
                 long number = i;
                 rig.configuration.publish(NodeRig.version(number));
-                Await.until("version " + number, () -> inForce(third) == number, rig::logged);
+                Await.until("version " + number, () -> versionInForce(third) == number, rig::logged);
             }
             long bytes = value(third, "versions.fetched.bytes");
             assertTrue(bytes > 0 && bytes < 100_000, bytes + " bytes fetched for five versions");
@@ -116,9 +116,9 @@
             rig.configuration.publish(NodeRig.version(5));
             rig.configuration.addUnpublished(NodeRig.version(6));
             Node node = rig.start(1, Optional.empty());
-            Await.until("version 5", () -> inForce(node) == 5, rig::logged);
+            Await.until("version 5", () -> versionInForce(node) == 5, rig::logged);
             tell(rig, socket);
-            Await.until("version 6", () -> inForce(node) == 6, rig::logged);
+            Await.until("version 6", () -> versionInForce(node) == 6, rig::logged);
             assertEquals(List.of("5", "0"), asked);
         } finally {
             group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
