--- a/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
@@ -34,10 +34,10 @@
     private static final int BURST_INTERVAL_MILLIS = 25;
 
     private static long versionInForce(Node node) {
-        return value(node, "version.in_force");
+        return metric(node, "version.in_force");
     }
 
-    private static long value(Node node, String name) {
+    private static long metric(Node node, String name) {
         for (String line : node.counters().text().split("\n")) {
             String[] words = line.split("[ :=]+");
             if (words[0].equals(name)) {
@@ -71,7 +71,7 @@
             long millis = (System.nanoTime() - before) / 1_000_000;
             assertTrue(millis < 1_500, "in force after " + millis + " ms");
             for (int i = 1; i <= 3; i++) {
-                long installed = value(nodes[i], "versions.installed");
+                long installed = metric(nodes[i], "versions.installed");
                 assertTrue(installed <= 14, installed + " versions installed at node " + i);
             }
         }
@@ -91,7 +91,7 @@
                 rig.configuration.publish(NodeRig.version(number));
                 Await.until("version " + number, () -> versionInForce(third) == number, rig::logged);
             }
-            long bytes = value(third, "versions.fetched.bytes");
+            long bytes = metric(third, "versions.fetched.bytes");
             assertTrue(bytes > 0 && bytes < 100_000, bytes + " bytes fetched for five versions");
         }
     }
