--- a/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
@@ -49,7 +49,7 @@
 
     /** Before, each of the 40 versions of a second was parsed by each node. */
     @Test
-    void ofABurstOnlySomeVersionsAreInstalledAndTheLastOneSoon() throws InterruptedException {
+    void burstInstallsOnlySomeVersionsAndTheLastOnePromptly() throws InterruptedException {
         try (NodeRig rig = new NodeRig()) {
             rig.configuration.publish(NodeRig.version(1));
             Node[] nodes = new Node[4];
