--- a/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
@@ -101,7 +101,7 @@
      * asked for next; the same question again would be answered with the same, without end.
      */
     @Test
-    void versionThatDoesNotFitIsAskedForWhole() throws IOException {
+    void fullVersionIsFetchedWhenDeltaDoesNotApply() throws IOException {
         byte[] whole = VersionDeltaCodec.encode(new byte[0], InMemoryConfigurationStore.encodedVersion(6));
         byte[] other = InMemoryConfigurationStore.encodedVersion(1_000);
         byte[] changed = VersionDeltaCodec.encode(other, InMemoryConfigurationStore.encodedVersion(6));
