--- a/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
@@ -111,7 +111,7 @@
                 DatagramSocket socket = new DatagramSocket(rig.gossip(9))) {
             SmallHttpServer.open((EventLoop) group.next(), rig.peers(9), q -> {
                 asked.add(q.uri().substring(q.uri().indexOf('=') + 1));
-                return SmallHttpServer.Answer.of("", asked.size() == 1 ? delivery(5, changed) : delivery(0, whole));
+                return SmallHttpServer.Answer.of("", asked.size() == 1 ? encodeWithBase(5, changed) : encodeWithBase(0, whole));
             });
             rig.configuration.publish(NodeRig.version(5));
             rig.configuration.addUnpublished(NodeRig.version(6));
@@ -125,7 +125,7 @@
         }
     }
 
-    private static byte[] delivery(long base, byte[] delta) {
+    private static byte[] encodeWithBase(long base, byte[] delta) {
         return ByteBuffer.allocate(Long.BYTES + delta.length)
                 .putLong(base)
                 .put(delta)
