--- a/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
@@ -117,7 +117,7 @@
             rig.configuration.addUnpublished(NodeRig.version(6));
             Node node = rig.start(1, Optional.empty());
             Await.until("version 5", () -> versionInForce(node) == 5, rig::logged);
-            tell(rig, socket);
+            announceVersionSix(rig, socket);
             Await.until("version 6", () -> versionInForce(node) == 6, rig::logged);
             assertEquals(List.of("5", "0"), asked);
         } finally {
@@ -132,7 +132,7 @@
                 .array();
     }
 
-    private static void tell(NodeRig rig, DatagramSocket socket) throws IOException {
+    private static void announceVersionSix(NodeRig rig, DatagramSocket socket) throws IOException {
         NodeState state = new NodeState(
                 7,
                 1,
