--- a/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
@@ -152,7 +152,7 @@
 
     /** Guards against calls and datagrams that wait behind a whole version on a narrow link. */
     @Test
-    void wholeVersionLeavesAtTheLinksPace() throws IOException {
+    void fullVersionIsSentAtLinkRate() throws IOException {
         try (RawServer server = new RawServer(NodeRig::answerOk);
                 NodeRig rig = new NodeRig()) {
             rig.configuration.publish(NodeRig.version(1));
