--- a/org.berylwick.test/tst/org/berylwick/node/member/NodeStateCodecTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/member/NodeStateCodecTest.java
@@ -21,7 +21,7 @@
 /** A datagram is read as it was written; anything else is no datagram, whatever its bytes. */
 class NodeStateCodecTest {
     @Property(tries = 200)
-    void readsWhatWasWritten(
+    void decodesWhatWasEncoded(
             @ForAll long boot,
             @ForAll long version,
             @ForAll boolean flag,
