--- a/org.berylwick.test/tst/org/berylwick/node/member/NodeStateCodecTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/member/NodeStateCodecTest.java
@@ -51,7 +51,7 @@
     }
 
     @Property(tries = 500)
-    void anythingElseIsNoDatagram(@ForAll byte[] bytes, @ForAll @IntRange(max = 200) int cutTo) {
+    void invalidOrTruncatedDatagramIsRejected(@ForAll byte[] bytes, @ForAll @IntRange(max = 200) int cutTo) {
         NodeStateCodec.read(Unpooled.wrappedBuffer(bytes));
         NodeState state = new NodeState(
                 1, 1, "zone", 100, 1, true, false, "service", "i-1", BackendState.READY, 0, OwnerLoad.NONE, List.of());
