--- a/org.berylwick.test/tst/org/berylwick/node/version/VersionDeltaCodecTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/version/VersionDeltaCodecTest.java
@@ -15,11 +15,11 @@
 import net.jqwik.api.constraints.IntRange;
 
 class VersionDeltaCodecTest {
-    private static final int ROUTES = 1_600;
+    private static final int ROUTE_COUNT = 1_600;
 
     private static List<String> routes(Random random) {
         List<String> routes = new ArrayList<>();
-        for (int i = 0; i < ROUTES; i++) {
+        for (int i = 0; i < ROUTE_COUNT; i++) {
             routes.add("{\"name\":\"r-%s\",\"pathPrefix\":\"/%s/\",\"kind\":\"safe\",\"timeoutS\":2.5,\"priority\":2,"
                             .formatted(word(random), word(random))
                     + "\"trafficSplit\":[{\"service\":\"a\",\"weight\":%d}]}".formatted(random.nextInt(100)));
