--- a/org.berylwick.test/tst/org/berylwick/node/version/VersionDeltaCodecTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/version/VersionDeltaCodecTest.java
@@ -17,7 +17,7 @@
 class VersionDeltaCodecTest {
     private static final int ROUTE_COUNT = 1_600;
 
-    private static List<String> routes(Random random) {
+    private static List<String> randomRoutes(Random random) {
         List<String> routes = new ArrayList<>();
         for (int i = 0; i < ROUTE_COUNT; i++) {
             routes.add("{\"name\":\"r-%s\",\"pathPrefix\":\"/%s/\",\"kind\":\"safe\",\"timeoutS\":2.5,\"priority\":2,"
@@ -43,7 +43,7 @@
 
     @Property(tries = 60)
     void editedVersionIsGotBack(@ForAll Random random, @ForAll @IntRange(max = 30) int edits) {
-        List<String> routes = routes(random);
+        List<String> routes = randomRoutes(random);
         byte[] earlier = bytes(routes);
         for (int i = 0; i < edits; i++) {
             int at = random.nextInt(routes.size());
@@ -82,7 +82,7 @@
     /** Of 212,632 bytes 25,542 are sent to a node that has none, and 22 after one change of a weight. */
     @Example
     void changeOfAWeightIsSmall() {
-        List<String> routes = routes(new Random(1));
+        List<String> routes = randomRoutes(new Random(1));
         byte[] earlier = bytes(routes);
         routes.set(700, routes.get(700).replace("\"weight\":", "\"weight\":1"));
         byte[] later = bytes(routes);
