--- a/org.berylwick.test/tst/org/berylwick/node/version/VersionDeltaCodecTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/version/VersionDeltaCodecTest.java
@@ -21,13 +21,13 @@
         List<String> routes = new ArrayList<>();
         for (int i = 0; i < ROUTE_COUNT; i++) {
             routes.add("{\"name\":\"r-%s\",\"pathPrefix\":\"/%s/\",\"kind\":\"safe\",\"timeoutS\":2.5,\"priority\":2,"
-                            .formatted(word(random), word(random))
+                            .formatted(randomWord(random), randomWord(random))
                     + "\"trafficSplit\":[{\"service\":\"a\",\"weight\":%d}]}".formatted(random.nextInt(100)));
         }
         return routes;
     }
 
-    private static String word(Random random) {
+    private static String randomWord(Random random) {
         return Long.toString(random.nextLong(Long.MAX_VALUE), 36).substring(0, 7);
     }
 
