--- a/org.berylwick.test/tst/org/berylwick/node/version/VersionDeltaCodecTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/version/VersionDeltaCodecTest.java
@@ -31,7 +31,7 @@
         return Long.toString(random.nextLong(Long.MAX_VALUE), 36).substring(0, 7);
     }
 
-    private static byte[] bytes(List<String> routes) {
+    private static byte[] encode(List<String> routes) {
         return String.join(",", routes).getBytes(StandardCharsets.US_ASCII);
     }
 
@@ -44,7 +44,7 @@
     @Property(tries = 60)
     void editedVersionIsGotBack(@ForAll Random random, @ForAll @IntRange(max = 30) int edits) {
         List<String> routes = randomRoutes(random);
-        byte[] earlier = bytes(routes);
+        byte[] earlier = encode(routes);
         for (int i = 0; i < edits; i++) {
             int at = random.nextInt(routes.size());
             switch (random.nextInt(3)) {
@@ -53,7 +53,7 @@
                 default -> routes.set(at, routes.get(at).replace("2.5", "3.25"));
             }
         }
-        byte[] later = bytes(routes);
+        byte[] later = encode(routes);
         byte[] delta = VersionDeltaCodec.encode(earlier, later);
         assertArrayEquals(later, VersionDeltaCodec.decode(earlier, delta).orElseThrow());
         assertTrue(delta.length < 40 + 110 * edits, delta.length + " bytes for " + edits + " edits");
@@ -83,9 +83,9 @@
     @Example
     void changeOfAWeightIsSmall() {
         List<String> routes = randomRoutes(new Random(1));
-        byte[] earlier = bytes(routes);
+        byte[] earlier = encode(routes);
         routes.set(700, routes.get(700).replace("\"weight\":", "\"weight\":1"));
-        byte[] later = bytes(routes);
+        byte[] later = encode(routes);
         int whole = VersionDeltaCodec.encode(new byte[0], later).length;
         int change = VersionDeltaCodec.encode(earlier, later).length;
         assertTrue(whole < later.length / 6, later.length + " bytes are sent as " + whole);
