--- a/org.berylwick.test/tst/org/berylwick/node/version/VersionDeltaCodecTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/version/VersionDeltaCodecTest.java
@@ -36,7 +36,7 @@
     }
 
     @Property(tries = 300)
-    void laterVersionIsGotBack(@ForAll byte[] earlier, @ForAll byte[] later) {
+    void arbitraryTargetIsRestored(@ForAll byte[] earlier, @ForAll byte[] later) {
         byte[] delta = VersionDeltaCodec.encode(earlier, later);
         assertArrayEquals(later, VersionDeltaCodec.decode(earlier, delta).orElseThrow());
     }
