--- a/org.berylwick.test/tst/org/berylwick/node/version/VersionDeltaCodecTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/version/VersionDeltaCodecTest.java
@@ -42,7 +42,7 @@
     }
 
     @Property(tries = 60)
-    void editedVersionIsGotBack(@ForAll Random random, @ForAll @IntRange(max = 30) int edits) {
+    void editedVersionIsRestoredFromSmallDelta(@ForAll Random random, @ForAll @IntRange(max = 30) int edits) {
         List<String> routes = randomRoutes(random);
         byte[] earlier = encode(routes);
         for (int i = 0; i < edits; i++) {
