--- a/org.berylwick.test/tst/org/berylwick/node/version/VersionDeltaCodecTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/version/VersionDeltaCodecTest.java
@@ -60,7 +60,7 @@
     }
 
     @Property(tries = 300)
-    void damagedDeltaIsRefused(@ForAll Random random, @ForAll @IntRange(max = 400) int at, @ForAll byte value) {
+    void damagedDeltaIsRejected(@ForAll Random random, @ForAll @IntRange(max = 400) int at, @ForAll byte value) {
         byte[] earlier = new byte[500];
         random.nextBytes(earlier);
         byte[] later = Arrays.copyOfRange(earlier, 100, 450);
