--- a/org.berylwick.test/tst/org/berylwick/node/version/VersionDeltaCodecTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/version/VersionDeltaCodecTest.java
@@ -75,7 +75,7 @@
     }
 
     @Property(tries = 500)
-    void anythingElseIsRefused(@ForAll byte[] delta) {
+    void arbitraryBytesAreRejected(@ForAll byte[] delta) {
         assertTrue(VersionDeltaCodec.decode(new byte[0], delta).isEmpty());
     }
 
