--- a/org.berylwick.test/tst/org/berylwick/node/version/VersionDeltaCodecTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/version/VersionDeltaCodecTest.java
@@ -81,7 +81,7 @@
 
     /** Of 212,632 bytes 25,542 are sent to a node that has none, and 22 after one change of a weight. */
     @Example
-    void changeOfAWeightIsSmall() {
+    void weightChangeProducesSmallDelta() {
         List<String> routes = randomRoutes(new Random(1));
         byte[] earlier = encode(routes);
         routes.set(700, routes.get(700).replace("\"weight\":", "\"weight\":1"));
