--- a/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
@@ -29,7 +29,7 @@
 
     /**
      * @param loop all runs on it
-     * @param store keeps the list
+     * @param directory keeps the list
      * @param gossip is told of addresses
      * @param counters takes counts
      * @param log takes events
@@ -38,14 +38,14 @@
      */
     public NodeDiscovery(
             EventLoop loop,
-            NodeDirectory store,
+            NodeDirectory directory,
             Gossip gossip,
             Counters counters,
             EventLog log,
             String name,
             String ip) {
         this.loop = loop;
-        this.directory = store;
+        this.directory = directory;
         this.gossip = gossip;
         this.counters = counters;
         this.log = log;
@@ -64,8 +64,8 @@
     }
 
     private void register() {
-        directory.register(name, ip, entered -> {
-            if (!entered) {
+        directory.register(name, ip, registered -> {
+            if (!registered) {
                 counters.add(NodeMetricNames.DIRECTORY_FAILURES);
                 loop.schedule(this::register, nextRetryDelayMillis(), TimeUnit.MILLISECONDS);
                 return;
@@ -75,16 +75,16 @@
     }
 
     private void refresh() {
-        directory.list(answer -> {
-            switch (answer) {
+        directory.list(result -> {
+            switch (result) {
                 case NodeDirectory.ListResult.Listed found -> {
                     directoryRead = true;
                     retryMillis = INITIAL_RETRY_MILLIS;
                     found.addresses().forEach(gossip::addPeerAddress);
-                    long refresh =
+                    long refreshMillis =
                             Math.max(MIN_REFRESH_MILLIS, REFRESH_MILLIS_PER_NODE * (gossip.peerAddressCount() + 1));
-                    long jitter = ThreadLocalRandom.current().nextLong(refresh / 2);
-                    loop.schedule(this::refresh, refresh + jitter, TimeUnit.MILLISECONDS);
+                    long jitterMillis = ThreadLocalRandom.current().nextLong(refreshMillis / 2);
+                    loop.schedule(this::refresh, refreshMillis + jitterMillis, TimeUnit.MILLISECONDS);
                 }
                 case NodeDirectory.ListResult.Failed failed -> {
                     log.write(Event.STORE_CALL_FAILED, "call", "list nodes", "cause", failed.cause());
