--- a/org.berylwick.node/src/org/berylwick/node/member/NodeDirectory.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeDirectory.java
@@ -19,10 +19,10 @@
      *
      * @param name of its VM
      * @param ip of its VM
-     * @param onAnswer hears whether it is entered
+     * @param onResult hears whether it is entered
      */
-    void register(String name, String ip, Consumer<Boolean> onAnswer);
+    void register(String name, String ip, Consumer<Boolean> onResult);
 
     /** Lists the nodes that entered themselves. */
-    void list(Consumer<ListResult> onAnswer);
+    void list(Consumer<ListResult> onResult);
 }
