--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -72,28 +72,28 @@
      * @param ip this node's address
      * @param port of all nodes
      * @param table takes what is heard
-     * @param self tells this node's state
+     * @param ownState tells this node's state
      * @param counters takes counts
      * @param log takes events
-     * @param onHeard hears of each datagram that was taken over
+     * @param onStateReceived hears of each datagram that was taken over
      */
     public Gossip(
             EventLoop loop,
             String ip,
             int port,
             MemberTable table,
-            Supplier<NodeState> self,
+            Supplier<NodeState> ownState,
             Counters counters,
             EventLog log,
-            BiConsumer<Member, MemberTable.UpdateResult> onHeard) {
+            BiConsumer<Member, MemberTable.UpdateResult> onStateReceived) {
         this.loop = loop;
         this.ip = ip;
         this.port = port;
         this.table = table;
-        this.ownState = self;
+        this.ownState = ownState;
         this.counters = counters;
         this.log = log;
-        this.onStateReceived = onHeard;
+        this.onStateReceived = onStateReceived;
     }
 
     /** Opens the socket and starts the rounds. */
@@ -139,12 +139,12 @@
         if (pendingChanges > 1) {
             return;
         }
-        long sinceTold = System.nanoTime() - lastBroadcastAt;
-        long wait = round == 0 ? COALESCING_WINDOW_NANOS : Math.max(0, COALESCING_WINDOW_NANOS - sinceTold);
-        if (wait == 0) {
+        long sinceLastBroadcast = System.nanoTime() - lastBroadcastAt;
+        long delay = round == 0 ? COALESCING_WINDOW_NANOS : Math.max(0, COALESCING_WINDOW_NANOS - sinceLastBroadcast);
+        if (delay == 0) {
             broadcastChanges();
         } else {
-            loop.schedule(this::broadcastChanges, wait, TimeUnit.NANOSECONDS);
+            loop.schedule(this::broadcastChanges, delay, TimeUnit.NANOSECONDS);
         }
     }
 
@@ -176,20 +176,20 @@
 
     /** Tells the nodes of one availability zone at once, and again twice soon after. */
     public void broadcastToZoneNow(String zone) {
-        Runnable tell = () -> {
-            List<String> near = new ArrayList<>();
+        Runnable sendToZone = () -> {
+            List<String> zoneAddresses = new ArrayList<>();
             for (Member member : table.all()) {
                 if (member.state().zone().equals(zone)) {
-                    near.add(member.ip());
+                    zoneAddresses.add(member.ip());
                 }
             }
-            send(near, false);
+            send(zoneAddresses, false);
         };
-        tell.run();
-        long after = 0;
-        for (long millis : REPEAT_DELAYS_MILLIS) {
-            after += millis;
-            loop.schedule(tell, after, TimeUnit.MILLISECONDS);
+        sendToZone.run();
+        long delayMillis = 0;
+        for (long stepMillis : REPEAT_DELAYS_MILLIS) {
+            delayMillis += stepMillis;
+            loop.schedule(sendToZone, delayMillis, TimeUnit.MILLISECONDS);
         }
     }
 
@@ -209,30 +209,30 @@
         loop.schedule(this::runRound, period - period / 20 + jitter, TimeUnit.NANOSECONDS);
     }
 
-    private void broadcast(boolean answerWanted) {
+    private void broadcast(boolean replyRequested) {
         long now = System.nanoTime();
-        List<String> told = new ArrayList<>(lastHeardByAddress.size());
-        List<String> asked = new ArrayList<>();
-        for (Map.Entry<String, Long> contact : lastHeardByAddress.entrySet()) {
-            boolean quiet = now - contact.getValue() > UNRESPONSIVE_NANOS;
-            if (quiet && round % 10 != 0) {
+        List<String> responsive = new ArrayList<>(lastHeardByAddress.size());
+        List<String> replyRequests = new ArrayList<>();
+        for (Map.Entry<String, Long> peer : lastHeardByAddress.entrySet()) {
+            boolean unresponsive = now - peer.getValue() > UNRESPONSIVE_NANOS;
+            if (unresponsive && round % 10 != 0) {
                 continue;
             }
-            (answerWanted || quiet ? asked : told).add(contact.getKey());
+            (replyRequested || unresponsive ? replyRequests : responsive).add(peer.getKey());
         }
-        send(told, false);
-        send(asked, true);
+        send(responsive, false);
+        send(replyRequests, true);
     }
 
     /** Sends the same datagram to some addresses. */
-    private void send(List<String> addresses, boolean answerWanted) {
+    private void send(List<String> addresses, boolean replyRequested) {
         if (!channel.isActive() || addresses.isEmpty()) {
             return;
         }
-        boolean withOthers = answerWanted || round % ROUNDS_PER_PEER_EXCHANGE == 0;
-        List<String> others = withOthers ? samplePeerAddresses() : List.of();
+        boolean includePeerAddresses = replyRequested || round % ROUNDS_PER_PEER_EXCHANGE == 0;
+        List<String> peerAddresses = includePeerAddresses ? samplePeerAddresses() : List.of();
         ByteBuf bytes = Unpooled.buffer(INITIAL_BUFFER_BYTES);
-        NodeStateCodec.write(new NodeStateCodec.Message(ownState.get(), answerWanted, others), bytes);
+        NodeStateCodec.write(new NodeStateCodec.Message(ownState.get(), replyRequested, peerAddresses), bytes);
         counters.add(NodeMetricNames.GOSSIP_SENT_DATAGRAMS, addresses.size());
         counters.add(NodeMetricNames.GOSSIP_SENT_BYTES, (long) bytes.readableBytes() * addresses.size());
         for (String address : addresses) {
@@ -247,34 +247,34 @@
             return List.of();
         }
         // Two nodes that never learnt of each other hear of each other by a third within some rounds.
-        List<String> known = new ArrayList<>(MAX_PEER_ADDRESSES);
+        List<String> sample = new ArrayList<>(MAX_PEER_ADDRESSES);
         int skip = ThreadLocalRandom.current().nextInt(lastHeardByAddress.size());
         for (String address : lastHeardByAddress.keySet()) {
             if (skip-- > 0) {
                 continue;
             }
-            known.add(address);
-            if (known.size() == MAX_PEER_ADDRESSES) {
+            sample.add(address);
+            if (sample.size() == MAX_PEER_ADDRESSES) {
                 break;
             }
         }
-        return known;
+        return sample;
     }
 
     private void receive(String from, NodeStateCodec.Message message) {
         long now = System.nanoTime();
-        boolean unknown = lastHeardByAddress.put(from, now) == null;
-        MemberTable.UpdateResult hearing = table.update(from, message.state(), now);
-        if (unknown || message.replyRequested()) {
+        boolean newSender = lastHeardByAddress.put(from, now) == null;
+        MemberTable.UpdateResult result = table.update(from, message.state(), now);
+        if (newSender || message.replyRequested()) {
             send(List.of(from), false);
         }
-        for (String other : message.peerAddresses()) {
-            if (!table.find(other).isPresent()) {
-                addPeerAddress(other);
+        for (String peerAddress : message.peerAddresses()) {
+            if (!table.find(peerAddress).isPresent()) {
+                addPeerAddress(peerAddress);
             }
         }
-        if (hearing != MemberTable.UpdateResult.STALE) {
-            table.find(from).ifPresent(m -> onStateReceived.accept(m, hearing));
+        if (result != MemberTable.UpdateResult.STALE) {
+            table.find(from).ifPresent(member -> onStateReceived.accept(member, result));
         }
     }
 
@@ -290,7 +290,7 @@
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
             counters.add(NodeMetricNames.GOSSIP_RECEIVED_DATAGRAMS);
             String from = packet.sender().getAddress().getHostAddress();
-            NodeStateCodec.read(packet.content()).ifPresent(m -> receive(from, m));
+            NodeStateCodec.read(packet.content()).ifPresent(message -> receive(from, message));
         }
 
         @Override
