--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -102,11 +102,11 @@
         pool = connections;
     }
 
-    void update(NodeState told, long now) {
-        boolean restarted = told.bootId() != state.bootId();
-        state = told;
+    void update(NodeState received, long now) {
+        boolean restarted = received.bootId() != state.bootId();
+        state = received;
         lastHeardAt = now;
-        updateLoad(told.load(), now);
+        updateLoad(received.load(), now);
         if (restarted) {
             consecutiveFailures = 0;
             suspectUntil = now;
@@ -114,11 +114,11 @@
     }
 
     /** Takes over a load that its owner told with an answer. */
-    public void updateLoad(OwnerLoad told, long now) {
-        load = told;
+    public void updateLoad(OwnerLoad received, long now) {
+        load = received;
         inFlightAtLoadReport = inFlight;
-        incomingLinkFreeAt = now + told.incomingNanos();
-        outgoingLinkFreeAt = now + told.outgoingNanos();
+        incomingLinkFreeAt = now + received.incomingNanos();
+        outgoingLinkFreeAt = now + received.outgoingNanos();
     }
 
     /** The link that leads there, as far as this node can know. */
@@ -143,26 +143,26 @@
     /**
      * A request goes there.
      *
-     * @param waiting for its answer
+     * @param request for its answer
      * @param bodyBytes that it brings
-     * @param answerBytes that its answer is expected to have
+     * @param expectedResponseBytes that its answer is expected to have
      * @param now in {@link System#nanoTime} terms
      */
-    public void onRequestSent(PendingRequest waiting, int bodyBytes, int answerBytes, long now) {
+    public void onRequestSent(PendingRequest request, int bodyBytes, int expectedResponseBytes, long now) {
         LinkLoad link = linkLoad(now);
         incomingLinkFreeAt = Math.max(now, incomingLinkFreeAt) + link.nanosOf(bodyBytes);
-        if (link.isLarge(answerBytes)) {
-            outgoingLinkFreeAt = Math.max(now, outgoingLinkFreeAt) + link.nanosOf(answerBytes);
+        if (link.isLarge(expectedResponseBytes)) {
+            outgoingLinkFreeAt = Math.max(now, outgoingLinkFreeAt) + link.nanosOf(expectedResponseBytes);
         }
         inFlight++;
-        outstanding.put(waiting, now);
+        outstanding.put(request, now);
         lastUsedIncarnation = state.incarnation();
     }
 
     /** A request there is over. */
-    public void onRequestEnded(PendingRequest waiting) {
+    public void onRequestEnded(PendingRequest request) {
         inFlight--;
-        outstanding.remove(waiting);
+        outstanding.remove(request);
     }
 
     /** Bytes of an answer came from it. */
@@ -171,14 +171,14 @@
     }
 
     /** Tells requests that have waited for a while if neither datagrams nor answers came for a span. */
-    void notifyIfSilent(long spanNanos, long now) {
-        if (now - lastHeardAt <= spanNanos || now - lastProgressAt <= spanNanos) {
+    void notifyIfSilent(long timeoutNanos, long now) {
+        if (now - lastHeardAt <= timeoutNanos || now - lastProgressAt <= timeoutNanos) {
             return;
         }
         List<PendingRequest> overdue = new ArrayList<>();
-        outstanding.forEach((waiting, sentAt) -> {
+        outstanding.forEach((request, sentAt) -> {
             if (now - sentAt > MIN_OVERDUE_NANOS) {
-                overdue.add(waiting);
+                overdue.add(request);
             }
         });
         if (overdue.isEmpty()) {
@@ -200,9 +200,9 @@
      * @param now in {@link System#nanoTime} terms
      */
     public void onFailure(String cause, long now) {
-        long span = Math.min(MAX_SUSPICION_NANOS, MIN_SUSPICION_NANOS << Math.min(consecutiveFailures, 5));
+        long suspicionNanos = Math.min(MAX_SUSPICION_NANOS, MIN_SUSPICION_NANOS << Math.min(consecutiveFailures, 5));
         consecutiveFailures++;
-        suspectUntil = now + span;
+        suspectUntil = now + suspicionNanos;
         onSuspected.accept(this, cause);
     }
 }
