--- a/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
@@ -21,11 +21,11 @@
     private final BiConsumer<Member, String> onSuspected;
 
     /**
-     * @param connector opens a pool to a node's address
+     * @param poolFactory opens a pool to a node's address
      * @param onSuspected hears of a node to which a call failed, and why
      */
-    public MemberTable(Function<String, ConnectionPool> connector, BiConsumer<Member, String> onSuspected) {
-        this.poolFactory = connector;
+    public MemberTable(Function<String, ConnectionPool> poolFactory, BiConsumer<Member, String> onSuspected) {
+        this.poolFactory = poolFactory;
         this.onSuspected = onSuspected;
     }
 
@@ -45,21 +45,21 @@
     public UpdateResult update(String ip, NodeState state, long now) {
         Member member = byIp.get(ip);
         if (member == null) {
-            Member fresh = new Member(ip, state, now, onSuspected);
-            fresh.setPool(poolFactory.apply(ip));
-            byIp.put(ip, fresh);
+            Member added = new Member(ip, state, now, onSuspected);
+            added.setPool(poolFactory.apply(ip));
+            byIp.put(ip, added);
             rebuildServiceIndex();
             return UpdateResult.NEW;
         }
-        NodeState known = member.state();
-        if (known.bootId() == state.bootId() && known.sequence() > state.sequence()) {
+        NodeState previous = member.state();
+        if (previous.bootId() == state.bootId() && previous.sequence() > state.sequence()) {
             return UpdateResult.STALE;
         }
-        boolean changed = known.bootId() != state.bootId()
-                || known.backendState() != state.backendState()
-                || known.leaving() != state.leaving()
-                || !known.service().equals(state.service())
-                || !known.incarnation().equals(state.incarnation());
+        boolean changed = previous.bootId() != state.bootId()
+                || previous.backendState() != state.backendState()
+                || previous.leaving() != state.leaving()
+                || !previous.service().equals(state.service())
+                || !previous.incarnation().equals(state.incarnation());
         member.update(state, now);
         if (changed) {
             rebuildServiceIndex();
@@ -94,26 +94,26 @@
     }
 
     /** Tells what waits for nodes that fell silent. */
-    public void notifySilent(long spanNanos, long now) {
+    public void notifySilent(long timeoutNanos, long now) {
         for (Member member : List.copyOf(byIp.values())) {
-            member.notifyIfSilent(spanNanos, now);
+            member.notifyIfSilent(timeoutNanos, now);
         }
     }
 
     /** Forgets nodes that were not heard for a long time and closes idle connections. */
     public void removeExpired(long now) {
-        List<Member> lost = new ArrayList<>();
+        List<Member> expired = new ArrayList<>();
         for (Member member : byIp.values()) {
             member.pool().trim();
             if (now - member.lastHeardAt() > EXPIRY_NANOS) {
-                lost.add(member);
+                expired.add(member);
             }
         }
-        for (Member member : lost) {
+        for (Member member : expired) {
             byIp.remove(member.ip());
             member.pool().close();
         }
-        if (!lost.isEmpty()) {
+        if (!expired.isEmpty()) {
             rebuildServiceIndex();
         }
     }
