--- a/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
@@ -30,11 +30,11 @@
         for (int i = 0; i < count; i++) {
             int kind = in.readUnsignedByte();
             int priority = in.readByte();
-            int objective = in.readInt();
-            long median = in.readInt() * 1_000L;
+            int objectiveMillis = in.readInt();
+            long medianNanos = in.readInt() * 1_000L;
             double spread = in.readUnsignedShort() / PER_MILLE;
-            if (kind < ROUTE_KINDS.length && median > 0) {
-                times.add(new KindTime(new RequestClass(ROUTE_KINDS[kind], priority, objective), median, spread));
+            if (kind < ROUTE_KINDS.length && medianNanos > 0) {
+                times.add(new KindTime(new RequestClass(ROUTE_KINDS[kind], priority, objectiveMillis), medianNanos, spread));
             }
         }
         return times;
@@ -51,30 +51,30 @@
 
     /** Writes a datagram. */
     public static void write(Message message, ByteBuf out) {
-        NodeState s = message.state();
+        NodeState state = message.state();
         out.writeInt(MAGIC);
-        int flags = (s.storeReachable() ? FLAG_STORE_REACHABLE : 0)
-                | (s.leaving() ? FLAG_LEAVING : 0)
+        int flags = (state.storeReachable() ? FLAG_STORE_REACHABLE : 0)
+                | (state.leaving() ? FLAG_LEAVING : 0)
                 | (message.replyRequested() ? FLAG_REPLY_REQUESTED : 0);
         out.writeByte(flags);
-        out.writeLong(s.bootId());
-        out.writeLong(s.sequence());
-        out.writeShort(s.linkMbps());
-        out.writeLong(s.version());
-        out.writeByte(s.backendState().ordinal());
-        out.writeInt((int) (s.warmUpRemainingNanos() / 1_000_000));
-        out.writeShort(s.load().running());
-        out.writeShort(s.load().queued());
-        out.writeShort(s.load().slots());
-        out.writeInt((int) (s.load().meanNanos() / 1_000));
-        out.writeShort(s.load().lostPerMille());
-        out.writeShort((int) Math.min(MAX_LINK_MILLIS, s.load().incomingNanos() / 1_000_000));
-        out.writeShort((int) Math.min(MAX_LINK_MILLIS, s.load().outgoingNanos() / 1_000_000));
-        writeString(s.zone(), out);
-        writeString(s.service(), out);
-        writeString(s.incarnation(), out);
-        out.writeByte(s.requestTimes().size());
-        for (KindTime time : s.requestTimes()) {
+        out.writeLong(state.bootId());
+        out.writeLong(state.sequence());
+        out.writeShort(state.linkMbps());
+        out.writeLong(state.version());
+        out.writeByte(state.backendState().ordinal());
+        out.writeInt((int) (state.warmUpRemainingNanos() / 1_000_000));
+        out.writeShort(state.load().running());
+        out.writeShort(state.load().queued());
+        out.writeShort(state.load().slots());
+        out.writeInt((int) (state.load().meanNanos() / 1_000));
+        out.writeShort(state.load().lostPerMille());
+        out.writeShort((int) Math.min(MAX_LINK_MILLIS, state.load().incomingNanos() / 1_000_000));
+        out.writeShort((int) Math.min(MAX_LINK_MILLIS, state.load().outgoingNanos() / 1_000_000));
+        writeString(state.zone(), out);
+        writeString(state.service(), out);
+        writeString(state.incarnation(), out);
+        out.writeByte(state.requestTimes().size());
+        for (KindTime time : state.requestTimes()) {
             out.writeByte(time.like().kind().ordinal());
             out.writeByte(time.like().priority());
             out.writeInt(time.like().objectiveMillis());
@@ -94,12 +94,12 @@
                 return Optional.empty();
             }
             int flags = in.readUnsignedByte();
-            long boot = in.readLong();
+            long bootId = in.readLong();
             long sequence = in.readLong();
             int linkMbps = in.readUnsignedShort();
             long version = in.readLong();
-            BackendState backend = BackendState.fromOrdinal(in.readUnsignedByte());
-            long warmUp = in.readInt() * 1_000_000L;
+            BackendState backendState = BackendState.fromOrdinal(in.readUnsignedByte());
+            long warmUpRemainingNanos = in.readInt() * 1_000_000L;
             OwnerLoad load = new OwnerLoad(
                     in.readUnsignedShort(),
                     in.readUnsignedShort(),
@@ -111,9 +111,9 @@
             String zone = readString(in);
             String service = readString(in);
             String incarnation = readString(in);
-            List<KindTime> times = readRequestTimes(in);
+            List<KindTime> requestTimes = readRequestTimes(in);
             NodeState state = new NodeState(
-                    boot,
+                    bootId,
                     sequence,
                     zone,
                     linkMbps,
@@ -122,16 +122,16 @@
                     (flags & FLAG_LEAVING) != 0,
                     service,
                     incarnation,
-                    backend,
-                    warmUp,
+                    backendState,
+                    warmUpRemainingNanos,
                     load,
-                    times);
+                    requestTimes);
             int count = in.readUnsignedByte();
-            List<String> others = new ArrayList<>(count);
+            List<String> peerAddresses = new ArrayList<>(count);
             for (int i = 0; i < count; i++) {
-                others.add(readString(in));
+                peerAddresses.add(readString(in));
             }
-            return Optional.of(new Message(state, (flags & FLAG_REPLY_REQUESTED) != 0, others));
+            return Optional.of(new Message(state, (flags & FLAG_REPLY_REQUESTED) != 0, peerAddresses));
         } catch (IndexOutOfBoundsException e) {
             // A datagram cut short; its sender tells again soon.
             return Optional.empty();
