--- a/org.berylwick.node/src/org/berylwick/node/version/ConfigurationSource.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/ConfigurationSource.java
@@ -37,25 +37,25 @@
     /**
      * Reads the newest version.
      *
-     * @param freshness of the answer
-     * @param onAnswer gets it
+     * @param consistency of the answer
+     * @param onResult gets it
      */
-    void read(Consistency freshness, Consumer<ReadResult> onAnswer);
+    void read(Consistency consistency, Consumer<ReadResult> onResult);
 
     /**
      * Waits for a version accepted after a revision.
      *
      * @param revision told by an earlier answer
-     * @param waitMillis the longest wait
-     * @param onAnswer gets the answer
+     * @param maxWaitMillis the longest wait
+     * @param onResult gets the answer
      */
-    void watch(long revision, long waitMillis, Consumer<ReadResult> onAnswer);
+    void watch(long revision, long maxWaitMillis, Consumer<ReadResult> onResult);
 
     /**
      * Reads a version that another node sent.
      *
-     * @param source its bytes
+     * @param encoded its bytes
      * @return {@link ReadResult.Found} or {@link ReadResult.Invalid}
      */
-    ReadResult decode(byte[] source);
+    ReadResult decode(byte[] encoded);
 }
