--- a/org.berylwick.node/src/org/berylwick/node/version/VersionDeltaCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionDeltaCodec.java
@@ -33,89 +33,89 @@
     /**
      * Writes a delta.
      *
-     * @param earlier what the receiver has, empty for nothing
-     * @param later what it is to get
+     * @param base what the receiver has, empty for nothing
+     * @param target what it is to get
      */
-    public static byte[] encode(byte[] earlier, byte[] later) {
-        ByteArrayOutputStream parts = new ByteArrayOutputStream();
-        writeVarint(parts, later.length);
-        int common = Math.min(earlier.length, later.length);
-        int mismatch = Arrays.mismatch(earlier, 0, common, later, 0, common);
-        int head = mismatch < 0 ? common : mismatch;
-        int tail = 0;
-        while (tail < common - head && earlier[earlier.length - 1 - tail] == later[later.length - 1 - tail]) {
-            tail++;
+    public static byte[] encode(byte[] base, byte[] target) {
+        ByteArrayOutputStream instructions = new ByteArrayOutputStream();
+        writeVarint(instructions, target.length);
+        int maxCommonLength = Math.min(base.length, target.length);
+        int mismatch = Arrays.mismatch(base, 0, maxCommonLength, target, 0, maxCommonLength);
+        int prefixLength = mismatch < 0 ? maxCommonLength : mismatch;
+        int suffixLength = 0;
+        while (suffixLength < maxCommonLength - prefixLength && base[base.length - 1 - suffixLength] == target[target.length - 1 - suffixLength]) {
+            suffixLength++;
         }
-        writeCopy(parts, 0, head);
-        writeChangedRange(parts, earlier, later, head, later.length - tail);
-        writeCopy(parts, earlier.length - tail, tail);
-        CRC32 check = new CRC32();
-        check.update(later);
+        writeCopy(instructions, 0, prefixLength);
+        writeChangedRange(instructions, base, target, prefixLength, target.length - suffixLength);
+        writeCopy(instructions, base.length - suffixLength, suffixLength);
+        CRC32 crc32 = new CRC32();
+        crc32.update(target);
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.writeBytes(
-                ByteBuffer.allocate(CHECKSUM_BYTES).putInt((int) check.getValue()).array());
-        deflate(parts.toByteArray(), out);
+                ByteBuffer.allocate(CHECKSUM_BYTES).putInt((int) crc32.getValue()).array());
+        deflate(instructions.toByteArray(), out);
         return out.toByteArray();
     }
 
     /** Writes {@code later[from, to)} as copies of blocks that the earlier version has, and bytes between them. */
-    private static void writeChangedRange(ByteArrayOutputStream parts, byte[] earlier, byte[] later, int from, int to) {
-        if (to - from < BLOCK_BYTES || earlier.length < BLOCK_BYTES) {
-            writeLiteral(parts, later, from, to);
+    private static void writeChangedRange(ByteArrayOutputStream instructions, byte[] base, byte[] target, int from, int to) {
+        if (to - from < BLOCK_BYTES || base.length < BLOCK_BYTES) {
+            writeLiteral(instructions, target, from, to);
             return;
         }
-        BlockIndex index = new BlockIndex(earlier);
-        int pending = from;
-        int at = from;
-        int hash = BlockIndex.hash(later, at);
-        while (at + BLOCK_BYTES <= to) {
-            int offset = index.find(hash, later, at);
+        BlockIndex index = new BlockIndex(base);
+        int literalStart = from;
+        int position = from;
+        int hash = BlockIndex.hash(target, position);
+        while (position + BLOCK_BYTES <= to) {
+            int offset = index.find(hash, target, position);
             if (offset < 0) {
-                if (at + BLOCK_BYTES < to) {
-                    hash = BlockIndex.roll(hash, later[at], later[at + BLOCK_BYTES]);
+                if (position + BLOCK_BYTES < to) {
+                    hash = BlockIndex.roll(hash, target[position], target[position + BLOCK_BYTES]);
                 }
-                at++;
+                position++;
                 continue;
             }
-            int length = matchLength(earlier, offset, later, at, to);
-            writeLiteral(parts, later, pending, at);
-            writeCopy(parts, offset, length);
-            at += length;
-            pending = at;
-            if (at + BLOCK_BYTES <= to) {
-                hash = BlockIndex.hash(later, at);
+            int length = matchLength(base, offset, target, position, to);
+            writeLiteral(instructions, target, literalStart, position);
+            writeCopy(instructions, offset, length);
+            position += length;
+            literalStart = position;
+            if (position + BLOCK_BYTES <= to) {
+                hash = BlockIndex.hash(target, position);
             }
         }
-        writeLiteral(parts, later, pending, to);
+        writeLiteral(instructions, target, literalStart, to);
     }
 
-    private static int matchLength(byte[] earlier, int offset, byte[] later, int at, int to) {
-        int most = Math.min(earlier.length - offset, to - at);
-        int mismatch = Arrays.mismatch(earlier, offset, offset + most, later, at, at + most);
-        return mismatch < 0 ? most : mismatch;
+    private static int matchLength(byte[] base, int offset, byte[] target, int position, int to) {
+        int maxLength = Math.min(base.length - offset, to - position);
+        int mismatch = Arrays.mismatch(base, offset, offset + maxLength, target, position, position + maxLength);
+        return mismatch < 0 ? maxLength : mismatch;
     }
 
-    private static void writeCopy(ByteArrayOutputStream parts, int offset, int length) {
+    private static void writeCopy(ByteArrayOutputStream instructions, int offset, int length) {
         if (length > 0) {
-            writeVarint(parts, length * 2L + 1);
-            writeVarint(parts, offset);
+            writeVarint(instructions, length * 2L + 1);
+            writeVarint(instructions, offset);
         }
     }
 
-    private static void writeLiteral(ByteArrayOutputStream parts, byte[] later, int from, int to) {
+    private static void writeLiteral(ByteArrayOutputStream instructions, byte[] target, int from, int to) {
         if (to > from) {
-            writeVarint(parts, (to - from) * 2L);
-            parts.write(later, from, to - from);
+            writeVarint(instructions, (to - from) * 2L);
+            instructions.write(target, from, to - from);
         }
     }
 
-    private static void writeVarint(ByteArrayOutputStream out, long number) {
-        long rest = number;
-        while (rest >= 0x80) {
-            out.write((int) (rest & 0x7f) | 0x80);
-            rest >>>= 7;
+    private static void writeVarint(ByteArrayOutputStream out, long value) {
+        long remaining = value;
+        while (remaining >= 0x80) {
+            out.write((int) (remaining & 0x7f) | 0x80);
+            remaining >>>= 7;
         }
-        out.write((int) rest);
+        out.write((int) remaining);
     }
 
     private static void deflate(byte[] bytes, ByteArrayOutputStream out) {
@@ -135,28 +135,28 @@
     /**
      * Reads a delta.
      *
-     * @param earlier what it was written against
+     * @param base what it was written against
      * @param delta its bytes
      * @return the later version's bytes; empty if the delta is damaged or was written against another version
      */
-    public static Optional<byte[]> decode(byte[] earlier, byte[] delta) {
+    public static Optional<byte[]> decode(byte[] base, byte[] delta) {
         if (delta.length < CHECKSUM_BYTES) {
             return Optional.empty();
         }
-        int check = ByteBuffer.wrap(delta).getInt();
+        int checksum = ByteBuffer.wrap(delta).getInt();
         try {
             return inflate(delta)
-                    .flatMap(parts -> apply(earlier, ByteBuffer.wrap(parts)))
-                    .filter(later -> checksumOf(later) == check);
+                    .flatMap(instructions -> apply(base, ByteBuffer.wrap(instructions)))
+                    .filter(target -> checksumOf(target) == checksum);
         } catch (DataFormatException | java.nio.BufferUnderflowException e) {
             return Optional.empty();
         }
     }
 
     private static int checksumOf(byte[] bytes) {
-        CRC32 check = new CRC32();
-        check.update(bytes);
-        return (int) check.getValue();
+        CRC32 crc32 = new CRC32();
+        crc32.update(bytes);
+        return (int) crc32.getValue();
     }
 
     private static Optional<byte[]> inflate(byte[] delta) throws DataFormatException {
@@ -178,42 +178,42 @@
         }
     }
 
-    private static Optional<byte[]> apply(byte[] earlier, ByteBuffer parts) {
-        long size = readVarint(parts);
+    private static Optional<byte[]> apply(byte[] base, ByteBuffer instructions) {
+        long size = readVarint(instructions);
         if (size > MAX_VERSION_BYTES) {
             return Optional.empty();
         }
-        ByteBuffer later = ByteBuffer.allocate((int) size);
-        while (parts.hasRemaining()) {
-            long part = readVarint(parts);
-            long length = part >>> 1;
-            if (length > later.remaining()) {
+        ByteBuffer target = ByteBuffer.allocate((int) size);
+        while (instructions.hasRemaining()) {
+            long instruction = readVarint(instructions);
+            long length = instruction >>> 1;
+            if (length > target.remaining()) {
                 return Optional.empty();
             }
-            if ((part & 1) == 0) {
-                if (length > parts.remaining()) {
+            if ((instruction & 1) == 0) {
+                if (length > instructions.remaining()) {
                     return Optional.empty();
                 }
-                later.put(parts.slice().limit((int) length));
-                parts.position(parts.position() + (int) length);
+                target.put(instructions.slice().limit((int) length));
+                instructions.position(instructions.position() + (int) length);
                 continue;
             }
-            long offset = readVarint(parts);
-            if (offset > earlier.length - length) {
+            long offset = readVarint(instructions);
+            if (offset > base.length - length) {
                 return Optional.empty();
             }
-            later.put(earlier, (int) offset, (int) length);
+            target.put(base, (int) offset, (int) length);
         }
-        return later.hasRemaining() ? Optional.empty() : Optional.of(later.array());
+        return target.hasRemaining() ? Optional.empty() : Optional.of(target.array());
     }
 
     private static long readVarint(ByteBuffer in) {
-        long number = 0;
+        long value = 0;
         for (int shift = 0; shift < 35; shift += 7) {
             byte b = in.get();
-            number |= (long) (b & 0x7f) << shift;
+            value |= (long) (b & 0x7f) << shift;
             if (b >= 0) {
-                return number;
+                return value;
             }
         }
         throw new java.nio.BufferUnderflowException();
@@ -233,8 +233,8 @@
             int size = Integer.highestOneBit(Math.max(16, bytes.length / BLOCK_BYTES * 2)) * 2;
             mask = size - 1;
             offsets = new int[size];
-            for (int at = 0; at + BLOCK_BYTES <= bytes.length; at += BLOCK_BYTES) {
-                offsets[bucket(hash(bytes, at))] = at + 1;
+            for (int position = 0; position + BLOCK_BYTES <= bytes.length; position += BLOCK_BYTES) {
+                offsets[bucket(hash(bytes, position))] = position + 1;
             }
         }
 
@@ -251,22 +251,22 @@
             return mixed >>> 8 & mask;
         }
 
-        static int hash(byte[] of, int at) {
+        static int hash(byte[] data, int position) {
             int hash = 0;
             for (int i = 0; i < BLOCK_BYTES; i++) {
-                hash = hash * HASH_MULTIPLIER + of[at + i];
+                hash = hash * HASH_MULTIPLIER + data[position + i];
             }
             return hash;
         }
 
-        static int roll(int hash, byte leaves, byte enters) {
-            return hash * HASH_MULTIPLIER - REMOVED_BYTE_MULTIPLIER * leaves + enters;
+        static int roll(int hash, byte removed, byte added) {
+            return hash * HASH_MULTIPLIER - REMOVED_BYTE_MULTIPLIER * removed + added;
         }
 
         /** Where the block {@code of[at, at + BLOCK)} is found, or -1. */
-        int find(int hash, byte[] of, int at) {
+        int find(int hash, byte[] data, int position) {
             int offset = offsets[bucket(hash)] - 1;
-            if (offset < 0 || !Arrays.equals(bytes, offset, offset + BLOCK_BYTES, of, at, at + BLOCK_BYTES)) {
+            if (offset < 0 || !Arrays.equals(bytes, offset, offset + BLOCK_BYTES, data, position, position + BLOCK_BYTES)) {
                 return -1;
             }
             return offset;
