--- a/org.berylwick.node/src/org/berylwick/node/version/VersionFetcher.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionFetcher.java
@@ -44,8 +44,8 @@
      * @param loop all runs on it
      * @param table other nodes
      * @param zone of this node
-     * @param shelf versions that were in force here
-     * @param number of the version in force, 0 for none
+     * @param history versions that were in force here
+     * @param currentNumber of the version in force, 0 for none
      * @param onFetched takes the bytes of a whole version and who sent it
      * @param instruments take counts and events
      */
@@ -53,15 +53,15 @@
             EventLoop loop,
             MemberTable table,
             String zone,
-            VersionHistory shelf,
-            LongSupplier number,
+            VersionHistory history,
+            LongSupplier currentNumber,
             BiConsumer<Member, byte[]> onFetched,
             Instruments instruments) {
         this.loop = loop;
         this.table = table;
         this.zone = zone;
-        this.history = shelf;
-        this.currentNumber = number;
+        this.history = history;
+        this.currentNumber = currentNumber;
         this.onFetched = onFetched;
         this.instruments = instruments;
     }
@@ -85,17 +85,17 @@
         if (fetching) {
             return;
         }
-        Optional<Member> from = chooseSource();
-        if (from.isEmpty()) {
+        Optional<Member> source = chooseSource();
+        if (source.isEmpty()) {
             return;
         }
         fetching = true;
-        Member member = from.get();
-        long base = fullVersionRequired ? 0 : currentNumber.getAsLong();
+        Member member = source.get();
+        long baseNumber = fullVersionRequired ? 0 : currentNumber.getAsLong();
         SmallHttpCall.start(
                 loop,
                 member.pool(),
-                new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, VersionUpdater.VERSION_PATH + base),
+                new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, VersionUpdater.VERSION_PATH + baseNumber),
                 new byte[0],
                 TIMEOUT_MILLIS,
                 result -> onResult(member, result));
@@ -103,47 +103,47 @@
 
     private Optional<Member> chooseSource() {
         long now = System.nanoTime();
-        List<Member> near = new ArrayList<>();
-        List<Member> far = new ArrayList<>();
+        List<Member> sameZone = new ArrayList<>();
+        List<Member> otherZones = new ArrayList<>();
         for (Member member : table.all()) {
             if (member.state().version() <= currentNumber.getAsLong() || member.isSuspect(now)) {
                 continue;
             }
-            (member.state().zone().equals(zone) ? near : far).add(member);
+            (member.state().zone().equals(zone) ? sameZone : otherZones).add(member);
         }
-        List<Member> from = near.isEmpty() ? far : near;
-        if (from.isEmpty()) {
+        List<Member> candidates = sameZone.isEmpty() ? otherZones : sameZone;
+        if (candidates.isEmpty()) {
             return Optional.empty();
         }
         // The one that delivered last has the version that is here, and needs to send only what changed since.
-        for (Member member : from) {
+        for (Member member : candidates) {
             if (member.ip().equals(lastSourceIp)) {
                 return Optional.of(member);
             }
         }
-        return Optional.of(from.get(ThreadLocalRandom.current().nextInt(from.size())));
+        return Optional.of(candidates.get(ThreadLocalRandom.current().nextInt(candidates.size())));
     }
 
-    private void onResult(Member from, SmallHttpCall.Result result) {
+    private void onResult(Member source, SmallHttpCall.Result result) {
         fetching = false;
-        if (!(result instanceof SmallHttpCall.Result.Answered answered) || answered.status() != 200) {
+        if (!(result instanceof SmallHttpCall.Result.Answered response) || response.status() != 200) {
             // Its link may be full of this very version: that says nothing of the requests it runs.
             instruments.counters().add(NodeMetricNames.VERSIONS_FETCH_FAILURES);
             scheduleRetry();
             return;
         }
-        instruments.counters().add(NodeMetricNames.VERSIONS_FETCHED_BYTES, answered.body().length);
-        Optional<byte[]> whole = VersionHistory.VersionDelta.decode(answered.body()).flatMap(history::apply);
-        if (whole.isEmpty()) {
+        instruments.counters().add(NodeMetricNames.VERSIONS_FETCHED_BYTES, response.body().length);
+        Optional<byte[]> encoded = VersionHistory.VersionDelta.decode(response.body()).flatMap(history::apply);
+        if (encoded.isEmpty()) {
             // The next one is asked for whole, or two nodes that differ in an old version would never agree again.
             fullVersionRequired = true;
-            instruments.log().write(Event.VERSION_REFUSED, "from", from.ip(), "why", "does not fit the version here");
+            instruments.log().write(Event.VERSION_REFUSED, "from", source.ip(), "why", "does not fit the version here");
             scheduleRetry();
             return;
         }
         fullVersionRequired = false;
-        lastSourceIp = from.ip();
-        onFetched.accept(from, whole.get());
+        lastSourceIp = source.ip();
+        onFetched.accept(source, encoded.get());
     }
 
     private void scheduleRetry() {
