--- a/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
@@ -110,11 +110,11 @@
     /**
      * The version in force for a node that has an earlier one, as that node's fetch reads it.
      *
-     * @param base number of the version it has, 0 for none
+     * @param baseNumber number of the version it has, 0 for none
      * @return empty if there is nothing newer here
      */
-    public Optional<byte[]> encodeDeltaFrom(long base) {
-        return history.deltaFrom(base).map(VersionHistory.VersionDelta::encode);
+    public Optional<byte[]> encodeDeltaFrom(long baseNumber) {
+        return history.deltaFrom(baseNumber).map(VersionHistory.VersionDelta::encode);
     }
 
     /** Starts. */
@@ -134,26 +134,26 @@
         read(ConfigurationSource.Consistency.LINEARIZABLE);
     }
 
-    private void read(ConfigurationSource.Consistency freshness) {
+    private void read(ConfigurationSource.Consistency consistency) {
         if (reading) {
             return;
         }
         reading = true;
         counters.add(NodeMetricNames.STORE_READS);
-        source.read(freshness, answer -> {
+        source.read(consistency, result -> {
             reading = false;
-            onReadResult(answer);
+            onReadResult(result);
         });
     }
 
-    private void onReadResult(ConfigurationSource.ReadResult answer) {
-        switch (answer) {
+    private void onReadResult(ConfigurationSource.ReadResult result) {
+        switch (result) {
             case ConfigurationSource.ReadResult.Found found -> {
                 onStoreReachable();
                 revision = Math.max(revision, found.revision());
-                boolean burst = isWithinInstallInterval(System.nanoTime());
+                boolean inBurst = isWithinInstallInterval(System.nanoTime());
                 install(found.version(), "store", Origin.STORE);
-                continueReading(burst);
+                continueReading(inBurst);
             }
             case ConfigurationSource.ReadResult.Unchanged unchanged -> {
                 onStoreReachable();
@@ -184,8 +184,8 @@
     /**
      * Watches on. In a burst it waits and reads the newest version alone: a watch is answered with every one of them.
      */
-    private void continueReading(boolean burst) {
-        if (!burst || reading) {
+    private void continueReading(boolean inBurst) {
+        if (!inBurst || reading) {
             watch();
             return;
         }
@@ -230,16 +230,16 @@
         }
         watching = true;
         counters.add(NodeMetricNames.STORE_WATCHES);
-        source.watch(revision, WATCH_TIMEOUT_MILLIS, answer -> {
+        source.watch(revision, WATCH_TIMEOUT_MILLIS, result -> {
             watching = false;
-            onReadResult(answer);
+            onReadResult(result);
         });
     }
 
     private void schedulePoll() {
-        long nodes = table.all().size() + 1L;
-        long period = Math.max(MIN_POLL_MILLIS, POLL_MILLIS_PER_NODE * nodes);
-        long millis = period / 2 + ThreadLocalRandom.current().nextLong(period);
+        long nodeCount = table.all().size() + 1L;
+        long periodMillis = Math.max(MIN_POLL_MILLIS, POLL_MILLIS_PER_NODE * nodeCount);
+        long delayMillis = periodMillis / 2 + ThreadLocalRandom.current().nextLong(periodMillis);
         loop.schedule(
                 () -> {
                     // Only to find out that nothing else told of a version for seconds.
@@ -249,28 +249,28 @@
                                     : ConfigurationSource.Consistency.STALE_ALLOWED);
                     schedulePoll();
                 },
-                millis,
+                delayMillis,
                 TimeUnit.MILLISECONDS);
     }
 
-    private void install(MeshVersion fresh, String from, Origin origin) {
-        if (version.isPresent() && fresh.number() <= version.get().number()) {
+    private void install(MeshVersion candidate, String from, Origin origin) {
+        if (version.isPresent() && candidate.number() <= version.get().number()) {
             return;
         }
-        version = Optional.of(fresh);
+        version = Optional.of(candidate);
         lastInstalledAt = System.nanoTime();
-        history.add(fresh);
+        history.add(candidate);
         counters.add(NodeMetricNames.VERSIONS_INSTALLED);
         log.write(
                 Event.VERSION_INSTALLED,
                 "version",
-                fresh.number(),
+                candidate.number(),
                 "from",
                 from,
                 "routes",
-                fresh.routeCount(),
+                candidate.routeCount(),
                 "bytes",
-                fresh.source().length,
+                candidate.source().length,
                 "revision",
                 revision);
         onInstalled.accept(origin);
@@ -285,13 +285,13 @@
         return version.map(MeshVersion::number).orElse(0L);
     }
 
-    private void onFetched(Member from, byte[] whole) {
-        Origin origin = from.state().zone().equals(zone) ? Origin.NEAR : Origin.FAR;
-        switch (source.decode(whole)) {
-            case ConfigurationSource.ReadResult.Found found -> install(found.version(), from.ip(), origin);
+    private void onFetched(Member sender, byte[] encoded) {
+        Origin origin = sender.state().zone().equals(zone) ? Origin.NEAR : Origin.FAR;
+        switch (source.decode(encoded)) {
+            case ConfigurationSource.ReadResult.Found found -> install(found.version(), sender.ip(), origin);
             case ConfigurationSource.ReadResult.Invalid invalid ->
-                log.write(Event.VERSION_REFUSED, "from", from.ip(), "why", invalid.reason());
-            default -> log.write(Event.VERSION_REFUSED, "from", from.ip(), "why", "unexpected answer");
+                log.write(Event.VERSION_REFUSED, "from", sender.ip(), "why", invalid.reason());
+            default -> log.write(Event.VERSION_REFUSED, "from", sender.ip(), "why", "unexpected answer");
         }
     }
 }
