--- a/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
@@ -24,10 +24,10 @@
         newestNumber = version.number();
         encodedByNumber.put(newestNumber, version.source());
         deltasByBase.clear();
-        long bytes = encodedByNumber.values().stream().mapToLong(s -> s.length).sum();
-        while (encodedByNumber.size() > 1 && (encodedByNumber.size() > MAX_VERSIONS || bytes > MAX_BYTES)) {
+        long totalBytes = encodedByNumber.values().stream().mapToLong(s -> s.length).sum();
+        while (encodedByNumber.size() > 1 && (encodedByNumber.size() > MAX_VERSIONS || totalBytes > MAX_BYTES)) {
             Map.Entry<Long, byte[]> oldest = encodedByNumber.entrySet().iterator().next();
-            bytes -= oldest.getValue().length;
+            totalBytes -= oldest.getValue().length;
             encodedByNumber.remove(oldest.getKey());
         }
     }
@@ -36,14 +36,14 @@
      * What a node needs that has a version: the number of the version it is written against, 0 for none, and the delta.
      * Empty if there is nothing newer.
      */
-    Optional<VersionDelta> deltaFrom(long base) {
-        if (encodedByNumber.isEmpty() || base >= newestNumber) {
+    Optional<VersionDelta> deltaFrom(long baseNumber) {
+        if (encodedByNumber.isEmpty() || baseNumber >= newestNumber) {
             return Optional.empty();
         }
-        long from = encodedByNumber.containsKey(base) ? base : 0;
+        long usableBase = encodedByNumber.containsKey(baseNumber) ? baseNumber : 0;
         byte[] delta = deltasByBase.computeIfAbsent(
-                from, f -> VersionDeltaCodec.encode(encodedByNumber.getOrDefault(f, EMPTY), encodedByNumber.get(newestNumber)));
-        return Optional.of(new VersionDelta(from, delta));
+                usableBase, f -> VersionDeltaCodec.encode(encodedByNumber.getOrDefault(f, EMPTY), encodedByNumber.get(newestNumber)));
+        return Optional.of(new VersionDelta(usableBase, delta));
     }
 
     /**
@@ -66,14 +66,14 @@
             if (bytes.length < Long.BYTES) {
                 return Optional.empty();
             }
-            long base = ByteBuffer.wrap(bytes).getLong();
-            return Optional.of(new VersionDelta(base, Arrays.copyOfRange(bytes, Long.BYTES, bytes.length)));
+            long baseNumber = ByteBuffer.wrap(bytes).getLong();
+            return Optional.of(new VersionDelta(baseNumber, Arrays.copyOfRange(bytes, Long.BYTES, bytes.length)));
         }
     }
 
     /** The whole version that a delivery leads to; empty if it is written against one that is not kept here. */
-    Optional<byte[]> apply(VersionDelta delivery) {
-        byte[] earlier = delivery.baseNumber() == 0 ? EMPTY : encodedByNumber.get(delivery.baseNumber());
-        return earlier == null ? Optional.empty() : VersionDeltaCodec.decode(earlier, delivery.payload());
+    Optional<byte[]> apply(VersionDelta delta) {
+        byte[] base = delta.baseNumber() == 0 ? EMPTY : encodedByNumber.get(delta.baseNumber());
+        return base == null ? Optional.empty() : VersionDeltaCodec.decode(base, delta.payload());
     }
 }
