--- a/org.berylwick.test/tst/org/berylwick/node/MembershipTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/MembershipTest.java
@@ -97,14 +97,14 @@
             rig.configuration.publish(NodeRig.version(1));
             Node node = rig.start(1, Optional.of(server));
             rig.awaitReady(1);
-            String[] answers = new String[1];
-            Thread caller = Thread.ofPlatform().start(() -> answers[0] = rig.call(1, "POST", "/pay/x", "a1", ""));
+            String[] responses = new String[1];
+            Thread callThread = Thread.ofPlatform().start(() -> responses[0] = rig.call(1, "POST", "/pay/x", "a1", ""));
             Await.until("the run", () -> server.runs("a1") == 1, rig::logged);
-            Thread stopper = Thread.ofPlatform().start(node::stop);
+            Thread stopThread = Thread.ofPlatform().start(node::stop);
             Await.until("not ready", () -> !rig.isReady(1), rig::logged);
-            caller.join();
-            assertTrue(answers[0].endsWith("ok"), answers[0]);
-            stopper.join();
+            callThread.join();
+            assertTrue(responses[0].endsWith("ok"), responses[0]);
+            stopThread.join();
         }
     }
 
@@ -114,27 +114,27 @@
      */
     @Test
     void backendServerThatDropsResponsesReceivesFewNonIdempotentRequests() {
-        int[] runs = {0};
-        try (RawServer bad = new RawServer((c, r) -> {
-                    if (runs[0]++ % 2 == 0) {
+        int[] requestCount = {0};
+        try (RawServer faulty = new RawServer((c, r) -> {
+                    if (requestCount[0]++ % 2 == 0) {
                         NodeRig.answerOk(c, r);
                     } else {
                         c.close();
                     }
                 });
-                RawServer good = new RawServer(NodeRig::answerOk);
+                RawServer healthy = new RawServer(NodeRig::answerOk);
                 NodeRig rig = new NodeRig()) {
             rig.configuration.publish(NodeRig.version(1));
-            rig.start(1, Optional.of(bad));
-            rig.start(2, Optional.of(good));
+            rig.start(1, Optional.of(faulty));
+            rig.start(2, Optional.of(healthy));
             rig.awaitReady(1);
             rig.awaitHeard("i-2");
             for (int i = 0; i < 60; i++) {
                 rig.call(1, "POST", "/pay/x", "a" + i, "");
             }
             assertTrue(
-                    bad.requests().size() < 20,
-                    "sent to the one that loses answers: " + bad.requests().size());
+                    faulty.requests().size() < 20,
+                    "sent to the one that loses answers: " + faulty.requests().size());
         }
     }
 }
