--- a/org.berylwick.test/tst/org/berylwick/node/InMemoryConfigurationStore.java
+++ b/org.berylwick.test/tst/org/berylwick/node/InMemoryConfigurationStore.java
@@ -40,8 +40,8 @@
         versions.put(version.number(), version);
     }
 
-    synchronized void setUnavailable(boolean isDown) {
-        unavailable = isDown;
+    synchronized void setUnavailable(boolean isUnavailable) {
+        unavailable = isUnavailable;
     }
 
     private synchronized ConfigurationSource.ReadResult read() {
@@ -70,19 +70,19 @@
     ConfigurationSource sourceFor(EventLoop loop) {
         return new ConfigurationSource() {
             @Override
-            public void read(Consistency freshness, Consumer<ReadResult> onAnswer) {
-                loop.execute(() -> onAnswer.accept(InMemoryConfigurationStore.this.read()));
+            public void read(Consistency consistency, Consumer<ReadResult> onResult) {
+                loop.execute(() -> onResult.accept(InMemoryConfigurationStore.this.read()));
             }
 
             @Override
-            public void watch(long revision, long waitMillis, Consumer<ReadResult> onAnswer) {
+            public void watch(long revision, long maxWaitMillis, Consumer<ReadResult> onResult) {
                 InMemoryConfigurationStore.this.watch(
-                        revision, () -> loop.execute(() -> onAnswer.accept(InMemoryConfigurationStore.this.read())));
+                        revision, () -> loop.execute(() -> onResult.accept(InMemoryConfigurationStore.this.read())));
             }
 
             @Override
-            public ReadResult decode(byte[] source) {
-                String text = new String(source, StandardCharsets.US_ASCII);
+            public ReadResult decode(byte[] encoded) {
+                String text = new String(encoded, StandardCharsets.US_ASCII);
                 long number = Long.parseLong(text.substring(0, text.indexOf(' ')));
                 return new ReadResult.Found(versions.get(number), 0);
             }
