--- a/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
@@ -72,18 +72,18 @@
     /** The same of one that is leaving: it says that it is not healthy, and gets nothing. */
     @Test
     void restartedNodeSendsNoRequestsToUnhealthyBackendServer() {
-        List<String> asked = new CopyOnWriteArrayList<>();
+        List<String> requestedPaths = new CopyOnWriteArrayList<>();
         try (RawServer server = new RawServer((c, r) -> {
-                    asked.add(r.path());
+                    requestedPaths.add(r.path());
                     answerWithHealth("i-leaving", 503, c, r);
                 });
                 NodeRig rig = new NodeRig()) {
             rig.configuration.publish(version());
             rig.startUnreported(1, server);
             rig.awaitReady(1);
-            Await.until("that it was asked", () -> asked.size() >= 2, rig::logged);
+            Await.until("that it was asked", () -> requestedPaths.size() >= 2, rig::logged);
             assertTrue(rig.call(1, "POST", "/own/x", "a1", "").startsWith("HTTP/1.1 503"));
-            assertTrue(asked.stream().allMatch(HEALTH_PATH::equals), asked.toString());
+            assertTrue(requestedPaths.stream().allMatch(HEALTH_PATH::equals), requestedPaths.toString());
         }
     }
 
@@ -111,7 +111,7 @@
         try (RawServer server = new RawServer(NodeRig::answerOk);
                 NodeRig rig = new NodeRig()) {
             rig.configuration.publish(NodeRig.version(1));
-            Node stopped = rig.start(1, Optional.of(server));
+            Node stoppingNode = rig.start(1, Optional.of(server));
             rig.start(2, Optional.empty());
             rig.awaitReady(2);
             Await.until(
@@ -119,7 +119,7 @@
                     () -> rig.call(2, "POST", "/pay/x", "a" + System.nanoTime(), "")
                             .endsWith("ok"),
                     rig::logged);
-            Thread stopper = Thread.ofPlatform().start(stopped::stop);
+            Thread stopThread = Thread.ofPlatform().start(stoppingNode::stop);
             Await.until("not ready", () -> !rig.isReady(1), rig::logged);
             for (int i = 0; i < 10; i++) {
                 assertTrue(rig.call(2, "POST", "/pay/x", "b" + i, "").endsWith("ok"), rig.logged());
@@ -127,9 +127,9 @@
             }
             NodeRig.sleep(300);
             rig.isReady(1);
-            long before = System.nanoTime();
-            stopper.join();
-            long millis = (System.nanoTime() - before) / 1_000_000;
+            long callersGoneAt = System.nanoTime();
+            stopThread.join();
+            long millis = (System.nanoTime() - callersGoneAt) / 1_000_000;
             assertTrue(millis < 1_200, "ended " + millis + " ms after its callers were gone");
             assertTrue(rig.call(2, "POST", "/pay/x", "c", "").startsWith("HTTP/1.1 503"), rig.logged());
         }
@@ -141,34 +141,34 @@
      */
     @Test
     void requestRunningOnStoppingNodeCanStillMakeCalls() throws InterruptedException {
-        NodeRig[] held = new NodeRig[1];
-        String[] inner = new String[1];
+        NodeRig[] rigHolder = new NodeRig[1];
+        String[] innerResponse = new String[1];
         try (RawServer server = new RawServer((c, r) -> {
                     if (r.id().equals("outer")) {
                         NodeRig.sleep(1_500);
-                        inner[0] = held[0].call(1, "GET", "/read/x", "inner", "");
+                        innerResponse[0] = rigHolder[0].call(1, "GET", "/read/x", "inner", "");
                     }
                     NodeRig.answerOk(c, r);
                 });
-                RawServer other = new RawServer(NodeRig::answerOk);
+                RawServer otherServer = new RawServer(NodeRig::answerOk);
                 NodeRig rig = new NodeRig()) {
-            held[0] = rig;
+            rigHolder[0] = rig;
             rig.configuration.publish(NodeRig.version(1));
-            Node stopped = rig.start(1, Optional.of(server));
-            rig.start(2, "zone-b", Optional.of(other), 2);
+            Node stoppingNode = rig.start(1, Optional.of(server));
+            rig.start(2, "zone-b", Optional.of(otherServer), 2);
             rig.awaitReady(1);
             rig.awaitHeard("i-2");
-            String[] answer = new String[1];
-            Thread caller = Thread.ofPlatform().start(() -> answer[0] = rig.call(1, "POST", "/pay/x", "outer", ""));
+            String[] outerResponse = new String[1];
+            Thread callThread = Thread.ofPlatform().start(() -> outerResponse[0] = rig.call(1, "POST", "/pay/x", "outer", ""));
             Await.until("the run", () -> server.runs("outer") == 1, rig::logged);
-            Thread stopper = Thread.ofPlatform().start(stopped::stop);
+            Thread stopThread = Thread.ofPlatform().start(stoppingNode::stop);
             rig.isReady(1);
             NodeRig.sleep(700);
             rig.isReady(1);
-            caller.join();
-            stopper.join();
-            assertTrue(answer[0].endsWith("ok"), answer[0]);
-            assertTrue(inner[0].endsWith("ok"), inner[0]);
+            callThread.join();
+            stopThread.join();
+            assertTrue(outerResponse[0].endsWith("ok"), outerResponse[0]);
+            assertTrue(innerResponse[0].endsWith("ok"), innerResponse[0]);
         }
     }
 
