--- a/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
@@ -34,16 +34,16 @@
     void idempotentRequestIsRetriedWhenNodeLosesPower() throws IOException, InterruptedException {
         try (RawServer server = new RawServer(NodeRig::answerOk);
                 NodeRig rig = NodeRig.ofEntry(versionWith(NodeRig.route("long", "/long/", RouteKind.BULK, 20_000)));
-                ScriptedPeer silent = ScriptedPeer.announced(rig, LINK_MBPS)) {
-            String[] answer = new String[1];
-            long before = System.nanoTime();
+                ScriptedPeer silentPeer = ScriptedPeer.announced(rig, LINK_MBPS)) {
+            String[] response = new String[1];
+            long startedAt = System.nanoTime();
             String request = NodeRig.request("GET", "/long/x", "a1", 20_000, "");
-            Thread caller = Thread.ofPlatform().start(() -> answer[0] = rig.send(1, request));
-            silent.accept();
+            Thread callThread = Thread.ofPlatform().start(() -> response[0] = rig.send(1, request));
+            silentPeer.accept();
             rig.start(2, Optional.of(server));
-            caller.join();
-            assertTrue(answer[0].endsWith("ok"), answer[0]);
-            assertTrue(System.nanoTime() - before < 10_000_000_000L, "it waited for its deadline");
+            callThread.join();
+            assertTrue(response[0].endsWith("ok"), response[0]);
+            assertTrue(System.nanoTime() - startedAt < 10_000_000_000L, "it waited for its deadline");
         }
     }
 
@@ -51,14 +51,14 @@
     @Test
     void responseOfSilentNodeIsAcceptedWhenNoOtherNodeIsAvailable() throws Exception {
         try (NodeRig rig = NodeRig.ofEntry(NodeRig.version(1));
-                ScriptedPeer unheard = ScriptedPeer.announced(rig, LINK_MBPS)) {
+                ScriptedPeer silentPeer = ScriptedPeer.announced(rig, LINK_MBPS)) {
             NodeRig.sleep(LONGER_THAN_SILENCE_TIMEOUT_MILLIS);
-            CompletableFuture<String> answer = callAsync(rig, "GET", "/read/x", "b1");
-            try (ScriptedPeer.Call call = unheard.accept()) {
+            CompletableFuture<String> response = callAsync(rig, "GET", "/read/x", "b1");
+            try (ScriptedPeer.Call call = silentPeer.accept()) {
                 call.head();
                 NodeRig.sleep(LONGER_THAN_GOSSIP_ROUND_MILLIS);
                 call.answer("b1", "late but whole");
-                assertTrue(answer.join().endsWith("late but whole"), answer.join());
+                assertTrue(response.join().endsWith("late but whole"), response.join());
             }
         }
     }
@@ -69,15 +69,15 @@
         try (RawServer server = new RawServer(NodeRig::answerOk);
                 NodeRig rig = NodeRig.ofEntry(
                         versionWith(NodeRig.route("slow", "/slow/", RouteKind.NON_IDEMPOTENT, 12_000)));
-                ScriptedPeer unheard = ScriptedPeer.announced(rig, LINK_MBPS)) {
-            CompletableFuture<String> answer = CompletableFuture.supplyAsync(
+                ScriptedPeer silentPeer = ScriptedPeer.announced(rig, LINK_MBPS)) {
+            CompletableFuture<String> response = CompletableFuture.supplyAsync(
                     () -> rig.send(1, NodeRig.request("POST", "/slow/x", "b2", 12_000, "")));
-            try (ScriptedPeer.Call call = unheard.accept()) {
+            try (ScriptedPeer.Call call = silentPeer.accept()) {
                 call.head();
                 rig.start(2, Optional.of(server));
                 NodeRig.sleep(2 * LONGER_THAN_SILENCE_TIMEOUT_MILLIS);
                 call.answer("b2", "late but whole");
-                assertTrue(answer.join().endsWith("late but whole"), answer.join());
+                assertTrue(response.join().endsWith("late but whole"), response.join());
                 assertEquals(0, server.runs("b2"));
             }
         }
@@ -93,13 +93,13 @@
                 });
                 NodeRig rig = NodeRig.ofEntry(
                         versionWith(NodeRig.route("slow", "/slow/", RouteKind.NON_IDEMPOTENT, 12_000)));
-                ScriptedPeer unheard = ScriptedPeer.announced(rig, NARROW_MBPS)) {
-            CompletableFuture<String> answer = CompletableFuture.supplyAsync(
+                ScriptedPeer silentPeer = ScriptedPeer.announced(rig, NARROW_MBPS)) {
+            CompletableFuture<String> response = CompletableFuture.supplyAsync(
                     () -> rig.send(1, NodeRig.request("POST", "/slow/x", "b4", 12_000, body)));
-            try (ScriptedPeer.Call call = unheard.accept()) {
+            try (ScriptedPeer.Call call = silentPeer.accept()) {
                 call.head();
                 rig.start(2, Optional.of(server));
-                assertTrue(answer.join().endsWith("ok"), answer.join());
+                assertTrue(response.join().endsWith("ok"), response.join());
                 assertEquals(1, server.runs("b4"));
             }
         }
@@ -111,16 +111,16 @@
         try (RawServer full = new RawServer((c, r) -> c.write("HTTP/1.1 503 Full\r\nx-request-id: " + r.id()
                         + "\r\nx-not-run: 1\r\nContent-Length: 0\r\n\r\n"));
                 NodeRig rig = NodeRig.ofEntry(versionWith(NodeRig.route("long", "/long/", RouteKind.BULK, 20_000)));
-                ScriptedPeer unheard = ScriptedPeer.announced(rig, LINK_MBPS)) {
-            CompletableFuture<String> answer = CompletableFuture.supplyAsync(
+                ScriptedPeer silentPeer = ScriptedPeer.announced(rig, LINK_MBPS)) {
+            CompletableFuture<String> response = CompletableFuture.supplyAsync(
                     () -> rig.send(1, NodeRig.request("GET", "/long/x", "b3", 20_000, "")));
-            try (ScriptedPeer.Call call = unheard.accept()) {
+            try (ScriptedPeer.Call call = silentPeer.accept()) {
                 call.head();
                 rig.start(2, Optional.of(full));
                 Await.until("the other was asked", () -> full.runs("b3") > 0, rig::logged);
                 NodeRig.sleep(300);
                 call.answer("b3", "late but whole");
-                assertTrue(answer.join().endsWith("late but whole"), answer.join());
+                assertTrue(response.join().endsWith("late but whole"), response.join());
             }
         }
     }
@@ -140,12 +140,12 @@
     void logOfExpiredCallNamesTheNodeItWaitedFor() throws IOException {
         try (NodeRig rig =
                         NodeRig.ofEntry(versionWith(NodeRig.route("quick", "/quick/", RouteKind.NON_IDEMPOTENT, 300)));
-                ScriptedPeer mute = new ScriptedPeer(rig)) {
-            mute.announce(LINK_MBPS);
-            String answer = rig.send(1, NodeRig.request("POST", "/quick/x", "a2", 20_000, ""));
-            assertTrue(answer.startsWith("HTTP/1.1 504"), answer);
-            String named = rig.ip(9) + "=PENDING";
-            Await.until("the log names it", () -> rig.logged().contains(named), rig::logged);
+                ScriptedPeer silentPeer = new ScriptedPeer(rig)) {
+            silentPeer.announce(LINK_MBPS);
+            String response = rig.send(1, NodeRig.request("POST", "/quick/x", "a2", 20_000, ""));
+            assertTrue(response.startsWith("HTTP/1.1 504"), response);
+            String expectedLogEntry = rig.ip(9) + "=PENDING";
+            Await.until("the log names it", () -> rig.logged().contains(expectedLogEntry), rig::logged);
         }
     }
 }
