--- a/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
@@ -63,12 +63,12 @@
                 rig.configuration.publish(NodeRig.version(i));
                 Thread.sleep(BURST_INTERVAL_MILLIS);
             }
-            long before = System.nanoTime();
+            long lastPublishedAt = System.nanoTime();
             for (int i = 1; i <= 3; i++) {
                 Node node = nodes[i];
                 Await.until("the last version", () -> versionInForce(node) == BURST_VERSIONS, rig::logged);
             }
-            long millis = (System.nanoTime() - before) / 1_000_000;
+            long millis = (System.nanoTime() - lastPublishedAt) / 1_000_000;
             assertTrue(millis < 1_500, "in force after " + millis + " ms");
             for (int i = 1; i <= 3; i++) {
                 long installed = metric(nodes[i], "versions.installed");
@@ -102,16 +102,16 @@
      */
     @Test
     void fullVersionIsFetchedWhenDeltaDoesNotApply() throws IOException {
-        byte[] whole = VersionDeltaCodec.encode(new byte[0], InMemoryConfigurationStore.encodedVersion(6));
-        byte[] other = InMemoryConfigurationStore.encodedVersion(1_000);
-        byte[] changed = VersionDeltaCodec.encode(other, InMemoryConfigurationStore.encodedVersion(6));
-        List<String> asked = new CopyOnWriteArrayList<>();
+        byte[] fullDelta = VersionDeltaCodec.encode(new byte[0], InMemoryConfigurationStore.encodedVersion(6));
+        byte[] divergentBase = InMemoryConfigurationStore.encodedVersion(1_000);
+        byte[] mismatchedDelta = VersionDeltaCodec.encode(divergentBase, InMemoryConfigurationStore.encodedVersion(6));
+        List<String> requestedBases = new CopyOnWriteArrayList<>();
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try (NodeRig rig = new NodeRig();
                 DatagramSocket socket = new DatagramSocket(rig.gossip(9))) {
-            SmallHttpServer.open((EventLoop) group.next(), rig.peers(9), q -> {
-                asked.add(q.uri().substring(q.uri().indexOf('=') + 1));
-                return SmallHttpServer.Answer.of("", asked.size() == 1 ? encodeWithBase(5, changed) : encodeWithBase(0, whole));
+            SmallHttpServer.open((EventLoop) group.next(), rig.peers(9), request -> {
+                requestedBases.add(request.uri().substring(request.uri().indexOf('=') + 1));
+                return SmallHttpServer.Answer.of("", requestedBases.size() == 1 ? encodeWithBase(5, mismatchedDelta) : encodeWithBase(0, fullDelta));
             });
             rig.configuration.publish(NodeRig.version(5));
             rig.configuration.addUnpublished(NodeRig.version(6));
@@ -119,15 +119,15 @@
             Await.until("version 5", () -> versionInForce(node) == 5, rig::logged);
             announceVersionSix(rig, socket);
             Await.until("version 6", () -> versionInForce(node) == 6, rig::logged);
-            assertEquals(List.of("5", "0"), asked);
+            assertEquals(List.of("5", "0"), requestedBases);
         } finally {
             group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
         }
     }
 
-    private static byte[] encodeWithBase(long base, byte[] delta) {
+    private static byte[] encodeWithBase(long baseNumber, byte[] delta) {
         return ByteBuffer.allocate(Long.BYTES + delta.length)
-                .putLong(base)
+                .putLong(baseNumber)
                 .put(delta)
                 .array();
     }
@@ -158,18 +158,18 @@
             rig.configuration.publish(NodeRig.version(1));
             rig.startOnLink(1, server, 1, NARROW_MBPS);
             rig.awaitReady(1);
-            try (Socket node = new Socket()) {
-                node.connect(rig.peers(1));
-                node.setSoTimeout(10_000);
-                long askedAt = System.nanoTime();
-                node.getOutputStream()
+            try (Socket connection = new Socket()) {
+                connection.connect(rig.peers(1));
+                connection.setSoTimeout(10_000);
+                long requestedAt = System.nanoTime();
+                connection.getOutputStream()
                         .write(("GET " + VersionUpdater.VERSION_PATH + "0 HTTP/1.1\r\n\r\n").getBytes(US_ASCII));
-                String answer = NodeRig.readAnswer(node.getInputStream());
-                long millis = (System.nanoTime() - askedAt) / 1_000_000;
-                assertTrue(answer.startsWith("HTTP/1.1 200") && !answer.endsWith("[closed]"));
+                String response = NodeRig.readAnswer(connection.getInputStream());
+                long millis = (System.nanoTime() - requestedAt) / 1_000_000;
+                assertTrue(response.startsWith("HTTP/1.1 200") && !response.endsWith("[closed]"));
                 assertTrue(
-                        millis > answer.length() * 8 / (1_000 * NARROW_MBPS) / 2,
-                        answer.length() + " bytes in " + millis + " ms");
+                        millis > response.length() * 8 / (1_000 * NARROW_MBPS) / 2,
+                        response.length() + " bytes in " + millis + " ms");
             }
         }
     }
