--- a/org.berylwick.test/tst/org/berylwick/node/member/NodeStateCodecTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/member/NodeStateCodecTest.java
@@ -22,14 +22,14 @@
 class NodeStateCodecTest {
     @Property(tries = 200)
     void decodesWhatWasEncoded(
-            @ForAll long boot,
+            @ForAll long bootId,
             @ForAll long version,
             @ForAll boolean flag,
-            @ForAll BackendState state,
+            @ForAll BackendState backendState,
             @ForAll @IntRange(max = 60_000) int load,
             @ForAll @AlphaChars @StringLength(max = 40) String text) {
-        NodeState told = new NodeState(
-                boot,
+        NodeState nodeState = new NodeState(
+                bootId,
                 7,
                 text,
                 load,
@@ -38,27 +38,27 @@
                 !flag,
                 text,
                 text,
-                state,
+                backendState,
                 3_000_000L,
                 new OwnerLoad(load, load, load, 5_000L, load, load * 1_000_000L, load * 1_000_000L),
                 List.of(
                         new KindTime(new RequestClass(RouteKind.NON_IDEMPOTENT, 3, load), 1_000L * (load + 1), 0.25),
                         new KindTime(new RequestClass(RouteKind.BULK, 0, 100), 7_000L, 0.5)));
-        NodeStateCodec.Message message = new NodeStateCodec.Message(told, flag, List.of("10.0.0.1", "10.0.0.2"));
-        ByteBuf bytes = Unpooled.buffer();
-        NodeStateCodec.write(message, bytes);
-        assertEquals(Optional.of(message), NodeStateCodec.read(bytes));
+        NodeStateCodec.Message message = new NodeStateCodec.Message(nodeState, flag, List.of("10.0.0.1", "10.0.0.2"));
+        ByteBuf encoded = Unpooled.buffer();
+        NodeStateCodec.write(message, encoded);
+        assertEquals(Optional.of(message), NodeStateCodec.read(encoded));
     }
 
     @Property(tries = 500)
-    void invalidOrTruncatedDatagramIsRejected(@ForAll byte[] bytes, @ForAll @IntRange(max = 200) int cutTo) {
+    void invalidOrTruncatedDatagramIsRejected(@ForAll byte[] bytes, @ForAll @IntRange(max = 200) int truncatedLength) {
         NodeStateCodec.read(Unpooled.wrappedBuffer(bytes));
         NodeState state = new NodeState(
                 1, 1, "zone", 100, 1, true, false, "service", "i-1", BackendState.READY, 0, OwnerLoad.NONE, List.of());
-        ByteBuf whole = Unpooled.buffer();
-        NodeStateCodec.write(new NodeStateCodec.Message(state, false, List.of("10.0.0.1")), whole);
-        if (cutTo < whole.readableBytes()) {
-            assertTrue(NodeStateCodec.read(whole.slice(0, cutTo)).isEmpty());
+        ByteBuf encoded = Unpooled.buffer();
+        NodeStateCodec.write(new NodeStateCodec.Message(state, false, List.of("10.0.0.1")), encoded);
+        if (truncatedLength < encoded.readableBytes()) {
+            assertTrue(NodeStateCodec.read(encoded.slice(0, truncatedLength)).isEmpty());
         }
     }
 }
