--- a/org.berylwick.test/tst/org/berylwick/node/version/VersionDeltaCodecTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/version/VersionDeltaCodecTest.java
@@ -36,41 +36,41 @@
     }
 
     @Property(tries = 300)
-    void arbitraryTargetIsRestored(@ForAll byte[] earlier, @ForAll byte[] later) {
-        byte[] delta = VersionDeltaCodec.encode(earlier, later);
-        assertArrayEquals(later, VersionDeltaCodec.decode(earlier, delta).orElseThrow());
+    void arbitraryTargetIsRestored(@ForAll byte[] base, @ForAll byte[] target) {
+        byte[] delta = VersionDeltaCodec.encode(base, target);
+        assertArrayEquals(target, VersionDeltaCodec.decode(base, delta).orElseThrow());
     }
 
     @Property(tries = 60)
     void editedVersionIsRestoredFromSmallDelta(@ForAll Random random, @ForAll @IntRange(max = 30) int edits) {
         List<String> routes = randomRoutes(random);
-        byte[] earlier = encode(routes);
+        byte[] base = encode(routes);
         for (int i = 0; i < edits; i++) {
-            int at = random.nextInt(routes.size());
+            int position = random.nextInt(routes.size());
             switch (random.nextInt(3)) {
-                case 0 -> routes.remove(at);
-                case 1 -> routes.add(at, routes.get(random.nextInt(routes.size())));
-                default -> routes.set(at, routes.get(at).replace("2.5", "3.25"));
+                case 0 -> routes.remove(position);
+                case 1 -> routes.add(position, routes.get(random.nextInt(routes.size())));
+                default -> routes.set(position, routes.get(position).replace("2.5", "3.25"));
             }
         }
-        byte[] later = encode(routes);
-        byte[] delta = VersionDeltaCodec.encode(earlier, later);
-        assertArrayEquals(later, VersionDeltaCodec.decode(earlier, delta).orElseThrow());
+        byte[] target = encode(routes);
+        byte[] delta = VersionDeltaCodec.encode(base, target);
+        assertArrayEquals(target, VersionDeltaCodec.decode(base, delta).orElseThrow());
         assertTrue(delta.length < 40 + 110 * edits, delta.length + " bytes for " + edits + " edits");
     }
 
     @Property(tries = 300)
-    void damagedDeltaIsRejected(@ForAll Random random, @ForAll @IntRange(max = 400) int at, @ForAll byte value) {
-        byte[] earlier = new byte[500];
-        random.nextBytes(earlier);
-        byte[] later = Arrays.copyOfRange(earlier, 100, 450);
-        later[200] ^= 1;
-        byte[] delta = VersionDeltaCodec.encode(earlier, later);
-        delta[at % delta.length] = value;
-        Optional<byte[]> read = VersionDeltaCodec.decode(earlier, delta);
-        assertTrue(read.isEmpty() || Arrays.equals(later, read.get()));
-        earlier[300] ^= 1;
-        assertTrue(VersionDeltaCodec.decode(earlier, VersionDeltaCodec.encode(later, later))
+    void damagedDeltaIsRejected(@ForAll Random random, @ForAll @IntRange(max = 400) int position, @ForAll byte value) {
+        byte[] base = new byte[500];
+        random.nextBytes(base);
+        byte[] target = Arrays.copyOfRange(base, 100, 450);
+        target[200] ^= 1;
+        byte[] delta = VersionDeltaCodec.encode(base, target);
+        delta[position % delta.length] = value;
+        Optional<byte[]> decoded = VersionDeltaCodec.decode(base, delta);
+        assertTrue(decoded.isEmpty() || Arrays.equals(target, decoded.get()));
+        base[300] ^= 1;
+        assertTrue(VersionDeltaCodec.decode(base, VersionDeltaCodec.encode(target, target))
                 .isEmpty());
     }
 
@@ -83,12 +83,12 @@
     @Example
     void weightChangeProducesSmallDelta() {
         List<String> routes = randomRoutes(new Random(1));
-        byte[] earlier = encode(routes);
+        byte[] base = encode(routes);
         routes.set(700, routes.get(700).replace("\"weight\":", "\"weight\":1"));
-        byte[] later = encode(routes);
-        int whole = VersionDeltaCodec.encode(new byte[0], later).length;
-        int change = VersionDeltaCodec.encode(earlier, later).length;
-        assertTrue(whole < later.length / 6, later.length + " bytes are sent as " + whole);
-        assertTrue(change < 30, change + " bytes for one change");
+        byte[] target = encode(routes);
+        int fullLength = VersionDeltaCodec.encode(new byte[0], target).length;
+        int deltaLength = VersionDeltaCodec.encode(base, target).length;
+        assertTrue(fullLength < target.length / 6, target.length + " bytes are sent as " + fullLength);
+        assertTrue(deltaLength < 30, deltaLength + " bytes for one change");
     }
 }
