--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedAttempt.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedAttempt.java
@@ -60,7 +60,8 @@
                 emulation.clock().now());
         boolean streamed = call.body().length() >= RequestBody.LEAST_STREAMED;
         int withHead = HEADER_BYTES + (streamed ? 0 : call.body().length());
-        boolean asked = member.linkLoad(emulation.clock().now()).isLarge(call.body().length());
+        boolean asked =
+                member.linkLoad(emulation.clock().now()).isLarge(call.body().length());
         count(HEADER_BYTES + (asked ? 0 : call.body().length()));
         RequestBody arriving = streamed ? arriving(call.body(), asked) : call.body();
         there.send(withHead, () -> {
--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -25,11 +25,11 @@
 import org.berylwick.node.log.EventLog;
 import org.berylwick.node.log.Instruments;
 import org.berylwick.node.log.NodeMetricNames;
-import org.berylwick.node.member.NodeDiscovery;
 import org.berylwick.node.member.Gossip;
 import org.berylwick.node.member.HeartbeatProtocol;
 import org.berylwick.node.member.Member;
 import org.berylwick.node.member.MemberTable;
+import org.berylwick.node.member.NodeDiscovery;
 import org.berylwick.node.member.NodeState;
 import org.berylwick.node.transport.ConnectionPool;
 import org.berylwick.node.transport.EventLoopClock;
@@ -213,7 +213,8 @@
                 NodeMetricNames.VERSION_IN_FORCE,
                 () -> versions.version().map(v -> v.number()).orElse(0L));
         counters.gauge(
-                NodeMetricNames.MEMBERS_HEARD, () -> table.countHeardWithin(gossip.silenceTimeoutNanos(), System.nanoTime()));
+                NodeMetricNames.MEMBERS_HEARD,
+                () -> table.countHeardWithin(gossip.silenceTimeoutNanos(), System.nanoTime()));
         counters.gauge(
                 NodeMetricNames.OWNER_CONNECTIONS_OPENED,
                 () -> owner.backend().map(Backend::connectionsOpened).orElse(0L));
--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -123,7 +123,8 @@
 
     /** The link that leads there, as far as this node can know. */
     public LinkLoad linkLoad(long now) {
-        return new LinkLoad(Math.max(0, incomingLinkFreeAt - now), Math.max(0, outgoingLinkFreeAt - now), state.linkMbps());
+        return new LinkLoad(
+                Math.max(0, incomingLinkFreeAt - now), Math.max(0, outgoingLinkFreeAt - now), state.linkMbps());
     }
 
     /** Whether no request was sent to its backend server since that joined. */
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
@@ -34,7 +34,8 @@
             long medianNanos = in.readInt() * 1_000L;
             double spread = in.readUnsignedShort() / PER_MILLE;
             if (kind < ROUTE_KINDS.length && medianNanos > 0) {
-                times.add(new KindTime(new RequestClass(ROUTE_KINDS[kind], priority, objectiveMillis), medianNanos, spread));
+                times.add(new KindTime(
+                        new RequestClass(ROUTE_KINDS[kind], priority, objectiveMillis), medianNanos, spread));
             }
         }
         return times;
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionDeltaCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionDeltaCodec.java
@@ -43,7 +43,8 @@
         int mismatch = Arrays.mismatch(base, 0, maxCommonLength, target, 0, maxCommonLength);
         int prefixLength = mismatch < 0 ? maxCommonLength : mismatch;
         int suffixLength = 0;
-        while (suffixLength < maxCommonLength - prefixLength && base[base.length - 1 - suffixLength] == target[target.length - 1 - suffixLength]) {
+        while (suffixLength < maxCommonLength - prefixLength
+                && base[base.length - 1 - suffixLength] == target[target.length - 1 - suffixLength]) {
             suffixLength++;
         }
         writeCopy(instructions, 0, prefixLength);
@@ -52,14 +53,16 @@
         CRC32 crc32 = new CRC32();
         crc32.update(target);
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        out.writeBytes(
-                ByteBuffer.allocate(CHECKSUM_BYTES).putInt((int) crc32.getValue()).array());
+        out.writeBytes(ByteBuffer.allocate(CHECKSUM_BYTES)
+                .putInt((int) crc32.getValue())
+                .array());
         deflate(instructions.toByteArray(), out);
         return out.toByteArray();
     }
 
     /** Writes {@code later[from, to)} as copies of blocks that the earlier version has, and bytes between them. */
-    private static void writeChangedRange(ByteArrayOutputStream instructions, byte[] base, byte[] target, int from, int to) {
+    private static void writeChangedRange(
+            ByteArrayOutputStream instructions, byte[] base, byte[] target, int from, int to) {
         if (to - from < BLOCK_BYTES || base.length < BLOCK_BYTES) {
             writeLiteral(instructions, target, from, to);
             return;
@@ -167,7 +170,8 @@
             byte[] buffer = new byte[BUFFER_BYTES];
             while (!inflater.finished()) {
                 int count = inflater.inflate(buffer);
-                if (count == 0 && (inflater.needsInput() || inflater.needsDictionary()) || out.size() > MAX_VERSION_BYTES) {
+                if (count == 0 && (inflater.needsInput() || inflater.needsDictionary())
+                        || out.size() > MAX_VERSION_BYTES) {
                     return Optional.empty();
                 }
                 out.write(buffer, 0, count);
@@ -266,7 +270,8 @@
         /** Where the block {@code of[at, at + BLOCK)} is found, or -1. */
         int find(int hash, byte[] data, int position) {
             int offset = offsets[bucket(hash)] - 1;
-            if (offset < 0 || !Arrays.equals(bytes, offset, offset + BLOCK_BYTES, data, position, position + BLOCK_BYTES)) {
+            if (offset < 0
+                    || !Arrays.equals(bytes, offset, offset + BLOCK_BYTES, data, position, position + BLOCK_BYTES)) {
                 return -1;
             }
             return offset;
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionFetcher.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionFetcher.java
@@ -133,7 +133,8 @@
             return;
         }
         instruments.counters().add(NodeMetricNames.VERSIONS_FETCHED_BYTES, response.body().length);
-        Optional<byte[]> encoded = VersionHistory.VersionDelta.decode(response.body()).flatMap(history::apply);
+        Optional<byte[]> encoded =
+                VersionHistory.VersionDelta.decode(response.body()).flatMap(history::apply);
         if (encoded.isEmpty()) {
             // The next one is asked for whole, or two nodes that differ in an old version would never agree again.
             fullVersionRequired = true;
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
@@ -24,9 +24,11 @@
         newestNumber = version.number();
         encodedByNumber.put(newestNumber, version.source());
         deltasByBase.clear();
-        long totalBytes = encodedByNumber.values().stream().mapToLong(s -> s.length).sum();
+        long totalBytes =
+                encodedByNumber.values().stream().mapToLong(s -> s.length).sum();
         while (encodedByNumber.size() > 1 && (encodedByNumber.size() > MAX_VERSIONS || totalBytes > MAX_BYTES)) {
-            Map.Entry<Long, byte[]> oldest = encodedByNumber.entrySet().iterator().next();
+            Map.Entry<Long, byte[]> oldest =
+                    encodedByNumber.entrySet().iterator().next();
             totalBytes -= oldest.getValue().length;
             encodedByNumber.remove(oldest.getKey());
         }
@@ -42,7 +44,9 @@
         }
         long usableBase = encodedByNumber.containsKey(baseNumber) ? baseNumber : 0;
         byte[] delta = deltasByBase.computeIfAbsent(
-                usableBase, f -> VersionDeltaCodec.encode(encodedByNumber.getOrDefault(f, EMPTY), encodedByNumber.get(newestNumber)));
+                usableBase,
+                f -> VersionDeltaCodec.encode(
+                        encodedByNumber.getOrDefault(f, EMPTY), encodedByNumber.get(newestNumber)));
         return Optional.of(new VersionDelta(usableBase, delta));
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
@@ -278,7 +278,8 @@
 
     /** Another node told which version it has. */
     public void onMemberUpdated(Member member) {
-        fetcher.onMemberUpdated(member, version.isEmpty() ? System.nanoTime() : lastInstalledAt + MIN_INSTALL_INTERVAL_NANOS);
+        fetcher.onMemberUpdated(
+                member, version.isEmpty() ? System.nanoTime() : lastInstalledAt + MIN_INSTALL_INTERVAL_NANOS);
     }
 
     private long currentNumber() {
--- a/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
@@ -159,7 +159,8 @@
             rig.awaitReady(1);
             rig.awaitHeard("i-2");
             String[] outerResponse = new String[1];
-            Thread callThread = Thread.ofPlatform().start(() -> outerResponse[0] = rig.call(1, "POST", "/pay/x", "outer", ""));
+            Thread callThread =
+                    Thread.ofPlatform().start(() -> outerResponse[0] = rig.call(1, "POST", "/pay/x", "outer", ""));
             Await.until("the run", () -> server.runs("outer") == 1, rig::logged);
             Thread stopThread = Thread.ofPlatform().start(stoppingNode::stop);
             rig.isReady(1);
--- a/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
@@ -111,7 +111,9 @@
                 DatagramSocket socket = new DatagramSocket(rig.gossip(9))) {
             SmallHttpServer.open((EventLoop) group.next(), rig.peers(9), request -> {
                 requestedBases.add(request.uri().substring(request.uri().indexOf('=') + 1));
-                return SmallHttpServer.Answer.of("", requestedBases.size() == 1 ? encodeWithBase(5, mismatchedDelta) : encodeWithBase(0, fullDelta));
+                return SmallHttpServer.Answer.of(
+                        "",
+                        requestedBases.size() == 1 ? encodeWithBase(5, mismatchedDelta) : encodeWithBase(0, fullDelta));
             });
             rig.configuration.publish(NodeRig.version(5));
             rig.configuration.addUnpublished(NodeRig.version(6));
@@ -162,7 +164,8 @@
                 connection.connect(rig.peers(1));
                 connection.setSoTimeout(10_000);
                 long requestedAt = System.nanoTime();
-                connection.getOutputStream()
+                connection
+                        .getOutputStream()
                         .write(("GET " + VersionUpdater.VERSION_PATH + "0 HTTP/1.1\r\n\r\n").getBytes(US_ASCII));
                 String response = NodeRig.readAnswer(connection.getInputStream());
                 long millis = (System.nanoTime() - requestedAt) / 1_000_000;
--- a/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.berylwick.node.transport.SmallHttpServer;
-import org.berylwick.node.version.ConfigurationSource.ReadResult;
 import org.berylwick.node.version.ConfigurationSource.Consistency;
+import org.berylwick.node.version.ConfigurationSource.ReadResult;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -76,7 +76,8 @@
 
     @Test
     void watchGoesOnFromTheListsRevision() throws Exception {
-        ReadResult.Found found = assertInstanceOf(ReadResult.Found.class, await(a -> configuration.read(Consistency.LINEARIZABLE, a)));
+        ReadResult.Found found =
+                assertInstanceOf(ReadResult.Found.class, await(a -> configuration.read(Consistency.LINEARIZABLE, a)));
         assertEquals(10, found.version().number());
         ReadResult next = await(a -> configuration.watch(found.revision(), 100, a));
         assertEquals(new ReadResult.Unchanged(REVISION + 1), next);
