--- a/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
@@ -79,7 +79,7 @@
 
     /** A version is 100 KB here; before, each of them was sent whole. */
     @Test
-    void onlyDeltasAreSentToUpToDateNodes() {
+    void onlyChangesAreSentToNodeWithEarlierVersion() {
         try (NodeRig rig = new NodeRig()) {
             rig.configuration.publish(NodeRig.version(1));
             rig.start(1, Optional.empty());
