--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -211,17 +211,17 @@
 
     private void broadcast(boolean replyRequested) {
         long now = System.nanoTime();
-        List<String> responsive = new ArrayList<>(lastHeardByAddress.size());
-        List<String> replyRequests = new ArrayList<>();
+        List<String> withoutReplyRequest = new ArrayList<>(lastHeardByAddress.size());
+        List<String> withReplyRequest = new ArrayList<>();
         for (Map.Entry<String, Long> peer : lastHeardByAddress.entrySet()) {
             boolean unresponsive = now - peer.getValue() > UNRESPONSIVE_NANOS;
             if (unresponsive && round % 10 != 0) {
                 continue;
             }
-            (replyRequested || unresponsive ? replyRequests : responsive).add(peer.getKey());
+            (replyRequested || unresponsive ? withReplyRequest : withoutReplyRequest).add(peer.getKey());
         }
-        send(responsive, false);
-        send(replyRequests, true);
+        send(withoutReplyRequest, false);
+        send(withReplyRequest, true);
     }
 
     /** Sends the same datagram to some addresses. */
