--- a/org.berylwick.test/tst/org/berylwick/node/member/NodeStateCodecTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/member/NodeStateCodecTest.java
@@ -26,13 +26,13 @@
             @ForAll long version,
             @ForAll boolean flag,
             @ForAll BackendState backendState,
-            @ForAll @IntRange(max = 60_000) int load,
+            @ForAll @IntRange(max = 60_000) int number,
             @ForAll @AlphaChars @StringLength(max = 40) String text) {
         NodeState nodeState = new NodeState(
                 bootId,
                 7,
                 text,
-                load,
+                number,
                 version,
                 flag,
                 !flag,
@@ -40,9 +40,9 @@
                 text,
                 backendState,
                 3_000_000L,
-                new OwnerLoad(load, load, load, 5_000L, load, load * 1_000_000L, load * 1_000_000L),
+                new OwnerLoad(number, number, number, 5_000L, number, number * 1_000_000L, number * 1_000_000L),
                 List.of(
-                        new KindTime(new RequestClass(RouteKind.NON_IDEMPOTENT, 3, load), 1_000L * (load + 1), 0.25),
+                        new KindTime(new RequestClass(RouteKind.NON_IDEMPOTENT, 3, number), 1_000L * (number + 1), 0.25),
                         new KindTime(new RequestClass(RouteKind.BULK, 0, 100), 7_000L, 0.5)));
         NodeStateCodec.Message message = new NodeStateCodec.Message(nodeState, flag, List.of("10.0.0.1", "10.0.0.2"));
         ByteBuf encoded = Unpooled.buffer();
