--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -24,31 +24,40 @@
 import org.berylwick.node.log.NodeMetricNames;
 
 /**
- * Tells this node's state to all others by datagrams, and hears theirs; confined to the event loop.
+ * Sends this node's state to all other nodes in UDP datagrams, and receives theirs. Confined to the event loop.
  *
- * <p>Each node speaks for itself alone, so nothing is ever relayed late. A change is told three times within 120 ms
- * because datagrams get lost; a node that was restarted hears of all others within one period, since they go on telling
- * it, and so needs no memory and no store.
+ * <p>Each node sends only its own state, so that no outdated state is relayed. Because datagrams get lost, a change is
+ * sent three times within 120 ms. A restarted node receives the state of all others within one period, since they keep
+ * sending to its address; it therefore needs neither persisted state nor the store to rejoin.
  */
 public final class Gossip implements AutoCloseable {
-    /** Between two rounds, for each node in the fleet: 13 nodes tell every 0.5 s, 76 every 1.9 s. */
+    /**
+     * Time between two rounds, per node in the fleet, so that a node receives equally many datagrams per second in a
+     * large fleet: with 13 nodes each sends every 0.5 s, with 76 nodes every 1.9 s.
+     */
     private static final long PERIOD_PER_NODE_NANOS = 25_000_000L;
 
     private static final long MIN_PERIOD_NANOS = 500_000_000L;
     private static final long MAX_PERIOD_NANOS = 4_000_000_000L;
-    /** Rounds without a word after which a node counts as silent. */
+    /** Number of rounds without a datagram after which a node counts as silent. */
     private static final double SILENCE_TIMEOUT_ROUNDS = 3.5;
 
     private static final long[] REPEAT_DELAYS_MILLIS = {40, 80};
-    /** Changes within this are told together. */
+    /** Changes within this time are sent in one broadcast. */
     private static final long COALESCING_WINDOW_NANOS = 15_000_000L;
 
     private static final int MAX_PEER_ADDRESSES = 3;
     private static final int INITIAL_BUFFER_BYTES = 160;
-    /** Addresses of others are a quarter of a datagram, and only needed by nodes that missed each other's start. */
+    /**
+     * Addresses of other nodes take up a quarter of a datagram and are only needed by nodes that missed each other's
+     * start, so they are not included in every round.
+     */
     private static final int ROUNDS_PER_PEER_EXCHANGE = 4;
 
-    /** An address that does not answer is tried every tenth round after this span. */
+    /**
+     * After this time without a datagram from an address, this node sends to it only in every tenth round, and requests
+     * a reply.
+     */
     private static final long UNRESPONSIVE_NANOS = 15_000_000_000L;
 
     private final EventLoop loop;
@@ -59,7 +68,9 @@
     private final Counters counters;
     private final EventLog log;
     private final BiConsumer<Member, MemberTable.UpdateResult> onStateReceived;
+    /** When the latest datagram came from each address; for one that has not sent any yet, when it was added. */
     private final Map<String, Long> lastHeardByAddress = new HashMap<>();
+
     private Channel channel;
     private long round;
     private int pendingChanges;
@@ -68,14 +79,14 @@
     private int repeatsSent;
 
     /**
-     * @param loop all runs on it
-     * @param ip this node's address
-     * @param port of all nodes
-     * @param table takes what is heard
-     * @param ownState tells this node's state
-     * @param counters takes counts
-     * @param log takes events
-     * @param onStateReceived hears of each datagram that was taken over
+     * @param loop event loop on which everything runs
+     * @param ip IP address of this node
+     * @param port UDP port, the same on all nodes
+     * @param table stores the states that are received
+     * @param ownState supplies the current state of this node
+     * @param counters metrics of this node
+     * @param log event log of this node
+     * @param onStateReceived called for each received state that was not stale
      */
     public Gossip(
             EventLoop loop,
@@ -96,7 +107,7 @@
         this.onStateReceived = onStateReceived;
     }
 
-    /** Opens the socket and starts the rounds. */
+    /** Binds the UDP socket and starts the periodic rounds. */
     public void start() {
         channel = new Bootstrap()
                 .group(loop)
@@ -108,7 +119,7 @@
         loop.execute(this::runRound);
     }
 
-    /** Adds an address where a node may be; it is asked for its state at once. */
+    /** Adds an address where a node may be running, and requests its state immediately. */
     public void addPeerAddress(String address) {
         if (address.equals(ip) || lastHeardByAddress.containsKey(address)) {
             return;
@@ -119,20 +130,20 @@
         }
     }
 
-    /** How many addresses are told of this node. */
+    /** Number of addresses to which this node sends its state. */
     public int peerAddressCount() {
         return lastHeardByAddress.size();
     }
 
-    /** After this span without a word a node counts as silent. */
+    /** Time without a datagram after which a node counts as silent; grows with the length of a round. */
     public long silenceTimeoutNanos() {
         return (long) (periodNanos() * SILENCE_TIMEOUT_ROUNDS);
     }
 
     /**
-     * Tells all nodes at once, and again twice soon after. What changes within a moment is told together: a node that
-     * has just started learns of its backend server, the version and others at about the same time, and has no
-     * processor time to spare.
+     * Sends the state to all nodes immediately, and repeats that twice shortly after. Changes in quick succession are
+     * sent together: a node that has just started learns of its backend server, the version and other nodes at about
+     * the same time, and must not spend scarce CPU time on a broadcast for each.
      */
     public void broadcastNow() {
         pendingChanges++;
@@ -159,7 +170,7 @@
         }
     }
 
-    /** Repeats what was told last; a change in between is told at once and starts the repeats anew. */
+    /** Schedules the next repeat. A change in between is broadcast immediately and restarts the count of repeats. */
     private void scheduleRepeat() {
         loop.schedule(
                 () -> {
@@ -174,7 +185,7 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** Tells the nodes of one availability zone at once, and again twice soon after. */
+    /** Sends the state to the nodes of one availability zone immediately, and repeats that twice shortly after. */
     public void broadcastToZoneNow(String zone) {
         Runnable sendToZone = () -> {
             List<String> zoneAddresses = new ArrayList<>();
@@ -224,7 +235,7 @@
         send(withReplyRequest, true);
     }
 
-    /** Sends the same datagram to some addresses. */
+    /** Sends the current state in one and the same datagram to each of the addresses. */
     private void send(List<String> addresses, boolean replyRequested) {
         if (!channel.isActive() || addresses.isEmpty()) {
             return;
@@ -246,7 +257,7 @@
         if (lastHeardByAddress.size() < 2) {
             return List.of();
         }
-        // Two nodes that never learnt of each other hear of each other by a third within some rounds.
+        // Two nodes that never learned of each other get the other's address from a third node within a few rounds.
         List<String> sample = new ArrayList<>(MAX_PEER_ADDRESSES);
         int skip = ThreadLocalRandom.current().nextInt(lastHeardByAddress.size());
         for (String address : lastHeardByAddress.keySet()) {
@@ -295,7 +306,8 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // A port without a listener is told as an error of the socket; the node there is only down.
+            // Sending to a port without a listener is reported as an I/O error of the socket. It only means that the
+            // other node is down, so it is counted but not logged.
             counters.add(NodeMetricNames.GOSSIP_ERRORS);
             if (!(cause instanceof java.io.IOException)) {
                 log.write(Event.INTERNAL_ERROR, "where", "gossip", "cause", cause);
--- a/org.berylwick.node/src/org/berylwick/node/member/HeartbeatProtocol.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/HeartbeatProtocol.java
@@ -2,29 +2,29 @@
 
 import org.berylwick.node.lib.BackendReport;
 
-/** How backend servers announce themselves. */
+/** Decodes the heartbeat calls that backend servers send to the node on their VM. */
 public interface HeartbeatProtocol {
-    /** What a backend server said. */
+    /** A decoded call of a backend server. */
     sealed interface Announcement {
-        /** It is there, in some state. */
+        /** A heartbeat with the state of the backend server. */
         record Report(BackendReport report) implements Announcement {}
 
-        /** It is leaving for good. */
+        /** The backend server deregisters; this incarnation will not return. */
         record Leave(String incarnation) implements Announcement {}
 
-        /** Nothing that can be read. */
+        /** The call could not be decoded. */
         record Malformed(String reason) implements Announcement {}
     }
 
     /**
-     * Reads a call.
+     * Decodes a call.
      *
-     * @param method of the call
-     * @param uri of the call
-     * @param body of the call
+     * @param method HTTP method
+     * @param uri request URI
+     * @param body request body
      */
     Announcement read(String method, String uri, byte[] body);
 
-    /** Body of an acknowledgement. */
+    /** The response body that acknowledges a heartbeat. */
     byte[] acknowledgement();
 }
--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -10,11 +10,14 @@
 import org.berylwick.node.lib.OwnerLoad;
 import org.berylwick.node.transport.ConnectionPool;
 
-/** What a node believes of another node and of the backend server beside it; confined to the event loop. */
+/** What this node knows of another node and of the backend server on that node's VM. Confined to the event loop. */
 public final class Member {
     private static final long MIN_SUSPICION_NANOS = 100_000_000L;
     private static final long MAX_SUSPICION_NANOS = 2_000_000_000L;
-    /** A request that was sent a moment ago is not overdue, however long its node was not heard before. */
+    /**
+     * Minimum time since a request was sent before it is reported as pending on a silent node. A request sent just now
+     * has not been ignored, even if the node has been silent for long.
+     */
     private static final long MIN_OVERDUE_NANOS = 500_000_000L;
 
     private final String ip;
@@ -25,15 +28,15 @@
     private int consecutiveFailures;
     private OwnerLoad load = OwnerLoad.NONE;
     private String lastUsedIncarnation = "";
-    /** Requests that it has not answered, and when each was sent. */
+    /** Requests without a complete response yet, and when each was sent. */
     private final Map<PendingRequest, Long> outstanding = new HashMap<>();
 
     private long lastProgressAt;
     private int inFlight;
     private int inFlightAtLoadReport;
-    /** When the bodies that are known to be on their way there have come over its link. */
+    /** When all request bodies known to be in transit to the node will have been received over its VM's link. */
     private long incomingLinkFreeAt;
-    /** When the large answers that are known to be made there have left over its link. */
+    /** When all large responses that the node is known to produce will have been sent over its VM's link. */
     private long outgoingLinkFreeAt;
 
     private ConnectionPool pool;
@@ -48,52 +51,55 @@
         updateLoad(state.load(), now);
     }
 
-    /** The VM's address. */
+    /** IP address of the VM. */
     public String ip() {
         return ip;
     }
 
-    /** What the node last said of itself. */
+    /** The latest state received from the node. */
     public NodeState state() {
         return state;
     }
 
-    /** When it was last heard. */
+    /** When the latest datagram was received from the node, in {@link System#nanoTime} terms. */
     public long lastHeardAt() {
         return lastHeardAt;
     }
 
-    /** The newest load told by its owner. */
+    /** The latest load received from the node, by gossip or with a response. */
     public OwnerLoad load() {
         return load;
     }
 
-    /** Requests of this node that it has not answered. */
+    /** Number of requests that this node sent there and that have not ended. */
     public int inFlight() {
         return inFlight;
     }
 
-    /** Requests there now, as far as this node can know: the last report and what was sent or answered since. */
+    /**
+     * Estimates how many requests are running or queued there now: the number in the latest load, corrected by the
+     * requests that this node has sent and completed since.
+     */
     public int estimatedRequestCount() {
         return Math.max(inFlight, load.running() + load.queued() + inFlight - inFlightAtLoadReport);
     }
 
-    /** Whether calls to it failed a short time ago. */
+    /** Whether a recent call to the node failed, so that other nodes should be preferred. */
     public boolean isSuspect(long now) {
         return now < suspectUntil;
     }
 
-    /** Failures in a row. */
+    /** Number of failed calls since the last successful one. */
     public int consecutiveFailures() {
         return consecutiveFailures;
     }
 
-    /** Whether its backend server takes work, as last heard. */
+    /** Whether its backend server accepts requests, according to the latest state. */
     public boolean acceptsRequests() {
         return state.backendState() == BackendState.READY && !state.leaving();
     }
 
-    /** Connections to it. */
+    /** Connections to the node. */
     public ConnectionPool pool() {
         return pool;
     }
@@ -113,7 +119,7 @@
         }
     }
 
-    /** Takes over a load that its owner told with an answer. */
+    /** Stores a load received from the node, by gossip or with a response. */
     public void updateLoad(OwnerLoad received, long now) {
         load = received;
         inFlightAtLoadReport = inFlight;
@@ -121,32 +127,32 @@
         outgoingLinkFreeAt = now + received.outgoingNanos();
     }
 
-    /** The link that leads there, as far as this node can know. */
+    /** Estimates the load of the network link of the node's VM from what this node has received and sent. */
     public LinkLoad linkLoad(long now) {
         return new LinkLoad(
                 Math.max(0, incomingLinkFreeAt - now), Math.max(0, outgoingLinkFreeAt - now), state.linkMbps());
     }
 
-    /** Whether no request was sent to its backend server since that joined. */
+    /** Whether this node has not sent any request to the current incarnation of the backend server. */
     public boolean isIncarnationUnused() {
         return !state.incarnation().equals(lastUsedIncarnation);
     }
 
-    /** A request that waits for this node's answer. */
+    /** A request that waits for a response of this member. */
     public interface PendingRequest {
         /**
-         * Neither datagrams nor answers of the node come any more. It may be lost, or its datagrams may be: a request
-         * that runs there goes on.
+         * Called when neither datagrams nor response bytes arrive from the node any more. Either the node has failed or
+         * only its datagrams are lost; in the second case a request that is running there continues.
          */
         void onNodeSilent();
     }
 
     /**
-     * A request goes there.
+     * Records that a request is being sent to the node.
      *
-     * @param request for its answer
-     * @param bodyBytes that it brings
-     * @param expectedResponseBytes that its answer is expected to have
+     * @param request notified if the node becomes silent
+     * @param bodyBytes length of the request body
+     * @param expectedResponseBytes expected length of the response
      * @param now in {@link System#nanoTime} terms
      */
     public void onRequestSent(PendingRequest request, int bodyBytes, int expectedResponseBytes, long now) {
@@ -160,18 +166,21 @@
         lastUsedIncarnation = state.incarnation();
     }
 
-    /** A request there is over. */
+    /** Records that a request sent to the node has ended, in whatever way. */
     public void onRequestEnded(PendingRequest request) {
         inFlight--;
         outstanding.remove(request);
     }
 
-    /** Bytes of an answer came from it. */
+    /** Records that bytes of a response were received from the node. */
     public void onResponseProgress(long now) {
         lastProgressAt = now;
     }
 
-    /** Tells requests that have waited for a while if neither datagrams nor answers came for a span. */
+    /**
+     * Notifies requests that have been pending for a while if neither datagrams nor response bytes were received from
+     * the node within the timeout.
+     */
     void notifyIfSilent(long timeoutNanos, long now) {
         if (now - lastHeardAt <= timeoutNanos || now - lastProgressAt <= timeoutNanos) {
             return;
@@ -189,15 +198,16 @@
         overdue.forEach(PendingRequest::onNodeSilent);
     }
 
-    /** A call to it went well. */
+    /** Records a successful call, which ends the series of failures. */
     public void onSuccess() {
         consecutiveFailures = 0;
     }
 
     /**
-     * A call to it failed for a reason of the node or the link; it is passed over for a while that doubles.
+     * Records a call that failed because of the node or the network. The node is suspect for a time that doubles with
+     * each consecutive failure.
      *
-     * @param cause for the log
+     * @param cause cause of the failure, for the log
      * @param now in {@link System#nanoTime} terms
      */
     public void onFailure(String cause, long now) {
--- a/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
@@ -10,9 +10,9 @@
 import java.util.function.Function;
 import org.berylwick.node.transport.ConnectionPool;
 
-/** All nodes that were heard, but this one; confined to the event loop. */
+/** All other nodes from which a datagram was received. Confined to the event loop. */
 public final class MemberTable {
-    /** A node unheard for this long is forgotten with its connections. */
+    /** A node from which nothing was received for this long is removed, and its connections are closed. */
     private static final long EXPIRY_NANOS = 60_000_000_000L;
 
     private final Map<String, Member> byIp = new HashMap<>();
@@ -21,27 +21,27 @@
     private final BiConsumer<Member, String> onSuspected;
 
     /**
-     * @param poolFactory opens a pool to a node's address
-     * @param onSuspected hears of a node to which a call failed, and why
+     * @param poolFactory creates the connection pool for a node's IP address
+     * @param onSuspected called with a node to which a call failed, and the cause
      */
     public MemberTable(Function<String, ConnectionPool> poolFactory, BiConsumer<Member, String> onSuspected) {
         this.poolFactory = poolFactory;
         this.onSuspected = onSuspected;
     }
 
-    /** What a datagram changed. */
+    /** How a datagram changed what is known of its sender. */
     public enum UpdateResult {
-        /** A node that was not known. */
+        /** The sender was not known. */
         NEW,
-        /** It was started anew, or its backend server changed. */
+        /** The sender was restarted or started to shut down, or its backend server changed. */
         CHANGED,
-        /** Nothing but numbers. */
+        /** Only numbers changed, such as the load or the version in force. */
         SAME,
-        /** Older than what is known. */
+        /** The datagram is older than the known state and was ignored. */
         STALE
     }
 
-    /** Takes over what a node says of itself. */
+    /** Stores the state received from a node. */
     public UpdateResult update(String ip, NodeState state, long now) {
         Member member = byIp.get(ip);
         if (member == null) {
@@ -67,22 +67,22 @@
         return changed ? UpdateResult.CHANGED : UpdateResult.SAME;
     }
 
-    /** Nodes whose backend server serves a service and takes work, as last heard. */
+    /** Nodes whose backend server provides a service and accepts requests, according to their latest state. */
     public List<Member> acceptingRequests(String service) {
         return byService.getOrDefault(service, List.of());
     }
 
-    /** A node by its address. */
+    /** Finds a node by its IP address. */
     public Optional<Member> find(String ip) {
         return Optional.ofNullable(byIp.get(ip));
     }
 
-    /** All nodes that were heard. */
+    /** All known nodes. */
     public Collection<Member> all() {
         return byIp.values();
     }
 
-    /** How many nodes were heard within a span. */
+    /** Counts the nodes from which a datagram was received within the given time. */
     public int countHeardWithin(long spanNanos, long now) {
         int count = 0;
         for (Member member : byIp.values()) {
@@ -93,14 +93,16 @@
         return count;
     }
 
-    /** Tells what waits for nodes that fell silent. */
+    /** Notifies pending requests of nodes that have been silent for longer than the timeout. */
     public void notifySilent(long timeoutNanos, long now) {
         for (Member member : List.copyOf(byIp.values())) {
             member.notifyIfSilent(timeoutNanos, now);
         }
     }
 
-    /** Forgets nodes that were not heard for a long time and closes idle connections. */
+    /**
+     * Removes nodes that have been silent for longer than the expiry time, and closes idle connections of all nodes.
+     */
     public void removeExpired(long now) {
         List<Member> expired = new ArrayList<>();
         for (Member member : byIp.values()) {
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeDirectory.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeDirectory.java
@@ -3,26 +3,26 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** The list of nodes that lasts; asynchronous, answers come on the event loop. */
+/** Persistent list of all nodes. Calls are asynchronous; results are delivered on the event loop. */
 public interface NodeDirectory {
-    /** What became of a call. */
+    /** Result of listing the nodes. */
     sealed interface ListResult {
-        /** Addresses of nodes, some of which may be gone. */
+        /** Addresses of registered nodes; some of these nodes may no longer exist. */
         record Listed(List<String> addresses) implements ListResult {}
 
-        /** The store did not answer, or refused. */
+        /** The store did not respond, or rejected the call. */
         record Failed(String cause) implements ListResult {}
     }
 
     /**
-     * Enters this node.
+     * Registers this node.
      *
-     * @param name of its VM
-     * @param ip of its VM
-     * @param onResult hears whether it is entered
+     * @param name name of its VM
+     * @param ip IP address of its VM
+     * @param onResult receives whether the node is registered
      */
     void register(String name, String ip, Consumer<Boolean> onResult);
 
-    /** Lists the nodes that entered themselves. */
+    /** Lists the registered nodes. */
     void list(Consumer<ListResult> onResult);
 }
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
@@ -8,11 +8,17 @@
 import org.berylwick.node.log.EventLog;
 import org.berylwick.node.log.NodeMetricNames;
 
-/** Enters this node in the list that lasts, and looks there for others now and then; confined to the event loop. */
+/**
+ * Registers this node in the persistent node directory and reads the directory periodically to discover other nodes.
+ * Confined to the event loop.
+ */
 public final class NodeDiscovery {
     private static final long INITIAL_RETRY_MILLIS = 150;
     private static final long MAX_RETRY_MILLIS = 2_000;
-    /** Others tell of themselves by datagrams; the list only heals what those missed. */
+    /**
+     * The refresh interval grows with the number of nodes, so that the directory's load stays the same. Nodes normally
+     * learn of each other by gossip; the directory only recovers what lost datagrams missed.
+     */
     private static final long REFRESH_MILLIS_PER_NODE = 1_500;
 
     private static final long MIN_REFRESH_MILLIS = 8_000;
@@ -28,13 +34,13 @@
     private boolean directoryRead;
 
     /**
-     * @param loop all runs on it
-     * @param directory keeps the list
-     * @param gossip is told of addresses
-     * @param counters takes counts
-     * @param log takes events
-     * @param name of this VM
-     * @param ip of this VM
+     * @param loop event loop on which everything runs
+     * @param directory persistent list of all nodes
+     * @param gossip receives the addresses that were found
+     * @param counters metrics of this node
+     * @param log event log of this node
+     * @param name name of this VM, the key of its directory entry
+     * @param ip IP address of this VM
      */
     public NodeDiscovery(
             EventLoop loop,
@@ -53,12 +59,12 @@
         this.ip = ip;
     }
 
-    /** Starts. */
+    /** Registers this node, retrying until that succeeds, and then starts the periodic reads. */
     public void start() {
         register();
     }
 
-    /** Whether the list was read in this life. */
+    /** Whether the directory has been read at least once since this process started. */
     public boolean isDirectoryRead() {
         return directoryRead;
     }
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeState.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeState.java
@@ -6,21 +6,21 @@
 import org.berylwick.node.lib.OwnerLoad;
 
 /**
- * What a node says of itself.
+ * The state that a node sends to other nodes about itself and the backend server on its VM.
  *
- * @param bootId differs between two starts of the node
- * @param sequence increases with each change it tells
+ * @param bootId identifies one run of the node process; differs after a restart
+ * @param sequence increases with each state that the node sends during one run
  * @param zone availability zone
- * @param linkMbps bandwidth of its VM's link, {@link #MAX_LINK_MBPS} at most
- * @param version the configuration version in force there, 0 for none
- * @param storeReachable whether its last calls to the platform's store were answered
- * @param leaving whether it was told to stop
- * @param service of its backend server
- * @param incarnation of its backend server
- * @param backendState whether its backend server takes work
- * @param warmUpRemainingNanos how much longer its backend server is slow
- * @param load of its backend server
- * @param requestTimes of its backend server for each kind of request that it has seen
+ * @param linkMbps bandwidth of its VM's network link in Mbit/s, at most {@link #MAX_LINK_MBPS}
+ * @param version number of the configuration version in force on the node, 0 for none
+ * @param storeReachable whether the platform's store answered its latest call
+ * @param leaving whether the node is shutting down and should get no more requests from other nodes
+ * @param service service that its backend server provides
+ * @param incarnation identifies one run of its backend server
+ * @param backendState whether its backend server accepts requests
+ * @param warmUpRemainingNanos how much longer its backend server responds slowly after its start
+ * @param load load of its backend server
+ * @param requestTimes execution times measured on its backend server, one entry per request class seen so far
  */
 public record NodeState(
         long bootId,
@@ -36,7 +36,7 @@
         long warmUpRemainingNanos,
         OwnerLoad load,
         List<KindTime> requestTimes) {
-    /** Wider links are told as this wide. */
+    /** Largest bandwidth that fits the encoded field; faster links are sent as this value. */
     public static final int MAX_LINK_MBPS = 65_535;
 
     public NodeState {
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
@@ -11,7 +11,7 @@
 import org.berylwick.node.lib.RequestClass;
 import org.berylwick.node.lib.RouteKind;
 
-/** The datagram between nodes: the sender's state and some addresses of other nodes. */
+/** Encodes and decodes gossip datagrams: the sender's state and the addresses of some other nodes. */
 public final class NodeStateCodec {
     private static final int MAGIC = 0x4257_4e36;
     private static final int FLAG_STORE_REACHABLE = 1;
@@ -42,15 +42,15 @@
     }
 
     /**
-     * A datagram.
+     * The content of a datagram.
      *
-     * @param state of the sender
-     * @param replyRequested whether the sender asks for the receiver's state
+     * @param state state of the sender
+     * @param replyRequested whether the receiver should send its own state back
      * @param peerAddresses IPv4 addresses of other nodes
      */
     public record Message(NodeState state, boolean replyRequested, List<String> peerAddresses) {}
 
-    /** Writes a datagram. */
+    /** Encodes a datagram. */
     public static void write(Message message, ByteBuf out) {
         NodeState state = message.state();
         out.writeInt(MAGIC);
@@ -88,7 +88,7 @@
         }
     }
 
-    /** Reads a datagram; empty for anything that is not one. */
+    /** Decodes a datagram; empty if the bytes are not a valid datagram. */
     public static Optional<Message> read(ByteBuf in) {
         try {
             if (in.readInt() != MAGIC) {
@@ -134,7 +134,7 @@
             }
             return Optional.of(new Message(state, (flags & FLAG_REPLY_REQUESTED) != 0, peerAddresses));
         } catch (IndexOutOfBoundsException e) {
-            // A datagram cut short; its sender tells again soon.
+            // A truncated datagram is ignored; its sender sends its state again in the next gossip round.
             return Optional.empty();
         }
     }
--- a/org.berylwick.node/src/org/berylwick/node/member/package-info.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/package-info.java
@@ -1,2 +1,2 @@
-/** Who is a member, what state its backend server is in, and how that spreads. */
+/** Membership: which nodes exist, the state of their backend servers, and the gossip that distributes both. */
 package org.berylwick.node.member;
