--- a/org.berylwick.test/tst/org/berylwick/node/InMemoryConfigurationStore.java
+++ b/org.berylwick.test/tst/org/berylwick/node/InMemoryConfigurationStore.java
@@ -12,9 +12,9 @@
 import org.berylwick.node.lib.MeshVersion;
 import org.berylwick.node.version.ConfigurationSource;
 
-/** The place where versions are kept, in memory, shared by the nodes of a test; it can be out of reach. */
+/** An in-memory store of configuration versions that the nodes of a test share; it can be made unavailable. */
 final class InMemoryConfigurationStore {
-    /** Makes a version about as long as one with 600 routes. */
+    /** Incompressible filler that makes a version about as long as one with 600 routes. */
     private static final String FILLER = new Random(1)
             .longs(8_000)
             .mapToObj(Long::toHexString)
@@ -26,7 +26,7 @@
     private long newestNumber;
     private boolean unavailable;
 
-    /** Accepts a version. */
+    /** Stores a version as the newest accepted one and notifies the watchers. */
     synchronized void publish(MeshVersion version) {
         versions.put(version.number(), version);
         newestNumber = version.number();
@@ -35,7 +35,7 @@
         waiting.forEach(Runnable::run);
     }
 
-    /** Makes a version readable that only another node has so far. */
+    /** Adds a version that can be decoded but not read from the store, as if only another node had it. */
     synchronized void addUnpublished(MeshVersion version) {
         versions.put(version.number(), version);
     }
@@ -46,7 +46,7 @@
 
     private synchronized ConfigurationSource.ReadResult read() {
         if (unavailable) {
-            return new ConfigurationSource.ReadResult.Failed("down");
+            return new ConfigurationSource.ReadResult.Failed("store unavailable");
         }
         if (newestNumber == 0) {
             return new ConfigurationSource.ReadResult.Missing();
@@ -66,7 +66,7 @@
         return (number + " " + FILLER).getBytes(StandardCharsets.US_ASCII);
     }
 
-    /** What one node sees of it. */
+    /** Returns the store as seen by the node with the given event loop. */
     ConfigurationSource sourceFor(EventLoop loop) {
         return new ConfigurationSource() {
             @Override
--- a/org.berylwick.test/tst/org/berylwick/node/MembershipTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/MembershipTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Nodes learn of each other's backend servers, and a leave that was acknowledged is in force. */
+/** Tests that nodes learn of each other's backend servers, and that an acknowledged deregistration takes effect. */
 @Timeout(60)
 class MembershipTest {
     @Test
@@ -22,7 +22,7 @@
             rig.start(2, Optional.of(server));
             rig.awaitReady(1);
             Await.until(
-                    "an answer of node 2's backend server",
+                    "response from the backend server of node 2",
                     () -> rig.call(1, "GET", "/read/x", "a", "").endsWith("ok"),
                     rig::logged);
             assertEquals("caller-1", server.requests().get(0).header("x-caller"));
@@ -30,8 +30,8 @@
     }
 
     /**
-     * A backend server reports that it drains, and is acknowledged; a heartbeat from before, held up on the way, comes
-     * after that. It must not bring work back.
+     * Guards against requests being sent to a backend server after its node has acknowledged that it is draining or has
+     * deregistered: an earlier heartbeat that was delayed in the network, or a later one, must not make it ready again.
      */
     @Test
     void delayedHeartbeatDoesNotUndoAcknowledgedLeave() {
@@ -52,7 +52,11 @@
         }
     }
 
-    /** A heartbeat of an incarnation that has crashed arrives after its successor's: the successor stays. */
+    /**
+     * Guards against a delayed heartbeat of a crashed incarnation replacing the incarnation that runs now. A heartbeat
+     * of an incarnation that the node has never seen is also recognised as delayed: its sequence number is higher than
+     * that of the running incarnation, which has just started.
+     */
     @Test
     void delayedHeartbeatOfEarlierIncarnationIsIgnored() {
         try (RawServer server = new RawServer(NodeRig::answerOk);
@@ -61,14 +65,14 @@
             rig.start(1, Optional.of(server));
             rig.report(1, server, "i-new", 1, BackendState.READY, 2);
             rig.report(1, server, "i-1", 9, BackendState.READY, 2);
-            rig.report(1, server, "i-unheard", 40, BackendState.READY, 2);
+            rig.report(1, server, "i-unknown", 40, BackendState.READY, 2);
             rig.awaitReady(1);
             assertTrue(rig.call(1, "GET", "/read/x", "a1", "").endsWith("ok"));
             assertEquals("i-new", server.requests().get(0).header("x-target"));
         }
     }
 
-    /** A version reaches a node that cannot read the store, through one that can. */
+    /** A node that cannot read the store obtains the version from a node that could. */
     @Test
     void nodeWithoutStoreAccessFetchesVersionFromAnotherNode() {
         try (RawServer server = new RawServer(NodeRig::answerOk);
@@ -84,8 +88,8 @@
     }
 
     /**
-     * A planned stop: readiness ends at once, requests that come meanwhile are served, and the node ends only when what
-     * runs has been answered.
+     * During a planned stop the node reports immediately that it is not ready, but still accepts requests, and exits
+     * only after running requests have been answered.
      */
     @Test
     void plannedStopCompletesRunningRequest() throws InterruptedException {
@@ -99,9 +103,9 @@
             rig.awaitReady(1);
             String[] responses = new String[1];
             Thread callThread = Thread.ofPlatform().start(() -> responses[0] = rig.call(1, "POST", "/pay/x", "a1", ""));
-            Await.until("the run", () -> server.runs("a1") == 1, rig::logged);
+            Await.until("start of the request at the backend server", () -> server.runs("a1") == 1, rig::logged);
             Thread stopThread = Thread.ofPlatform().start(node::stop);
-            Await.until("not ready", () -> !rig.isReady(1), rig::logged);
+            Await.until("end of the node's readiness", () -> !rig.isReady(1), rig::logged);
             callThread.join();
             assertTrue(responses[0].endsWith("ok"), responses[0]);
             stopThread.join();
@@ -109,8 +113,8 @@
     }
 
     /**
-     * Of two backend servers one loses every answer, by closing its connection. Without knowing that, every other
-     * payment would be lost, and each must run once at most, so none can be repeated.
+     * One of two backend servers closes the connection instead of responding to every other request. The failed
+     * requests are not idempotent and cannot be retried, so the nodes must prefer the other backend server.
      */
     @Test
     void backendServerThatDropsResponsesReceivesFewNonIdempotentRequests() {
@@ -134,7 +138,8 @@
             }
             assertTrue(
                     faulty.requests().size() < 20,
-                    "sent to the one that loses answers: " + faulty.requests().size());
+                    "requests sent to the faulty backend server: "
+                            + faulty.requests().size());
         }
     }
 }
--- a/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A node is stopped or killed and started again while the backend server beside it runs on. */
+/** Tests that stop or start a node while the backend server on the same VM keeps running. */
 @Timeout(60)
 class RestartTest {
     private static final String HEALTH_PATH = "/healthy";
@@ -45,13 +45,13 @@
             NodeRig.answerOk(c, r);
             return;
         }
-        c.write("HTTP/1.1 " + status + " Told\r\nx-instance: " + incarnation
+        c.write("HTTP/1.1 " + status + " Health\r\nx-instance: " + incarnation
                 + "\r\nx-load: 1,0,3\r\nContent-Length: 0\r\n\r\n");
     }
 
     /**
-     * A node starts beside a backend server that runs already, and whose next heartbeat is far off. Callers would be
-     * refused until then; the node asks the backend server who it is, and serves.
+     * Guards against a restarted node refusing callers until the next heartbeat of its backend server, which is already
+     * running. The node sends a health check, which tells it the incarnation, and serves requests from then on.
      */
     @Test
     void restartedNodeServesBeforeNextHeartbeat() {
@@ -61,7 +61,7 @@
             rig.startUnreported(1, server);
             rig.awaitReady(1);
             Await.until(
-                    "an answer of the backend server",
+                    "response from the backend server",
                     () -> rig.call(1, "POST", "/own/x", "a" + System.nanoTime(), "")
                             .endsWith("ok"),
                     rig::logged);
@@ -69,7 +69,9 @@
         }
     }
 
-    /** The same of one that is leaving: it says that it is not healthy, and gets nothing. */
+    /**
+     * A backend server that is shutting down fails the health check, and must not get requests from a restarted node.
+     */
     @Test
     void restartedNodeSendsNoRequestsToUnhealthyBackendServer() {
         List<String> requestedPaths = new CopyOnWriteArrayList<>();
@@ -81,13 +83,16 @@
             rig.configuration.publish(version());
             rig.startUnreported(1, server);
             rig.awaitReady(1);
-            Await.until("that it was asked", () -> requestedPaths.size() >= 2, rig::logged);
+            Await.until("second health check", () -> requestedPaths.size() >= 2, rig::logged);
             assertTrue(rig.call(1, "POST", "/own/x", "a1", "").startsWith("HTTP/1.1 503"));
             assertTrue(requestedPaths.stream().allMatch(HEALTH_PATH::equals), requestedPaths.toString());
         }
     }
 
-    /** The backend server was replaced meanwhile: the first heartbeat of the new one goes before what was asked. */
+    /**
+     * The backend server is replaced after the health check: the first heartbeat of the new incarnation takes
+     * precedence over the result of the health check.
+     */
     @Test
     void firstHeartbeatReplacesProbedIncarnation() {
         try (RawServer server = new RawServer((c, r) -> answerWithHealth("i-old", 200, c, r));
@@ -95,7 +100,8 @@
             rig.configuration.publish(version());
             rig.startUnreported(1, server);
             rig.awaitReady(1);
-            Await.until("that it was asked", () -> rig.logged().contains("i-old"), rig::logged);
+            Await.until(
+                    "result of the health check in the log", () -> rig.logged().contains("i-old"), rig::logged);
             rig.report(1, "caller-1", server, "i-new", 1, BackendState.READY, 2);
             assertTrue(rig.call(1, "POST", "/own/x", "a1", "").endsWith("ok"));
             assertEquals("i-new", lastRequest(server).header("x-target"));
@@ -103,8 +109,9 @@
     }
 
     /**
-     * A node is told to stop; the platform needs two seconds to send its callers elsewhere. The backend server beside
-     * it would be out of reach all that time; it serves other nodes' callers until the node's own are gone.
+     * Guards against a backend server idling while its node stops. The platform needs two seconds to route the node's
+     * callers elsewhere; until then the node must keep serving requests from other nodes. The readiness checks tell the
+     * node that its callers have been routed elsewhere.
      */
     @Test
     void stoppingNodeServesOtherNodesUntilItsCallersAreGone() throws InterruptedException {
@@ -115,12 +122,12 @@
             rig.start(2, Optional.empty());
             rig.awaitReady(2);
             Await.until(
-                    "an answer through node 2",
+                    "response through node 2",
                     () -> rig.call(2, "POST", "/pay/x", "a" + System.nanoTime(), "")
                             .endsWith("ok"),
                     rig::logged);
             Thread stopThread = Thread.ofPlatform().start(stoppingNode::stop);
-            Await.until("not ready", () -> !rig.isReady(1), rig::logged);
+            Await.until("end of the readiness of node 1", () -> !rig.isReady(1), rig::logged);
             for (int i = 0; i < 10; i++) {
                 assertTrue(rig.call(2, "POST", "/pay/x", "b" + i, "").endsWith("ok"), rig.logged());
                 NodeRig.sleep(60);
@@ -130,14 +137,14 @@
             long callersGoneAt = System.nanoTime();
             stopThread.join();
             long millis = (System.nanoTime() - callersGoneAt) / 1_000_000;
-            assertTrue(millis < 1_200, "ended " + millis + " ms after its callers were gone");
+            assertTrue(millis < 1_200, "node stopped " + millis + " ms after its callers were gone");
             assertTrue(rig.call(2, "POST", "/pay/x", "c", "").startsWith("HTTP/1.1 503"), rig.logged());
         }
     }
 
     /**
-     * A run that began before the stop makes a call of its own, through the port for callers of the node that stops,
-     * after that node's callers are gone. With the port closed the call and the run would fail.
+     * A request that was running before the stop makes a call of its own through the stopping node's port for callers,
+     * after the node's other callers are gone. If the port were closed by then, the call and the request would fail.
      */
     @Test
     void requestRunningOnStoppingNodeCanStillMakeCalls() throws InterruptedException {
@@ -161,7 +168,7 @@
             String[] outerResponse = new String[1];
             Thread callThread =
                     Thread.ofPlatform().start(() -> outerResponse[0] = rig.call(1, "POST", "/pay/x", "outer", ""));
-            Await.until("the run", () -> server.runs("outer") == 1, rig::logged);
+            Await.until("start of the request at the backend server", () -> server.runs("outer") == 1, rig::logged);
             Thread stopThread = Thread.ofPlatform().start(stoppingNode::stop);
             rig.isReady(1);
             NodeRig.sleep(700);
--- a/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
@@ -15,19 +15,20 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A VM loses power while it has a request: its connections stay open at the other end and nothing comes any more. The
- * caller of a repeatable request would wait for its deadline; it is run elsewhere as soon as the node counts as silent.
+ * Tests requests at a node that has become silent. If a VM loses power, its connections stay open at the other end but
+ * nothing is received any more. Without detection the caller would wait until its deadline; an idempotent request is
+ * retried at another node as soon as the first one counts as silent.
  */
 @Timeout(60)
 class SilentNodeTest {
     private static final int LINK_MBPS = 100;
-    /** Over which a body is sent only when it is asked for. */
+    /** On a link this slow, a body is sent only after the receiver has requested it by {@code 100 Continue}. */
     private static final int NARROW_MBPS = 5;
 
     private static final int BODY_LENGTH = 60_000;
-    /** Longer than a node of a fleet of two may be unheard. */
+    /** Longer than the time without a datagram after which a node counts as silent, in a fleet of two nodes. */
     private static final int LONGER_THAN_SILENCE_TIMEOUT_MILLIS = 2_500;
-    /** Longer than a round of datagrams, after which unheard nodes are looked for. */
+    /** Longer than a gossip round; at the end of each round pending requests of silent nodes are notified. */
     private static final int LONGER_THAN_GOSSIP_ROUND_MILLIS = 1_200;
 
     @Test
@@ -43,11 +44,15 @@
             rig.start(2, Optional.of(server));
             callThread.join();
             assertTrue(response[0].endsWith("ok"), response[0]);
-            assertTrue(System.nanoTime() - startedAt < 10_000_000_000L, "it waited for its deadline");
+            assertTrue(
+                    System.nanoTime() - startedAt < 10_000_000_000L, "the request was not retried before its deadline");
         }
     }
 
-    /** A node whose datagrams are lost, as on a full link, but which has a request at work: its answer is passed on. */
+    /**
+     * A node is running a request while its datagrams are lost, as on a saturated link. No other node can run the
+     * request, so its response must be returned to the caller.
+     */
     @Test
     void responseOfSilentNodeIsAcceptedWhenNoOtherNodeIsAvailable() throws Exception {
         try (NodeRig rig = NodeRig.ofEntry(NodeRig.version(1));
@@ -57,13 +62,13 @@
             try (ScriptedPeer.Call call = silentPeer.accept()) {
                 call.head();
                 NodeRig.sleep(LONGER_THAN_GOSSIP_ROUND_MILLIS);
-                call.answer("b1", "late but whole");
-                assertTrue(response.join().endsWith("late but whole"), response.join());
+                call.answer("b1", "late but complete");
+                assertTrue(response.join().endsWith("late but complete"), response.join());
             }
         }
     }
 
-    /** A request that must run once gains nothing by leaving an unheard node, and loses its answer. */
+    /** Abandoning a non-idempotent request would only lose its response, since it cannot be retried. */
     @Test
     void nonIdempotentRequestIsNotRetriedWhenNodeIsSilent() throws Exception {
         try (RawServer server = new RawServer(NodeRig::answerOk);
@@ -76,14 +81,17 @@
                 call.head();
                 rig.start(2, Optional.of(server));
                 NodeRig.sleep(2 * LONGER_THAN_SILENCE_TIMEOUT_MILLIS);
-                call.answer("b2", "late but whole");
-                assertTrue(response.join().endsWith("late but whole"), response.join());
+                call.answer("b2", "late but complete");
+                assertTrue(response.join().endsWith("late but complete"), response.join());
                 assertEquals(0, server.runs("b2"));
             }
         }
     }
 
-    /** Guards against an order that waits for its deadline at a node that never asked for its body. */
+    /**
+     * Guards against a non-idempotent request waiting until its deadline at a silent node that never requested the
+     * body. The request cannot have run there, so it can be sent to another node.
+     */
     @Test
     void requestIsRetriedWhenSilentNodeHasNotRequestedItsBody() throws Exception {
         String body = "b".repeat(BODY_LENGTH);
@@ -105,7 +113,7 @@
         }
     }
 
-    /** The other node refuses the repeat of a request: the run at the unheard node is still the best there is. */
+    /** If the other node refuses the retry, the response of the silent node is still used when it arrives. */
     @Test
     void responseOfSilentNodeIsAcceptedWhenRetryIsRefused() throws Exception {
         try (RawServer full = new RawServer((c, r) -> c.write("HTTP/1.1 503 Full\r\nx-request-id: " + r.id()
@@ -117,10 +125,10 @@
             try (ScriptedPeer.Call call = silentPeer.accept()) {
                 call.head();
                 rig.start(2, Optional.of(full));
-                Await.until("the other was asked", () -> full.runs("b3") > 0, rig::logged);
+                Await.until("retry at the other node", () -> full.runs("b3") > 0, rig::logged);
                 NodeRig.sleep(300);
-                call.answer("b3", "late but whole");
-                assertTrue(response.join().endsWith("late but whole"), response.join());
+                call.answer("b3", "late but complete");
+                assertTrue(response.join().endsWith("late but complete"), response.join());
             }
         }
     }
@@ -134,7 +142,8 @@
     }
 
     /**
-     * A call that ends by its deadline names the node that it waited for; without that its cause is anybody's guess.
+     * The log entry of a call that ended at its deadline must name the node it was waiting for; otherwise the cause
+     * could not be found.
      */
     @Test
     void logOfExpiredCallNamesTheNodeItWaitedFor() throws IOException {
@@ -145,7 +154,8 @@
             String response = rig.send(1, NodeRig.request("POST", "/quick/x", "a2", 20_000, ""));
             assertTrue(response.startsWith("HTTP/1.1 504"), response);
             String expectedLogEntry = rig.ip(9) + "=PENDING";
-            Await.until("the log names it", () -> rig.logged().contains(expectedLogEntry), rig::logged);
+            Await.until(
+                    "log entry that names the silent node", () -> rig.logged().contains(expectedLogEntry), rig::logged);
         }
     }
 }
--- a/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Versions come to nodes that do not watch the store, at a cost that a narrow link and a slow core can bear. */
+/** Tests how versions reach nodes that do not watch the store, at a cost that a slow link and a slow CPU can bear. */
 @Timeout(60)
 class VersionSpreadTest {
     private static final int NARROW_MBPS = 2;
@@ -44,10 +44,10 @@
                 return Long.parseLong(words[1]);
             }
         }
-        throw new IllegalStateException("there is no " + name);
+        throw new IllegalStateException("no metric named " + name);
     }
 
-    /** Before, each of the 40 versions of a second was parsed by each node. */
+    /** Guards against each node parsing every one of 40 versions that are accepted within a second. */
     @Test
     void burstInstallsOnlySomeVersionsAndTheLastOnePromptly() throws InterruptedException {
         try (NodeRig rig = new NodeRig()) {
@@ -57,7 +57,7 @@
                 nodes[i] = rig.start(i, Optional.empty());
             }
             rig.awaitReady(3);
-            Await.until("the first version everywhere", () -> versionInForce(nodes[3]) == 1, rig::logged);
+            Await.until("first version at node 3", () -> versionInForce(nodes[3]) == 1, rig::logged);
             Thread.sleep(300);
             for (int i = 2; i <= BURST_VERSIONS; i++) {
                 rig.configuration.publish(NodeRig.version(i));
@@ -66,10 +66,10 @@
             long lastPublishedAt = System.nanoTime();
             for (int i = 1; i <= 3; i++) {
                 Node node = nodes[i];
-                Await.until("the last version", () -> versionInForce(node) == BURST_VERSIONS, rig::logged);
+                Await.until("last version of the burst", () -> versionInForce(node) == BURST_VERSIONS, rig::logged);
             }
             long millis = (System.nanoTime() - lastPublishedAt) / 1_000_000;
-            assertTrue(millis < 1_500, "in force after " + millis + " ms");
+            assertTrue(millis < 1_500, "last version in force after " + millis + " ms");
             for (int i = 1; i <= 3; i++) {
                 long installed = metric(nodes[i], "versions.installed");
                 assertTrue(installed <= 14, installed + " versions installed at node " + i);
@@ -77,7 +77,7 @@
         }
     }
 
-    /** A version is 100 KB here; before, each of them was sent whole. */
+    /** Guards against sending each version completely; an encoded version has about 100 KB here. */
     @Test
     void onlyChangesAreSentToNodeWithEarlierVersion() {
         try (NodeRig rig = new NodeRig()) {
@@ -97,8 +97,8 @@
     }
 
     /**
-     * Two nodes have other bytes under the number of one version, so that what changed since does not fit. The whole is
-     * asked for next; the same question again would be answered with the same, without end.
+     * Two nodes have different content for the same version number, so that a delta from that version cannot be
+     * applied. Guards against requesting the same delta again without end: the complete version must be fetched next.
      */
     @Test
     void fullVersionIsFetchedWhenDeltaDoesNotApply() throws IOException {
@@ -152,7 +152,7 @@
         rig.tellFirst(socket, state);
     }
 
-    /** Guards against calls and datagrams that wait behind a whole version on a narrow link. */
+    /** Guards against calls and datagrams being held up behind a complete version that is sent over a slow link. */
     @Test
     void fullVersionIsSentAtLinkRate() throws IOException {
         try (RawServer server = new RawServer(NodeRig::answerOk);
--- a/org.berylwick.test/tst/org/berylwick/node/member/NodeStateCodecTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/member/NodeStateCodecTest.java
@@ -18,7 +18,9 @@
 import org.berylwick.node.lib.RequestClass;
 import org.berylwick.node.lib.RouteKind;
 
-/** A datagram is read as it was written; anything else is no datagram, whatever its bytes. */
+/**
+ * Tests that an encoded datagram is decoded to the same content, and that arbitrary or truncated bytes are rejected.
+ */
 class NodeStateCodecTest {
     @Property(tries = 200)
     void decodesWhatWasEncoded(
@@ -42,7 +44,8 @@
                 3_000_000L,
                 new OwnerLoad(number, number, number, 5_000L, number, number * 1_000_000L, number * 1_000_000L),
                 List.of(
-                        new KindTime(new RequestClass(RouteKind.NON_IDEMPOTENT, 3, number), 1_000L * (number + 1), 0.25),
+                        new KindTime(
+                                new RequestClass(RouteKind.NON_IDEMPOTENT, 3, number), 1_000L * (number + 1), 0.25),
                         new KindTime(new RequestClass(RouteKind.BULK, 0, 100), 7_000L, 0.5)));
         NodeStateCodec.Message message = new NodeStateCodec.Message(nodeState, flag, List.of("10.0.0.1", "10.0.0.2"));
         ByteBuf encoded = Unpooled.buffer();
--- a/org.berylwick.test/tst/org/berylwick/node/member/package-info.java
+++ b/org.berylwick.test/tst/org/berylwick/node/member/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of what nodes tell each other. */
+/** Tests of the state that nodes exchange by gossip. */
 package org.berylwick.node.member;
--- a/org.berylwick.test/tst/org/berylwick/node/version/VersionDeltaCodecTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/version/VersionDeltaCodecTest.java
@@ -79,7 +79,10 @@
         assertTrue(VersionDeltaCodec.decode(new byte[0], delta).isEmpty());
     }
 
-    /** Of 212,632 bytes 25,542 are sent to a node that has none, and 22 after one change of a weight. */
+    /**
+     * The 212,632 bytes of the version are sent as 25,542 to a node that has no version, and as 22 to one that lacks
+     * only the change of one weight.
+     */
     @Example
     void weightChangeProducesSmallDelta() {
         List<String> routes = randomRoutes(new Random(1));
--- a/org.berylwick.test/tst/org/berylwick/node/version/package-info.java
+++ b/org.berylwick.test/tst/org/berylwick/node/version/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of how versions spread. */
+/** Tests of how configuration versions are distributed between nodes. */
 package org.berylwick.node.version;
