--- a/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
@@ -51,8 +51,8 @@
         long usableBase = encodedByNumber.containsKey(baseNumber) ? baseNumber : 0;
         byte[] delta = deltasByBase.computeIfAbsent(
                 usableBase,
-                f -> VersionDeltaCodec.encode(
-                        encodedByNumber.getOrDefault(f, EMPTY), encodedByNumber.get(newestNumber)));
+                number -> VersionDeltaCodec.encode(
+                        encodedByNumber.getOrDefault(number, EMPTY), encodedByNumber.get(newestNumber)));
         return Optional.of(new VersionDelta(usableBase, delta));
     }
 
