--- a/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
@@ -84,14 +84,14 @@
             rig.configuration.publish(NodeRig.version(1));
             rig.start(1, Optional.empty());
             rig.start(2, Optional.empty());
-            Node third = rig.start(3, Optional.empty());
+            Node node3 = rig.start(3, Optional.empty());
             rig.awaitReady(3);
             for (int i = 2; i <= 6; i++) {
                 long number = i;
                 rig.configuration.publish(NodeRig.version(number));
-                Await.until("version " + number, () -> versionInForce(third) == number, rig::logged);
+                Await.until("version " + number, () -> versionInForce(node3) == number, rig::logged);
             }
-            long bytes = metric(third, "versions.fetched.bytes");
+            long bytes = metric(node3, "versions.fetched.bytes");
             assertTrue(bytes > 0 && bytes < 100_000, bytes + " bytes fetched for five versions");
         }
     }
