--- a/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
@@ -116,7 +116,7 @@
     /** If the other node refuses the retry, the response of the silent node is still used when it arrives. */
     @Test
     void responseOfSilentNodeIsAcceptedWhenRetryIsRefused() throws Exception {
-        try (RawServer full = new RawServer((c, r) -> c.write("HTTP/1.1 503 Full\r\nx-request-id: " + r.id()
+        try (RawServer refusingServer = new RawServer((c, r) -> c.write("HTTP/1.1 503 Full\r\nx-request-id: " + r.id()
                         + "\r\nx-not-run: 1\r\nContent-Length: 0\r\n\r\n"));
                 NodeRig rig = NodeRig.ofEntry(versionWith(NodeRig.route("long", "/long/", RouteKind.BULK, 20_000)));
                 ScriptedPeer silentPeer = ScriptedPeer.announced(rig, LINK_MBPS)) {
@@ -124,8 +124,8 @@
                     () -> rig.send(1, NodeRig.request("GET", "/long/x", "b3", 20_000, "")));
             try (ScriptedPeer.Call call = silentPeer.accept()) {
                 call.head();
-                rig.start(2, Optional.of(full));
-                Await.until("retry at the other node", () -> full.runs("b3") > 0, rig::logged);
+                rig.start(2, Optional.of(refusingServer));
+                Await.until("retry at the other node", () -> refusingServer.runs("b3") > 0, rig::logged);
                 NodeRig.sleep(300);
                 call.answer("b3", "late but complete");
                 assertTrue(response.join().endsWith("late but complete"), response.join());
