--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCalls.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCalls.java
@@ -55,7 +55,7 @@
                 candidates,
                 new CandidateChooser(chance),
                 budget,
-                new AnswerHabits(),
+                new ResponseEstimator(),
                 new CallerReturns(),
                 new GatherMemory(gatherBytes),
                 instruments.counters(),
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryContext.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryContext.java
@@ -32,7 +32,7 @@
         CandidateSource candidates,
         CandidateChooser chooser,
         RetryBudget budget,
-        AnswerHabits habits,
+        ResponseEstimator habits,
         CallerReturns returns,
         GatherMemory memory,
         Counters counters,
--- a/org.berylwick.node/src/org/berylwick/node/call/AnswerHabits.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ResponseEstimator.java
@@ -10,7 +10,7 @@
  *
  * <p>Routes of one kind, objective and rank are taken to be alike, as there are too many routes to learn each.
  */
-final class AnswerHabits {
+final class ResponseEstimator {
     private static final double NEW_SHARE = 0.1;
     private static final double UNKNOWN_BYTES = 4_000;
     private static final double UNKNOWN_BULK_BYTES = 100_000;
