--- a/org.berylwick.node/src/org/berylwick/node/call/ResponseEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ResponseEstimator.java
@@ -11,7 +11,7 @@
  * <p>Routes of one kind, objective and rank are taken to be alike, as there are too many routes to learn each.
  */
 final class ResponseEstimator {
-    private static final double NEW_SHARE = 0.1;
+    private static final double SMOOTHING_FACTOR = 0.1;
     private static final double UNKNOWN_BYTES = 4_000;
     private static final double UNKNOWN_BULK_BYTES = 100_000;
     /** Part of its objective that a request is expected to take before one was seen. */
@@ -33,7 +33,7 @@
 
     private static void learn(Map<String, double[]> byKind, Route route, double value) {
         double[] mean = byKind.computeIfAbsent(key(route), k -> new double[] {value});
-        mean[0] += NEW_SHARE * (value - mean[0]);
+        mean[0] += SMOOTHING_FACTOR * (value - mean[0]);
     }
 
     double expectedBytes(Route route) {
