--- a/org.berylwick.node/src/org/berylwick/node/call/ResponseEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ResponseEstimator.java
@@ -13,7 +13,7 @@
 final class ResponseEstimator {
     private static final double SMOOTHING_FACTOR = 0.1;
     private static final double DEFAULT_BYTES = 4_000;
-    private static final double UNKNOWN_BULK_BYTES = 100_000;
+    private static final double DEFAULT_BULK_BYTES = 100_000;
     /** Part of its objective that a request is expected to take before one was seen. */
     private static final double UNKNOWN_OBJECTIVE_SHARE = 0.35;
 
@@ -41,7 +41,7 @@
         if (mean != null) {
             return mean[0];
         }
-        return route.kind() == RouteKind.BULK ? UNKNOWN_BULK_BYTES : DEFAULT_BYTES;
+        return route.kind() == RouteKind.BULK ? DEFAULT_BULK_BYTES : DEFAULT_BYTES;
     }
 
     double expectedNanos(Route route) {
