--- a/org.berylwick.node/src/org/berylwick/node/call/ResponseEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ResponseEstimator.java
@@ -15,7 +15,7 @@
     private static final double DEFAULT_BYTES = 4_000;
     private static final double DEFAULT_BULK_BYTES = 100_000;
     /** Part of its objective that a request is expected to take before one was seen. */
-    private static final double UNKNOWN_OBJECTIVE_SHARE = 0.35;
+    private static final double DEFAULT_OBJECTIVE_FRACTION = 0.35;
 
     private static final long UNKNOWN_NANOS = 150_000_000L;
 
@@ -49,7 +49,7 @@
         if (mean != null) {
             return mean[0];
         }
-        return route.objectiveNanos() == 0 ? UNKNOWN_NANOS : UNKNOWN_OBJECTIVE_SHARE * route.objectiveNanos();
+        return route.objectiveNanos() == 0 ? UNKNOWN_NANOS : DEFAULT_OBJECTIVE_FRACTION * route.objectiveNanos();
     }
 
     private static String key(Route route) {
