--- a/org.berylwick.node/src/org/berylwick/node/call/ResponseEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ResponseEstimator.java
@@ -17,7 +17,7 @@
     /** Part of its objective that a request is expected to take before one was seen. */
     private static final double DEFAULT_OBJECTIVE_FRACTION = 0.35;
 
-    private static final long UNKNOWN_NANOS = 150_000_000L;
+    private static final long DEFAULT_NANOS = 150_000_000L;
 
     private final Map<String, double[]> bytesByKind = new HashMap<>();
     private final Map<String, double[]> nanosByKind = new HashMap<>();
@@ -49,7 +49,7 @@
         if (mean != null) {
             return mean[0];
         }
-        return route.objectiveNanos() == 0 ? UNKNOWN_NANOS : DEFAULT_OBJECTIVE_FRACTION * route.objectiveNanos();
+        return route.objectiveNanos() == 0 ? DEFAULT_NANOS : DEFAULT_OBJECTIVE_FRACTION * route.objectiveNanos();
     }
 
     private static String key(Route route) {
