--- a/org.berylwick.node/src/org/berylwick/node/call/ResponseEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ResponseEstimator.java
@@ -19,11 +19,11 @@
 
     private static final long DEFAULT_NANOS = 150_000_000L;
 
-    private final Map<String, double[]> bytesByKind = new HashMap<>();
+    private final Map<String, double[]> meanBytesByClass = new HashMap<>();
     private final Map<String, double[]> nanosByKind = new HashMap<>();
 
     void learnBytes(Route route, int bytes) {
-        learn(bytesByKind, route, bytes);
+        learn(meanBytesByClass, route, bytes);
     }
 
     /** Takes over how long an answer took that did not have to wait for a slot. */
@@ -37,7 +37,7 @@
     }
 
     double expectedBytes(Route route) {
-        double[] mean = bytesByKind.get(key(route));
+        double[] mean = meanBytesByClass.get(key(route));
         if (mean != null) {
             return mean[0];
         }
