--- a/org.berylwick.node/src/org/berylwick/node/call/ResponseEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ResponseEstimator.java
@@ -20,7 +20,7 @@
     private static final long DEFAULT_NANOS = 150_000_000L;
 
     private final Map<String, double[]> meanBytesByClass = new HashMap<>();
-    private final Map<String, double[]> nanosByKind = new HashMap<>();
+    private final Map<String, double[]> meanNanosByClass = new HashMap<>();
 
     void learnBytes(Route route, int bytes) {
         learn(meanBytesByClass, route, bytes);
@@ -28,7 +28,7 @@
 
     /** Takes over how long an answer took that did not have to wait for a slot. */
     void learnNanos(Route route, long nanos) {
-        learn(nanosByKind, route, nanos);
+        learn(meanNanosByClass, route, nanos);
     }
 
     private static void learn(Map<String, double[]> byKind, Route route, double value) {
@@ -45,7 +45,7 @@
     }
 
     double expectedNanos(Route route) {
-        double[] mean = nanosByKind.get(key(route));
+        double[] mean = meanNanosByClass.get(key(route));
         if (mean != null) {
             return mean[0];
         }
