--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -316,7 +316,7 @@
     }
 
     private void answer(EntryAttempt attempt, int status, HttpHeaders headers, ByteBuf body) {
-        context.habits().learnBytes(route, body.readableBytes());
+        context.habits().recordBytes(route, body.readableBytes());
         Candidate from = attempt.candidate();
         if (from.load().waitNanos(from.ahead()) == 0) {
             context.habits().learnNanos(route, context.clock().now() - attempt.startedAt());
--- a/org.berylwick.node/src/org/berylwick/node/call/ResponseEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ResponseEstimator.java
@@ -22,7 +22,7 @@
     private final Map<String, double[]> meanBytesByClass = new HashMap<>();
     private final Map<String, double[]> meanNanosByClass = new HashMap<>();
 
-    void learnBytes(Route route, int bytes) {
+    void recordBytes(Route route, int bytes) {
         learn(meanBytesByClass, route, bytes);
     }
 
