--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -319,7 +319,7 @@
         context.habits().recordBytes(route, body.readableBytes());
         Candidate from = attempt.candidate();
         if (from.load().waitNanos(from.ahead()) == 0) {
-            context.habits().learnNanos(route, context.clock().now() - attempt.startedAt());
+            context.habits().recordNanos(route, context.clock().now() - attempt.startedAt());
         }
         finish();
         boolean good = status < 400;
--- a/org.berylwick.node/src/org/berylwick/node/call/ResponseEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ResponseEstimator.java
@@ -27,7 +27,7 @@
     }
 
     /** Takes over how long an answer took that did not have to wait for a slot. */
-    void learnNanos(Route route, long nanos) {
+    void recordNanos(Route route, long nanos) {
         learn(meanNanosByClass, route, nanos);
     }
 
