--- a/org.berylwick.node/src/org/berylwick/node/call/ResponseEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ResponseEstimator.java
@@ -23,15 +23,15 @@
     private final Map<String, double[]> meanNanosByClass = new HashMap<>();
 
     void recordBytes(Route route, int bytes) {
-        learn(meanBytesByClass, route, bytes);
+        updateMean(meanBytesByClass, route, bytes);
     }
 
     /** Takes over how long an answer took that did not have to wait for a slot. */
     void recordNanos(Route route, long nanos) {
-        learn(meanNanosByClass, route, nanos);
+        updateMean(meanNanosByClass, route, nanos);
     }
 
-    private static void learn(Map<String, double[]> byKind, Route route, double value) {
+    private static void updateMean(Map<String, double[]> byKind, Route route, double value) {
         double[] mean = byKind.computeIfAbsent(key(route), k -> new double[] {value});
         mean[0] += SMOOTHING_FACTOR * (value - mean[0]);
     }
