--- a/org.berylwick.node/src/org/berylwick/node/call/CallerPatience.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallerWaitEstimator.java
@@ -9,7 +9,7 @@
  * <p>A caller that was refused comes back as a new request that will wait for what is left. Its latency objective
  * counts from its first attempt, so a request whose objective cannot be met any more is told apart by its shorter wait.
  */
-final class CallerPatience {
+final class CallerWaitEstimator {
     private static final int MOST_ROUTES = 2_000;
     /**
      * A wait shorter by less than this is rounding, time on the way, or a call whose run has little time left; whoever
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCalls.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCalls.java
@@ -23,7 +23,7 @@
     private static final long RETURN_NANOS = 10_000_000L;
 
     private final EntryContext context;
-    private final CallerPatience patience = new CallerPatience();
+    private final CallerWaitEstimator patience = new CallerWaitEstimator();
     private long endAt = Long.MAX_VALUE;
 
     /**
