--- a/org.berylwick.node/src/org/berylwick/node/call/CallerWaitEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallerWaitEstimator.java
@@ -10,7 +10,7 @@
  * counts from its first attempt, so a request whose objective cannot be met any more is told apart by its shorter wait.
  */
 final class CallerWaitEstimator {
-    private static final int MOST_ROUTES = 2_000;
+    private static final int MAX_ROUTES = 2_000;
     /**
      * A wait shorter by less than this is rounding, time on the way, or a call whose run has little time left; whoever
      * was refused comes back 50 ms later at the soonest.
@@ -26,7 +26,7 @@
      * @param waitNanos how long it will wait from now on
      */
     long waitedNanos(String route, long waitNanos) {
-        if (longest.size() >= MOST_ROUTES) {
+        if (longest.size() >= MAX_ROUTES) {
             longest.clear();
         }
         long usual = longest.merge(route, waitNanos, Math::max);
