--- a/org.berylwick.node/src/org/berylwick/node/call/CallerWaitEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallerWaitEstimator.java
@@ -15,7 +15,7 @@
      * A wait shorter by less than this is rounding, time on the way, or a call whose run has little time left; whoever
      * was refused comes back 50 ms later at the soonest.
      */
-    private static final long NOISE_NANOS = 45_000_000L;
+    private static final long TOLERANCE_NANOS = 45_000_000L;
 
     private final Map<String, Long> longest = new HashMap<>();
 
@@ -31,6 +31,6 @@
         }
         long usual = longest.merge(route, waitNanos, Math::max);
         long waited = usual - waitNanos;
-        return waited < NOISE_NANOS ? 0 : waited;
+        return waited < TOLERANCE_NANOS ? 0 : waited;
     }
 }
