--- a/org.berylwick.node/src/org/berylwick/node/call/CallerWaitEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallerWaitEstimator.java
@@ -17,7 +17,7 @@
      */
     private static final long TOLERANCE_NANOS = 45_000_000L;
 
-    private final Map<String, Long> longest = new HashMap<>();
+    private final Map<String, Long> longestTimeoutByRoute = new HashMap<>();
 
     /**
      * How long the caller of a request has waited before it was sent.
@@ -26,10 +26,10 @@
      * @param waitNanos how long it will wait from now on
      */
     long waitedNanos(String route, long waitNanos) {
-        if (longest.size() >= MAX_ROUTES) {
-            longest.clear();
+        if (longestTimeoutByRoute.size() >= MAX_ROUTES) {
+            longestTimeoutByRoute.clear();
         }
-        long usual = longest.merge(route, waitNanos, Math::max);
+        long usual = longestTimeoutByRoute.merge(route, waitNanos, Math::max);
         long waited = usual - waitNanos;
         return waited < TOLERANCE_NANOS ? 0 : waited;
     }
