--- a/org.berylwick.node/src/org/berylwick/node/call/CallerReturns.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallerRetryRate.java
@@ -10,7 +10,7 @@
  * <p>The load it answers is an overload: whoever comes back is best refused as soon as it would be late, as others wait
  * behind it. A call that a run makes does not come back: with its refusal the run fails, and its slot's time is wasted.
  */
-final class CallerReturns {
+final class CallerRetryRate {
     /** Weight of a new refusal; about the last fifty count. */
     private static final double NEW_SHARE = 0.02;
     /** Before anything was seen callers are taken to come back, as they mostly do. */
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCalls.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCalls.java
@@ -56,7 +56,7 @@
                 new CandidateChooser(chance),
                 budget,
                 new ResponseEstimator(),
-                new CallerReturns(),
+                new CallerRetryRate(),
                 new GatherMemory(gatherBytes),
                 instruments.counters(),
                 instruments.log(),
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryContext.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryContext.java
@@ -33,7 +33,7 @@
         CandidateChooser chooser,
         RetryBudget budget,
         ResponseEstimator habits,
-        CallerReturns returns,
+        CallerRetryRate returns,
         GatherMemory memory,
         Counters counters,
         EventLog log,
