--- a/org.berylwick.node/src/org/berylwick/node/call/CallerRetryRate.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallerRetryRate.java
@@ -12,7 +12,7 @@
  */
 final class CallerRetryRate {
     /** Weight of a new refusal; about the last fifty count. */
-    private static final double NEW_SHARE = 0.02;
+    private static final double SMOOTHING_FACTOR = 0.02;
     /** Before anything was seen callers are taken to come back, as they mostly do. */
     private static final double UNSEEN = 1;
 
@@ -25,8 +25,8 @@
 
     void onRefused(RequestClass like) {
         Counts counts = byClass.computeIfAbsent(like, l -> new Counts());
-        counts.refused += 1 - NEW_SHARE * counts.refused;
-        counts.returned -= NEW_SHARE * counts.returned;
+        counts.refused += 1 - SMOOTHING_FACTOR * counts.refused;
+        counts.returned -= SMOOTHING_FACTOR * counts.returned;
     }
 
     void onReturned(RequestClass like) {
