--- a/org.berylwick.node/src/org/berylwick/node/call/CallerRetryRate.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallerRetryRate.java
@@ -14,13 +14,13 @@
     /** Weight of a new refusal; about the last fifty count. */
     private static final double SMOOTHING_FACTOR = 0.02;
     /** Before anything was seen callers are taken to come back, as they mostly do. */
-    private static final double UNSEEN = 1;
+    private static final double DEFAULT_RATE = 1;
 
     private final Map<RequestClass, Counts> byClass = new HashMap<>();
 
     private static final class Counts {
         private double refused = 1;
-        private double returned = UNSEEN;
+        private double returned = DEFAULT_RATE;
     }
 
     void onRefused(RequestClass like) {
@@ -36,6 +36,6 @@
     /** The part of those refused that come back. */
     double share(RequestClass like) {
         Counts counts = byClass.get(like);
-        return counts == null ? UNSEEN : Math.min(1, counts.returned / counts.refused);
+        return counts == null ? DEFAULT_RATE : Math.min(1, counts.returned / counts.refused);
     }
 }
