--- a/org.berylwick.node/src/org/berylwick/node/call/CallerRetryRate.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallerRetryRate.java
@@ -20,22 +20,22 @@
 
     private static final class Counts {
         private double refused = 1;
-        private double returned = DEFAULT_RATE;
+        private double retried = DEFAULT_RATE;
     }
 
     void onRefused(RequestClass like) {
         Counts counts = byClass.computeIfAbsent(like, l -> new Counts());
         counts.refused += 1 - SMOOTHING_FACTOR * counts.refused;
-        counts.returned -= SMOOTHING_FACTOR * counts.returned;
+        counts.retried -= SMOOTHING_FACTOR * counts.retried;
     }
 
     void onReturned(RequestClass like) {
-        byClass.computeIfAbsent(like, l -> new Counts()).returned++;
+        byClass.computeIfAbsent(like, l -> new Counts()).retried++;
     }
 
     /** The part of those refused that come back. */
     double share(RequestClass like) {
         Counts counts = byClass.get(like);
-        return counts == null ? DEFAULT_RATE : Math.min(1, counts.returned / counts.refused);
+        return counts == null ? DEFAULT_RATE : Math.min(1, counts.retried / counts.refused);
     }
 }
