--- a/org.berylwick.node/src/org/berylwick/node/call/CallerRetryRate.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallerRetryRate.java
@@ -29,7 +29,7 @@
         counts.retried -= SMOOTHING_FACTOR * counts.retried;
     }
 
-    void onReturned(RequestClass like) {
+    void onRetried(RequestClass like) {
         byClass.computeIfAbsent(like, l -> new Counts()).retried++;
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -98,7 +98,7 @@
         long now = context.clock().now();
         context.budget().onRequest(spec.service(), now);
         if (returned) {
-            context.returns().onReturned(spec.like());
+            context.returns().onRetried(spec.like());
         }
         deadline = context.clock().at(spec.deadlineAt() + LAST_WORD_NANOS, this::onDeadline);
         next(false);
