--- a/org.berylwick.node/src/org/berylwick/node/call/CallerRetryRate.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallerRetryRate.java
@@ -34,7 +34,7 @@
     }
 
     /** The part of those refused that come back. */
-    double share(RequestClass like) {
+    double retryRate(RequestClass like) {
         Counts counts = byClass.get(like);
         return counts == null ? DEFAULT_RATE : Math.min(1, counts.retried / counts.refused);
     }
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -128,7 +128,7 @@
                 spec.objectiveAt() - now,
                 spec.deadlineAt() - now,
                 waitUntil - now,
-                returned ? 0 : context.returns().share(spec.like()),
+                returned ? 0 : context.returns().retryRate(spec.like()),
                 refusals + 1 >= MOST_REFUSALS);
         return context.chooser().choose(candidates, question);
     }
