--- a/org.berylwick.node/src/org/berylwick/node/call/Candidate.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Candidate.java
@@ -12,7 +12,7 @@
  *
  * @param member the other node, empty for this one
  * @param load of its backend server, with what is known to be on its way there
- * @param times of its backend server, for each kind that it has seen
+ * @param serviceTimes of its backend server, for each kind that it has seen
  * @param ahead requests there now
  * @param warmUpNanos how much longer its backend server is slow
  * @param link that leads to its VM
@@ -23,7 +23,7 @@
 public record Candidate(
         Optional<Member> member,
         OwnerLoad load,
-        List<KindTime> times,
+        List<KindTime> serviceTimes,
         int ahead,
         long warmUpNanos,
         LinkLoad link,
--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -181,7 +181,7 @@
     }
 
     private static KindTime timeOf(Candidate candidate, ChoiceQuestion question, double usual) {
-        for (KindTime time : candidate.times()) {
+        for (KindTime time : candidate.serviceTimes()) {
             if (time.like().equals(question.like())) {
                 return time;
             }
