--- a/org.berylwick.node/src/org/berylwick/node/call/Candidate.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Candidate.java
@@ -13,7 +13,7 @@
  * @param member the other node, empty for this one
  * @param load of its backend server, with what is known to be on its way there
  * @param serviceTimes of its backend server, for each kind that it has seen
- * @param ahead requests there now
+ * @param pendingRequests requests there now
  * @param warmUpNanos how much longer its backend server is slow
  * @param link that leads to its VM
  * @param distance to it
@@ -24,7 +24,7 @@
         Optional<Member> member,
         OwnerLoad load,
         List<KindTime> serviceTimes,
-        int ahead,
+        int pendingRequests,
         long warmUpNanos,
         LinkLoad link,
         Distance distance,
--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -108,7 +108,7 @@
     /** For a slot, or until the link has room: for what is on its way there, and for the answer once it is made. */
     private static long waitOf(Candidate candidate, ChoiceQuestion question, double usual) {
         LinkLoad link = candidate.link();
-        long wait = Math.max(candidate.load().waitNanos(candidate.ahead()), link.busyNanos());
+        long wait = Math.max(candidate.load().waitNanos(candidate.pendingRequests()), link.busyNanos());
         if (!link.isLarge(question.expectedBytes())) {
             return wait;
         }
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -318,7 +318,7 @@
     private void answer(EntryAttempt attempt, int status, HttpHeaders headers, ByteBuf body) {
         context.habits().recordBytes(route, body.readableBytes());
         Candidate from = attempt.candidate();
-        if (from.load().waitNanos(from.ahead()) == 0) {
+        if (from.load().waitNanos(from.pendingRequests()) == 0) {
             context.habits().recordNanos(route, context.clock().now() - attempt.startedAt());
         }
         finish();
--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
@@ -152,7 +152,7 @@
         }
         if (any.choose(candidates, SMALL).isEmpty()) {
             long soonest = candidates.stream()
-                    .mapToLong(c -> c.load().waitNanos(c.ahead()))
+                    .mapToLong(c -> c.load().waitNanos(c.pendingRequests()))
                     .min()
                     .orElseThrow();
             assertTrue(soonest > 300 * MS, "refused, though one waits " + soonest + " ns");
