--- a/org.berylwick.node/src/org/berylwick/node/call/Candidate.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Candidate.java
@@ -17,7 +17,7 @@
  * @param warmUpNanos how much longer its backend server is slow
  * @param link that leads to its VM
  * @param distance to it
- * @param untried whether this node never sent it a request
+ * @param neverUsed whether this node never sent it a request
  * @param suspect whether calls to it failed a short time ago, or it fell silent
  */
 public record Candidate(
@@ -28,7 +28,7 @@
         long warmUpNanos,
         LinkLoad link,
         Distance distance,
-        boolean untried,
+        boolean neverUsed,
         boolean suspect) {
     /** Key of this node. */
     public static final String SELF_KEY = "";
--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -157,7 +157,7 @@
             cost += SUSPECT;
         }
         double bytes = Math.min(MOST_FOR_BYTES, (question.expectedBytes() + HEADER_BYTES) / BYTES_OF_A_REQUEST);
-        if (candidate.untried() && bytes < UNTRIED && chance.getAsDouble() < UNTRIED_CHANCE) {
+        if (candidate.neverUsed() && bytes < UNTRIED && chance.getAsDouble() < UNTRIED_CHANCE) {
             cost -= UNTRIED;
         }
         return cost
