--- a/org.berylwick.node/src/org/berylwick/node/call/Candidate.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Candidate.java
@@ -38,7 +38,7 @@
         /** This node. */
         SELF,
         /** In this availability zone. */
-        ZONE,
+        SAME_ZONE,
         /** In another availability zone of this region. */
         REGION,
         /** In another region. */
--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -163,7 +163,7 @@
         return cost
                 + switch (candidate.distance()) {
                     case SELF -> 0;
-                    case ZONE -> ZONE;
+                    case SAME_ZONE -> ZONE;
                     case REGION -> REGION + bytes;
                     case FAR -> FAR + bytes;
                 };
--- a/org.berylwick.node/src/org/berylwick/node/call/Candidates.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Candidates.java
@@ -75,7 +75,7 @@
                 continue;
             }
             switch (distance(member)) {
-                case SELF, ZONE -> near.add(member);
+                case SELF, SAME_ZONE -> near.add(member);
                 case REGION -> region.add(member);
                 case FAR -> far.add(member);
             }
@@ -139,7 +139,7 @@
     private Candidate.Distance distance(Member member) {
         String there = member.state().zone();
         if (there.equals(zone)) {
-            return Candidate.Distance.ZONE;
+            return Candidate.Distance.SAME_ZONE;
         }
         String other = regionOfZone.get(there);
         return other == null || other.equals(region) ? Candidate.Distance.REGION : Candidate.Distance.FAR;
--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
@@ -49,15 +49,15 @@
 
     @Test
     void smallAnswersSpillForAWaitThatLargeOnesStayFor() {
-        Candidate own = at(Distance.ZONE, 36, 200);
+        Candidate own = at(Distance.SAME_ZONE, 36, 200);
         Candidate other = at(Distance.REGION, 2, 200);
         assertEquals(Distance.REGION, chosen(SMALL, own, other));
-        assertEquals(Distance.ZONE, chosen(LARGE, own, other));
+        assertEquals(Distance.SAME_ZONE, chosen(LARGE, own, other));
     }
 
     @Test
     void largeAnswersSpillWhenTheirZoneCannotServeThemInTime() {
-        assertEquals(Distance.REGION, chosen(LARGE, at(Distance.ZONE, 80, 200), at(Distance.REGION, 0, 200)));
+        assertEquals(Distance.REGION, chosen(LARGE, at(Distance.SAME_ZONE, 80, 200), at(Distance.REGION, 0, 200)));
     }
 
     /**
@@ -67,9 +67,9 @@
     @Test
     void backendServerThatLosesAnswersIsPassedOver() {
         Candidate other = at(Distance.REGION, 2, 200);
-        assertEquals(Distance.REGION, chosen(SMALL, losing(Distance.ZONE, 300), other));
-        assertEquals(Distance.ZONE, chosen(SMALL, losing(Distance.ZONE, 30), other));
-        assertEquals(Distance.ZONE, chosen(SMALL, losing(Distance.ZONE, 300), losing(Distance.REGION, 300)));
+        assertEquals(Distance.REGION, chosen(SMALL, losing(Distance.SAME_ZONE, 300), other));
+        assertEquals(Distance.SAME_ZONE, chosen(SMALL, losing(Distance.SAME_ZONE, 30), other));
+        assertEquals(Distance.SAME_ZONE, chosen(SMALL, losing(Distance.SAME_ZONE, 300), losing(Distance.REGION, 300)));
     }
 
     private static Candidate losing(Distance distance, int perMille) {
@@ -80,16 +80,16 @@
     /** Guards against large answers queueing at one VM's link while another's is free, whatever their bytes cost. */
     @Test
     void largeAnswersLeaveALinkThatIsFullOfThem() {
-        Candidate full = overLink(Distance.ZONE, 700 * MS);
+        Candidate full = overLink(Distance.SAME_ZONE, 700 * MS);
         Candidate free = overLink(Distance.REGION, 0);
         assertEquals(Distance.REGION, chosen(LARGE, full, free));
-        assertEquals(Distance.ZONE, chosen(SMALL, full, free));
+        assertEquals(Distance.SAME_ZONE, chosen(SMALL, full, free));
     }
 
     /** Answers that leave while the next one is made cost it nothing. */
     @Test
     void answersThatHaveLeftBeforeItIsMadeCostNothing() {
-        assertEquals(Distance.ZONE, chosen(LARGE, overLink(Distance.ZONE, 150 * MS), overLink(Distance.REGION, 0)));
+        assertEquals(Distance.SAME_ZONE, chosen(LARGE, overLink(Distance.SAME_ZONE, 150 * MS), overLink(Distance.REGION, 0)));
     }
 
     private static Candidate overLink(Distance distance, long answersNanos) {
@@ -117,15 +117,15 @@
     @Test
     void ownerMayRefuseWhenAnotherIsNearlyAsGood() {
         CandidateChooser.Choice choice = chooser.choose(
-                        List.of(at(Distance.ZONE, 0, 200), at(Distance.ZONE, 0, 200)), SMALL)
+                        List.of(at(Distance.SAME_ZONE, 0, 200), at(Distance.SAME_ZONE, 0, 200)), SMALL)
                 .orElseThrow();
         assertTrue(choice.maxWaitNanos() < 50 * MS, "waits " + choice.maxWaitNanos());
         CandidateChooser.Choice far = chooser.choose(
-                        List.of(at(Distance.ZONE, 0, 200), at(Distance.REGION, 0, 200)), SMALL)
+                        List.of(at(Distance.SAME_ZONE, 0, 200), at(Distance.REGION, 0, 200)), SMALL)
                 .orElseThrow();
         assertTrue(far.maxWaitNanos() < 400 * MS, "waits " + far.maxWaitNanos());
         CandidateChooser.Choice only =
-                chooser.choose(List.of(at(Distance.ZONE, 0, 200)), SMALL).orElseThrow();
+                chooser.choose(List.of(at(Distance.SAME_ZONE, 0, 200)), SMALL).orElseThrow();
         assertTrue(only.maxWaitNanos() > 300 * MS, "waits " + only.maxWaitNanos());
         // Behind that wait it would be late, and others with it.
         assertTrue(only.maxWaitNanos() < 700 * MS, "waits " + only.maxWaitNanos());
