--- a/org.berylwick.node/src/org/berylwick/node/call/Candidate.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Candidate.java
@@ -40,7 +40,7 @@
         /** In this availability zone. */
         SAME_ZONE,
         /** In another availability zone of this region. */
-        REGION,
+        SAME_REGION,
         /** In another region. */
         FAR
     }
--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -164,7 +164,7 @@
                 + switch (candidate.distance()) {
                     case SELF -> 0;
                     case SAME_ZONE -> ZONE;
-                    case REGION -> REGION + bytes;
+                    case SAME_REGION -> REGION + bytes;
                     case FAR -> FAR + bytes;
                 };
     }
--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
@@ -44,20 +44,20 @@
 
     @Test
     void ownZoneIsKeptThoughABackendServerElsewhereIsFaster() {
-        assertEquals(Distance.SELF, chosen(SMALL, at(Distance.SELF, 11, 220), at(Distance.REGION, 0, 120)));
+        assertEquals(Distance.SELF, chosen(SMALL, at(Distance.SELF, 11, 220), at(Distance.SAME_REGION, 0, 120)));
     }
 
     @Test
     void smallAnswersSpillForAWaitThatLargeOnesStayFor() {
         Candidate own = at(Distance.SAME_ZONE, 36, 200);
-        Candidate other = at(Distance.REGION, 2, 200);
-        assertEquals(Distance.REGION, chosen(SMALL, own, other));
+        Candidate other = at(Distance.SAME_REGION, 2, 200);
+        assertEquals(Distance.SAME_REGION, chosen(SMALL, own, other));
         assertEquals(Distance.SAME_ZONE, chosen(LARGE, own, other));
     }
 
     @Test
     void largeAnswersSpillWhenTheirZoneCannotServeThemInTime() {
-        assertEquals(Distance.REGION, chosen(LARGE, at(Distance.SAME_ZONE, 80, 200), at(Distance.REGION, 0, 200)));
+        assertEquals(Distance.SAME_REGION, chosen(LARGE, at(Distance.SAME_ZONE, 80, 200), at(Distance.SAME_REGION, 0, 200)));
     }
 
     /**
@@ -66,10 +66,10 @@
      */
     @Test
     void backendServerThatLosesAnswersIsPassedOver() {
-        Candidate other = at(Distance.REGION, 2, 200);
-        assertEquals(Distance.REGION, chosen(SMALL, losing(Distance.SAME_ZONE, 300), other));
+        Candidate other = at(Distance.SAME_REGION, 2, 200);
+        assertEquals(Distance.SAME_REGION, chosen(SMALL, losing(Distance.SAME_ZONE, 300), other));
         assertEquals(Distance.SAME_ZONE, chosen(SMALL, losing(Distance.SAME_ZONE, 30), other));
-        assertEquals(Distance.SAME_ZONE, chosen(SMALL, losing(Distance.SAME_ZONE, 300), losing(Distance.REGION, 300)));
+        assertEquals(Distance.SAME_ZONE, chosen(SMALL, losing(Distance.SAME_ZONE, 300), losing(Distance.SAME_REGION, 300)));
     }
 
     private static Candidate losing(Distance distance, int perMille) {
@@ -81,15 +81,15 @@
     @Test
     void largeAnswersLeaveALinkThatIsFullOfThem() {
         Candidate full = overLink(Distance.SAME_ZONE, 700 * MS);
-        Candidate free = overLink(Distance.REGION, 0);
-        assertEquals(Distance.REGION, chosen(LARGE, full, free));
+        Candidate free = overLink(Distance.SAME_REGION, 0);
+        assertEquals(Distance.SAME_REGION, chosen(LARGE, full, free));
         assertEquals(Distance.SAME_ZONE, chosen(SMALL, full, free));
     }
 
     /** Answers that leave while the next one is made cost it nothing. */
     @Test
     void answersThatHaveLeftBeforeItIsMadeCostNothing() {
-        assertEquals(Distance.SAME_ZONE, chosen(LARGE, overLink(Distance.SAME_ZONE, 150 * MS), overLink(Distance.REGION, 0)));
+        assertEquals(Distance.SAME_ZONE, chosen(LARGE, overLink(Distance.SAME_ZONE, 150 * MS), overLink(Distance.SAME_REGION, 0)));
     }
 
     private static Candidate overLink(Distance distance, long answersNanos) {
@@ -110,7 +110,7 @@
                 Distance.SELF,
                 false,
                 true);
-        assertEquals(Distance.REGION, chosen(SMALL, suspect, at(Distance.REGION, 5, 200)));
+        assertEquals(Distance.SAME_REGION, chosen(SMALL, suspect, at(Distance.SAME_REGION, 5, 200)));
         assertEquals(Distance.SELF, chosen(SMALL, suspect));
     }
 
@@ -121,7 +121,7 @@
                 .orElseThrow();
         assertTrue(choice.maxWaitNanos() < 50 * MS, "waits " + choice.maxWaitNanos());
         CandidateChooser.Choice far = chooser.choose(
-                        List.of(at(Distance.SAME_ZONE, 0, 200), at(Distance.REGION, 0, 200)), SMALL)
+                        List.of(at(Distance.SAME_ZONE, 0, 200), at(Distance.SAME_REGION, 0, 200)), SMALL)
                 .orElseThrow();
         assertTrue(far.maxWaitNanos() < 400 * MS, "waits " + far.maxWaitNanos());
         CandidateChooser.Choice only =
--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidatesTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidatesTest.java
@@ -83,7 +83,7 @@
         hear("zone-b", 20, 60);
         hear("zone-c", 60, 90);
         assertEquals(
-                Map.of(Candidate.Distance.SAME_ZONE, 2L, Candidate.Distance.REGION, 2L, Candidate.Distance.FAR, 1L),
+                Map.of(Candidate.Distance.SAME_ZONE, 2L, Candidate.Distance.SAME_REGION, 2L, Candidate.Distance.FAR, 1L),
                 drawn(Set.of()));
     }
 
@@ -106,7 +106,7 @@
     void othersFillUpWhereAZoneHasTooFew() {
         hear("zone-a", 0, 1);
         hear("zone-b", 1, 30);
-        assertEquals(Map.of(Candidate.Distance.SAME_ZONE, 1L, Candidate.Distance.REGION, 3L), drawn(Set.of()));
+        assertEquals(Map.of(Candidate.Distance.SAME_ZONE, 1L, Candidate.Distance.SAME_REGION, 3L), drawn(Set.of()));
     }
 
     /** Half of a fleet was killed: the dead ones are not drawn while one lives, however few that are. */
