--- a/org.berylwick.node/src/org/berylwick/node/call/Candidate.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Candidate.java
@@ -42,7 +42,7 @@
         /** In another availability zone of this region. */
         SAME_REGION,
         /** In another region. */
-        FAR
+        OTHER_REGION
     }
 
     /** The VM's address, empty for this one. */
--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -165,7 +165,7 @@
                     case SELF -> 0;
                     case SAME_ZONE -> ZONE;
                     case SAME_REGION -> REGION + bytes;
-                    case FAR -> FAR + bytes;
+                    case OTHER_REGION -> FAR + bytes;
                 };
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/Candidates.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Candidates.java
@@ -77,7 +77,7 @@
             switch (distance(member)) {
                 case SELF, SAME_ZONE -> near.add(member);
                 case SAME_REGION -> region.add(member);
-                case FAR -> far.add(member);
+                case OTHER_REGION -> far.add(member);
             }
         }
         List<Candidate> found = new ArrayList<>(2 * DRAWN + DRAWN_FAR + 1);
@@ -142,6 +142,6 @@
             return Candidate.Distance.SAME_ZONE;
         }
         String other = regionOfZone.get(there);
-        return other == null || other.equals(region) ? Candidate.Distance.SAME_REGION : Candidate.Distance.FAR;
+        return other == null || other.equals(region) ? Candidate.Distance.SAME_REGION : Candidate.Distance.OTHER_REGION;
     }
 }
--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidatesTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidatesTest.java
@@ -83,7 +83,7 @@
         hear("zone-b", 20, 60);
         hear("zone-c", 60, 90);
         assertEquals(
-                Map.of(Candidate.Distance.SAME_ZONE, 2L, Candidate.Distance.SAME_REGION, 2L, Candidate.Distance.FAR, 1L),
+                Map.of(Candidate.Distance.SAME_ZONE, 2L, Candidate.Distance.SAME_REGION, 2L, Candidate.Distance.OTHER_REGION, 1L),
                 drawn(Set.of()));
     }
 
