--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -16,7 +16,7 @@
  */
 public final class CandidateChooser {
     /** What a caller loses when an answer is late, in parts of what it loses without one. */
-    private static final double LATE = 0.7;
+    private static final double LATE_COST = 0.7;
     /** What a lost request costs: one that must run once fails, another takes its time and room again. */
     private static final double LOST = 1;
     /** Bytes across availability zones that cost as much as one request is worth. */
@@ -177,7 +177,7 @@
         double never = time.chanceOver(question.leftNanos() - before);
         double span = Math.max(1, question.leftNanos());
         double share = Math.min(1, (before + time.medianNanos()) / span);
-        return LATE * late + (1 - LATE) * never + TIME * share;
+        return LATE_COST * late + (1 - LATE_COST) * never + TIME * share;
     }
 
     private static KindTime timeOf(Candidate candidate, ChoiceQuestion question, double usual) {
