--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -18,7 +18,7 @@
     /** What a caller loses when an answer is late, in parts of what it loses without one. */
     private static final double LATE_COST = 0.7;
     /** What a lost request costs: one that must run once fails, another takes its time and room again. */
-    private static final double LOST = 1;
+    private static final double LOSS_COST = 1;
     /** Bytes across availability zones that cost as much as one request is worth. */
     private static final double BYTES_OF_A_REQUEST = 16_384;
     /** The most that bytes count: a caller is never refused, and rarely served late, to save them. */
@@ -152,7 +152,7 @@
 
     /** What does not depend on time. */
     private double standing(Candidate candidate, ChoiceQuestion question) {
-        double cost = LOST * candidate.load().lostPerMille() / 1e3;
+        double cost = LOSS_COST * candidate.load().lostPerMille() / 1e3;
         if (candidate.suspect()) {
             cost += SUSPECT;
         }
