--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -20,7 +20,7 @@
     /** What a lost request costs: one that must run once fails, another takes its time and room again. */
     private static final double LOSS_COST = 1;
     /** Bytes across availability zones that cost as much as one request is worth. */
-    private static final double BYTES_OF_A_REQUEST = 16_384;
+    private static final double BYTES_PER_UNIT_COST = 16_384;
     /** The most that bytes count: a caller is never refused, and rarely served late, to save them. */
     private static final double MOST_FOR_BYTES = 0.68;
     /** Bytes of an answer's and a request's headers. */
@@ -156,7 +156,7 @@
         if (candidate.suspect()) {
             cost += SUSPECT;
         }
-        double bytes = Math.min(MOST_FOR_BYTES, (question.expectedBytes() + HEADER_BYTES) / BYTES_OF_A_REQUEST);
+        double bytes = Math.min(MOST_FOR_BYTES, (question.expectedBytes() + HEADER_BYTES) / BYTES_PER_UNIT_COST);
         if (candidate.neverUsed() && bytes < UNTRIED && chance.getAsDouble() < UNTRIED_CHANCE) {
             cost -= UNTRIED;
         }
