--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -22,7 +22,7 @@
     /** Bytes across availability zones that cost as much as one request is worth. */
     private static final double BYTES_PER_UNIT_COST = 16_384;
     /** The most that bytes count: a caller is never refused, and rarely served late, to save them. */
-    private static final double MOST_FOR_BYTES = 0.68;
+    private static final double MAX_BYTES_COST = 0.68;
     /** Bytes of an answer's and a request's headers. */
     private static final int HEADER_BYTES = 700;
 
@@ -156,7 +156,7 @@
         if (candidate.suspect()) {
             cost += SUSPECT;
         }
-        double bytes = Math.min(MOST_FOR_BYTES, (question.expectedBytes() + HEADER_BYTES) / BYTES_PER_UNIT_COST);
+        double bytes = Math.min(MAX_BYTES_COST, (question.expectedBytes() + HEADER_BYTES) / BYTES_PER_UNIT_COST);
         if (candidate.neverUsed() && bytes < UNTRIED && chance.getAsDouble() < UNTRIED_CHANCE) {
             cost -= UNTRIED;
         }
