--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -26,7 +26,7 @@
     /** Bytes of an answer's and a request's headers. */
     private static final int HEADER_BYTES = 700;
 
-    private static final double ZONE = 0.002;
+    private static final double SAME_ZONE_COST = 0.002;
     private static final double REGION = 0.004;
     private static final double FAR = 0.1;
     /** Between equals the sooner one, so that room is left where it is scarce. */
@@ -163,7 +163,7 @@
         return cost
                 + switch (candidate.distance()) {
                     case SELF -> 0;
-                    case SAME_ZONE -> ZONE;
+                    case SAME_ZONE -> SAME_ZONE_COST;
                     case SAME_REGION -> REGION + bytes;
                     case OTHER_REGION -> FAR + bytes;
                 };
