--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -27,7 +27,7 @@
     private static final int HEADER_BYTES = 700;
 
     private static final double SAME_ZONE_COST = 0.002;
-    private static final double REGION = 0.004;
+    private static final double SAME_REGION_COST = 0.004;
     private static final double FAR = 0.1;
     /** Between equals the sooner one, so that room is left where it is scarce. */
     private static final double TIME = 0.05;
@@ -164,7 +164,7 @@
                 + switch (candidate.distance()) {
                     case SELF -> 0;
                     case SAME_ZONE -> SAME_ZONE_COST;
-                    case SAME_REGION -> REGION + bytes;
+                    case SAME_REGION -> SAME_REGION_COST + bytes;
                     case OTHER_REGION -> FAR + bytes;
                 };
     }
