--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -28,7 +28,7 @@
 
     private static final double SAME_ZONE_COST = 0.002;
     private static final double SAME_REGION_COST = 0.004;
-    private static final double FAR = 0.1;
+    private static final double OTHER_REGION_COST = 0.1;
     /** Between equals the sooner one, so that room is left where it is scarce. */
     private static final double TIME = 0.05;
     /** A suspect is taken only if there is nothing else. */
@@ -165,7 +165,7 @@
                     case SELF -> 0;
                     case SAME_ZONE -> SAME_ZONE_COST;
                     case SAME_REGION -> SAME_REGION_COST + bytes;
-                    case OTHER_REGION -> FAR + bytes;
+                    case OTHER_REGION -> OTHER_REGION_COST + bytes;
                 };
     }
 
