--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -30,7 +30,7 @@
     private static final double SAME_REGION_COST = 0.004;
     private static final double OTHER_REGION_COST = 0.1;
     /** Between equals the sooner one, so that room is left where it is scarce. */
-    private static final double TIME = 0.05;
+    private static final double ELAPSED_TIME_COST = 0.05;
     /** A suspect is taken only if there is nothing else. */
     private static final double SUSPECT = 3;
     /** Equal candidates are told apart by chance, or all entries would take the same one. */
@@ -177,7 +177,7 @@
         double never = time.chanceOver(question.leftNanos() - before);
         double span = Math.max(1, question.leftNanos());
         double share = Math.min(1, (before + time.medianNanos()) / span);
-        return LATE_COST * late + (1 - LATE_COST) * never + TIME * share;
+        return LATE_COST * late + (1 - LATE_COST) * never + ELAPSED_TIME_COST * share;
     }
 
     private static KindTime timeOf(Candidate candidate, ChoiceQuestion question, double usual) {
