--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -32,7 +32,7 @@
     /** Between equals the sooner one, so that room is left where it is scarce. */
     private static final double ELAPSED_TIME_COST = 0.05;
     /** A suspect is taken only if there is nothing else. */
-    private static final double SUSPECT = 3;
+    private static final double SUSPECT_COST = 3;
     /** Equal candidates are told apart by chance, or all entries would take the same one. */
     private static final double JITTER = 0.004;
     /** A backend server that this node never used gets one request soon, so that one that joined is known to work. */
@@ -154,7 +154,7 @@
     private double standing(Candidate candidate, ChoiceQuestion question) {
         double cost = LOSS_COST * candidate.load().lostPerMille() / 1e3;
         if (candidate.suspect()) {
-            cost += SUSPECT;
+            cost += SUSPECT_COST;
         }
         double bytes = Math.min(MAX_BYTES_COST, (question.expectedBytes() + HEADER_BYTES) / BYTES_PER_UNIT_COST);
         if (candidate.neverUsed() && bytes < UNTRIED && chance.getAsDouble() < UNTRIED_CHANCE) {
