--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -34,7 +34,7 @@
     /** A suspect is taken only if there is nothing else. */
     private static final double SUSPECT_COST = 3;
     /** Equal candidates are told apart by chance, or all entries would take the same one. */
-    private static final double JITTER = 0.004;
+    private static final double MAX_COST_JITTER = 0.004;
     /** A backend server that this node never used gets one request soon, so that one that joined is known to work. */
     private static final double UNTRIED = 0.25;
 
@@ -87,7 +87,7 @@
             if (wait > 0 && (wait > question.waitNanos() || lateness > refused)) {
                 continue;
             }
-            double cost = standing(candidate, question) + lateness + chance.getAsDouble() * JITTER;
+            double cost = standing(candidate, question) + lateness + chance.getAsDouble() * MAX_COST_JITTER;
             if (cost < bestCost) {
                 nextCost = bestCost;
                 bestCost = cost;
