--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -36,7 +36,7 @@
     /** Equal candidates are told apart by chance, or all entries would take the same one. */
     private static final double MAX_COST_JITTER = 0.004;
     /** A backend server that this node never used gets one request soon, so that one that joined is known to work. */
-    private static final double UNTRIED = 0.25;
+    private static final double NEVER_USED_DISCOUNT = 0.25;
 
     private static final double UNTRIED_CHANCE = 0.1;
     /** A backend server that has just started takes about twice as long. */
@@ -157,8 +157,8 @@
             cost += SUSPECT_COST;
         }
         double bytes = Math.min(MAX_BYTES_COST, (question.expectedBytes() + HEADER_BYTES) / BYTES_PER_UNIT_COST);
-        if (candidate.neverUsed() && bytes < UNTRIED && chance.getAsDouble() < UNTRIED_CHANCE) {
-            cost -= UNTRIED;
+        if (candidate.neverUsed() && bytes < NEVER_USED_DISCOUNT && chance.getAsDouble() < UNTRIED_CHANCE) {
+            cost -= NEVER_USED_DISCOUNT;
         }
         return cost
                 + switch (candidate.distance()) {
