--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -38,7 +38,7 @@
     /** A backend server that this node never used gets one request soon, so that one that joined is known to work. */
     private static final double NEVER_USED_DISCOUNT = 0.25;
 
-    private static final double UNTRIED_CHANCE = 0.1;
+    private static final double NEVER_USED_PROBABILITY = 0.1;
     /** A backend server that has just started takes about twice as long. */
     private static final double COLD = 2;
 
@@ -157,7 +157,7 @@
             cost += SUSPECT_COST;
         }
         double bytes = Math.min(MAX_BYTES_COST, (question.expectedBytes() + HEADER_BYTES) / BYTES_PER_UNIT_COST);
-        if (candidate.neverUsed() && bytes < NEVER_USED_DISCOUNT && chance.getAsDouble() < UNTRIED_CHANCE) {
+        if (candidate.neverUsed() && bytes < NEVER_USED_DISCOUNT && chance.getAsDouble() < NEVER_USED_PROBABILITY) {
             cost -= NEVER_USED_DISCOUNT;
         }
         return cost
