--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -40,7 +40,7 @@
 
     private static final double NEVER_USED_PROBABILITY = 0.1;
     /** A backend server that has just started takes about twice as long. */
-    private static final double COLD = 2;
+    private static final double WARM_UP_SLOWDOWN = 2;
 
     private static final double SLOWEST = 4;
     /** What a load that is some milliseconds old may be wrong by, in parts of the objective. */
@@ -189,7 +189,7 @@
         long mean = candidate.load().meanNanos();
         double slowness = mean == 0 || usual == 0 ? 1 : Math.min(SLOWEST, mean / usual);
         if (candidate.warmUpNanos() > 0) {
-            slowness *= COLD;
+            slowness *= WARM_UP_SLOWDOWN;
         }
         return KindTime.ofMean(question.like(), question.expectedNanos() * slowness);
     }
