--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -42,7 +42,7 @@
     /** A backend server that has just started takes about twice as long. */
     private static final double WARM_UP_SLOWDOWN = 2;
 
-    private static final double SLOWEST = 4;
+    private static final double MAX_SLOWDOWN = 4;
     /** What a load that is some milliseconds old may be wrong by, in parts of the objective. */
     private static final double STALE = 0.02;
     /**
@@ -187,7 +187,7 @@
             }
         }
         long mean = candidate.load().meanNanos();
-        double slowness = mean == 0 || usual == 0 ? 1 : Math.min(SLOWEST, mean / usual);
+        double slowness = mean == 0 || usual == 0 ? 1 : Math.min(MAX_SLOWDOWN, mean / usual);
         if (candidate.warmUpNanos() > 0) {
             slowness *= WARM_UP_SLOWDOWN;
         }
