--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -44,7 +44,7 @@
 
     private static final double MAX_SLOWDOWN = 4;
     /** What a load that is some milliseconds old may be wrong by, in parts of the objective. */
-    private static final double STALE = 0.02;
+    private static final double STALENESS_MARGIN = 0.02;
     /**
      * What a refusal costs, at once and with a time to come back: a first attempt that would wait until it is almost
      * surely late is better refused, as others would wait behind it. Whoever will not come back loses all.
@@ -134,7 +134,7 @@
                 high = middle;
             }
         }
-        long stale = (long) (STALE * Math.max(question.objectiveNanos(), question.leftNanos() / 4));
+        long stale = (long) (STALENESS_MARGIN * Math.max(question.objectiveNanos(), question.leftNanos() / 4));
         return Math.min(Math.max(0, question.waitNanos()), low + stale);
     }
 
