--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -49,7 +49,7 @@
      * What a refusal costs, at once and with a time to come back: a first attempt that would wait until it is almost
      * surely late is better refused, as others would wait behind it. Whoever will not come back loses all.
      */
-    private static final double REFUSED = 0.65;
+    private static final double REFUSAL_COST = 0.65;
 
     private static final int WAIT_STEPS = 6;
 
@@ -77,7 +77,7 @@
      */
     Optional<Choice> choose(List<Candidate> candidates, ChoiceQuestion question) {
         double usual = usualMean(candidates);
-        double refused = 1 - (1 - REFUSED) * question.returns();
+        double refused = 1 - (1 - REFUSAL_COST) * question.returns();
         Candidate best = null;
         double bestCost = Double.MAX_VALUE;
         double nextCost = Double.MAX_VALUE;
