--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -51,7 +51,7 @@
      */
     private static final double REFUSAL_COST = 0.65;
 
-    private static final int WAIT_STEPS = 6;
+    private static final int BISECTION_STEPS = 6;
 
     private final DoubleSupplier chance;
 
@@ -126,7 +126,7 @@
             Candidate candidate, ChoiceQuestion question, double usual, long least, double bound) {
         long low = least;
         long high = Math.max(least, question.leftNanos());
-        for (int i = 0; i < WAIT_STEPS; i++) {
+        for (int i = 0; i < BISECTION_STEPS; i++) {
             long middle = low + (high - low) / 2;
             if (lateness(candidate, question, usual, middle) <= bound) {
                 low = middle;
