--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -53,11 +53,11 @@
 
     private static final int BISECTION_STEPS = 6;
 
-    private final DoubleSupplier chance;
+    private final DoubleSupplier random;
 
     /** @param chance uniform in [0, 1) */
     public CandidateChooser(DoubleSupplier chance) {
-        this.chance = chance;
+        this.random = chance;
     }
 
     /**
@@ -87,7 +87,7 @@
             if (wait > 0 && (wait > question.waitNanos() || lateness > refused)) {
                 continue;
             }
-            double cost = standing(candidate, question) + lateness + chance.getAsDouble() * MAX_COST_JITTER;
+            double cost = standing(candidate, question) + lateness + random.getAsDouble() * MAX_COST_JITTER;
             if (cost < bestCost) {
                 nextCost = bestCost;
                 bestCost = cost;
@@ -157,7 +157,7 @@
             cost += SUSPECT_COST;
         }
         double bytes = Math.min(MAX_BYTES_COST, (question.expectedBytes() + HEADER_BYTES) / BYTES_PER_UNIT_COST);
-        if (candidate.neverUsed() && bytes < NEVER_USED_DISCOUNT && chance.getAsDouble() < NEVER_USED_PROBABILITY) {
+        if (candidate.neverUsed() && bytes < NEVER_USED_DISCOUNT && random.getAsDouble() < NEVER_USED_PROBABILITY) {
             cost -= NEVER_USED_DISCOUNT;
         }
         return cost
