--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -82,7 +82,7 @@
         double bestCost = Double.MAX_VALUE;
         double nextCost = Double.MAX_VALUE;
         for (Candidate candidate : candidates) {
-            long wait = waitOf(candidate, question, usual);
+            long wait = expectedWaitNanos(candidate, question, usual);
             double lateness = lateness(candidate, question, usual, wait);
             if (wait > 0 && (wait > question.waitNanos() || lateness > refused)) {
                 continue;
@@ -99,14 +99,14 @@
         if (best == null) {
             return Optional.empty();
         }
-        long wait = waitOf(best, question, usual);
+        long wait = expectedWaitNanos(best, question, usual);
         double now = lateness(best, question, usual, wait);
         double room = question.last() ? refused - now : Math.min(refused - now, nextCost - bestCost);
         return Optional.of(new Choice(best, longestWait(best, question, usual, wait, now + Math.max(0, room))));
     }
 
     /** For a slot, or until the link has room: for what is on its way there, and for the answer once it is made. */
-    private static long waitOf(Candidate candidate, ChoiceQuestion question, double usual) {
+    private static long expectedWaitNanos(Candidate candidate, ChoiceQuestion question, double usual) {
         LinkLoad link = candidate.link();
         long wait = Math.max(candidate.load().waitNanos(candidate.pendingRequests()), link.busyNanos());
         if (!link.isLarge(question.expectedBytes())) {
