--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -102,7 +102,7 @@
         long wait = expectedWaitNanos(best, question, usual);
         double now = lateness(best, question, usual, wait);
         double room = question.last() ? refused - now : Math.min(refused - now, nextCost - bestCost);
-        return Optional.of(new Choice(best, longestWait(best, question, usual, wait, now + Math.max(0, room))));
+        return Optional.of(new Choice(best, longestAcceptableWaitNanos(best, question, usual, wait, now + Math.max(0, room))));
     }
 
     /** For a slot, or until the link has room: for what is on its way there, and for the answer once it is made. */
@@ -122,7 +122,7 @@
     }
 
     /** The longest wait with which a request stands to lose no more than a bound. */
-    private static long longestWait(
+    private static long longestAcceptableWaitNanos(
             Candidate candidate, ChoiceQuestion question, double usual, long least, double bound) {
         long low = least;
         long high = Math.max(least, question.leftNanos());
