--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -76,7 +76,7 @@
      * @return empty if there is none, or if it is better refused
      */
     Optional<Choice> choose(List<Candidate> candidates, ChoiceQuestion question) {
-        double usual = usualMean(candidates);
+        double usual = averageMeanNanos(candidates);
         double refused = 1 - (1 - REFUSAL_COST) * question.returns();
         Candidate best = null;
         double bestCost = Double.MAX_VALUE;
@@ -138,7 +138,7 @@
         return Math.min(Math.max(0, question.waitNanos()), low + stale);
     }
 
-    private static double usualMean(List<Candidate> candidates) {
+    private static double averageMeanNanos(List<Candidate> candidates) {
         double sum = 0;
         int count = 0;
         for (Candidate candidate : candidates) {
