--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -87,7 +87,7 @@
             if (wait > 0 && (wait > question.waitNanos() || lateness > refused)) {
                 continue;
             }
-            double cost = standing(candidate, question) + lateness + random.getAsDouble() * MAX_COST_JITTER;
+            double cost = timeIndependentCost(candidate, question) + lateness + random.getAsDouble() * MAX_COST_JITTER;
             if (cost < bestCost) {
                 nextCost = bestCost;
                 bestCost = cost;
@@ -151,7 +151,7 @@
     }
 
     /** What does not depend on time. */
-    private double standing(Candidate candidate, ChoiceQuestion question) {
+    private double timeIndependentCost(Candidate candidate, ChoiceQuestion question) {
         double cost = LOSS_COST * candidate.load().lostPerMille() / 1e3;
         if (candidate.suspect()) {
             cost += SUSPECT_COST;
