--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -83,7 +83,7 @@
         double nextCost = Double.MAX_VALUE;
         for (Candidate candidate : candidates) {
             long wait = expectedWaitNanos(candidate, question, usual);
-            double lateness = lateness(candidate, question, usual, wait);
+            double lateness = latenessCost(candidate, question, usual, wait);
             if (wait > 0 && (wait > question.waitNanos() || lateness > refused)) {
                 continue;
             }
@@ -100,7 +100,7 @@
             return Optional.empty();
         }
         long wait = expectedWaitNanos(best, question, usual);
-        double now = lateness(best, question, usual, wait);
+        double now = latenessCost(best, question, usual, wait);
         double room = question.last() ? refused - now : Math.min(refused - now, nextCost - bestCost);
         return Optional.of(new Choice(best, longestAcceptableWaitNanos(best, question, usual, wait, now + Math.max(0, room))));
     }
@@ -128,7 +128,7 @@
         long high = Math.max(least, question.leftNanos());
         for (int i = 0; i < BISECTION_STEPS; i++) {
             long middle = low + (high - low) / 2;
-            if (lateness(candidate, question, usual, middle) <= bound) {
+            if (latenessCost(candidate, question, usual, middle) <= bound) {
                 low = middle;
             } else {
                 high = middle;
@@ -170,7 +170,7 @@
     }
 
     /** What the caller stands to lose by time after a wait. */
-    private static double lateness(Candidate candidate, ChoiceQuestion question, double usual, long wait) {
+    private static double latenessCost(Candidate candidate, ChoiceQuestion question, double usual, long wait) {
         KindTime time = timeOf(candidate, question, usual);
         long before = wait + transferNanos(candidate, question);
         double late = time.chanceOver(question.objectiveNanos() - before);
