--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -113,7 +113,7 @@
             return wait;
         }
         return Math.max(
-                wait, link.answersNanos() - timeOf(candidate, question, usual).medianNanos());
+                wait, link.answersNanos() - serviceTimeOf(candidate, question, usual).medianNanos());
     }
 
     /** How long the request's body and its answer take over the link of another VM. */
@@ -171,7 +171,7 @@
 
     /** What the caller stands to lose by time after a wait. */
     private static double latenessCost(Candidate candidate, ChoiceQuestion question, double usual, long wait) {
-        KindTime time = timeOf(candidate, question, usual);
+        KindTime time = serviceTimeOf(candidate, question, usual);
         long before = wait + transferNanos(candidate, question);
         double late = time.chanceOver(question.objectiveNanos() - before);
         double never = time.chanceOver(question.leftNanos() - before);
@@ -180,7 +180,7 @@
         return LATE_COST * late + (1 - LATE_COST) * never + ELAPSED_TIME_COST * share;
     }
 
-    private static KindTime timeOf(Candidate candidate, ChoiceQuestion question, double usual) {
+    private static KindTime serviceTimeOf(Candidate candidate, ChoiceQuestion question, double usual) {
         for (KindTime time : candidate.serviceTimes()) {
             if (time.like().equals(question.like())) {
                 return time;
