--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateSource.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateSource.java
@@ -12,5 +12,5 @@
      * @param tried keys of nodes that failed the request or do not take it
      * @param now in {@link System#nanoTime} terms
      */
-    List<Candidate> of(String service, Set<String> tried, long now);
+    List<Candidate> candidatesFor(String service, Set<String> tried, long now);
 }
--- a/org.berylwick.node/src/org/berylwick/node/call/Candidates.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Candidates.java
@@ -61,7 +61,7 @@
     }
 
     @Override
-    public List<Candidate> of(String service, Set<String> tried, long now) {
+    public List<Candidate> candidatesFor(String service, Set<String> tried, long now) {
         List<Member> near = new ArrayList<>();
         List<Member> region = new ArrayList<>();
         List<Member> far = new ArrayList<>();
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -120,7 +120,7 @@
     }
 
     private Optional<CandidateChooser.Choice> choose(long now) {
-        List<Candidate> candidates = context.candidates().of(spec.service(), tried, now);
+        List<Candidate> candidates = context.candidates().candidatesFor(spec.service(), tried, now);
         ChoiceQuestion question = new ChoiceQuestion(
                 spec.like(),
                 spec.answerBytes() + spec.body().length(),
--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidatesTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidatesTest.java
@@ -72,7 +72,7 @@
     }
 
     private Map<Candidate.Distance, Long> drawn(Set<String> tried) {
-        return candidates.of(SERVICE, tried, clock.now()).stream()
+        return candidates.candidatesFor(SERVICE, tried, clock.now()).stream()
                 .collect(Collectors.groupingBy(Candidate::distance, Collectors.counting()));
     }
 
@@ -93,7 +93,7 @@
         hear("zone-a", 0, 10);
         Map<String, Integer> times = new HashMap<>();
         for (int i = 0; i < DRAWS; i++) {
-            candidates.of(SERVICE, Set.of(), clock.now()).forEach(c -> times.merge(c.key(), 1, Integer::sum));
+            candidates.candidatesFor(SERVICE, Set.of(), clock.now()).forEach(c -> times.merge(c.key(), 1, Integer::sum));
         }
         assertEquals(10, times.size());
         int usual = DRAWS * 2 / 10;
@@ -115,10 +115,10 @@
         hear("zone-a", 0, 20);
         clock.runUntil(2 * SILENT);
         hear("zone-b", 20, 21);
-        List<Candidate> found = candidates.of(SERVICE, Set.of(), clock.now());
+        List<Candidate> found = candidates.candidatesFor(SERVICE, Set.of(), clock.now());
         assertEquals(List.of("10.0.0.20"), found.stream().map(Candidate::key).toList());
         assertFalse(found.get(0).suspect());
-        List<Candidate> rest = candidates.of(SERVICE, Set.of("10.0.0.20"), clock.now());
+        List<Candidate> rest = candidates.candidatesFor(SERVICE, Set.of("10.0.0.20"), clock.now());
         assertEquals(2, rest.size());
         assertTrue(rest.stream().allMatch(Candidate::suspect));
     }
@@ -128,8 +128,8 @@
     void triedOnesAreNotDrawn() {
         hear("zone-a", 0, 3);
         Set<String> tried = Set.of("10.0.0.0", "10.0.0.2");
-        List<Candidate> found = candidates.of(SERVICE, tried, clock.now());
+        List<Candidate> found = candidates.candidatesFor(SERVICE, tried, clock.now());
         assertEquals(List.of("10.0.0.1"), found.stream().map(Candidate::key).toList());
-        assertEquals(List.of(), candidates.of("another", Set.of(), clock.now()));
+        assertEquals(List.of(), candidates.candidatesFor("another", Set.of(), clock.now()));
     }
 }
