--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedNode.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedNode.java
@@ -15,7 +15,7 @@
 import org.berylwick.node.call.CallSpec;
 import org.berylwick.node.call.CallerCall;
 import org.berylwick.node.call.Candidate;
-import org.berylwick.node.call.Candidates;
+import org.berylwick.node.call.CandidateSampler;
 import org.berylwick.node.call.EntryCalls;
 import org.berylwick.node.call.Owner;
 import org.berylwick.node.call.RetryBudget;
@@ -80,8 +80,8 @@
         Map<String, String> regions =
                 emulation.deployment().zones().stream().collect(Collectors.toMap(Deployment.Zone::name, z -> "r"));
         long silentNanos = (long) (SILENT_ROUNDS * gossipNanos);
-        Candidates candidates =
-                new Candidates(place.zone(), "r", regions, table, () -> silentNanos, owner, random::nextDouble);
+        CandidateSampler candidates =
+                new CandidateSampler(place.zone(), "r", regions, table, () -> silentNanos, owner, random::nextDouble);
         Bounds bounds = new Bounds(
                 2_000_000_000L,
                 6_000_000_000L,
--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -13,7 +13,7 @@
 import org.berylwick.node.call.Backend;
 import org.berylwick.node.call.BackendProbe;
 import org.berylwick.node.call.CallPath;
-import org.berylwick.node.call.Candidates;
+import org.berylwick.node.call.CandidateSampler;
 import org.berylwick.node.call.EntryServer;
 import org.berylwick.node.call.Owner;
 import org.berylwick.node.call.PeerServer;
@@ -140,8 +140,8 @@
                 stopped::countDown);
     }
 
-    private Candidates candidates() {
-        return new Candidates(
+    private CandidateSampler candidates() {
+        return new CandidateSampler(
                 settings.zone(),
                 settings.region(),
                 ports.regionOfZone(),
--- a/org.berylwick.node/src/org/berylwick/node/call/CallPath.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallPath.java
@@ -47,7 +47,7 @@
             Callers callers,
             Owner owner,
             VmLink link,
-            Candidates candidates,
+            CandidateSampler candidates,
             RetryBudget budget,
             Instruments instruments) {
         Counters counters = instruments.counters();
--- a/org.berylwick.node/src/org/berylwick/node/call/Candidates.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateSampler.java
@@ -20,7 +20,7 @@
  * hear that it is full, and then the next, while others stand idle. A few drawn by chance differ enough to be worth
  * comparing, and differ from what other entries compare ("How useful is old information?", Mitzenmacher 2000).
  */
-public final class Candidates implements CandidateSource {
+public final class CandidateSampler implements CandidateSource {
     /** Drawn from this availability zone, and as many from the others of this region. */
     private static final int DRAWN = 2;
     /** Drawn from other regions. */
@@ -43,7 +43,7 @@
      * @param owner of the backend server beside this node
      * @param chance uniform in [0, 1)
      */
-    public Candidates(
+    public CandidateSampler(
             String zone,
             String region,
             Map<String, String> regionOfZone,
--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidatesTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidatesTest.java
@@ -37,7 +37,7 @@
     private final Owner owner =
             new Owner(clock, address -> null, NAMES, VmLink.of(1_000, clock), SILENT, new Counters(), log, () -> {});
     private final Random random = new Random(1);
-    private final Candidates candidates = new Candidates(
+    private final CandidateSampler candidates = new CandidateSampler(
             "zone-a",
             "region-1",
             Map.of("zone-a", "region-1", "zone-b", "region-1", "zone-c", "region-2"),
