--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateSampler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateSampler.java
@@ -24,7 +24,7 @@
     /** Drawn from this availability zone, and as many from the others of this region. */
     private static final int SAMPLE_SIZE = 2;
     /** Drawn from other regions. */
-    private static final int DRAWN_FAR = 1;
+    private static final int OTHER_REGION_SAMPLE_SIZE = 1;
 
     private final String zone;
     private final String region;
@@ -80,13 +80,13 @@
                 case OTHER_REGION -> far.add(member);
             }
         }
-        List<Candidate> found = new ArrayList<>(2 * SAMPLE_SIZE + DRAWN_FAR + 1);
+        List<Candidate> found = new ArrayList<>(2 * SAMPLE_SIZE + OTHER_REGION_SAMPLE_SIZE + 1);
         if (owner.takesWork(service) && !tried.contains(Candidate.SELF_KEY)) {
             found.add(self(now));
         }
         int missing = draw(near, SAMPLE_SIZE, now, found);
         missing = draw(region, SAMPLE_SIZE + missing, now, found);
-        draw(far, DRAWN_FAR + missing, now, found);
+        draw(far, OTHER_REGION_SAMPLE_SIZE + missing, now, found);
         if (found.isEmpty()) {
             draw(suspects, SAMPLE_SIZE, now, found);
         }
