--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateSampler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateSampler.java
@@ -29,7 +29,7 @@
     private final String zone;
     private final String region;
     private final Map<String, String> regionOfZone;
-    private final MemberTable table;
+    private final MemberTable memberTable;
     private final LongSupplier silentNanos;
     private final Owner owner;
     private final DoubleSupplier chance;
@@ -54,7 +54,7 @@
         this.zone = zone;
         this.region = region;
         this.regionOfZone = Map.copyOf(regionOfZone);
-        this.table = table;
+        this.memberTable = table;
         this.silentNanos = silentNanos;
         this.owner = owner;
         this.chance = chance;
@@ -66,7 +66,7 @@
         List<Member> region = new ArrayList<>();
         List<Member> far = new ArrayList<>();
         List<Member> suspects = new ArrayList<>();
-        for (Member member : table.takingWork(service)) {
+        for (Member member : memberTable.takingWork(service)) {
             if (tried.contains(member.ip())) {
                 continue;
             }
