--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateSampler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateSampler.java
@@ -30,7 +30,7 @@
     private final String region;
     private final Map<String, String> regionOfZone;
     private final MemberTable memberTable;
-    private final LongSupplier silentNanos;
+    private final LongSupplier silenceThresholdNanos;
     private final Owner owner;
     private final DoubleSupplier chance;
 
@@ -55,7 +55,7 @@
         this.region = region;
         this.regionOfZone = Map.copyOf(regionOfZone);
         this.memberTable = table;
-        this.silentNanos = silentNanos;
+        this.silenceThresholdNanos = silentNanos;
         this.owner = owner;
         this.chance = chance;
     }
@@ -104,7 +104,7 @@
     }
 
     private boolean isSuspect(Member member, long now) {
-        return member.isSuspect(now) || now - member.heardAt() > silentNanos.getAsLong();
+        return member.isSuspect(now) || now - member.heardAt() > silenceThresholdNanos.getAsLong();
     }
 
     private Candidate self(long now) {
