--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateSampler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateSampler.java
@@ -32,7 +32,7 @@
     private final MemberTable memberTable;
     private final LongSupplier silenceThresholdNanos;
     private final Owner owner;
-    private final DoubleSupplier chance;
+    private final DoubleSupplier random;
 
     /**
      * @param zone of this node
@@ -57,7 +57,7 @@
         this.memberTable = table;
         this.silenceThresholdNanos = silentNanos;
         this.owner = owner;
-        this.chance = chance;
+        this.random = chance;
     }
 
     @Override
@@ -97,7 +97,7 @@
     private int draw(List<Member> from, int count, long now, List<Candidate> found) {
         int drawn = Math.min(count, from.size());
         for (int i = 0; i < drawn; i++) {
-            Collections.swap(from, i, i + (int) (chance.getAsDouble() * (from.size() - i)));
+            Collections.swap(from, i, i + (int) (random.getAsDouble() * (from.size() - i)));
             found.add(other(from.get(i), now));
         }
         return count - drawn;
