--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateSampler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateSampler.java
@@ -84,17 +84,17 @@
         if (owner.takesWork(service) && !tried.contains(Candidate.SELF_KEY)) {
             found.add(self(now));
         }
-        int missing = draw(near, SAMPLE_SIZE, now, found);
-        missing = draw(region, SAMPLE_SIZE + missing, now, found);
-        draw(far, OTHER_REGION_SAMPLE_SIZE + missing, now, found);
+        int missing = sample(near, SAMPLE_SIZE, now, found);
+        missing = sample(region, SAMPLE_SIZE + missing, now, found);
+        sample(far, OTHER_REGION_SAMPLE_SIZE + missing, now, found);
         if (found.isEmpty()) {
-            draw(suspects, SAMPLE_SIZE, now, found);
+            sample(suspects, SAMPLE_SIZE, now, found);
         }
         return found;
     }
 
     /** Adds so many by chance; returns how many there were too few. */
-    private int draw(List<Member> from, int count, long now, List<Candidate> found) {
+    private int sample(List<Member> from, int count, long now, List<Candidate> found) {
         int drawn = Math.min(count, from.size());
         for (int i = 0; i < drawn; i++) {
             Collections.swap(from, i, i + (int) (random.getAsDouble() * (from.size() - i)));
