--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateSampler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateSampler.java
@@ -82,7 +82,7 @@
         }
         List<Candidate> found = new ArrayList<>(2 * SAMPLE_SIZE + OTHER_REGION_SAMPLE_SIZE + 1);
         if (owner.takesWork(service) && !tried.contains(Candidate.SELF_KEY)) {
-            found.add(self(now));
+            found.add(localCandidate(now));
         }
         int missing = sample(near, SAMPLE_SIZE, now, found);
         missing = sample(region, SAMPLE_SIZE + missing, now, found);
@@ -107,7 +107,7 @@
         return member.isSuspect(now) || now - member.heardAt() > silenceThresholdNanos.getAsLong();
     }
 
-    private Candidate self(long now) {
+    private Candidate localCandidate(long now) {
         OwnerLoad load = owner.load();
         long warmUp = owner.backend().orElseThrow().warmUpNanos(now);
         int ahead = load.running() + load.queued();
