--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateSampler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateSampler.java
@@ -98,7 +98,7 @@
         int drawn = Math.min(count, from.size());
         for (int i = 0; i < drawn; i++) {
             Collections.swap(from, i, i + (int) (random.getAsDouble() * (from.size() - i)));
-            found.add(other(from.get(i), now));
+            found.add(remoteCandidate(from.get(i), now));
         }
         return count - drawn;
     }
@@ -123,7 +123,7 @@
                 false);
     }
 
-    private Candidate other(Member member, long now) {
+    private Candidate remoteCandidate(Member member, long now) {
         return new Candidate(
                 Optional.of(member),
                 member.load(),
