--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -75,7 +75,7 @@
      * @param question about the request
      * @return empty if there is none, or if it is better refused
      */
-    Optional<Choice> choose(List<Candidate> candidates, ChoiceQuestion question) {
+    Optional<Choice> choose(List<Candidate> candidates, RequestProfile question) {
         double usual = averageMeanNanos(candidates);
         double refused = 1 - (1 - REFUSAL_COST) * question.returns();
         Candidate best = null;
@@ -106,7 +106,7 @@
     }
 
     /** For a slot, or until the link has room: for what is on its way there, and for the answer once it is made. */
-    private static long expectedWaitNanos(Candidate candidate, ChoiceQuestion question, double usual) {
+    private static long expectedWaitNanos(Candidate candidate, RequestProfile question, double usual) {
         LinkLoad link = candidate.link();
         long wait = Math.max(candidate.load().waitNanos(candidate.pendingRequests()), link.busyNanos());
         if (!link.isLarge(question.expectedBytes())) {
@@ -117,13 +117,13 @@
     }
 
     /** How long the request's body and its answer take over the link of another VM. */
-    private static long transferNanos(Candidate candidate, ChoiceQuestion question) {
+    private static long transferNanos(Candidate candidate, RequestProfile question) {
         return candidate.link().nanosOf(question.expectedBytes());
     }
 
     /** The longest wait with which a request stands to lose no more than a bound. */
     private static long longestAcceptableWaitNanos(
-            Candidate candidate, ChoiceQuestion question, double usual, long least, double bound) {
+            Candidate candidate, RequestProfile question, double usual, long least, double bound) {
         long low = least;
         long high = Math.max(least, question.leftNanos());
         for (int i = 0; i < BISECTION_STEPS; i++) {
@@ -151,7 +151,7 @@
     }
 
     /** What does not depend on time. */
-    private double timeIndependentCost(Candidate candidate, ChoiceQuestion question) {
+    private double timeIndependentCost(Candidate candidate, RequestProfile question) {
         double cost = LOSS_COST * candidate.load().lostPerMille() / 1e3;
         if (candidate.suspect()) {
             cost += SUSPECT_COST;
@@ -170,7 +170,7 @@
     }
 
     /** What the caller stands to lose by time after a wait. */
-    private static double latenessCost(Candidate candidate, ChoiceQuestion question, double usual, long wait) {
+    private static double latenessCost(Candidate candidate, RequestProfile question, double usual, long wait) {
         KindTime time = serviceTimeOf(candidate, question, usual);
         long before = wait + transferNanos(candidate, question);
         double late = time.chanceOver(question.objectiveNanos() - before);
@@ -180,7 +180,7 @@
         return LATE_COST * late + (1 - LATE_COST) * never + ELAPSED_TIME_COST * share;
     }
 
-    private static KindTime serviceTimeOf(Candidate candidate, ChoiceQuestion question, double usual) {
+    private static KindTime serviceTimeOf(Candidate candidate, RequestProfile question, double usual) {
         for (KindTime time : candidate.serviceTimes()) {
             if (time.like().equals(question.like())) {
                 return time;
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -121,7 +121,7 @@
 
     private Optional<CandidateChooser.Choice> choose(long now) {
         List<Candidate> candidates = context.candidates().candidatesFor(spec.service(), tried, now);
-        ChoiceQuestion question = new ChoiceQuestion(
+        RequestProfile question = new RequestProfile(
                 spec.like(),
                 spec.answerBytes() + spec.body().length(),
                 context.habits().expectedNanos(route),
--- a/org.berylwick.node/src/org/berylwick/node/call/ChoiceQuestion.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RequestProfile.java
@@ -14,7 +14,7 @@
  * @param returns the chance that its caller comes back if it is refused
  * @param last whether nobody else is asked if this owner refuses
  */
-record ChoiceQuestion(
+record RequestProfile(
         RequestClass like,
         double expectedBytes,
         double expectedNanos,
--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
@@ -21,11 +21,11 @@
 class CandidateChooserTest {
     private static final long MS = 1_000_000L;
     private static final RequestClass LIKE = new RequestClass(RouteKind.IDEMPOTENT, 1, 600);
-    private static final ChoiceQuestion SMALL = question(2_000);
-    private static final ChoiceQuestion LARGE = question(90_000);
+    private static final RequestProfile SMALL = question(2_000);
+    private static final RequestProfile LARGE = question(90_000);
 
-    private static ChoiceQuestion question(double bytes) {
-        return new ChoiceQuestion(LIKE, bytes, 200 * MS, 600 * MS, 4_000 * MS, 1_200 * MS, 1, false);
+    private static RequestProfile question(double bytes) {
+        return new RequestProfile(LIKE, bytes, 200 * MS, 600 * MS, 4_000 * MS, 1_200 * MS, 1, false);
     }
 
     private final CandidateChooser chooser = new CandidateChooser(() -> 0.5);
@@ -35,7 +35,7 @@
         return new Candidate(Optional.empty(), load, List.of(), ahead, 0, LinkLoad.NONE, distance, false, false);
     }
 
-    private Distance chosen(ChoiceQuestion question, Candidate... candidates) {
+    private Distance chosen(RequestProfile question, Candidate... candidates) {
         return chooser.choose(List.of(candidates), question)
                 .orElseThrow()
                 .candidate()
