--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -182,7 +182,7 @@
 
     private static KindTime serviceTimeOf(Candidate candidate, RequestProfile question, double usual) {
         for (KindTime time : candidate.serviceTimes()) {
-            if (time.like().equals(question.like())) {
+            if (time.like().equals(question.requestClass())) {
                 return time;
             }
         }
@@ -191,6 +191,6 @@
         if (candidate.warmUpNanos() > 0) {
             slowness *= WARM_UP_SLOWDOWN;
         }
-        return KindTime.ofMean(question.like(), question.expectedNanos() * slowness);
+        return KindTime.ofMean(question.requestClass(), question.expectedNanos() * slowness);
     }
 }
--- a/org.berylwick.node/src/org/berylwick/node/call/RequestProfile.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RequestProfile.java
@@ -5,7 +5,7 @@
 /**
  * What is known of a request before it is sent.
  *
- * @param like the class of its route
+ * @param requestClass the class of its route
  * @param expectedBytes of its answer and its body
  * @param expectedNanos that a backend server of usual speed takes, without a wait
  * @param objectiveNanos until its latency objective ends; below zero if that has passed
@@ -15,7 +15,7 @@
  * @param last whether nobody else is asked if this owner refuses
  */
 record RequestProfile(
-        RequestClass like,
+        RequestClass requestClass,
         double expectedBytes,
         double expectedNanos,
         long objectiveNanos,
