--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -134,7 +134,7 @@
                 high = middle;
             }
         }
-        long stale = (long) (STALENESS_MARGIN * Math.max(question.objectiveNanos(), question.leftNanos() / 4));
+        long stale = (long) (STALENESS_MARGIN * Math.max(question.objectiveRemainingNanos(), question.leftNanos() / 4));
         return Math.min(Math.max(0, question.waitNanos()), low + stale);
     }
 
@@ -173,7 +173,7 @@
     private static double latenessCost(Candidate candidate, RequestProfile question, double usual, long wait) {
         KindTime time = serviceTimeOf(candidate, question, usual);
         long before = wait + transferNanos(candidate, question);
-        double late = time.chanceOver(question.objectiveNanos() - before);
+        double late = time.chanceOver(question.objectiveRemainingNanos() - before);
         double never = time.chanceOver(question.leftNanos() - before);
         double span = Math.max(1, question.leftNanos());
         double share = Math.min(1, (before + time.medianNanos()) / span);
--- a/org.berylwick.node/src/org/berylwick/node/call/RequestProfile.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RequestProfile.java
@@ -8,7 +8,7 @@
  * @param requestClass the class of its route
  * @param expectedBytes of its answer and its body
  * @param expectedNanos that a backend server of usual speed takes, without a wait
- * @param objectiveNanos until its latency objective ends; below zero if that has passed
+ * @param objectiveRemainingNanos until its latency objective ends; below zero if that has passed
  * @param leftNanos until its deadline
  * @param waitNanos that it may yet wait for slots, in all
  * @param returns the chance that its caller comes back if it is refused
@@ -18,7 +18,7 @@
         RequestClass requestClass,
         double expectedBytes,
         double expectedNanos,
-        long objectiveNanos,
+        long objectiveRemainingNanos,
         long leftNanos,
         long waitNanos,
         double returns,
