--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -125,7 +125,7 @@
     private static long longestAcceptableWaitNanos(
             Candidate candidate, RequestProfile question, double usual, long least, double bound) {
         long low = least;
-        long high = Math.max(least, question.leftNanos());
+        long high = Math.max(least, question.deadlineRemainingNanos());
         for (int i = 0; i < BISECTION_STEPS; i++) {
             long middle = low + (high - low) / 2;
             if (latenessCost(candidate, question, usual, middle) <= bound) {
@@ -134,7 +134,7 @@
                 high = middle;
             }
         }
-        long stale = (long) (STALENESS_MARGIN * Math.max(question.objectiveRemainingNanos(), question.leftNanos() / 4));
+        long stale = (long) (STALENESS_MARGIN * Math.max(question.objectiveRemainingNanos(), question.deadlineRemainingNanos() / 4));
         return Math.min(Math.max(0, question.waitNanos()), low + stale);
     }
 
@@ -174,8 +174,8 @@
         KindTime time = serviceTimeOf(candidate, question, usual);
         long before = wait + transferNanos(candidate, question);
         double late = time.chanceOver(question.objectiveRemainingNanos() - before);
-        double never = time.chanceOver(question.leftNanos() - before);
-        double span = Math.max(1, question.leftNanos());
+        double never = time.chanceOver(question.deadlineRemainingNanos() - before);
+        double span = Math.max(1, question.deadlineRemainingNanos());
         double share = Math.min(1, (before + time.medianNanos()) / span);
         return LATE_COST * late + (1 - LATE_COST) * never + ELAPSED_TIME_COST * share;
     }
--- a/org.berylwick.node/src/org/berylwick/node/call/RequestProfile.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RequestProfile.java
@@ -9,7 +9,7 @@
  * @param expectedBytes of its answer and its body
  * @param expectedNanos that a backend server of usual speed takes, without a wait
  * @param objectiveRemainingNanos until its latency objective ends; below zero if that has passed
- * @param leftNanos until its deadline
+ * @param deadlineRemainingNanos until its deadline
  * @param waitNanos that it may yet wait for slots, in all
  * @param returns the chance that its caller comes back if it is refused
  * @param last whether nobody else is asked if this owner refuses
@@ -19,7 +19,7 @@
         double expectedBytes,
         double expectedNanos,
         long objectiveRemainingNanos,
-        long leftNanos,
+        long deadlineRemainingNanos,
         long waitNanos,
         double returns,
         boolean last) {}
