--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -84,7 +84,7 @@
         for (Candidate candidate : candidates) {
             long wait = expectedWaitNanos(candidate, question, usual);
             double lateness = latenessCost(candidate, question, usual, wait);
-            if (wait > 0 && (wait > question.waitNanos() || lateness > refused)) {
+            if (wait > 0 && (wait > question.maxWaitNanos() || lateness > refused)) {
                 continue;
             }
             double cost = timeIndependentCost(candidate, question) + lateness + random.getAsDouble() * MAX_COST_JITTER;
@@ -135,7 +135,7 @@
             }
         }
         long stale = (long) (STALENESS_MARGIN * Math.max(question.objectiveRemainingNanos(), question.deadlineRemainingNanos() / 4));
-        return Math.min(Math.max(0, question.waitNanos()), low + stale);
+        return Math.min(Math.max(0, question.maxWaitNanos()), low + stale);
     }
 
     private static double averageMeanNanos(List<Candidate> candidates) {
--- a/org.berylwick.node/src/org/berylwick/node/call/RequestProfile.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RequestProfile.java
@@ -10,7 +10,7 @@
  * @param expectedNanos that a backend server of usual speed takes, without a wait
  * @param objectiveRemainingNanos until its latency objective ends; below zero if that has passed
  * @param deadlineRemainingNanos until its deadline
- * @param waitNanos that it may yet wait for slots, in all
+ * @param maxWaitNanos that it may yet wait for slots, in all
  * @param returns the chance that its caller comes back if it is refused
  * @param last whether nobody else is asked if this owner refuses
  */
@@ -20,6 +20,6 @@
         double expectedNanos,
         long objectiveRemainingNanos,
         long deadlineRemainingNanos,
-        long waitNanos,
+        long maxWaitNanos,
         double returns,
         boolean last) {}
