--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -77,7 +77,7 @@
      */
     Optional<Choice> choose(List<Candidate> candidates, RequestProfile question) {
         double usual = averageMeanNanos(candidates);
-        double refused = 1 - (1 - REFUSAL_COST) * question.returns();
+        double refused = 1 - (1 - REFUSAL_COST) * question.callerRetryProbability();
         Candidate best = null;
         double bestCost = Double.MAX_VALUE;
         double nextCost = Double.MAX_VALUE;
--- a/org.berylwick.node/src/org/berylwick/node/call/RequestProfile.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RequestProfile.java
@@ -11,7 +11,7 @@
  * @param objectiveRemainingNanos until its latency objective ends; below zero if that has passed
  * @param deadlineRemainingNanos until its deadline
  * @param maxWaitNanos that it may yet wait for slots, in all
- * @param returns the chance that its caller comes back if it is refused
+ * @param callerRetryProbability the chance that its caller comes back if it is refused
  * @param last whether nobody else is asked if this owner refuses
  */
 record RequestProfile(
@@ -21,5 +21,5 @@
         long objectiveRemainingNanos,
         long deadlineRemainingNanos,
         long maxWaitNanos,
-        double returns,
+        double callerRetryProbability,
         boolean last) {}
