--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -101,7 +101,7 @@
         }
         long wait = expectedWaitNanos(best, question, usual);
         double now = latenessCost(best, question, usual, wait);
-        double room = question.last() ? refused - now : Math.min(refused - now, nextCost - bestCost);
+        double room = question.finalAttempt() ? refused - now : Math.min(refused - now, nextCost - bestCost);
         return Optional.of(new Choice(best, longestAcceptableWaitNanos(best, question, usual, wait, now + Math.max(0, room))));
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/RequestProfile.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RequestProfile.java
@@ -12,7 +12,7 @@
  * @param deadlineRemainingNanos until its deadline
  * @param maxWaitNanos that it may yet wait for slots, in all
  * @param callerRetryProbability the chance that its caller comes back if it is refused
- * @param last whether nobody else is asked if this owner refuses
+ * @param finalAttempt whether nobody else is asked if this owner refuses
  */
 record RequestProfile(
         RequestClass requestClass,
@@ -22,4 +22,4 @@
         long deadlineRemainingNanos,
         long maxWaitNanos,
         double callerRetryProbability,
-        boolean last) {}
+        boolean finalAttempt) {}
