--- a/org.berylwick.node/src/org/berylwick/node/call/Backend.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Backend.java
@@ -15,7 +15,7 @@
     private final String service;
     private final ServerConnections pool;
     private final ServiceTimes times = new ServiceTimes();
-    private final LossShare losses = new LossShare();
+    private final LossRate losses = new LossRate();
     private long freshNanos = FRESH_NANOS;
     private int slots;
     private BackendState state;
@@ -85,7 +85,7 @@
         freshNanos = Math.max(LEAST_FRESH_NANOS, Math.min(freshNanos, idleNanos / 2));
     }
 
-    LossShare losses() {
+    LossRate losses() {
         return losses;
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/LossShare.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/LossRate.java
@@ -1,7 +1,7 @@
 package org.berylwick.node.call;
 
 /** Which part of its requests a backend server lost or turned away of late; confined to the event loop. */
-final class LossShare {
+final class LossRate {
     /** Weight of a new request; about the last ten count. */
     private static final double NEW_SHARE = 0.1;
     /** Time in which a loss loses its weight: a backend server that is passed over must be tried again. */
