--- a/org.berylwick.node/src/org/berylwick/node/call/LossRate.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/LossRate.java
@@ -3,7 +3,7 @@
 /** Which part of its requests a backend server lost or turned away of late; confined to the event loop. */
 final class LossRate {
     /** Weight of a new request; about the last ten count. */
-    private static final double NEW_SHARE = 0.1;
+    private static final double SMOOTHING_FACTOR = 0.1;
     /** Time in which a loss loses its weight: a backend server that is passed over must be tried again. */
     private static final double MEMORY_NANOS = 4e9;
 
@@ -21,7 +21,7 @@
     private void learn(int lost, long now) {
         share = shareAt(now);
         at = now;
-        share += NEW_SHARE * (lost - share);
+        share += SMOOTHING_FACTOR * (lost - share);
     }
 
     int perMille(long now) {
