--- a/org.berylwick.node/src/org/berylwick/node/call/LossRate.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/LossRate.java
@@ -5,7 +5,7 @@
     /** Weight of a new request; about the last ten count. */
     private static final double SMOOTHING_FACTOR = 0.1;
     /** Time in which a loss loses its weight: a backend server that is passed over must be tried again. */
-    private static final double MEMORY_NANOS = 4e9;
+    private static final double DECAY_NANOS = 4e9;
 
     private double share;
     private long at;
@@ -29,6 +29,6 @@
     }
 
     private double shareAt(long now) {
-        return share * Math.exp((at - now) / MEMORY_NANOS);
+        return share * Math.exp((at - now) / DECAY_NANOS);
     }
 }
