--- a/org.berylwick.node/src/org/berylwick/node/call/LossRate.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/LossRate.java
@@ -7,7 +7,7 @@
     /** Time in which a loss loses its weight: a backend server that is passed over must be tried again. */
     private static final double DECAY_NANOS = 4e9;
 
-    private double share;
+    private double rate;
     private long at;
 
     void onAnswered(long now) {
@@ -19,9 +19,9 @@
     }
 
     private void learn(int lost, long now) {
-        share = shareAt(now);
+        rate = shareAt(now);
         at = now;
-        share += SMOOTHING_FACTOR * (lost - share);
+        rate += SMOOTHING_FACTOR * (lost - rate);
     }
 
     int perMille(long now) {
@@ -29,6 +29,6 @@
     }
 
     private double shareAt(long now) {
-        return share * Math.exp((at - now) / DECAY_NANOS);
+        return rate * Math.exp((at - now) / DECAY_NANOS);
     }
 }
