--- a/org.berylwick.node/src/org/berylwick/node/call/LossRate.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/LossRate.java
@@ -8,7 +8,7 @@
     private static final double DECAY_NANOS = 4e9;
 
     private double rate;
-    private long at;
+    private long updatedAt;
 
     void onAnswered(long now) {
         learn(0, now);
@@ -20,7 +20,7 @@
 
     private void learn(int lost, long now) {
         rate = shareAt(now);
-        at = now;
+        updatedAt = now;
         rate += SMOOTHING_FACTOR * (lost - rate);
     }
 
@@ -29,6 +29,6 @@
     }
 
     private double shareAt(long now) {
-        return rate * Math.exp((at - now) / DECAY_NANOS);
+        return rate * Math.exp((updatedAt - now) / DECAY_NANOS);
     }
 }
