--- a/org.berylwick.node/src/org/berylwick/node/call/LossRate.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/LossRate.java
@@ -11,14 +11,14 @@
     private long updatedAt;
 
     void onAnswered(long now) {
-        learn(0, now);
+        update(0, now);
     }
 
     void onLost(long now) {
-        learn(1, now);
+        update(1, now);
     }
 
-    private void learn(int lost, long now) {
+    private void update(int lost, long now) {
         rate = shareAt(now);
         updatedAt = now;
         rate += SMOOTHING_FACTOR * (lost - rate);
