--- a/org.berylwick.node/src/org/berylwick/node/call/LossRate.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/LossRate.java
@@ -19,16 +19,16 @@
     }
 
     private void update(int lost, long now) {
-        rate = shareAt(now);
+        rate = rateAt(now);
         updatedAt = now;
         rate += SMOOTHING_FACTOR * (lost - rate);
     }
 
     int perMille(long now) {
-        return (int) Math.round(1_000 * shareAt(now));
+        return (int) Math.round(1_000 * rateAt(now));
     }
 
-    private double shareAt(long now) {
+    private double rateAt(long now) {
         return rate * Math.exp((updatedAt - now) / DECAY_NANOS);
     }
 }
