--- a/org.berylwick.node/src/org/berylwick/node/call/RetryBudget.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RetryBudget.java
@@ -17,7 +17,7 @@
  */
 public final class RetryBudget {
     /** Part of the allowance that is spent here; calls made by repeats take about as much again. */
-    private static final double SHARE_SPENT = 0.4;
+    private static final double RETRY_FRACTION = 0.4;
     /**
      * Part that repeats of runs may take which a backend server ended with a failure of its own. Mostly a call that
      * they made failed, and the repeat makes all its calls again, to the service that is short of room already.
@@ -59,7 +59,7 @@
 
     /** Takes one repeat of a request that would fail without it, or says that none is left. */
     public boolean tryRepeat(String service, long now) {
-        return take(service, SHARE_SPENT, now);
+        return take(service, RETRY_FRACTION, now);
     }
 
     /** Takes one repeat of a request whose run failed at the backend server, or says that none is left. */
