--- a/org.berylwick.node/src/org/berylwick/node/call/RetryBudget.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RetryBudget.java
@@ -22,7 +22,7 @@
      * Part that repeats of runs may take which a backend server ended with a failure of its own. Mostly a call that
      * they made failed, and the repeat makes all its calls again, to the service that is short of room already.
      */
-    private static final double SHARE_SPENT_ON_FAILURES = 0.22;
+    private static final double SERVER_FAILURE_RETRY_FRACTION = 0.22;
 
     /** In this time a node that could not read the list of nodes has heard most of them. */
     private static final long ALONE_NANOS = 2_000_000_000L;
@@ -64,7 +64,7 @@
 
     /** Takes one repeat of a request whose run failed at the backend server, or says that none is left. */
     public boolean tryRepeatOfFailure(String service, long now) {
-        return take(service, SHARE_SPENT_ON_FAILURES, now);
+        return take(service, SERVER_FAILURE_RETRY_FRACTION, now);
     }
 
     private boolean take(String service, double share, long now) {
