--- a/org.berylwick.node/src/org/berylwick/node/call/RetryBudget.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RetryBudget.java
@@ -25,7 +25,7 @@
     private static final double SERVER_FAILURE_RETRY_FRACTION = 0.22;
 
     /** In this time a node that could not read the list of nodes has heard most of them. */
-    private static final long ALONE_NANOS = 2_000_000_000L;
+    private static final long DISCOVERY_NANOS = 2_000_000_000L;
 
     private static final int BUCKETS = 20;
 
@@ -80,7 +80,7 @@
 
     private double slack(long now) {
         long age = now - startedAt;
-        if (age < ALONE_NANOS && !listed.getAsBoolean()) {
+        if (age < DISCOVERY_NANOS && !listed.getAsBoolean()) {
             return 0;
         }
         double part = bounds.retrySlack() / Math.max(1, nodes.getAsInt());
