--- a/org.berylwick.node/src/org/berylwick/node/call/RetryBudget.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RetryBudget.java
@@ -30,7 +30,7 @@
     private static final int BUCKETS = 20;
 
     private final Bounds bounds;
-    private final IntSupplier nodes;
+    private final IntSupplier nodeCount;
     private final BooleanSupplier listed;
     private final long startedAt;
     private final Map<String, Window> byService = new HashMap<>();
@@ -45,7 +45,7 @@
      */
     public RetryBudget(Bounds bounds, IntSupplier nodes, BooleanSupplier listed, long startedAt) {
         this.bounds = bounds;
-        this.nodes = nodes;
+        this.nodeCount = nodes;
         this.listed = listed;
         this.startedAt = startedAt;
     }
@@ -83,7 +83,7 @@
         if (age < DISCOVERY_NANOS && !listed.getAsBoolean()) {
             return 0;
         }
-        double part = bounds.retrySlack() / Math.max(1, nodes.getAsInt());
+        double part = bounds.retrySlack() / Math.max(1, nodeCount.getAsInt());
         return age < bounds.retryWindowNanos() ? part / 2 : part;
     }
 
