--- a/org.berylwick.node/src/org/berylwick/node/call/RetryBudget.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RetryBudget.java
@@ -31,7 +31,7 @@
 
     private final Bounds bounds;
     private final IntSupplier nodeCount;
-    private final BooleanSupplier listed;
+    private final BooleanSupplier directoryRead;
     private final long startedAt;
     private final Map<String, Window> byService = new HashMap<>();
 
@@ -46,7 +46,7 @@
     public RetryBudget(Bounds bounds, IntSupplier nodes, BooleanSupplier listed, long startedAt) {
         this.bounds = bounds;
         this.nodeCount = nodes;
-        this.listed = listed;
+        this.directoryRead = listed;
         this.startedAt = startedAt;
     }
 
@@ -80,7 +80,7 @@
 
     private double slack(long now) {
         long age = now - startedAt;
-        if (age < DISCOVERY_NANOS && !listed.getAsBoolean()) {
+        if (age < DISCOVERY_NANOS && !directoryRead.getAsBoolean()) {
             return 0;
         }
         double part = bounds.retrySlack() / Math.max(1, nodeCount.getAsInt());
