--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -257,7 +257,7 @@
         RetryBudget budget = context.budget();
         boolean taken = failure.isPresent()
                 ? budget.tryRepeatOfFailure(spec.service(), now)
-                : budget.tryRepeat(spec.service(), now);
+                : budget.tryAcquire(spec.service(), now);
         if (taken) {
             repeatTaken = true;
             return true;
--- a/org.berylwick.node/src/org/berylwick/node/call/RetryBudget.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RetryBudget.java
@@ -58,7 +58,7 @@
     }
 
     /** Takes one repeat of a request that would fail without it, or says that none is left. */
-    public boolean tryRepeat(String service, long now) {
+    public boolean tryAcquire(String service, long now) {
         return take(service, RETRY_FRACTION, now);
     }
 
--- a/org.berylwick.test/tst/org/berylwick/node/call/RetryBudgetTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/RetryBudgetTest.java
@@ -42,10 +42,10 @@
             budget.onRequest("calling", now);
             budget.onRequest("called", now);
             requests.add(now);
-            for (int i = 0; i < 3 && budget.tryRepeat("calling", now); i++) {
+            for (int i = 0; i < 3 && budget.tryAcquire("calling", now); i++) {
                 owed += callsForEachRequest;
             }
-            for (int i = 0; i < 3 && budget.tryRepeat("called", now); i++) {
+            for (int i = 0; i < 3 && budget.tryAcquire("called", now); i++) {
                 repeats.add(now);
             }
             for (; owed >= 1; owed--) {
@@ -87,7 +87,7 @@
                 } else {
                     repeats.add(now);
                 }
-                while (budget.tryRepeat("called", now)) {
+                while (budget.tryAcquire("called", now)) {
                     repeats.add(now);
                 }
             }
@@ -111,7 +111,7 @@
                 RetryBudget budget = new RetryBudget(
                         BOUNDS, () -> first || age[0] > 1_000 ? nodes : 1, () -> first, first ? -WINDOW : start);
                 for (; age[0] < 4_000; age[0]++) {
-                    repeats += budget.tryRepeat("work", start + age[0] * 1_000_000) ? 1 : 0;
+                    repeats += budget.tryAcquire("work", start + age[0] * 1_000_000) ? 1 : 0;
                 }
             }
         }
