--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -256,7 +256,7 @@
     private boolean takeRepeat(long now) {
         RetryBudget budget = context.budget();
         boolean taken = failure.isPresent()
-                ? budget.tryRepeatOfFailure(spec.service(), now)
+                ? budget.tryAcquireAfterServerFailure(spec.service(), now)
                 : budget.tryAcquire(spec.service(), now);
         if (taken) {
             repeatTaken = true;
--- a/org.berylwick.node/src/org/berylwick/node/call/RetryBudget.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RetryBudget.java
@@ -63,7 +63,7 @@
     }
 
     /** Takes one repeat of a request whose run failed at the backend server, or says that none is left. */
-    public boolean tryRepeatOfFailure(String service, long now) {
+    public boolean tryAcquireAfterServerFailure(String service, long now) {
         return take(service, SERVER_FAILURE_RETRY_FRACTION, now);
     }
 
--- a/org.berylwick.test/tst/org/berylwick/node/call/RetryBudgetTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/RetryBudgetTest.java
@@ -76,7 +76,7 @@
                 continue;
             }
             int runs = 1;
-            while (runs < 3 && caller.tryRepeatOfFailure("calling", now)) {
+            while (runs < 3 && caller.tryAcquireAfterServerFailure("calling", now)) {
                 runs++;
             }
             for (int call = 0; call < 2 * runs; call++) {
