--- a/org.berylwick.node/src/org/berylwick/node/call/RetryBudget.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RetryBudget.java
@@ -59,15 +59,15 @@
 
     /** Takes one repeat of a request that would fail without it, or says that none is left. */
     public boolean tryAcquire(String service, long now) {
-        return take(service, RETRY_FRACTION, now);
+        return acquire(service, RETRY_FRACTION, now);
     }
 
     /** Takes one repeat of a request whose run failed at the backend server, or says that none is left. */
     public boolean tryAcquireAfterServerFailure(String service, long now) {
-        return take(service, SERVER_FAILURE_RETRY_FRACTION, now);
+        return acquire(service, SERVER_FAILURE_RETRY_FRACTION, now);
     }
 
-    private boolean take(String service, double share, long now) {
+    private boolean acquire(String service, double share, long now) {
         Window w = window(service);
         w.advance(now);
         double allowed = share * (bounds.retryRatio() * w.sum(w.requests) + slack(now));
