--- a/org.berylwick.node/src/org/berylwick/node/call/RetryBudget.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RetryBudget.java
@@ -71,10 +71,10 @@
         Window w = window(service);
         w.advance(now);
         double allowed = share * (bounds.retryRatio() * w.sum(w.requests) + slack(now));
-        if (w.sum(w.repeats) + 1 > allowed) {
+        if (w.sum(w.retries) + 1 > allowed) {
             return false;
         }
-        w.repeats[w.at]++;
+        w.retries[w.at]++;
         return true;
     }
 
@@ -95,7 +95,7 @@
     private static final class Window {
         private final long bucketNanos;
         private final int[] requests = new int[BUCKETS];
-        private final int[] repeats = new int[BUCKETS];
+        private final int[] retries = new int[BUCKETS];
         private int at;
         private long bucket = Long.MIN_VALUE;
 
@@ -112,7 +112,7 @@
             for (long i = 0; i < steps; i++) {
                 at = (at + 1) % BUCKETS;
                 requests[at] = 0;
-                repeats[at] = 0;
+                retries[at] = 0;
             }
             bucket = Math.max(bucket, current);
         }
