--- a/org.berylwick.node/src/org/berylwick/node/call/RetryBudget.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RetryBudget.java
@@ -54,7 +54,7 @@
     public void onRequest(String service, long now) {
         Window w = window(service);
         w.advance(now);
-        w.requests[w.at]++;
+        w.requests[w.index]++;
     }
 
     /** Takes one repeat of a request that would fail without it, or says that none is left. */
@@ -74,7 +74,7 @@
         if (w.sum(w.retries) + 1 > allowed) {
             return false;
         }
-        w.retries[w.at]++;
+        w.retries[w.index]++;
         return true;
     }
 
@@ -96,7 +96,7 @@
         private final long bucketNanos;
         private final int[] requests = new int[BUCKETS];
         private final int[] retries = new int[BUCKETS];
-        private int at;
+        private int index;
         private long bucket = Long.MIN_VALUE;
 
         Window(long bucketNanos) {
@@ -110,9 +110,9 @@
             }
             long steps = Math.min(BUCKETS, current - bucket);
             for (long i = 0; i < steps; i++) {
-                at = (at + 1) % BUCKETS;
-                requests[at] = 0;
-                retries[at] = 0;
+                index = (index + 1) % BUCKETS;
+                requests[index] = 0;
+                retries[index] = 0;
             }
             bucket = Math.max(bucket, current);
         }
