--- a/org.berylwick.node/src/org/berylwick/node/call/RetryBudget.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RetryBudget.java
@@ -97,7 +97,7 @@
         private final int[] requests = new int[BUCKETS];
         private final int[] retries = new int[BUCKETS];
         private int index;
-        private long bucket = Long.MIN_VALUE;
+        private long currentBucket = Long.MIN_VALUE;
 
         Window(long bucketNanos) {
             this.bucketNanos = Math.max(1, bucketNanos);
@@ -105,16 +105,16 @@
 
         void advance(long now) {
             long current = Math.floorDiv(now, bucketNanos);
-            if (bucket == Long.MIN_VALUE) {
-                bucket = current;
+            if (currentBucket == Long.MIN_VALUE) {
+                currentBucket = current;
             }
-            long steps = Math.min(BUCKETS, current - bucket);
+            long steps = Math.min(BUCKETS, current - currentBucket);
             for (long i = 0; i < steps; i++) {
                 index = (index + 1) % BUCKETS;
                 requests[index] = 0;
                 retries[index] = 0;
             }
-            bucket = Math.max(bucket, current);
+            currentBucket = Math.max(currentBucket, current);
         }
 
         int sum(int[] counts) {
