--- a/org.berylwick.node/src/org/berylwick/node/call/RetryBudget.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RetryBudget.java
@@ -52,7 +52,7 @@
 
     /** Counts a request for a service. */
     public void onRequest(String service, long now) {
-        Window w = window(service);
+        Window w = windowOf(service);
         w.advance(now);
         w.requests[w.index]++;
     }
@@ -68,7 +68,7 @@
     }
 
     private boolean acquire(String service, double share, long now) {
-        Window w = window(service);
+        Window w = windowOf(service);
         w.advance(now);
         double allowed = share * (bounds.retryRatio() * w.sum(w.requests) + slack(now));
         if (w.sum(w.retries) + 1 > allowed) {
@@ -87,7 +87,7 @@
         return age < bounds.retryWindowNanos() ? part / 2 : part;
     }
 
-    private Window window(String service) {
+    private Window windowOf(String service) {
         return byService.computeIfAbsent(service, s -> new Window(bounds.retryWindowNanos() / (BUCKETS - 1)));
     }
 
