--- a/org.berylwick.node/src/org/berylwick/node/call/BodyGate.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/BodyGate.java
@@ -22,7 +22,7 @@
     private static final long MOST_COMING_NANOS = 60_000_000L;
 
     private final IncomingLink link;
-    private final RunQueue waiting = new RunQueue();
+    private final RequestQueue waiting = new RequestQueue();
     private final Set<OwnerRun> coming = new LinkedHashSet<>();
 
     /** @param link of this VM */
--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -52,7 +52,7 @@
     private final Counters counters;
     private final EventLog log;
     private final Runnable onChange;
-    private final RunQueue queue = new RunQueue();
+    private final RequestQueue queue = new RequestQueue();
     private final BodyGate gate;
 
     private final ServedShares shares = new ServedShares();
--- a/org.berylwick.node/src/org/berylwick/node/call/RunQueue.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RequestQueue.java
@@ -14,7 +14,7 @@
  * can. With one queue for all, a burst leaves a backlog in which every request is served and every one is late, long
  * after the burst is over.
  */
-final class RunQueue {
+final class RequestQueue {
     /** A rank puts a request off by this much, so that no rank waits for ever. */
     static final long RANK_NANOS = 100_000_000L;
     /** Late requests that wait, for each slot: they start only when nothing else does. */
