--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -64,7 +64,7 @@
         this.clock = owner.clock();
         this.call = call;
         this.listener = listener;
-        this.dueAt = call.objectiveAt() + call.priority() * RequestQueue.RANK_NANOS - forwardNanos;
+        this.dueAt = call.objectiveAt() + call.priority() * RequestQueue.PRIORITY_STEP_NANOS - forwardNanos;
         this.queuedAt = clock.now();
         this.number = owner.nextNumber();
         if (owner.outgoing().isLarge(call.answerBytes())) {
--- a/org.berylwick.node/src/org/berylwick/node/call/RequestQueue.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RequestQueue.java
@@ -16,7 +16,7 @@
  */
 final class RequestQueue {
     /** A rank puts a request off by this much, so that no rank waits for ever. */
-    static final long RANK_NANOS = 100_000_000L;
+    static final long PRIORITY_STEP_NANOS = 100_000_000L;
     /** Late requests that wait, for each slot: they start only when nothing else does. */
     private static final double LATE_PER_SLOT = 0.5;
 
