--- a/org.berylwick.node/src/org/berylwick/node/call/RequestQueue.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RequestQueue.java
@@ -18,7 +18,7 @@
     /** A rank puts a request off by this much, so that no rank waits for ever. */
     static final long PRIORITY_STEP_NANOS = 100_000_000L;
     /** Late requests that wait, for each slot: they start only when nothing else does. */
-    private static final double LATE_PER_SLOT = 0.5;
+    private static final double MAX_LATE_PER_SLOT = 0.5;
 
     private static final Comparator<OwnerRun> ORDER =
             Comparator.comparingLong(OwnerRun::dueAt).thenComparingLong(OwnerRun::number);
@@ -37,7 +37,7 @@
 
     /** Whether one more late request may wait. */
     boolean takesLate(int slots) {
-        return late.size() < Math.max(1, slots * LATE_PER_SLOT);
+        return late.size() < Math.max(1, slots * MAX_LATE_PER_SLOT);
     }
 
     void addTimely(OwnerRun run) {
