--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -341,7 +341,7 @@
     /** Whether a request can meet its objective behind those that would go before it. */
     private boolean isTimely(OwnerRun run) {
         Backend b = backend.orElseThrow();
-        int ahead = running.size() + queue.timelyBefore(run);
+        int ahead = running.size() + queue.countTimelyAhead(run);
         RequestBody body = run.call().body();
         long slotWait = Math.max(waitBehind(ahead, b), gate.aheadNanos(body) + gate.comingNanos(body));
         long wait = Math.max(slotWait, run.waitForLink());
@@ -349,7 +349,7 @@
     }
 
     private long waitFor(OwnerRun run, Backend b) {
-        int waiting = isTimely(run) ? queue.timelyBefore(run) : queue.size();
+        int waiting = isTimely(run) ? queue.countTimelyAhead(run) : queue.size();
         return waitBehind(running.size() + waiting, b);
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/RequestQueue.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RequestQueue.java
@@ -31,7 +31,7 @@
     }
 
     /** Requests that can meet their objective and would be started before this one. */
-    int timelyBefore(OwnerRun run) {
+    int countTimelyAhead(OwnerRun run) {
         return timely.headSet(run, true).size();
     }
 
