--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -331,7 +331,7 @@
             return Optional.empty();
         }
         long wait = Math.max(Math.max(waitFor(run, b), linkWait), gate.aheadNanos(call.body()));
-        boolean full = waiting() >= QUEUE_PER_SLOT * b.slots() || !(isTimely(run) || queue.takesLate(b.slots()));
+        boolean full = waiting() >= QUEUE_PER_SLOT * b.slots() || !(isTimely(run) || queue.acceptsLate(b.slots()));
         if (full || wait > call.maxWaitNanos() || !run.canMeetDeadline(now + wait + gate.comingNanos(call.body()))) {
             return Optional.of(Refusal.Reason.BUSY);
         }
--- a/org.berylwick.node/src/org/berylwick/node/call/RequestQueue.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RequestQueue.java
@@ -36,7 +36,7 @@
     }
 
     /** Whether one more late request may wait. */
-    boolean takesLate(int slots) {
+    boolean acceptsLate(int slots) {
         return late.size() < Math.max(1, slots * MAX_LATE_PER_SLOT);
     }
 
