--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -55,7 +55,7 @@
     private final RequestQueue queue = new RequestQueue();
     private final BodyGate gate;
 
-    private final ServedShares shares = new ServedShares();
+    private final StartRateBalancer shares = new StartRateBalancer();
     private final Set<OwnerRun> running = new HashSet<>();
     private final Map<String, Boolean> left = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
--- a/org.berylwick.node/src/org/berylwick/node/call/ServedShares.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/StartRateBalancer.java
@@ -11,7 +11,7 @@
  * would be starved: calls of one service pushed out the orders of another. A kind that was served less often is put
  * forward until the shares are alike.
  */
-final class ServedShares {
+final class StartRateBalancer {
     /** Time in which what was counted loses its weight. */
     private static final double MEMORY_NANOS = 3e9;
     /** How far a kind of which nothing was served is put before one of which all was. */
