--- a/org.berylwick.node/src/org/berylwick/node/call/StartRateBalancer.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/StartRateBalancer.java
@@ -13,7 +13,7 @@
  */
 final class StartRateBalancer {
     /** Time in which what was counted loses its weight. */
-    private static final double MEMORY_NANOS = 3e9;
+    private static final double DECAY_NANOS = 3e9;
     /** How far a kind of which nothing was served is put before one of which all was. */
     private static final double MOST_NANOS = 1.5e9;
 
@@ -25,7 +25,7 @@
         private long at;
 
         void decay(long now) {
-            double left = Math.exp((at - now) / MEMORY_NANOS);
+            double left = Math.exp((at - now) / DECAY_NANOS);
             offered *= left;
             started *= left;
             at = now;
