--- a/org.berylwick.node/src/org/berylwick/node/call/StartRateBalancer.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/StartRateBalancer.java
@@ -15,7 +15,7 @@
     /** Time in which what was counted loses its weight. */
     private static final double DECAY_NANOS = 3e9;
     /** How far a kind of which nothing was served is put before one of which all was. */
-    private static final double MOST_NANOS = 1.5e9;
+    private static final double MAX_ADVANCE_NANOS = 1.5e9;
 
     private final Map<RequestClass, Counts> byKind = new HashMap<>();
 
@@ -45,7 +45,7 @@
             other.decay(now);
             best = Math.max(best, Math.min(1, other.share()));
         }
-        return (long) (MOST_NANOS * Math.max(0, best - own.share()));
+        return (long) (MAX_ADVANCE_NANOS * Math.max(0, best - own.share()));
     }
 
     void onStarted(CallSpec call, long now) {
