--- a/org.berylwick.node/src/org/berylwick/node/call/StartRateBalancer.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/StartRateBalancer.java
@@ -17,7 +17,7 @@
     /** How far a kind of which nothing was served is put before one of which all was. */
     private static final double MAX_ADVANCE_NANOS = 1.5e9;
 
-    private final Map<RequestClass, Counts> byKind = new HashMap<>();
+    private final Map<RequestClass, Counts> byClass = new HashMap<>();
 
     private static final class Counts {
         private double offered;
@@ -41,7 +41,7 @@
         Counts own = counts(call, now);
         own.offered++;
         double best = 0;
-        for (Counts other : byKind.values()) {
+        for (Counts other : byClass.values()) {
             other.decay(now);
             best = Math.max(best, Math.min(1, other.share()));
         }
@@ -53,7 +53,7 @@
     }
 
     private Counts counts(CallSpec call, long now) {
-        Counts counts = byKind.computeIfAbsent(call.like(), k -> new Counts());
+        Counts counts = byClass.computeIfAbsent(call.like(), k -> new Counts());
         counts.decay(now);
         return counts;
     }
