--- a/org.berylwick.node/src/org/berylwick/node/call/StartRateBalancer.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/StartRateBalancer.java
@@ -22,13 +22,13 @@
     private static final class Counts {
         private double offered;
         private double started;
-        private long at;
+        private long decayedAt;
 
         void decay(long now) {
-            double left = Math.exp((at - now) / DECAY_NANOS);
+            double left = Math.exp((decayedAt - now) / DECAY_NANOS);
             offered *= left;
             started *= left;
-            at = now;
+            decayedAt = now;
         }
 
         double share() {
