--- a/org.berylwick.node/src/org/berylwick/node/call/StartRateBalancer.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/StartRateBalancer.java
@@ -31,7 +31,7 @@
             decayedAt = now;
         }
 
-        double share() {
+        double startRate() {
             return (started + 1) / (offered + 1);
         }
     }
@@ -43,9 +43,9 @@
         double best = 0;
         for (Counts other : byClass.values()) {
             other.decay(now);
-            best = Math.max(best, Math.min(1, other.share()));
+            best = Math.max(best, Math.min(1, other.startRate()));
         }
-        return (long) (MAX_ADVANCE_NANOS * Math.max(0, best - own.share()));
+        return (long) (MAX_ADVANCE_NANOS * Math.max(0, best - own.startRate()));
     }
 
     void onStarted(CallSpec call, long now) {
