--- a/org.berylwick.node/src/org/berylwick/node/call/Backend.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Backend.java
@@ -14,7 +14,7 @@
     private final String incarnation;
     private final String service;
     private final ServerConnections pool;
-    private final ServiceTimes times = new ServiceTimes();
+    private final ServiceTimeEstimator times = new ServiceTimeEstimator();
     private final LossRate losses = new LossRate();
     private long freshNanos = FRESH_NANOS;
     private int slots;
@@ -95,7 +95,7 @@
         answeredAt = now;
     }
 
-    ServiceTimes times() {
+    ServiceTimeEstimator times() {
         return times;
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/ServiceTimes.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
@@ -8,7 +8,7 @@
 import org.berylwick.node.lib.RequestClass;
 
 /** How long a backend server takes for each kind of request, learnt from its answers; confined to the event loop. */
-final class ServiceTimes {
+final class ServiceTimeEstimator {
     /**
      * Weight of a new answer; about the last twenty count. With the last ten, a heavy tail moved the mean by a quarter
      * up and down; with fifty, a server that turned slow was believed for seconds.
