--- a/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
@@ -13,7 +13,7 @@
      * Weight of a new answer; about the last twenty count. With the last ten, a heavy tail moved the mean by a quarter
      * up and down; with fifty, a server that turned slow was believed for seconds.
      */
-    private static final double NEW_SHARE = 0.05;
+    private static final double MEAN_SMOOTHING_FACTOR = 0.05;
     /** Weight of a new answer for the spread, which changes less and takes more answers to be seen. */
     private static final double NEW_SHARE_OF_SPREAD = 0.02;
 
@@ -46,7 +46,7 @@
                 return;
             }
             double off = log - logMean;
-            logMean += Math.max(NEW_SHARE, 1.0 / answers) * off;
+            logMean += Math.max(MEAN_SMOOTHING_FACTOR, 1.0 / answers) * off;
             logVariance += NEW_SHARE_OF_SPREAD * (off * off - logVariance);
         }
 
@@ -58,7 +58,7 @@
     void learn(CallSpec call, long nanos) {
         byKind.computeIfAbsent(call.like(), Learnt::new).learn(nanos);
         answers++;
-        overall += Math.max(NEW_SHARE, 1.0 / answers) * (nanos - overall);
+        overall += Math.max(MEAN_SMOOTHING_FACTOR, 1.0 / answers) * (nanos - overall);
     }
 
     /** The time of a request like this one. */
