--- a/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
@@ -15,7 +15,7 @@
      */
     private static final double MEAN_SMOOTHING_FACTOR = 0.05;
     /** Weight of a new answer for the spread, which changes less and takes more answers to be seen. */
-    private static final double NEW_SHARE_OF_SPREAD = 0.02;
+    private static final double VARIANCE_SMOOTHING_FACTOR = 0.02;
 
     /** Part of its objective that a request is taken to run before one was seen. */
     private static final double OBJECTIVE_SHARE = 0.35;
@@ -47,7 +47,7 @@
             }
             double off = log - logMean;
             logMean += Math.max(MEAN_SMOOTHING_FACTOR, 1.0 / answers) * off;
-            logVariance += NEW_SHARE_OF_SPREAD * (off * off - logVariance);
+            logVariance += VARIANCE_SMOOTHING_FACTOR * (off * off - logVariance);
         }
 
         KindTime time() {
