--- a/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
@@ -18,7 +18,7 @@
     private static final double VARIANCE_SMOOTHING_FACTOR = 0.02;
 
     /** Part of its objective that a request is taken to run before one was seen. */
-    private static final double OBJECTIVE_SHARE = 0.35;
+    private static final double DEFAULT_OBJECTIVE_FRACTION = 0.35;
 
     private static final long UNKNOWN_NANOS = 150_000_000L;
     /** Kinds that are told to others; a service has fewer. */
@@ -85,7 +85,7 @@
         }
         return like.objectiveMillis() == 0
                 ? UNKNOWN_NANOS
-                : (long) (OBJECTIVE_SHARE * like.objectiveMillis() * 1_000_000);
+                : (long) (DEFAULT_OBJECTIVE_FRACTION * like.objectiveMillis() * 1_000_000);
     }
 
     /** Mean time of all requests, 0 before the first answer. */
