--- a/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
@@ -20,7 +20,7 @@
     /** Part of its objective that a request is taken to run before one was seen. */
     private static final double DEFAULT_OBJECTIVE_FRACTION = 0.35;
 
-    private static final long UNKNOWN_NANOS = 150_000_000L;
+    private static final long DEFAULT_NANOS = 150_000_000L;
     /** Kinds that are told to others; a service has fewer. */
     private static final int MOST_TOLD = 8;
 
@@ -84,7 +84,7 @@
             return (long) overall;
         }
         return like.objectiveMillis() == 0
-                ? UNKNOWN_NANOS
+                ? DEFAULT_NANOS
                 : (long) (DEFAULT_OBJECTIVE_FRACTION * like.objectiveMillis() * 1_000_000);
     }
 
