--- a/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
@@ -22,7 +22,7 @@
 
     private static final long DEFAULT_NANOS = 150_000_000L;
     /** Kinds that are told to others; a service has fewer. */
-    private static final int MOST_TOLD = 8;
+    private static final int MAX_PUBLISHED_CLASSES = 8;
 
     private final Map<RequestClass, Learnt> byKind = new HashMap<>();
     private double overall;
@@ -71,7 +71,7 @@
     List<KindTime> times() {
         List<KindTime> times = new ArrayList<>();
         for (Learnt learnt : byKind.values()) {
-            if (times.size() < MOST_TOLD) {
+            if (times.size() < MAX_PUBLISHED_CLASSES) {
                 times.add(learnt.time());
             }
         }
