--- a/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
@@ -24,17 +24,17 @@
     /** Kinds that are told to others; a service has fewer. */
     private static final int MAX_PUBLISHED_CLASSES = 8;
 
-    private final Map<RequestClass, Learnt> byClass = new HashMap<>();
+    private final Map<RequestClass, ClassEstimate> byClass = new HashMap<>();
     private double overall;
     private int answers;
 
-    private static final class Learnt {
+    private static final class ClassEstimate {
         private final RequestClass like;
         private double logMean;
         private double logVariance = KindTime.USUAL_SPREAD * KindTime.USUAL_SPREAD;
         private int answers;
 
-        Learnt(RequestClass like) {
+        ClassEstimate(RequestClass like) {
             this.like = like;
         }
 
@@ -56,21 +56,21 @@
     }
 
     void learn(CallSpec call, long nanos) {
-        byClass.computeIfAbsent(call.like(), Learnt::new).learn(nanos);
+        byClass.computeIfAbsent(call.like(), ClassEstimate::new).learn(nanos);
         answers++;
         overall += Math.max(MEAN_SMOOTHING_FACTOR, 1.0 / answers) * (nanos - overall);
     }
 
     /** The time of a request like this one. */
     KindTime time(CallSpec call) {
-        Learnt learnt = byClass.get(call.like());
+        ClassEstimate learnt = byClass.get(call.like());
         return learnt == null ? KindTime.ofMean(call.like(), unseenNanos(call.like())) : learnt.time();
     }
 
     /** The times of all kinds that were seen. */
     List<KindTime> times() {
         List<KindTime> times = new ArrayList<>();
-        for (Learnt learnt : byClass.values()) {
+        for (ClassEstimate learnt : byClass.values()) {
             if (times.size() < MAX_PUBLISHED_CLASSES) {
                 times.add(learnt.time());
             }
