--- a/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
@@ -25,7 +25,7 @@
     private static final int MAX_PUBLISHED_CLASSES = 8;
 
     private final Map<RequestClass, ClassEstimate> byClass = new HashMap<>();
-    private double overall;
+    private double overallMeanNanos;
     private int answers;
 
     private static final class ClassEstimate {
@@ -58,7 +58,7 @@
     void learn(CallSpec call, long nanos) {
         byClass.computeIfAbsent(call.like(), ClassEstimate::new).learn(nanos);
         answers++;
-        overall += Math.max(MEAN_SMOOTHING_FACTOR, 1.0 / answers) * (nanos - overall);
+        overallMeanNanos += Math.max(MEAN_SMOOTHING_FACTOR, 1.0 / answers) * (nanos - overallMeanNanos);
     }
 
     /** The time of a request like this one. */
@@ -81,7 +81,7 @@
     /** Without an answer yet the operators' objective tells most: nobody sets one that is mostly missed. */
     private long unseenNanos(RequestClass like) {
         if (answers > 0) {
-            return (long) overall;
+            return (long) overallMeanNanos;
         }
         return like.objectiveMillis() == 0
                 ? DEFAULT_NANOS
@@ -90,6 +90,6 @@
 
     /** Mean time of all requests, 0 before the first answer. */
     long meanNanos() {
-        return (long) overall;
+        return (long) overallMeanNanos;
     }
 }
