--- a/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
@@ -26,7 +26,7 @@
 
     private final Map<RequestClass, ClassEstimate> byClass = new HashMap<>();
     private double overallMeanNanos;
-    private int answers;
+    private int responses;
 
     private static final class ClassEstimate {
         private final RequestClass like;
@@ -57,8 +57,8 @@
 
     void learn(CallSpec call, long nanos) {
         byClass.computeIfAbsent(call.like(), ClassEstimate::new).learn(nanos);
-        answers++;
-        overallMeanNanos += Math.max(MEAN_SMOOTHING_FACTOR, 1.0 / answers) * (nanos - overallMeanNanos);
+        responses++;
+        overallMeanNanos += Math.max(MEAN_SMOOTHING_FACTOR, 1.0 / responses) * (nanos - overallMeanNanos);
     }
 
     /** The time of a request like this one. */
@@ -80,7 +80,7 @@
 
     /** Without an answer yet the operators' objective tells most: nobody sets one that is mostly missed. */
     private long unseenNanos(RequestClass like) {
-        if (answers > 0) {
+        if (responses > 0) {
             return (long) overallMeanNanos;
         }
         return like.objectiveMillis() == 0
