--- a/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
@@ -32,21 +32,21 @@
         private final RequestClass like;
         private double logMean;
         private double logVariance = KindTime.USUAL_SPREAD * KindTime.USUAL_SPREAD;
-        private int answers;
+        private int responses;
 
         ClassEstimate(RequestClass like) {
             this.like = like;
         }
 
         void learn(long nanos) {
-            answers++;
+            responses++;
             double log = Math.log(Math.max(1, nanos));
-            if (answers == 1) {
+            if (responses == 1) {
                 logMean = log;
                 return;
             }
             double off = log - logMean;
-            logMean += Math.max(MEAN_SMOOTHING_FACTOR, 1.0 / answers) * off;
+            logMean += Math.max(MEAN_SMOOTHING_FACTOR, 1.0 / responses) * off;
             logVariance += VARIANCE_SMOOTHING_FACTOR * (off * off - logVariance);
         }
 
