--- a/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
@@ -29,13 +29,13 @@
     private int responses;
 
     private static final class ClassEstimate {
-        private final RequestClass like;
+        private final RequestClass requestClass;
         private double logMean;
         private double logVariance = KindTime.USUAL_SPREAD * KindTime.USUAL_SPREAD;
         private int responses;
 
         ClassEstimate(RequestClass like) {
-            this.like = like;
+            this.requestClass = like;
         }
 
         void learn(long nanos) {
@@ -51,7 +51,7 @@
         }
 
         KindTime time() {
-            return new KindTime(like, (long) Math.exp(logMean), Math.sqrt(logVariance));
+            return new KindTime(requestClass, (long) Math.exp(logMean), Math.sqrt(logVariance));
         }
     }
 
