--- a/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
@@ -38,7 +38,7 @@
             this.requestClass = like;
         }
 
-        void learn(long nanos) {
+        void record(long nanos) {
             responses++;
             double log = Math.log(Math.max(1, nanos));
             if (responses == 1) {
@@ -56,7 +56,7 @@
     }
 
     void learn(CallSpec call, long nanos) {
-        byClass.computeIfAbsent(call.like(), ClassEstimate::new).learn(nanos);
+        byClass.computeIfAbsent(call.like(), ClassEstimate::new).record(nanos);
         responses++;
         overallMeanNanos += Math.max(MEAN_SMOOTHING_FACTOR, 1.0 / responses) * (nanos - overallMeanNanos);
     }
