--- a/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
@@ -55,7 +55,7 @@
         }
     }
 
-    void learn(CallSpec call, long nanos) {
+    void record(CallSpec call, long nanos) {
         byClass.computeIfAbsent(call.like(), ClassEstimate::new).record(nanos);
         responses++;
         overallMeanNanos += Math.max(MEAN_SMOOTHING_FACTOR, 1.0 / responses) * (nanos - overallMeanNanos);
