--- a/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
@@ -50,7 +50,7 @@
             logVariance += VARIANCE_SMOOTHING_FACTOR * (off * off - logVariance);
         }
 
-        KindTime time() {
+        KindTime distribution() {
             return new KindTime(requestClass, (long) Math.exp(logMean), Math.sqrt(logVariance));
         }
     }
@@ -64,7 +64,7 @@
     /** The time of a request like this one. */
     KindTime time(CallSpec call) {
         ClassEstimate learnt = byClass.get(call.like());
-        return learnt == null ? KindTime.ofMean(call.like(), unseenNanos(call.like())) : learnt.time();
+        return learnt == null ? KindTime.ofMean(call.like(), unseenNanos(call.like())) : learnt.distribution();
     }
 
     /** The times of all kinds that were seen. */
@@ -72,7 +72,7 @@
         List<KindTime> times = new ArrayList<>();
         for (ClassEstimate learnt : byClass.values()) {
             if (times.size() < MAX_PUBLISHED_CLASSES) {
-                times.add(learnt.time());
+                times.add(learnt.distribution());
             }
         }
         return times;
