--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -321,7 +321,7 @@
             return Optional.of(Refusal.Reason.NOT_HERE);
         }
         Backend b = backend.orElseThrow();
-        run.expect(b.times().time(call));
+        run.expect(b.times().distribution(call));
         long now = clock.now();
         if (!run.canMeetDeadline(now)) {
             return Optional.of(Refusal.Reason.EXPIRED);
--- a/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
@@ -62,7 +62,7 @@
     }
 
     /** The time of a request like this one. */
-    KindTime time(CallSpec call) {
+    KindTime distribution(CallSpec call) {
         ClassEstimate learnt = byClass.get(call.like());
         return learnt == null ? KindTime.ofMean(call.like(), unseenNanos(call.like())) : learnt.distribution();
     }
