--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -124,7 +124,7 @@
 
     /** How long it takes for each kind of request that it has seen. */
     public List<KindTime> times() {
-        return backend.map(b -> b.times().times()).orElse(List.of());
+        return backend.map(b -> b.times().distributions()).orElse(List.of());
     }
 
     /**
--- a/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
@@ -68,7 +68,7 @@
     }
 
     /** The times of all kinds that were seen. */
-    List<KindTime> times() {
+    List<KindTime> distributions() {
         List<KindTime> times = new ArrayList<>();
         for (ClassEstimate learnt : byClass.values()) {
             if (times.size() < MAX_PUBLISHED_CLASSES) {
