--- a/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
@@ -64,7 +64,7 @@
     /** The time of a request like this one. */
     KindTime distribution(CallSpec call) {
         ClassEstimate learnt = byClass.get(call.like());
-        return learnt == null ? KindTime.ofMean(call.like(), unseenNanos(call.like())) : learnt.distribution();
+        return learnt == null ? KindTime.ofMean(call.like(), defaultNanos(call.like())) : learnt.distribution();
     }
 
     /** The times of all kinds that were seen. */
@@ -79,7 +79,7 @@
     }
 
     /** Without an answer yet the operators' objective tells most: nobody sets one that is mostly missed. */
-    private long unseenNanos(RequestClass like) {
+    private long defaultNanos(RequestClass like) {
         if (responses > 0) {
             return (long) overallMeanNanos;
         }
