--- a/org.berylwick.node/src/org/berylwick/node/lib/BackendState.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/BackendState.java
@@ -9,10 +9,10 @@
     /** Finishes what it has. */
     DRAINING;
 
-    private static final BackendState[] ALL = values();
+    private static final BackendState[] VALUES = values();
 
     /** The state with an ordinal; {@link #ABSENT} for one that is not known. */
     public static BackendState fromOrdinal(int ordinal) {
-        return ordinal >= 0 && ordinal < ALL.length ? ALL[ordinal] : ABSENT;
+        return ordinal >= 0 && ordinal < VALUES.length ? VALUES[ordinal] : ABSENT;
     }
 }
