--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedNode.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedNode.java
@@ -21,7 +21,7 @@
 import org.berylwick.node.call.RetryBudget;
 import org.berylwick.node.lib.BackendReport;
 import org.berylwick.node.lib.BackendState;
-import org.berylwick.node.lib.Bounds;
+import org.berylwick.node.lib.PlatformBounds;
 import org.berylwick.node.lib.MeshVersion;
 import org.berylwick.node.log.Counters;
 import org.berylwick.node.log.Instruments;
@@ -82,7 +82,7 @@
         long silentNanos = (long) (SILENT_ROUNDS * gossipNanos);
         CandidateSampler candidates =
                 new CandidateSampler(place.zone(), "r", regions, table, () -> silentNanos, owner, random::nextDouble);
-        Bounds bounds = new Bounds(
+        PlatformBounds bounds = new PlatformBounds(
                 2_000_000_000L,
                 6_000_000_000L,
                 2_000_000_000L,
--- a/org.berylwick.node/src/org/berylwick/node/call/RetryBudget.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RetryBudget.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.function.BooleanSupplier;
 import java.util.function.IntSupplier;
-import org.berylwick.node.lib.Bounds;
+import org.berylwick.node.lib.PlatformBounds;
 
 /**
  * This node's share of the repeats that the whole fleet may send to the backend servers of a service; confined to the
@@ -29,7 +29,7 @@
 
     private static final int BUCKETS = 20;
 
-    private final Bounds bounds;
+    private final PlatformBounds bounds;
     private final IntSupplier nodeCount;
     private final BooleanSupplier directoryRead;
     private final long startedAt;
@@ -43,7 +43,7 @@
      * @param startedAt when this node was started, in {@link System#nanoTime} terms: for the length of a window it
      *     takes half of its part, since what it spent in a life that it does not remember may still lie in the window
      */
-    public RetryBudget(Bounds bounds, IntSupplier nodes, BooleanSupplier listed, long startedAt) {
+    public RetryBudget(PlatformBounds bounds, IntSupplier nodes, BooleanSupplier listed, long startedAt) {
         this.bounds = bounds;
         this.nodeCount = nodes;
         this.directoryRead = listed;
--- a/org.berylwick.node/src/org/berylwick/node/lib/NodeSettings.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/NodeSettings.java
@@ -45,7 +45,7 @@
         double cpuShare,
         int memoryMb,
         double linkMbps,
-        Bounds bounds) {
+        PlatformBounds bounds) {
     public NodeSettings {
         seeds = List.copyOf(seeds);
     }
--- a/org.berylwick.node/src/org/berylwick/node/lib/Bounds.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/PlatformBounds.java
@@ -10,7 +10,7 @@
  * @param retryWindowNanos the span over which repeats are counted
  * @param retrySlack repeats per span and service that are free, over the whole fleet
  */
-public record Bounds(
+public record PlatformBounds(
         long drainNanos,
         long graceNanos,
         long configNanos,
--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -22,7 +22,7 @@
 import java.util.function.Consumer;
 import org.berylwick.node.lib.BackendReport;
 import org.berylwick.node.lib.BackendState;
-import org.berylwick.node.lib.Bounds;
+import org.berylwick.node.lib.PlatformBounds;
 import org.berylwick.node.lib.CallerLimits;
 import org.berylwick.node.lib.HeaderNames;
 import org.berylwick.node.lib.MeshVersion;
@@ -337,7 +337,7 @@
                 1,
                 200,
                 linkMbps.getOrDefault(number, WIDE_MBPS),
-                new Bounds(2_000_000_000L, GRACE_MILLIS * 1_000_000L, 2_000_000_000L, 0.2, 10_000_000_000L, 60));
+                new PlatformBounds(2_000_000_000L, GRACE_MILLIS * 1_000_000L, 2_000_000_000L, 0.2, 10_000_000_000L, 60));
     }
 
     @Override
--- a/org.berylwick.test/tst/org/berylwick/node/call/RetryBudgetTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/RetryBudgetTest.java
@@ -11,12 +11,12 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.DoubleRange;
 import net.jqwik.api.constraints.IntRange;
-import org.berylwick.node.lib.Bounds;
+import org.berylwick.node.lib.PlatformBounds;
 
 /** No window of any position holds more repeats than the fleet may send, calls made by repeats included. */
 class RetryBudgetTest {
     private static final long WINDOW = 10_000_000_000L;
-    private static final Bounds BOUNDS = new Bounds(0, 0, 0, 0.2, WINDOW, 58);
+    private static final PlatformBounds BOUNDS = new PlatformBounds(0, 0, 0, 0.2, WINDOW, 58);
 
     /**
      * A fleet whose backend servers turn nearly all away: each node repeats whenever its budget lets it. Each repeat of
