--- a/org.berylwick.node/src/org/berylwick/node/lib/PlatformBounds.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/PlatformBounds.java
@@ -5,7 +5,7 @@
  *
  * @param drainNanos from the acknowledgement of a leave to the last request that may reach the backend server
  * @param graceNanos from the signal to stop to the kill
- * @param configNanos from the acceptance of a version to its being in force everywhere
+ * @param convergenceNanos from the acceptance of a version to its being in force everywhere
  * @param retryRatio repeats that one request of a service earns
  * @param retryWindowNanos the span over which repeats are counted
  * @param retrySlack repeats per span and service that are free, over the whole fleet
@@ -13,7 +13,7 @@
 public record PlatformBounds(
         long drainNanos,
         long graceNanos,
-        long configNanos,
+        long convergenceNanos,
         double retryRatio,
         long retryWindowNanos,
         double retrySlack) {}
