--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedCaller.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedCaller.java
@@ -40,7 +40,7 @@
         this.deadlineAt = askedAt + kind.deadlineNanos();
         this.workNanos = emulation.drawWork(kind);
         this.makesCall = emulation.drawCall(kind);
-        this.leaves = emulation.clock().at(deadlineAt, this::onDeadline);
+        this.leaves = emulation.clock().schedule(deadlineAt, this::onDeadline);
     }
 
     void send() {
--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedWay.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedWay.java
@@ -21,12 +21,12 @@
     void send(int bytes, Runnable arrived) {
         VirtualClock clock = emulation.clock();
         long sentAt = pass(out, bytes);
-        clock.at(sentAt + nanos, () -> {
+        clock.schedule(sentAt + nanos, () -> {
             long arrivedAt = pass(in, bytes);
             if (arrivedAt == clock.now()) {
                 arrived.run();
             } else {
-                clock.at(arrivedAt, arrived);
+                clock.schedule(arrivedAt, arrived);
             }
         });
     }
--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/VirtualClock.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/VirtualClock.java
@@ -42,7 +42,7 @@
     }
 
     @Override
-    public Alarm at(long at, Runnable task) {
+    public Alarm schedule(long at, Runnable task) {
         Task planned = new Task(Math.max(now, at), number++, task);
         tasks.add(planned);
         return planned;
@@ -50,12 +50,12 @@
 
     /** Plans a task for some time from now. */
     public Alarm after(long nanos, Runnable task) {
-        return at(now + nanos, task);
+        return schedule(now + nanos, task);
     }
 
     @Override
     public void soon(Runnable task) {
-        at(now, task);
+        schedule(now, task);
     }
 
     /** Runs what is planned until a moment, also what is planned meanwhile. */
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -100,7 +100,7 @@
         if (returned) {
             context.returns().onRetried(spec.like());
         }
-        deadline = context.clock().at(spec.deadlineAt() + LAST_WORD_NANOS, this::onDeadline);
+        deadline = context.clock().schedule(spec.deadlineAt() + LAST_WORD_NANOS, this::onDeadline);
         next(false);
     }
 
@@ -359,7 +359,7 @@
         if (done || at >= spec.deadlineAt()) {
             return;
         }
-        context.clock().at(at, () -> {
+        context.clock().schedule(at, () -> {
             if (!done && streaming.isEmpty()) {
                 giveUp("planned stop");
             }
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -139,7 +139,7 @@
     /** Waits until its body is whole; if that is kept back, no longer for its turn than its entry said. */
     void awaitBody() {
         boolean keptBack = call.body().isKeptBack();
-        expiry = clock.at(keptBack ? longestWait() : call.deadlineAt(), this::onWaitedEnough);
+        expiry = clock.schedule(keptBack ? longestWait() : call.deadlineAt(), this::onWaitedEnough);
         call.body().follow(this);
     }
 
@@ -150,7 +150,7 @@
     /** It is its body's turn to come over the link. */
     void askForBody() {
         expiry.cancel();
-        expiry = clock.at(call.deadlineAt(), this::onWaitedEnough);
+        expiry = clock.schedule(call.deadlineAt(), this::onWaitedEnough);
         call.body().ask();
     }
 
@@ -175,7 +175,7 @@
         if (over || backend != null) {
             return;
         }
-        expiry = clock.at(longestWait(), this::onWaitedEnough);
+        expiry = clock.schedule(longestWait(), this::onWaitedEnough);
     }
 
     private void onWaitedEnough() {
@@ -201,7 +201,7 @@
         if (expiry != null) {
             expiry.cancel();
         }
-        expiry = clock.at(call.deadlineAt(), this::expire);
+        expiry = clock.schedule(call.deadlineAt(), this::expire);
         long freshest = call.kind().isRepeatable() ? Long.MAX_VALUE : to.freshNanos();
         to.pool().acquire(freshest, this::send, this::onUnreachable);
     }
--- a/org.berylwick.node/src/org/berylwick/node/lib/Clock.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/Clock.java
@@ -14,7 +14,7 @@
      * @param at in the terms of {@link #now}; a task whose time has passed runs soon
      * @param task runs where all others of this clock do
      */
-    Alarm at(
+    Alarm schedule(
             long at, Runnable task);
 
     /** Runs a task after what runs now. */
--- a/org.berylwick.node/src/org/berylwick/node/transport/EventLoopClock.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/EventLoopClock.java
@@ -13,7 +13,7 @@
     }
 
     @Override
-    public Alarm at(long at, Runnable task) {
+    public Alarm schedule(long at, Runnable task) {
         ScheduledFuture<?> planned = loop.schedule(task, Math.max(0, at - System.nanoTime()), TimeUnit.NANOSECONDS);
         return () -> planned.cancel(false);
     }
--- a/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
@@ -122,7 +122,7 @@
         }
         if (!planned && !flows.isEmpty()) {
             planned = true;
-            clock.at(freeAt - AHEAD_NANOS / 2, () -> {
+            clock.schedule(freeAt - AHEAD_NANOS / 2, () -> {
                 planned = false;
                 pump();
             });
