--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedServer.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedServer.java
@@ -210,7 +210,7 @@
             boolean resumes = on && !reading;
             reading = on;
             if (resumes && unwritten > 0) {
-                emulation.clock().soon(this::write);
+                emulation.clock().defer(this::write);
             }
         }
 
--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/VirtualClock.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/VirtualClock.java
@@ -54,7 +54,7 @@
     }
 
     @Override
-    public void soon(Runnable task) {
+    public void defer(Runnable task) {
         schedule(now, task);
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -277,7 +277,7 @@
         if (reason.isPresent()) {
             counters.add(NodeMetricNames.OWNER_REFUSED_BY_REASON + reason.get());
             // Told later, so that the caller has the attempt in hand before it hears of its end.
-            clock.soon(() -> run.refuse(reason.get(), false));
+            clock.defer(() -> run.refuse(reason.get(), false));
             return run;
         }
         run.announceAnswer();
@@ -396,7 +396,7 @@
         gate.remove(run, clock.now());
         if (running.remove(run)) {
             // Later, since one that ends may do so while others are being started.
-            clock.soon(this::dispatch);
+            clock.defer(this::dispatch);
         }
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/lib/Clock.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/Clock.java
@@ -18,7 +18,7 @@
             long at, Runnable task);
 
     /** Runs a task after what runs now. */
-    void soon(Runnable task);
+    void defer(Runnable task);
 
     /** A task that waits for its time. */
     interface Alarm {
--- a/org.berylwick.node/src/org/berylwick/node/transport/EventLoopClock.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/EventLoopClock.java
@@ -19,7 +19,7 @@
     }
 
     @Override
-    public void soon(Runnable task) {
+    public void defer(Runnable task) {
         loop.execute(task);
     }
 }
