--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedCaller.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedCaller.java
@@ -30,7 +30,7 @@
     private Optional<CallerCall> call = Optional.empty();
     private Optional<EmulatedSink> sink = Optional.empty();
     private Optional<EmulatedWay.BodyFlow> flow = Optional.empty();
-    private final Clock.Alarm leaves;
+    private final Clock.Timer leaves;
 
     EmulatedCaller(Emulation emulation, EmulatedNode node, RequestKind kind) {
         this.emulation = emulation;
--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedServer.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedServer.java
@@ -78,7 +78,7 @@
     /** Carries one request, which is enough here: what a connection costs is not emulated. */
     private final class Connection implements ServerConnection {
         private Optional<HttpExchange> waiter = Optional.empty();
-        private Optional<Clock.Alarm> end = Optional.empty();
+        private Optional<Clock.Timer> end = Optional.empty();
         private Optional<Runnable> abandonCall = Optional.empty();
         private boolean busy;
         private boolean reading = true;
@@ -217,7 +217,7 @@
         @Override
         public void abandon() {
             waiter = Optional.empty();
-            end.ifPresent(Clock.Alarm::cancel);
+            end.ifPresent(Clock.Timer::cancel);
             abandonCall.ifPresent(Runnable::run);
             free();
         }
--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/VirtualClock.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/VirtualClock.java
@@ -11,7 +11,7 @@
     private long now;
     private long number;
 
-    private static final class Task implements Alarm {
+    private static final class Task implements Timer {
         private final long at;
         private final long number;
         private Runnable action;
@@ -42,14 +42,14 @@
     }
 
     @Override
-    public Alarm schedule(long at, Runnable task) {
+    public Timer schedule(long at, Runnable task) {
         Task planned = new Task(Math.max(now, at), number++, task);
         tasks.add(planned);
         return planned;
     }
 
     /** Plans a task for some time from now. */
-    public Alarm after(long nanos, Runnable task) {
+    public Timer after(long nanos, Runnable task) {
         return schedule(now + nanos, task);
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -53,7 +53,7 @@
     /** The attempt before, at a node that is not heard. */
     private Optional<EntryAttempt> unheard = Optional.empty();
 
-    private Clock.Alarm deadline;
+    private Clock.Timer deadline;
     private int attempts;
     private int mayHaveRun;
     private int refusals;
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -43,7 +43,7 @@
     private long medianNanos;
     private long answerNanos;
     private long expectedBytes;
-    private Clock.Alarm expiry;
+    private Clock.Timer expiry;
     private ServerConnection connection;
     private Backend backend;
     private HeaderNames names;
--- a/org.berylwick.node/src/org/berylwick/node/lib/Clock.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/Clock.java
@@ -14,14 +14,14 @@
      * @param at in the terms of {@link #now}; a task whose time has passed runs soon
      * @param task runs where all others of this clock do
      */
-    Alarm schedule(
+    Timer schedule(
             long at, Runnable task);
 
     /** Runs a task after what runs now. */
     void defer(Runnable task);
 
     /** A task that waits for its time. */
-    interface Alarm {
+    interface Timer {
         /** Lets it not run any more. */
         void cancel();
     }
--- a/org.berylwick.node/src/org/berylwick/node/transport/EventLoopClock.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/EventLoopClock.java
@@ -13,7 +13,7 @@
     }
 
     @Override
-    public Alarm schedule(long at, Runnable task) {
+    public Timer schedule(long at, Runnable task) {
         ScheduledFuture<?> planned = loop.schedule(task, Math.max(0, at - System.nanoTime()), TimeUnit.NANOSECONDS);
         return () -> planned.cancel(false);
     }
