--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCalls.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCalls.java
@@ -89,7 +89,7 @@
         long waited = patience.waitedNanos(route.name(), wait);
         long deadline = now + Math.max(1_000_000L, wait - RETURN_NANOS);
         headers.remove(context.names().deadline());
-        headers.remove(context.names().target());
+        headers.remove(context.names().targetInstance());
         headers.remove(context.names().callerService());
         if (route.timeoutNanos() > 0) {
             deadline = Math.min(deadline, now + route.timeoutNanos());
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -231,7 +231,7 @@
         idleNanos = to.served() == 0 ? 0 : now - to.idleSince();
         HttpHeaders headers = Headers.copy(call.headers());
         headers.set(names.deadline(), left);
-        headers.set(names.target(), backend.incarnation());
+        headers.set(names.targetInstance(), backend.incarnation());
         headers.set(names.callerService(), call.callerService());
         HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, call.method(), call.uri(), headers);
         HttpConnection.setLength(head, call.body().length());
--- a/org.berylwick.node/src/org/berylwick/node/lib/HeaderNames.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/HeaderNames.java
@@ -6,7 +6,7 @@
  * @param requestId id of one attempt of a caller
  * @param deadline milliseconds that the sender will wait
  * @param signature of a backend server's answer over its body
- * @param target incarnation that alone may run the request
+ * @param targetInstance incarnation that alone may run the request
  * @param load running, waiting and slots of a backend server, separated by commas
  * @param notRun marks an answer to a request that was not run
  * @param callerService service on the VM where the request began
@@ -16,7 +16,7 @@
         String requestId,
         String deadline,
         String signature,
-        String target,
+        String targetInstance,
         String load,
         String notRun,
         String callerService,
