--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedServer.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedServer.java
@@ -167,7 +167,7 @@
             head.headers().set(Emulation.NAMES.requestId(), id);
             head.headers().set(Emulation.NAMES.signature(), "s");
             if (notRun) {
-                head.headers().set(Emulation.NAMES.notRun(), "1");
+                head.headers().set(Emulation.NAMES.notExecuted(), "1");
             }
             exchange.onHead(head);
             // One byte stands for an answer that does not wait for the link; its size is told by its request's kind.
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -253,7 +253,7 @@
     public void onHead(HttpResponse head) {
         int status = head.status().code();
         HttpHeaders headers = head.headers();
-        if (headers.contains(names.notRun()) || status == 421) {
+        if (headers.contains(names.notExecuted()) || status == 421) {
             notRun = true;
             return;
         }
--- a/org.berylwick.node/src/org/berylwick/node/lib/HeaderNames.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/HeaderNames.java
@@ -8,7 +8,7 @@
  * @param signature of a backend server's answer over its body
  * @param targetInstance incarnation that alone may run the request
  * @param load running, waiting and slots of a backend server, separated by commas
- * @param notRun marks an answer to a request that was not run
+ * @param notExecuted marks an answer to a request that was not run
  * @param callerService service on the VM where the request began
  * @param instance incarnation that answers
  */
@@ -18,6 +18,6 @@
         String signature,
         String targetInstance,
         String load,
-        String notRun,
+        String notExecuted,
         String callerService,
         String instance) {}
