--- a/org.berylwick.node/src/org/berylwick/node/call/Candidate.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Candidate.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Optional;
-import org.berylwick.node.lib.KindTime;
+import org.berylwick.node.lib.ServiceTimeDistribution;
 import org.berylwick.node.lib.LinkLoad;
 import org.berylwick.node.lib.OwnerLoad;
 import org.berylwick.node.member.Member;
@@ -23,7 +23,7 @@
 public record Candidate(
         Optional<Member> member,
         OwnerLoad load,
-        List<KindTime> serviceTimes,
+        List<ServiceTimeDistribution> serviceTimes,
         int pendingRequests,
         long warmUpNanos,
         LinkLoad link,
--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.DoubleSupplier;
-import org.berylwick.node.lib.KindTime;
+import org.berylwick.node.lib.ServiceTimeDistribution;
 import org.berylwick.node.lib.LinkLoad;
 
 /**
@@ -171,7 +171,7 @@
 
     /** What the caller stands to lose by time after a wait. */
     private static double latenessCost(Candidate candidate, RequestProfile question, double usual, long wait) {
-        KindTime time = serviceTimeOf(candidate, question, usual);
+        ServiceTimeDistribution time = serviceTimeOf(candidate, question, usual);
         long before = wait + transferNanos(candidate, question);
         double late = time.chanceOver(question.objectiveRemainingNanos() - before);
         double never = time.chanceOver(question.deadlineRemainingNanos() - before);
@@ -180,8 +180,8 @@
         return LATE_COST * late + (1 - LATE_COST) * never + ELAPSED_TIME_COST * share;
     }
 
-    private static KindTime serviceTimeOf(Candidate candidate, RequestProfile question, double usual) {
-        for (KindTime time : candidate.serviceTimes()) {
+    private static ServiceTimeDistribution serviceTimeOf(Candidate candidate, RequestProfile question, double usual) {
+        for (ServiceTimeDistribution time : candidate.serviceTimes()) {
             if (time.like().equals(question.requestClass())) {
                 return time;
             }
@@ -191,6 +191,6 @@
         if (candidate.warmUpNanos() > 0) {
             slowness *= WARM_UP_SLOWDOWN;
         }
-        return KindTime.ofMean(question.requestClass(), question.expectedNanos() * slowness);
+        return ServiceTimeDistribution.ofMean(question.requestClass(), question.expectedNanos() * slowness);
     }
 }
--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -12,7 +12,7 @@
 import org.berylwick.node.lib.BackendState;
 import org.berylwick.node.lib.Clock;
 import org.berylwick.node.lib.HeaderNames;
-import org.berylwick.node.lib.KindTime;
+import org.berylwick.node.lib.ServiceTimeDistribution;
 import org.berylwick.node.lib.OwnerLoad;
 import org.berylwick.node.log.Counters;
 import org.berylwick.node.log.Event;
@@ -123,7 +123,7 @@
     }
 
     /** How long it takes for each kind of request that it has seen. */
-    public List<KindTime> times() {
+    public List<ServiceTimeDistribution> times() {
         return backend.map(b -> b.times().distributions()).orElse(List.of());
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -9,7 +9,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 import org.berylwick.node.lib.Clock;
 import org.berylwick.node.lib.HeaderNames;
-import org.berylwick.node.lib.KindTime;
+import org.berylwick.node.lib.ServiceTimeDistribution;
 import org.berylwick.node.lib.RouteKind;
 import org.berylwick.node.log.Event;
 import org.berylwick.node.log.NodeMetricNames;
@@ -87,7 +87,7 @@
     }
 
     /** Sets what it is expected to take. */
-    void expect(KindTime time) {
+    void expect(ServiceTimeDistribution time) {
         expectedNanos = time.meanNanos();
         medianNanos = time.medianNanos();
     }
--- a/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.berylwick.node.lib.KindTime;
+import org.berylwick.node.lib.ServiceTimeDistribution;
 import org.berylwick.node.lib.RequestClass;
 
 /** How long a backend server takes for each kind of request, learnt from its answers; confined to the event loop. */
@@ -31,7 +31,7 @@
     private static final class ClassEstimate {
         private final RequestClass requestClass;
         private double logMean;
-        private double logVariance = KindTime.USUAL_SPREAD * KindTime.USUAL_SPREAD;
+        private double logVariance = ServiceTimeDistribution.USUAL_SPREAD * ServiceTimeDistribution.USUAL_SPREAD;
         private int responses;
 
         ClassEstimate(RequestClass like) {
@@ -50,8 +50,8 @@
             logVariance += VARIANCE_SMOOTHING_FACTOR * (off * off - logVariance);
         }
 
-        KindTime distribution() {
-            return new KindTime(requestClass, (long) Math.exp(logMean), Math.sqrt(logVariance));
+        ServiceTimeDistribution distribution() {
+            return new ServiceTimeDistribution(requestClass, (long) Math.exp(logMean), Math.sqrt(logVariance));
         }
     }
 
@@ -62,14 +62,14 @@
     }
 
     /** The time of a request like this one. */
-    KindTime distribution(CallSpec call) {
+    ServiceTimeDistribution distribution(CallSpec call) {
         ClassEstimate learnt = byClass.get(call.like());
-        return learnt == null ? KindTime.ofMean(call.like(), defaultNanos(call.like())) : learnt.distribution();
+        return learnt == null ? ServiceTimeDistribution.ofMean(call.like(), defaultNanos(call.like())) : learnt.distribution();
     }
 
     /** The times of all kinds that were seen. */
-    List<KindTime> distributions() {
-        List<KindTime> times = new ArrayList<>();
+    List<ServiceTimeDistribution> distributions() {
+        List<ServiceTimeDistribution> times = new ArrayList<>();
         for (ClassEstimate learnt : byClass.values()) {
             if (times.size() < MAX_PUBLISHED_CLASSES) {
                 times.add(learnt.distribution());
--- a/org.berylwick.node/src/org/berylwick/node/lib/KindTime.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/ServiceTimeDistribution.java
@@ -8,7 +8,7 @@
  * @param medianNanos half of the requests take less
  * @param spread standard deviation of the logarithm of the time
  */
-public record KindTime(RequestClass like, long medianNanos, double spread) {
+public record ServiceTimeDistribution(RequestClass like, long medianNanos, double spread) {
     /** The spread of times that were not seen yet; request times of services mostly have 0.4 to 1. */
     public static final double USUAL_SPREAD = 0.6;
     /** With less, the chance of being late would jump where the time is known no better than to some milliseconds. */
@@ -16,14 +16,14 @@
     /** The logistic curve with this slope is the normal one to within 0.01. */
     private static final double LOGISTIC = 1.702;
 
-    public KindTime {
+    public ServiceTimeDistribution {
         spread = Math.max(LEAST_SPREAD, spread);
     }
 
     /** The time of a kind that was not seen, from its mean. */
-    public static KindTime ofMean(RequestClass like, double meanNanos) {
+    public static ServiceTimeDistribution ofMean(RequestClass like, double meanNanos) {
         double median = meanNanos / Math.exp(USUAL_SPREAD * USUAL_SPREAD / 2);
-        return new KindTime(like, (long) median, USUAL_SPREAD);
+        return new ServiceTimeDistribution(like, (long) median, USUAL_SPREAD);
     }
 
     /** The mean time. */
@@ -41,7 +41,7 @@
     }
 
     /** The same on a backend server that takes so many times as long. */
-    public KindTime times(double factor) {
-        return new KindTime(like, (long) (medianNanos * factor), spread);
+    public ServiceTimeDistribution times(double factor) {
+        return new ServiceTimeDistribution(like, (long) (medianNanos * factor), spread);
     }
 }
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeState.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeState.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import org.berylwick.node.lib.BackendState;
-import org.berylwick.node.lib.KindTime;
+import org.berylwick.node.lib.ServiceTimeDistribution;
 import org.berylwick.node.lib.OwnerLoad;
 
 /**
@@ -35,7 +35,7 @@
         BackendState backend,
         long warmUpNanos,
         OwnerLoad load,
-        List<KindTime> times) {
+        List<ServiceTimeDistribution> times) {
     /** Wider links are told as this wide. */
     public static final int MOST_LINK_MBPS = 65_535;
 
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.berylwick.node.lib.BackendState;
-import org.berylwick.node.lib.KindTime;
+import org.berylwick.node.lib.ServiceTimeDistribution;
 import org.berylwick.node.lib.OwnerLoad;
 import org.berylwick.node.lib.RequestClass;
 import org.berylwick.node.lib.RouteKind;
@@ -24,9 +24,9 @@
 
     private NodeStateCodec() {}
 
-    private static List<KindTime> readTimes(ByteBuf in) {
+    private static List<ServiceTimeDistribution> readTimes(ByteBuf in) {
         int count = in.readUnsignedByte();
-        List<KindTime> times = new ArrayList<>(count);
+        List<ServiceTimeDistribution> times = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             int kind = in.readUnsignedByte();
             int priority = in.readByte();
@@ -34,7 +34,7 @@
             long median = in.readInt() * 1_000L;
             double spread = in.readUnsignedShort() / PER_MILLE;
             if (kind < KINDS.length && median > 0) {
-                times.add(new KindTime(new RequestClass(KINDS[kind], priority, objective), median, spread));
+                times.add(new ServiceTimeDistribution(new RequestClass(KINDS[kind], priority, objective), median, spread));
             }
         }
         return times;
@@ -74,7 +74,7 @@
         writeText(s.service(), out);
         writeText(s.incarnation(), out);
         out.writeByte(s.times().size());
-        for (KindTime time : s.times()) {
+        for (ServiceTimeDistribution time : s.times()) {
             out.writeByte(time.like().kind().ordinal());
             out.writeByte(time.like().priority());
             out.writeInt(time.like().objectiveMillis());
@@ -111,7 +111,7 @@
             String zone = readText(in);
             String service = readText(in);
             String incarnation = readText(in);
-            List<KindTime> times = readTimes(in);
+            List<ServiceTimeDistribution> times = readTimes(in);
             NodeState state = new NodeState(
                     boot,
                     sequence,
