--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -182,7 +182,7 @@
 
     private static ServiceTimeDistribution serviceTimeOf(Candidate candidate, RequestProfile question, double usual) {
         for (ServiceTimeDistribution time : candidate.serviceTimes()) {
-            if (time.like().equals(question.requestClass())) {
+            if (time.requestClass().equals(question.requestClass())) {
                 return time;
             }
         }
--- a/org.berylwick.node/src/org/berylwick/node/lib/ServiceTimeDistribution.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/ServiceTimeDistribution.java
@@ -4,11 +4,11 @@
  * How long one backend server takes for requests of one class: a log-normal time, since most requests take little and a
  * few take several times as long.
  *
- * @param like the requests
+ * @param requestClass the requests
  * @param medianNanos half of the requests take less
  * @param spread standard deviation of the logarithm of the time
  */
-public record ServiceTimeDistribution(RequestClass like, long medianNanos, double spread) {
+public record ServiceTimeDistribution(RequestClass requestClass, long medianNanos, double spread) {
     /** The spread of times that were not seen yet; request times of services mostly have 0.4 to 1. */
     public static final double USUAL_SPREAD = 0.6;
     /** With less, the chance of being late would jump where the time is known no better than to some milliseconds. */
@@ -42,6 +42,6 @@
 
     /** The same on a backend server that takes so many times as long. */
     public ServiceTimeDistribution times(double factor) {
-        return new ServiceTimeDistribution(like, (long) (medianNanos * factor), spread);
+        return new ServiceTimeDistribution(requestClass, (long) (medianNanos * factor), spread);
     }
 }
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
@@ -75,9 +75,9 @@
         writeText(s.incarnation(), out);
         out.writeByte(s.times().size());
         for (ServiceTimeDistribution time : s.times()) {
-            out.writeByte(time.like().kind().ordinal());
-            out.writeByte(time.like().priority());
-            out.writeInt(time.like().objectiveMillis());
+            out.writeByte(time.requestClass().kind().ordinal());
+            out.writeByte(time.requestClass().priority());
+            out.writeInt(time.requestClass().objectiveMillis());
             out.writeInt((int) (time.medianNanos() / 1_000));
             out.writeShort((int) (time.spread() * PER_MILLE));
         }
