--- a/org.berylwick.node/src/org/berylwick/node/lib/ServiceTimeDistribution.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/ServiceTimeDistribution.java
@@ -6,9 +6,9 @@
  *
  * @param requestClass the requests
  * @param medianNanos half of the requests take less
- * @param spread standard deviation of the logarithm of the time
+ * @param logStdDev standard deviation of the logarithm of the time
  */
-public record ServiceTimeDistribution(RequestClass requestClass, long medianNanos, double spread) {
+public record ServiceTimeDistribution(RequestClass requestClass, long medianNanos, double logStdDev) {
     /** The spread of times that were not seen yet; request times of services mostly have 0.4 to 1. */
     public static final double USUAL_SPREAD = 0.6;
     /** With less, the chance of being late would jump where the time is known no better than to some milliseconds. */
@@ -17,7 +17,7 @@
     private static final double LOGISTIC = 1.702;
 
     public ServiceTimeDistribution {
-        spread = Math.max(LEAST_SPREAD, spread);
+        logStdDev = Math.max(LEAST_SPREAD, logStdDev);
     }
 
     /** The time of a kind that was not seen, from its mean. */
@@ -28,7 +28,7 @@
 
     /** The mean time. */
     public long meanNanos() {
-        return (long) (medianNanos * Math.exp(spread * spread / 2));
+        return (long) (medianNanos * Math.exp(logStdDev * logStdDev / 2));
     }
 
     /** The chance that a request takes longer than a time. */
@@ -36,12 +36,12 @@
         if (nanos <= 0) {
             return 1;
         }
-        double deviations = Math.log((double) nanos / Math.max(1, medianNanos)) / spread;
+        double deviations = Math.log((double) nanos / Math.max(1, medianNanos)) / logStdDev;
         return 1 / (1 + Math.exp(LOGISTIC * deviations));
     }
 
     /** The same on a backend server that takes so many times as long. */
     public ServiceTimeDistribution times(double factor) {
-        return new ServiceTimeDistribution(requestClass, (long) (medianNanos * factor), spread);
+        return new ServiceTimeDistribution(requestClass, (long) (medianNanos * factor), logStdDev);
     }
 }
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
@@ -79,7 +79,7 @@
             out.writeByte(time.requestClass().priority());
             out.writeInt(time.requestClass().objectiveMillis());
             out.writeInt((int) (time.medianNanos() / 1_000));
-            out.writeShort((int) (time.spread() * PER_MILLE));
+            out.writeShort((int) (time.logStdDev() * PER_MILLE));
         }
         out.writeByte(message.others().size());
         for (String ip : message.others()) {
