--- a/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
@@ -31,7 +31,7 @@
     private static final class ClassEstimate {
         private final RequestClass requestClass;
         private double logMean;
-        private double logVariance = ServiceTimeDistribution.USUAL_SPREAD * ServiceTimeDistribution.USUAL_SPREAD;
+        private double logVariance = ServiceTimeDistribution.DEFAULT_LOG_STD_DEV * ServiceTimeDistribution.DEFAULT_LOG_STD_DEV;
         private int responses;
 
         ClassEstimate(RequestClass like) {
--- a/org.berylwick.node/src/org/berylwick/node/lib/ServiceTimeDistribution.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/ServiceTimeDistribution.java
@@ -10,7 +10,7 @@
  */
 public record ServiceTimeDistribution(RequestClass requestClass, long medianNanos, double logStdDev) {
     /** The spread of times that were not seen yet; request times of services mostly have 0.4 to 1. */
-    public static final double USUAL_SPREAD = 0.6;
+    public static final double DEFAULT_LOG_STD_DEV = 0.6;
     /** With less, the chance of being late would jump where the time is known no better than to some milliseconds. */
     private static final double LEAST_SPREAD = 0.15;
     /** The logistic curve with this slope is the normal one to within 0.01. */
@@ -22,8 +22,8 @@
 
     /** The time of a kind that was not seen, from its mean. */
     public static ServiceTimeDistribution ofMean(RequestClass like, double meanNanos) {
-        double median = meanNanos / Math.exp(USUAL_SPREAD * USUAL_SPREAD / 2);
-        return new ServiceTimeDistribution(like, (long) median, USUAL_SPREAD);
+        double median = meanNanos / Math.exp(DEFAULT_LOG_STD_DEV * DEFAULT_LOG_STD_DEV / 2);
+        return new ServiceTimeDistribution(like, (long) median, DEFAULT_LOG_STD_DEV);
     }
 
     /** The mean time. */
