--- a/org.berylwick.node/src/org/berylwick/node/lib/ServiceTimeDistribution.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/ServiceTimeDistribution.java
@@ -12,12 +12,12 @@
     /** The spread of times that were not seen yet; request times of services mostly have 0.4 to 1. */
     public static final double DEFAULT_LOG_STD_DEV = 0.6;
     /** With less, the chance of being late would jump where the time is known no better than to some milliseconds. */
-    private static final double LEAST_SPREAD = 0.15;
+    private static final double MIN_LOG_STD_DEV = 0.15;
     /** The logistic curve with this slope is the normal one to within 0.01. */
     private static final double LOGISTIC = 1.702;
 
     public ServiceTimeDistribution {
-        logStdDev = Math.max(LEAST_SPREAD, logStdDev);
+        logStdDev = Math.max(MIN_LOG_STD_DEV, logStdDev);
     }
 
     /** The time of a kind that was not seen, from its mean. */
