--- a/org.berylwick.node/src/org/berylwick/node/lib/ServiceTimeDistribution.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/ServiceTimeDistribution.java
@@ -14,7 +14,7 @@
     /** With less, the chance of being late would jump where the time is known no better than to some milliseconds. */
     private static final double MIN_LOG_STD_DEV = 0.15;
     /** The logistic curve with this slope is the normal one to within 0.01. */
-    private static final double LOGISTIC = 1.702;
+    private static final double LOGISTIC_SLOPE = 1.702;
 
     public ServiceTimeDistribution {
         logStdDev = Math.max(MIN_LOG_STD_DEV, logStdDev);
@@ -37,7 +37,7 @@
             return 1;
         }
         double deviations = Math.log((double) nanos / Math.max(1, medianNanos)) / logStdDev;
-        return 1 / (1 + Math.exp(LOGISTIC * deviations));
+        return 1 / (1 + Math.exp(LOGISTIC_SLOPE * deviations));
     }
 
     /** The same on a backend server that takes so many times as long. */
