--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -191,6 +191,6 @@
         if (candidate.warmUpNanos() > 0) {
             slowness *= WARM_UP_SLOWDOWN;
         }
-        return ServiceTimeDistribution.ofMean(question.requestClass(), question.expectedNanos() * slowness);
+        return ServiceTimeDistribution.fromMean(question.requestClass(), question.expectedNanos() * slowness);
     }
 }
--- a/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
@@ -64,7 +64,7 @@
     /** The time of a request like this one. */
     ServiceTimeDistribution distribution(CallSpec call) {
         ClassEstimate learnt = byClass.get(call.like());
-        return learnt == null ? ServiceTimeDistribution.ofMean(call.like(), defaultNanos(call.like())) : learnt.distribution();
+        return learnt == null ? ServiceTimeDistribution.fromMean(call.like(), defaultNanos(call.like())) : learnt.distribution();
     }
 
     /** The times of all kinds that were seen. */
--- a/org.berylwick.node/src/org/berylwick/node/lib/ServiceTimeDistribution.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/ServiceTimeDistribution.java
@@ -21,7 +21,7 @@
     }
 
     /** The time of a kind that was not seen, from its mean. */
-    public static ServiceTimeDistribution ofMean(RequestClass like, double meanNanos) {
+    public static ServiceTimeDistribution fromMean(RequestClass like, double meanNanos) {
         double median = meanNanos / Math.exp(DEFAULT_LOG_STD_DEV * DEFAULT_LOG_STD_DEV / 2);
         return new ServiceTimeDistribution(like, (long) median, DEFAULT_LOG_STD_DEV);
     }
