--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -173,8 +173,8 @@
     private static double latenessCost(Candidate candidate, RequestProfile question, double usual, long wait) {
         ServiceTimeDistribution time = serviceTimeOf(candidate, question, usual);
         long before = wait + transferNanos(candidate, question);
-        double late = time.chanceOver(question.objectiveRemainingNanos() - before);
-        double never = time.chanceOver(question.deadlineRemainingNanos() - before);
+        double late = time.probabilityOfExceeding(question.objectiveRemainingNanos() - before);
+        double never = time.probabilityOfExceeding(question.deadlineRemainingNanos() - before);
         double span = Math.max(1, question.deadlineRemainingNanos());
         double share = Math.min(1, (before + time.medianNanos()) / span);
         return LATE_COST * late + (1 - LATE_COST) * never + ELAPSED_TIME_COST * share;
--- a/org.berylwick.node/src/org/berylwick/node/lib/ServiceTimeDistribution.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/ServiceTimeDistribution.java
@@ -32,7 +32,7 @@
     }
 
     /** The chance that a request takes longer than a time. */
-    public double chanceOver(long nanos) {
+    public double probabilityOfExceeding(long nanos) {
         if (nanos <= 0) {
             return 1;
         }
