--- a/org.berylwick.node/src/org/berylwick/node/lib/ServiceTimeDistribution.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/ServiceTimeDistribution.java
@@ -41,7 +41,7 @@
     }
 
     /** The same on a backend server that takes so many times as long. */
-    public ServiceTimeDistribution times(double factor) {
+    public ServiceTimeDistribution scaledBy(double factor) {
         return new ServiceTimeDistribution(requestClass, (long) (medianNanos * factor), logStdDev);
     }
 }
