--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -113,7 +113,7 @@
             return wait;
         }
         return Math.max(
-                wait, link.answersNanos() - serviceTimeOf(candidate, question, usual).medianNanos());
+                wait, link.pendingResponsesNanos() - serviceTimeOf(candidate, question, usual).medianNanos());
     }
 
     /** How long the request's body and its answer take over the link of another VM. */
--- a/org.berylwick.node/src/org/berylwick/node/lib/LinkLoad.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/LinkLoad.java
@@ -4,10 +4,10 @@
  * The link that leads to a VM.
  *
  * @param busyNanos until what is known to be on its way has come over it
- * @param answersNanos until the large answers that are known to be made there have left over it
+ * @param pendingResponsesNanos until the large answers that are known to be made there have left over it
  * @param mbps its width in Mbit/s, 0 if nothing goes over it or its width is not known
  */
-public record LinkLoad(long busyNanos, long answersNanos, double mbps) {
+public record LinkLoad(long busyNanos, long pendingResponsesNanos, double mbps) {
     /** Nothing goes over it. */
     public static final LinkLoad NONE = new LinkLoad(0, 0, 0);
 
