--- a/org.berylwick.node/src/org/berylwick/node/lib/LinkLoad.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/LinkLoad.java
@@ -12,13 +12,13 @@
     public static final LinkLoad NONE = new LinkLoad(0, 0, 0);
 
     /** What takes longer than this is large. */
-    private static final long LARGE_NANOS = 20_000_000L;
+    private static final long LARGE_TRANSFER_NANOS = 20_000_000L;
 
     private static final double NANOS_PER_BYTE_AT_ONE_MBPS = 8_000;
 
     /** Whether so many bytes have to wait for their turn, as others would have to wait behind them. */
     public boolean isLarge(double bytes) {
-        return nanosOf(bytes) >= LARGE_NANOS;
+        return nanosOf(bytes) >= LARGE_TRANSFER_NANOS;
     }
 
     /** How long so many bytes take to go over it, once it is free. */
