--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -118,7 +118,7 @@
 
     /** How long the request's body and its answer take over the link of another VM. */
     private static long transferNanos(Candidate candidate, RequestProfile question) {
-        return candidate.link().nanosOf(question.expectedBytes());
+        return candidate.link().transferNanos(question.expectedBytes());
     }
 
     /** The longest wait with which a request stands to lose no more than a bound. */
--- a/org.berylwick.node/src/org/berylwick/node/lib/LinkLoad.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/LinkLoad.java
@@ -18,11 +18,11 @@
 
     /** Whether so many bytes have to wait for their turn, as others would have to wait behind them. */
     public boolean isLarge(double bytes) {
-        return nanosOf(bytes) >= LARGE_TRANSFER_NANOS;
+        return transferNanos(bytes) >= LARGE_TRANSFER_NANOS;
     }
 
     /** How long so many bytes take to go over it, once it is free. */
-    public long nanosOf(double bytes) {
+    public long transferNanos(double bytes) {
         return mbps <= 0 ? 0 : (long) (bytes * NANOS_PER_BYTE_AT_ONE_MBPS / mbps);
     }
 }
--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -150,9 +150,9 @@
      */
     public void onSent(Waiting waiting, int bodyBytes, int answerBytes, long now) {
         LinkLoad link = link(now);
-        linkFreeAt = Math.max(now, linkFreeAt) + link.nanosOf(bodyBytes);
+        linkFreeAt = Math.max(now, linkFreeAt) + link.transferNanos(bodyBytes);
         if (link.isLarge(answerBytes)) {
-            answersLeftAt = Math.max(now, answersLeftAt) + link.nanosOf(answerBytes);
+            answersLeftAt = Math.max(now, answersLeftAt) + link.transferNanos(answerBytes);
         }
         inFlight++;
         outstanding.put(waiting, now);
--- a/org.berylwick.node/src/org/berylwick/node/transport/IncomingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/IncomingLink.java
@@ -32,17 +32,17 @@
 
     /** How long what is on its way takes to come in. */
     public long busyNanos() {
-        return free.nanosOf(missing);
+        return free.transferNanos(missing);
     }
 
     /** How many bytes come in within a span, 0 if the link's width is not known. */
     long bytesIn(long nanos) {
-        long perByte = free.nanosOf(MANY_BYTES);
+        long perByte = free.transferNanos(MANY_BYTES);
         return perByte == 0 ? 0 : nanos * MANY_BYTES / perByte;
     }
 
     /** How long so many bytes take to come in. */
     public long nanosOf(int bytes) {
-        return free.nanosOf(bytes);
+        return free.transferNanos(bytes);
     }
 }
--- a/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
@@ -69,7 +69,7 @@
 
     /** How long so many bytes take; 0 on a wide link. */
     public long nanosOf(double bytes) {
-        return free.nanosOf(bytes);
+        return free.transferNanos(bytes);
     }
 
     /** Whether so many bytes have to wait for their turn. */
