--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedNode.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedNode.java
@@ -22,7 +22,7 @@
 import org.berylwick.node.lib.BackendReport;
 import org.berylwick.node.lib.BackendState;
 import org.berylwick.node.lib.PlatformBounds;
-import org.berylwick.node.lib.MeshVersion;
+import org.berylwick.node.lib.ConfigurationVersion;
 import org.berylwick.node.log.Counters;
 import org.berylwick.node.log.Instruments;
 import org.berylwick.node.member.MemberTable;
@@ -214,7 +214,7 @@
         HttpHeaders headers = new DefaultHttpHeaders();
         headers.set(Emulation.NAMES.requestId(), id);
         headers.set(Emulation.NAMES.deadline(), leftNanos / 1_000_000);
-        MeshVersion version = emulation.version();
+        ConfigurationVersion version = emulation.version();
         EntryCalls.CallerRequest request =
                 new EntryCalls.CallerRequest(HttpMethod.GET, "/" + kind.name() + "/x", headers, body);
         CallerCall call =
--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/Emulation.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/Emulation.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Random;
 import org.berylwick.node.lib.HeaderNames;
-import org.berylwick.node.lib.MeshVersion;
+import org.berylwick.node.lib.ConfigurationVersion;
 import org.berylwick.node.lib.Route;
 import org.berylwick.node.lib.WeightedService;
 import org.berylwick.node.log.EventLog;
@@ -34,7 +34,7 @@
     private final Map<String, EmulatedNode> byIp = new HashMap<>();
     private final Map<String, RequestKind> kinds = new HashMap<>();
     private final Map<String, EmulatedRequest> requests = new HashMap<>();
-    private final MeshVersion version;
+    private final ConfigurationVersion version;
     private double load = 1;
     private long nextId;
 
@@ -47,7 +47,7 @@
     public Emulation(Deployment deployment, long seed) {
         this.deployment = deployment;
         this.random = new Random(seed);
-        MeshVersion.Builder builder = new MeshVersion.Builder(1, new byte[0]);
+        ConfigurationVersion.Builder builder = new ConfigurationVersion.Builder(1, new byte[0]);
         for (RequestKind kind : deployment.kinds()) {
             kinds.put(kind.name(), kind);
             builder.service(kind.service(), 100);
@@ -146,7 +146,7 @@
         return log;
     }
 
-    MeshVersion version() {
+    ConfigurationVersion version() {
         return version;
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
@@ -11,7 +11,7 @@
 import org.berylwick.node.lib.BackendReport;
 import org.berylwick.node.lib.BackendState;
 import org.berylwick.node.lib.HeaderNames;
-import org.berylwick.node.lib.MeshVersion;
+import org.berylwick.node.lib.ConfigurationVersion;
 import org.berylwick.node.lib.NodeSettings;
 import org.berylwick.node.log.Event;
 import org.berylwick.node.log.EventLog;
@@ -63,7 +63,7 @@
     }
 
     /** Asks if no backend server is known yet; called with each version, as that tells where to ask. */
-    public void ask(MeshVersion version) {
+    public void ask(ConfigurationVersion version) {
         Optional<String> path = version.healthPath(settings.service());
         if (asking || path.isEmpty() || settings.backend().getPort() == 0) {
             return;
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCalls.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCalls.java
@@ -6,7 +6,7 @@
 import java.util.function.Supplier;
 import org.berylwick.node.lib.Clock;
 import org.berylwick.node.lib.HeaderNames;
-import org.berylwick.node.lib.MeshVersion;
+import org.berylwick.node.lib.ConfigurationVersion;
 import org.berylwick.node.lib.RequestClass;
 import org.berylwick.node.lib.Route;
 import org.berylwick.node.log.Instruments;
@@ -81,7 +81,7 @@
      * @param request of the caller
      * @param sink takes the answer
      */
-    public CallerCall open(MeshVersion version, Route route, CallerRequest request, ReplySink sink) {
+    public CallerCall open(ConfigurationVersion version, Route route, CallerRequest request, ReplySink sink) {
         long now = context.clock().now();
         HttpHeaders headers = Headers.endToEnd(request.headers());
         String id = headers.get(context.names().requestId(), "");
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -30,7 +30,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import org.berylwick.node.lib.CallerLimits;
-import org.berylwick.node.lib.MeshVersion;
+import org.berylwick.node.lib.ConfigurationVersion;
 import org.berylwick.node.lib.Route;
 import org.berylwick.node.log.Event;
 import org.berylwick.node.log.NodeMetricNames;
@@ -143,7 +143,7 @@
     }
 
     private CallerLimits limits() {
-        return services.version().get().map(MeshVersion::limits).orElse(EntryServer.LIMITS_BEFORE_FIRST_VERSION);
+        return services.version().get().map(ConfigurationVersion::limits).orElse(EntryServer.LIMITS_BEFORE_FIRST_VERSION);
     }
 
     private void refuseMalformed(Throwable cause) {
@@ -219,7 +219,7 @@
             reply(503, EntryCall.retryAfter(RETRY_ELSEWHERE_S), Unpooled.EMPTY_BUFFER);
             return;
         }
-        Optional<MeshVersion> version = services.version().get();
+        Optional<ConfigurationVersion> version = services.version().get();
         if (version.isEmpty()) {
             whole.release();
             services.counters().add(NodeMetricNames.ENTRY_REFUSED_NO_VERSION);
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryServer.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import org.berylwick.node.lib.CallerLimits;
-import org.berylwick.node.lib.MeshVersion;
+import org.berylwick.node.lib.ConfigurationVersion;
 import org.berylwick.node.transport.ReceiveWindow;
 
 /** Takes the connections of callers on this VM; confined to the event loop. */
@@ -61,7 +61,7 @@
     }
 
     private CallerLimits limits() {
-        return services.version().get().map(MeshVersion::limits).orElse(LIMITS_BEFORE_FIRST_VERSION);
+        return services.version().get().map(ConfigurationVersion::limits).orElse(LIMITS_BEFORE_FIRST_VERSION);
     }
 
     private void sweep() {
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryServices.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryServices.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 import java.util.function.Supplier;
-import org.berylwick.node.lib.MeshVersion;
+import org.berylwick.node.lib.ConfigurationVersion;
 import org.berylwick.node.log.Counters;
 import org.berylwick.node.log.EventLog;
 import org.berylwick.node.transport.IncomingLink;
@@ -17,7 +17,7 @@
  * @param log takes events
  */
 record EntryServices(
-        Supplier<Optional<MeshVersion>> version,
+        Supplier<Optional<ConfigurationVersion>> version,
         EntryCalls calls,
         IncomingLink link,
         Counters counters,
--- a/org.berylwick.node/src/org/berylwick/node/lib/MeshVersion.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/ConfigurationVersion.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 
 /** One whole accepted version of the configuration, immutable. */
-public final class MeshVersion {
+public final class ConfigurationVersion {
     private final long number;
     private final Map<String, List<Route>> routesByHost;
     private final Map<String, Integer> maxConnections;
@@ -17,7 +17,7 @@
     private final CallerLimits limits;
     private final byte[] source;
 
-    private MeshVersion(Builder builder) {
+    private ConfigurationVersion(Builder builder) {
         this.number = builder.number;
         Map<String, List<Route>> hosts = new HashMap<>();
         for (Map.Entry<String, List<Route>> entry : builder.routesByHost.entrySet()) {
@@ -138,11 +138,11 @@
          *
          * @throws IllegalArgumentException if a route leads to a service that the version lacks
          */
-        public MeshVersion build() {
+        public ConfigurationVersion build() {
             for (List<Route> routes : routesByHost.values()) {
                 routes.forEach(this::requireServices);
             }
-            return new MeshVersion(this);
+            return new ConfigurationVersion(this);
         }
 
         private void requireServices(Route route) {
--- a/org.berylwick.node/src/org/berylwick/node/version/ConfigurationSource.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/ConfigurationSource.java
@@ -1,14 +1,14 @@
 package org.berylwick.node.version;
 
 import java.util.function.Consumer;
-import org.berylwick.node.lib.MeshVersion;
+import org.berylwick.node.lib.ConfigurationVersion;
 
 /** Where accepted versions are kept; asynchronous, answers come on the event loop. */
 public interface ConfigurationSource {
     /** What became of a read. */
     sealed interface Answer {
         /** The newest version, and the store's revision to watch from. */
-        record Found(MeshVersion version, long revision) implements Answer {}
+        record Found(ConfigurationVersion version, long revision) implements Answer {}
 
         /** Nothing new since the revision that was watched. */
         record Unchanged(long revision) implements Answer {}
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionKeeper.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionKeeper.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import org.berylwick.node.lib.MeshVersion;
+import org.berylwick.node.lib.ConfigurationVersion;
 import org.berylwick.node.log.Counters;
 import org.berylwick.node.log.Event;
 import org.berylwick.node.log.EventLog;
@@ -48,7 +48,7 @@
     private final EventLog log;
     private final VersionShelf shelf = new VersionShelf();
     private final VersionFetcher fetcher;
-    private Optional<MeshVersion> version = Optional.empty();
+    private Optional<ConfigurationVersion> version = Optional.empty();
     private long installedAt;
     private boolean storeReached = true;
     private long retryMillis = FIRST_RETRY_MILLIS;
@@ -88,7 +88,7 @@
     }
 
     /** The version in force here. */
-    public Optional<MeshVersion> version() {
+    public Optional<ConfigurationVersion> version() {
         return version;
     }
 
@@ -253,7 +253,7 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    private void install(MeshVersion fresh, String from, Origin origin) {
+    private void install(ConfigurationVersion fresh, String from, Origin origin) {
         if (version.isPresent() && fresh.number() <= version.get().number()) {
             return;
         }
@@ -282,7 +282,7 @@
     }
 
     private long number() {
-        return version.map(MeshVersion::number).orElse(0L);
+        return version.map(ConfigurationVersion::number).orElse(0L);
     }
 
     private void onFetched(Member from, byte[] whole) {
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionShelf.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionShelf.java
@@ -6,7 +6,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Optional;
-import org.berylwick.node.lib.MeshVersion;
+import org.berylwick.node.lib.ConfigurationVersion;
 
 /** The last versions that were in force here, so that other nodes can be sent what changed; on the event loop. */
 final class VersionShelf {
@@ -20,7 +20,7 @@
     private final Map<Long, byte[]> deltas = new HashMap<>();
     private long newest;
 
-    void add(MeshVersion version) {
+    void add(ConfigurationVersion version) {
         newest = version.number();
         sources.put(newest, version.source());
         deltas.clear();
--- a/org.berylwick.test/tst/org/berylwick/node/MemoryConfiguration.java
+++ b/org.berylwick.test/tst/org/berylwick/node/MemoryConfiguration.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
-import org.berylwick.node.lib.MeshVersion;
+import org.berylwick.node.lib.ConfigurationVersion;
 import org.berylwick.node.version.ConfigurationSource;
 
 /** The place where versions are kept, in memory, shared by the nodes of a test; it can be out of reach. */
@@ -21,13 +21,13 @@
             .map(text -> text.substring(Math.max(0, text.length() - 12)))
             .collect(Collectors.joining(","));
 
-    private final Map<Long, MeshVersion> versions = new ConcurrentHashMap<>();
+    private final Map<Long, ConfigurationVersion> versions = new ConcurrentHashMap<>();
     private final List<Runnable> watchers = new ArrayList<>();
     private long newest;
     private boolean down;
 
     /** Accepts a version. */
-    synchronized void accept(MeshVersion version) {
+    synchronized void accept(ConfigurationVersion version) {
         versions.put(version.number(), version);
         newest = version.number();
         List<Runnable> waiting = new ArrayList<>(watchers);
@@ -36,7 +36,7 @@
     }
 
     /** Makes a version readable that only another node has so far. */
-    synchronized void keep(MeshVersion version) {
+    synchronized void keep(ConfigurationVersion version) {
         versions.put(version.number(), version);
     }
 
--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -25,7 +25,7 @@
 import org.berylwick.node.lib.PlatformBounds;
 import org.berylwick.node.lib.CallerLimits;
 import org.berylwick.node.lib.HeaderNames;
-import org.berylwick.node.lib.MeshVersion;
+import org.berylwick.node.lib.ConfigurationVersion;
 import org.berylwick.node.lib.NodeSettings;
 import org.berylwick.node.lib.Route;
 import org.berylwick.node.lib.RouteKind;
@@ -60,7 +60,7 @@
     private final List<EventLog> logs = new ArrayList<>();
 
     /** A rig with node 1, which has no backend server. */
-    static NodeRig ofEntry(MeshVersion version) {
+    static NodeRig ofEntry(ConfigurationVersion version) {
         NodeRig rig = new NodeRig();
         rig.configuration.accept(version);
         rig.start(1, Optional.empty());
@@ -283,8 +283,8 @@
     }
 
     /** A version with a route of each kind under {@code /read/}, {@code /pay/} and {@code /bulk/}. */
-    static MeshVersion version(long number, Consumer<MeshVersion.Builder> more) {
-        MeshVersion.Builder builder = new MeshVersion.Builder(number, MemoryConfiguration.sourceOf(number))
+    static ConfigurationVersion version(long number, Consumer<ConfigurationVersion.Builder> more) {
+        ConfigurationVersion.Builder builder = new ConfigurationVersion.Builder(number, MemoryConfiguration.sourceOf(number))
                 .service("work", 100)
                 .limits(new CallerLimits(16_384, 1 << 20, 3_000_000_000L, 15_000_000_000L))
                 .route(HOST, route("read", "/read/", RouteKind.IDEMPOTENT, 2_000))
@@ -294,7 +294,7 @@
         return builder.build();
     }
 
-    static MeshVersion version(long number) {
+    static ConfigurationVersion version(long number) {
         return version(number, b -> {});
     }
 
--- a/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.concurrent.CopyOnWriteArrayList;
 import org.berylwick.node.lib.BackendState;
-import org.berylwick.node.lib.MeshVersion;
+import org.berylwick.node.lib.ConfigurationVersion;
 import org.berylwick.node.lib.Route;
 import org.berylwick.node.lib.RouteKind;
 import org.berylwick.node.lib.WeightedService;
@@ -22,7 +22,7 @@
 class RestartTest {
     private static final String HEALTH = "/healthy";
 
-    private static MeshVersion version() {
+    private static ConfigurationVersion version() {
         return NodeRig.version(
                 1,
                 b -> b.service("caller-1", 10, HEALTH)
--- a/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
@@ -6,7 +6,7 @@
 import java.io.IOException;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
-import org.berylwick.node.lib.MeshVersion;
+import org.berylwick.node.lib.ConfigurationVersion;
 import org.berylwick.node.lib.Route;
 import org.berylwick.node.lib.RouteKind;
 import org.berylwick.testing.Await;
@@ -125,7 +125,7 @@
         }
     }
 
-    private static MeshVersion versionWith(Route route) {
+    private static ConfigurationVersion versionWith(Route route) {
         return NodeRig.version(1, b -> b.route(NodeRig.HOST, route));
     }
 
--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -9,7 +9,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
-import org.berylwick.node.lib.MeshVersion;
+import org.berylwick.node.lib.ConfigurationVersion;
 import org.berylwick.node.lib.RouteKind;
 import org.berylwick.node.log.Event;
 import org.berylwick.testing.Await;
@@ -177,7 +177,7 @@
         }
     }
 
-    private static MeshVersion versionWithSlowRoute() {
+    private static ConfigurationVersion versionWithSlowRoute() {
         return NodeRig.version(
                 1, b -> b.route(NodeRig.HOST, NodeRig.route("slow", "/slow/", RouteKind.BULK, HANGS_MILLIS)));
     }
--- a/org.berylwick.test/tst/org/berylwick/platform/CodecsTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/CodecsTest.java
@@ -7,7 +7,7 @@
 
 import java.nio.charset.StandardCharsets;
 import org.berylwick.node.lib.BackendState;
-import org.berylwick.node.lib.MeshVersion;
+import org.berylwick.node.lib.ConfigurationVersion;
 import org.berylwick.node.lib.RouteKind;
 import org.berylwick.node.member.HeartbeatProtocol.Announcement;
 import org.berylwick.node.version.ConfigurationSource.Answer;
@@ -62,7 +62,7 @@
 
     @Test
     void configurationIsReadWithItsLongestPrefixFirst() {
-        MeshVersion version =
+        ConfigurationVersion version =
                 assertInstanceOf(Answer.Found.class, decode(CONFIGURATION)).version();
         assertEquals(0x1c, version.number());
         assertEquals(
