--- a/org.berylwick.node/src/org/berylwick/node/lib/ConfigurationVersion.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/ConfigurationVersion.java
@@ -53,7 +53,7 @@
     }
 
     /** The bytes this version was read from, for other nodes; not to be changed. */
-    public byte[] source() {
+    public byte[] encoded() {
         return source;
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionKeeper.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionKeeper.java
@@ -270,7 +270,7 @@
                 "routes",
                 fresh.routeCount(),
                 "bytes",
-                fresh.source().length,
+                fresh.encoded().length,
                 "revision",
                 revision);
         onInstalled.accept(origin);
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionShelf.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionShelf.java
@@ -22,7 +22,7 @@
 
     void add(ConfigurationVersion version) {
         newest = version.number();
-        sources.put(newest, version.source());
+        sources.put(newest, version.encoded());
         deltas.clear();
         long bytes = sources.values().stream().mapToLong(s -> s.length).sum();
         while (sources.size() > 1 && (sources.size() > MOST_VERSIONS || bytes > MOST_BYTES)) {
