--- a/org.berylwick.node/src/org/berylwick/node/lib/ConfigurationVersion.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/ConfigurationVersion.java
@@ -15,7 +15,7 @@
     private final Map<String, Integer> maxConnections;
     private final Map<String, String> healthPaths;
     private final CallerLimits limits;
-    private final byte[] source;
+    private final byte[] encoded;
 
     private ConfigurationVersion(Builder builder) {
         this.number = builder.number;
@@ -29,7 +29,7 @@
         this.maxConnections = Map.copyOf(builder.maxConnections);
         this.healthPaths = Map.copyOf(builder.healthPaths);
         this.limits = builder.limits;
-        this.source = builder.source;
+        this.encoded = builder.source;
     }
 
     /** The version's number; a node only ever installs a higher one. */
@@ -54,7 +54,7 @@
 
     /** The bytes this version was read from, for other nodes; not to be changed. */
     public byte[] encoded() {
-        return source;
+        return encoded;
     }
 
     /** How many routes there are. */
