--- a/org.berylwick.node/src/org/berylwick/node/lib/ConfigurationVersion.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/ConfigurationVersion.java
@@ -29,7 +29,7 @@
         this.maxConnections = Map.copyOf(builder.maxConnections);
         this.healthPaths = Map.copyOf(builder.healthPaths);
         this.limits = builder.limits;
-        this.encoded = builder.source;
+        this.encoded = builder.encoded;
     }
 
     /** The version's number; a node only ever installs a higher one. */
@@ -90,7 +90,7 @@
     /** Collects the parts of a version; {@link #build} makes it whole. */
     public static final class Builder {
         private final long number;
-        private final byte[] source;
+        private final byte[] encoded;
         private final Map<String, List<Route>> routesByHost = new HashMap<>();
         private final Map<String, Integer> maxConnections = new HashMap<>();
         private final Map<String, String> healthPaths = new HashMap<>();
@@ -102,7 +102,7 @@
          */
         public Builder(long number, byte[] source) {
             this.number = number;
-            this.source = source;
+            this.encoded = source;
         }
 
         /** Adds a route of a host. */
