--- a/org.berylwick.node/src/org/berylwick/node/lib/ConfigurationVersion.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/ConfigurationVersion.java
@@ -140,12 +140,12 @@
          */
         public ConfigurationVersion build() {
             for (List<Route> routes : routesByHost.values()) {
-                routes.forEach(this::requireServices);
+                routes.forEach(this::requireKnownServices);
             }
             return new ConfigurationVersion(this);
         }
 
-        private void requireServices(Route route) {
+        private void requireKnownServices(Route route) {
             for (WeightedService part : route.parts()) {
                 if (!maxConnections.containsKey(part.service())) {
                     throw new IllegalArgumentException(
