--- a/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
@@ -65,7 +65,7 @@
     /** Asks if no backend server is known yet; called with each version, as that tells where to ask. */
     public void ask(ConfigurationVersion version) {
         Optional<String> path = version.healthPath(settings.service());
-        if (asking || path.isEmpty() || settings.backend().getPort() == 0) {
+        if (asking || path.isEmpty() || settings.backendAddress().getPort() == 0) {
             return;
         }
         asking = true;
@@ -78,8 +78,8 @@
         }
         tries++;
         HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path);
-        head.headers().set(HttpHeaderNames.HOST, settings.backend().getHostString());
-        ConnectionPool pool = new ConnectionPool(loop, settings.backend(), CONNECT_MILLIS, IDLE_NANOS);
+        head.headers().set(HttpHeaderNames.HOST, settings.backendAddress().getHostString());
+        ConnectionPool pool = new ConnectionPool(loop, settings.backendAddress(), CONNECT_MILLIS, IDLE_NANOS);
         SmallHttpCall.start(loop, pool, head, NO_BODY, TIMEOUT_MILLIS, result -> {
             pool.close();
             onResult(path, result);
@@ -115,7 +115,7 @@
         return Optional.of(new BackendReport(
                 incarnation,
                 settings.service(),
-                settings.backend(),
+                settings.backendAddress(),
                 settings.zone(),
                 slots,
                 BackendState.READY,
--- a/org.berylwick.node/src/org/berylwick/node/lib/NodeSettings.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/NodeSettings.java
@@ -11,7 +11,7 @@
  * @param zone availability zone of the VM
  * @param region of the availability zone
  * @param service of the backend server beside the node, empty if there is none
- * @param backend where the backend server listens
+ * @param backendAddress where the backend server listens
  * @param callers where callers on this VM send their requests
  * @param peers where other nodes send theirs
  * @param readiness where the platform asks whether the node is ready
@@ -32,7 +32,7 @@
         String zone,
         String region,
         String service,
-        InetSocketAddress backend,
+        InetSocketAddress backendAddress,
         InetSocketAddress callers,
         InetSocketAddress peers,
         InetSocketAddress readiness,
