--- a/org.berylwick.node/src/org/berylwick/node/call/CallPath.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallPath.java
@@ -69,7 +69,7 @@
         EntryServer entry = new EntryServer(
                 new EntryServices(callers.version(), calls, link.incoming(), counters, instruments.log()),
                 loop,
-                settings.callers());
+                settings.callerAddress());
         counters.gauge(NodeMetricNames.ENTRY_CONNECTIONS, entry::size);
         counters.gauge(NodeMetricNames.ENTRY_PENDING, entry::pending);
         return entry;
--- a/org.berylwick.node/src/org/berylwick/node/lib/NodeSettings.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/NodeSettings.java
@@ -12,7 +12,7 @@
  * @param region of the availability zone
  * @param service of the backend server beside the node, empty if there is none
  * @param backendAddress where the backend server listens
- * @param callers where callers on this VM send their requests
+ * @param callerAddress where callers on this VM send their requests
  * @param peers where other nodes send theirs
  * @param readiness where the platform asks whether the node is ready
  * @param heartbeats where the backend server announces itself
@@ -33,7 +33,7 @@
         String region,
         String service,
         InetSocketAddress backendAddress,
-        InetSocketAddress callers,
+        InetSocketAddress callerAddress,
         InetSocketAddress peers,
         InetSocketAddress readiness,
         InetSocketAddress heartbeats,
