--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -126,7 +126,7 @@
                 candidates(),
                 budget,
                 new Instruments(counters, log));
-        this.peers = new PeerServer(loop, settings.peers(), owner, link, versions::deliver);
+        this.peers = new PeerServer(loop, settings.peerAddress(), owner, link, versions::deliver);
         this.stop = new NodeStop(
                 loop,
                 settings.bounds().graceNanos(),
@@ -157,7 +157,7 @@
     }
 
     private ConnectionPool connect(String ip) {
-        InetSocketAddress target = new InetSocketAddress(ip, settings.peers().getPort());
+        InetSocketAddress target = new InetSocketAddress(ip, settings.peerAddress().getPort());
         return new ConnectionPool(loop, target, PEER_CONNECT_MILLIS, PEER_IDLE_NANOS);
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/lib/NodeSettings.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/NodeSettings.java
@@ -13,7 +13,7 @@
  * @param service of the backend server beside the node, empty if there is none
  * @param backendAddress where the backend server listens
  * @param callerAddress where callers on this VM send their requests
- * @param peers where other nodes send theirs
+ * @param peerAddress where other nodes send theirs
  * @param readiness where the platform asks whether the node is ready
  * @param heartbeats where the backend server announces itself
  * @param gossipPort UDP port on every VM, for membership
@@ -34,7 +34,7 @@
         String service,
         InetSocketAddress backendAddress,
         InetSocketAddress callerAddress,
-        InetSocketAddress peers,
+        InetSocketAddress peerAddress,
         InetSocketAddress readiness,
         InetSocketAddress heartbeats,
         int gossipPort,
