--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -168,7 +168,7 @@
         gossip.start();
         peers.start();
         entry.start();
-        SmallHttpServer.open(loop, settings.readiness(), q -> answerReadiness());
+        SmallHttpServer.open(loop, settings.readinessAddress(), q -> answerReadiness());
         if (settings.metricsPort() > 0) {
             InetSocketAddress address = new InetSocketAddress(settings.ip(), settings.metricsPort());
             SmallHttpServer.open(
--- a/org.berylwick.node/src/org/berylwick/node/lib/NodeSettings.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/NodeSettings.java
@@ -14,7 +14,7 @@
  * @param backendAddress where the backend server listens
  * @param callerAddress where callers on this VM send their requests
  * @param peerAddress where other nodes send theirs
- * @param readiness where the platform asks whether the node is ready
+ * @param readinessAddress where the platform asks whether the node is ready
  * @param heartbeats where the backend server announces itself
  * @param gossipPort UDP port on every VM, for membership
  * @param metricsPort TCP port on this VM, for counters
@@ -35,7 +35,7 @@
         InetSocketAddress backendAddress,
         InetSocketAddress callerAddress,
         InetSocketAddress peerAddress,
-        InetSocketAddress readiness,
+        InetSocketAddress readinessAddress,
         InetSocketAddress heartbeats,
         int gossipPort,
         int metricsPort,
