--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -164,7 +164,7 @@
     /** Opens the ports and starts. */
     public void start() {
         gauges();
-        SmallHttpServer.open(loop, settings.heartbeats(), this::answerHeartbeat);
+        SmallHttpServer.open(loop, settings.heartbeatAddress(), this::answerHeartbeat);
         gossip.start();
         peers.start();
         entry.start();
--- a/org.berylwick.node/src/org/berylwick/node/lib/NodeSettings.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/NodeSettings.java
@@ -15,7 +15,7 @@
  * @param callerAddress where callers on this VM send their requests
  * @param peerAddress where other nodes send theirs
  * @param readinessAddress where the platform asks whether the node is ready
- * @param heartbeats where the backend server announces itself
+ * @param heartbeatAddress where the backend server announces itself
  * @param gossipPort UDP port on every VM, for membership
  * @param metricsPort TCP port on this VM, for counters
  * @param seeds addresses of nodes that may be alive
@@ -36,7 +36,7 @@
         InetSocketAddress callerAddress,
         InetSocketAddress peerAddress,
         InetSocketAddress readinessAddress,
-        InetSocketAddress heartbeats,
+        InetSocketAddress heartbeatAddress,
         int gossipPort,
         int metricsPort,
         List<InetSocketAddress> seeds,
