--- a/org.berylwick.node/src/org/berylwick/node/lib/NodeSettings.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/NodeSettings.java
@@ -19,7 +19,7 @@
  * @param gossipPort UDP port on every VM, for membership
  * @param metricsPort TCP port on this VM, for counters
  * @param seeds addresses of nodes that may be alive
- * @param store the platform's store
+ * @param storeAddress the platform's store
  * @param heartbeatNanos between two heartbeats of a backend server
  * @param cpuShare of one core
  * @param memoryMb the process may use at most
@@ -40,7 +40,7 @@
         int gossipPort,
         int metricsPort,
         List<InetSocketAddress> seeds,
-        InetSocketAddress store,
+        InetSocketAddress storeAddress,
         long heartbeatNanos,
         double cpuShare,
         int memoryMb,
