--- a/org.berylwick.node/src/org/berylwick/node/lib/ConfigurationVersion.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/ConfigurationVersion.java
@@ -146,7 +146,7 @@
         }
 
         private void requireKnownServices(Route route) {
-            for (WeightedService part : route.parts()) {
+            for (WeightedService part : route.weightedServices()) {
                 if (!maxConnections.containsKey(part.service())) {
                     throw new IllegalArgumentException(
                             "route " + route.name() + " leads to unknown service " + part.service());
--- a/org.berylwick.node/src/org/berylwick/node/lib/Route.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/Route.java
@@ -12,7 +12,7 @@
  * @param objectiveNanos the latency objective, 0 if none was set
  * @param maxAttempts the most backend servers that one request may run on
  * @param priority its rank, 0 the highest
- * @param parts the services that serve it, at least one
+ * @param weightedServices the services that serve it, at least one
  */
 public record Route(
         String name,
@@ -22,10 +22,10 @@
         long objectiveNanos,
         int maxAttempts,
         int priority,
-        List<WeightedService> parts) {
+        List<WeightedService> weightedServices) {
     public Route {
-        parts = List.copyOf(parts);
-        if (parts.isEmpty()) {
+        weightedServices = List.copyOf(weightedServices);
+        if (weightedServices.isEmpty()) {
             throw new IllegalArgumentException("route " + name + " has no service");
         }
     }
@@ -36,20 +36,20 @@
      * @param point in [0, 1), uniformly drawn
      */
     public String serviceAt(double point) {
-        if (parts.size() == 1) {
-            return parts.get(0).service();
+        if (weightedServices.size() == 1) {
+            return weightedServices.get(0).service();
         }
         double total = 0;
-        for (WeightedService part : parts) {
+        for (WeightedService part : weightedServices) {
             total += part.weight();
         }
         double rest = point * total;
-        for (WeightedService part : parts) {
+        for (WeightedService part : weightedServices) {
             rest -= part.weight();
             if (rest < 0) {
                 return part.service();
             }
         }
-        return parts.get(parts.size() - 1).service();
+        return weightedServices.get(weightedServices.size() - 1).service();
     }
 }
