--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedCaller.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedCaller.java
@@ -91,7 +91,7 @@
         account(request, refused);
         long left = deadlineAt - emulation.clock().now();
         boolean again =
-                attempts <= kind.callerRetries() && (refused || kind.kind().isRepeatable()) && left > 0;
+                attempts <= kind.callerRetries() && (refused || kind.kind().isRetryable()) && left > 0;
         if (!again) {
             Outcomes.End refusal = wasRefused ? Outcomes.End.REFUSED_AGAIN : Outcomes.End.REFUSED;
             end(refused ? refusal : Outcomes.End.FAILED);
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -248,7 +248,7 @@
 
     private boolean mayRunAgain(int runs) {
         long enough = (long) (context.habits().expectedNanos(route) * LEAST_TIME);
-        return spec.kind().isRepeatable()
+        return spec.kind().isRetryable()
                 && runs < Math.max(1, route.maxAttempts())
                 && context.clock().now() + enough < spec.deadlineAt();
     }
@@ -275,7 +275,7 @@
         }
         boolean repeated = leavesOther(attempt);
         mayHaveRun += repeated ? 0 : 1;
-        if (status >= 500 && spec.kind().isRepeatable()) {
+        if (status >= 500 && spec.kind().isRetryable()) {
             trace.onEnd(attempt, "status " + status);
             dropFailure();
             failure = Optional.of(new Failure(attempt, status, headers, body));
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -202,7 +202,7 @@
             expiry.cancel();
         }
         expiry = clock.schedule(call.deadlineAt(), this::expire);
-        long freshest = call.kind().isRepeatable() ? Long.MAX_VALUE : to.freshNanos();
+        long freshest = call.kind().isRetryable() ? Long.MAX_VALUE : to.freshNanos();
         to.pool().acquire(freshest, this::send, this::onUnreachable);
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/lib/RouteKind.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/RouteKind.java
@@ -10,7 +10,7 @@
     BULK;
 
     /** Whether a request that may have run can be sent again. */
-    public boolean isRepeatable() {
+    public boolean isRetryable() {
         return this != NON_IDEMPOTENT;
     }
 }
