--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
@@ -20,12 +20,12 @@
 /** Own zone first, small answers spill before large ones, nobody is left without a node. */
 class CandidateChooserTest {
     private static final long MS = 1_000_000L;
-    private static final RequestClass LIKE = new RequestClass(RouteKind.IDEMPOTENT, 1, 600);
+    private static final RequestClass REQUEST_CLASS = new RequestClass(RouteKind.IDEMPOTENT, 1, 600);
     private static final RequestProfile SMALL = question(2_000);
     private static final RequestProfile LARGE = question(90_000);
 
     private static RequestProfile question(double bytes) {
-        return new RequestProfile(LIKE, bytes, 200 * MS, 600 * MS, 4_000 * MS, 1_200 * MS, 1, false);
+        return new RequestProfile(REQUEST_CLASS, bytes, 200 * MS, 600 * MS, 4_000 * MS, 1_200 * MS, 1, false);
     }
 
     private final CandidateChooser chooser = new CandidateChooser(() -> 0.5);
