--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
@@ -21,7 +21,7 @@
 class CandidateChooserTest {
     private static final long MS = 1_000_000L;
     private static final RequestClass REQUEST_CLASS = new RequestClass(RouteKind.IDEMPOTENT, 1, 600);
-    private static final RequestProfile SMALL = question(2_000);
+    private static final RequestProfile SMALL_RESPONSE = question(2_000);
     private static final RequestProfile LARGE = question(90_000);
 
     private static RequestProfile question(double bytes) {
@@ -44,14 +44,14 @@
 
     @Test
     void ownZoneIsKeptThoughABackendServerElsewhereIsFaster() {
-        assertEquals(Distance.SELF, chosen(SMALL, at(Distance.SELF, 11, 220), at(Distance.SAME_REGION, 0, 120)));
+        assertEquals(Distance.SELF, chosen(SMALL_RESPONSE, at(Distance.SELF, 11, 220), at(Distance.SAME_REGION, 0, 120)));
     }
 
     @Test
     void smallAnswersSpillForAWaitThatLargeOnesStayFor() {
         Candidate own = at(Distance.SAME_ZONE, 36, 200);
         Candidate other = at(Distance.SAME_REGION, 2, 200);
-        assertEquals(Distance.SAME_REGION, chosen(SMALL, own, other));
+        assertEquals(Distance.SAME_REGION, chosen(SMALL_RESPONSE, own, other));
         assertEquals(Distance.SAME_ZONE, chosen(LARGE, own, other));
     }
 
@@ -67,9 +67,9 @@
     @Test
     void backendServerThatLosesAnswersIsPassedOver() {
         Candidate other = at(Distance.SAME_REGION, 2, 200);
-        assertEquals(Distance.SAME_REGION, chosen(SMALL, losing(Distance.SAME_ZONE, 300), other));
-        assertEquals(Distance.SAME_ZONE, chosen(SMALL, losing(Distance.SAME_ZONE, 30), other));
-        assertEquals(Distance.SAME_ZONE, chosen(SMALL, losing(Distance.SAME_ZONE, 300), losing(Distance.SAME_REGION, 300)));
+        assertEquals(Distance.SAME_REGION, chosen(SMALL_RESPONSE, losing(Distance.SAME_ZONE, 300), other));
+        assertEquals(Distance.SAME_ZONE, chosen(SMALL_RESPONSE, losing(Distance.SAME_ZONE, 30), other));
+        assertEquals(Distance.SAME_ZONE, chosen(SMALL_RESPONSE, losing(Distance.SAME_ZONE, 300), losing(Distance.SAME_REGION, 300)));
     }
 
     private static Candidate losing(Distance distance, int perMille) {
@@ -83,7 +83,7 @@
         Candidate full = overLink(Distance.SAME_ZONE, 700 * MS);
         Candidate free = overLink(Distance.SAME_REGION, 0);
         assertEquals(Distance.SAME_REGION, chosen(LARGE, full, free));
-        assertEquals(Distance.SAME_ZONE, chosen(SMALL, full, free));
+        assertEquals(Distance.SAME_ZONE, chosen(SMALL_RESPONSE, full, free));
     }
 
     /** Answers that leave while the next one is made cost it nothing. */
@@ -110,22 +110,22 @@
                 Distance.SELF,
                 false,
                 true);
-        assertEquals(Distance.SAME_REGION, chosen(SMALL, suspect, at(Distance.SAME_REGION, 5, 200)));
-        assertEquals(Distance.SELF, chosen(SMALL, suspect));
+        assertEquals(Distance.SAME_REGION, chosen(SMALL_RESPONSE, suspect, at(Distance.SAME_REGION, 5, 200)));
+        assertEquals(Distance.SELF, chosen(SMALL_RESPONSE, suspect));
     }
 
     @Test
     void ownerMayRefuseWhenAnotherIsNearlyAsGood() {
         CandidateChooser.Choice choice = chooser.choose(
-                        List.of(at(Distance.SAME_ZONE, 0, 200), at(Distance.SAME_ZONE, 0, 200)), SMALL)
+                        List.of(at(Distance.SAME_ZONE, 0, 200), at(Distance.SAME_ZONE, 0, 200)), SMALL_RESPONSE)
                 .orElseThrow();
         assertTrue(choice.maxWaitNanos() < 50 * MS, "waits " + choice.maxWaitNanos());
         CandidateChooser.Choice far = chooser.choose(
-                        List.of(at(Distance.SAME_ZONE, 0, 200), at(Distance.SAME_REGION, 0, 200)), SMALL)
+                        List.of(at(Distance.SAME_ZONE, 0, 200), at(Distance.SAME_REGION, 0, 200)), SMALL_RESPONSE)
                 .orElseThrow();
         assertTrue(far.maxWaitNanos() < 400 * MS, "waits " + far.maxWaitNanos());
         CandidateChooser.Choice only =
-                chooser.choose(List.of(at(Distance.SAME_ZONE, 0, 200)), SMALL).orElseThrow();
+                chooser.choose(List.of(at(Distance.SAME_ZONE, 0, 200)), SMALL_RESPONSE).orElseThrow();
         assertTrue(only.maxWaitNanos() > 300 * MS, "waits " + only.maxWaitNanos());
         // Behind that wait it would be late, and others with it.
         assertTrue(only.maxWaitNanos() < 700 * MS, "waits " + only.maxWaitNanos());
@@ -150,13 +150,13 @@
                     random.nextBoolean(),
                     random.nextBoolean()));
         }
-        if (any.choose(candidates, SMALL).isEmpty()) {
+        if (any.choose(candidates, SMALL_RESPONSE).isEmpty()) {
             long soonest = candidates.stream()
                     .mapToLong(c -> c.load().waitNanos(c.pendingRequests()))
                     .min()
                     .orElseThrow();
             assertTrue(soonest > 300 * MS, "refused, though one waits " + soonest + " ns");
         }
-        assertFalse(any.choose(List.of(), SMALL).isPresent());
+        assertFalse(any.choose(List.of(), SMALL_RESPONSE).isPresent());
     }
 }
