--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
@@ -22,7 +22,7 @@
     private static final long MS = 1_000_000L;
     private static final RequestClass REQUEST_CLASS = new RequestClass(RouteKind.IDEMPOTENT, 1, 600);
     private static final RequestProfile SMALL_RESPONSE = question(2_000);
-    private static final RequestProfile LARGE = question(90_000);
+    private static final RequestProfile LARGE_RESPONSE = question(90_000);
 
     private static RequestProfile question(double bytes) {
         return new RequestProfile(REQUEST_CLASS, bytes, 200 * MS, 600 * MS, 4_000 * MS, 1_200 * MS, 1, false);
@@ -52,12 +52,12 @@
         Candidate own = at(Distance.SAME_ZONE, 36, 200);
         Candidate other = at(Distance.SAME_REGION, 2, 200);
         assertEquals(Distance.SAME_REGION, chosen(SMALL_RESPONSE, own, other));
-        assertEquals(Distance.SAME_ZONE, chosen(LARGE, own, other));
+        assertEquals(Distance.SAME_ZONE, chosen(LARGE_RESPONSE, own, other));
     }
 
     @Test
     void largeAnswersSpillWhenTheirZoneCannotServeThemInTime() {
-        assertEquals(Distance.SAME_REGION, chosen(LARGE, at(Distance.SAME_ZONE, 80, 200), at(Distance.SAME_REGION, 0, 200)));
+        assertEquals(Distance.SAME_REGION, chosen(LARGE_RESPONSE, at(Distance.SAME_ZONE, 80, 200), at(Distance.SAME_REGION, 0, 200)));
     }
 
     /**
@@ -82,14 +82,14 @@
     void largeAnswersLeaveALinkThatIsFullOfThem() {
         Candidate full = overLink(Distance.SAME_ZONE, 700 * MS);
         Candidate free = overLink(Distance.SAME_REGION, 0);
-        assertEquals(Distance.SAME_REGION, chosen(LARGE, full, free));
+        assertEquals(Distance.SAME_REGION, chosen(LARGE_RESPONSE, full, free));
         assertEquals(Distance.SAME_ZONE, chosen(SMALL_RESPONSE, full, free));
     }
 
     /** Answers that leave while the next one is made cost it nothing. */
     @Test
     void answersThatHaveLeftBeforeItIsMadeCostNothing() {
-        assertEquals(Distance.SAME_ZONE, chosen(LARGE, overLink(Distance.SAME_ZONE, 150 * MS), overLink(Distance.SAME_REGION, 0)));
+        assertEquals(Distance.SAME_ZONE, chosen(LARGE_RESPONSE, overLink(Distance.SAME_ZONE, 150 * MS), overLink(Distance.SAME_REGION, 0)));
     }
 
     private static Candidate overLink(Distance distance, long answersNanos) {
