--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
@@ -21,10 +21,10 @@
 class CandidateChooserTest {
     private static final long MS = 1_000_000L;
     private static final RequestClass REQUEST_CLASS = new RequestClass(RouteKind.IDEMPOTENT, 1, 600);
-    private static final RequestProfile SMALL_RESPONSE = question(2_000);
-    private static final RequestProfile LARGE_RESPONSE = question(90_000);
+    private static final RequestProfile SMALL_RESPONSE = profile(2_000);
+    private static final RequestProfile LARGE_RESPONSE = profile(90_000);
 
-    private static RequestProfile question(double bytes) {
+    private static RequestProfile profile(double bytes) {
         return new RequestProfile(REQUEST_CLASS, bytes, 200 * MS, 600 * MS, 4_000 * MS, 1_200 * MS, 1, false);
     }
 
