--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
@@ -30,7 +30,7 @@
 
     private final CandidateChooser chooser = new CandidateChooser(() -> 0.5);
 
-    private static Candidate at(Distance distance, int ahead, long meanMillis) {
+    private static Candidate candidate(Distance distance, int ahead, long meanMillis) {
         OwnerLoad load = new OwnerLoad(ahead, 0, 12, meanMillis * MS);
         return new Candidate(Optional.empty(), load, List.of(), ahead, 0, LinkLoad.NONE, distance, false, false);
     }
@@ -44,20 +44,20 @@
 
     @Test
     void ownZoneIsKeptThoughABackendServerElsewhereIsFaster() {
-        assertEquals(Distance.SELF, chosen(SMALL_RESPONSE, at(Distance.SELF, 11, 220), at(Distance.SAME_REGION, 0, 120)));
+        assertEquals(Distance.SELF, chosen(SMALL_RESPONSE, candidate(Distance.SELF, 11, 220), candidate(Distance.SAME_REGION, 0, 120)));
     }
 
     @Test
     void smallAnswersSpillForAWaitThatLargeOnesStayFor() {
-        Candidate own = at(Distance.SAME_ZONE, 36, 200);
-        Candidate other = at(Distance.SAME_REGION, 2, 200);
+        Candidate own = candidate(Distance.SAME_ZONE, 36, 200);
+        Candidate other = candidate(Distance.SAME_REGION, 2, 200);
         assertEquals(Distance.SAME_REGION, chosen(SMALL_RESPONSE, own, other));
         assertEquals(Distance.SAME_ZONE, chosen(LARGE_RESPONSE, own, other));
     }
 
     @Test
     void largeAnswersSpillWhenTheirZoneCannotServeThemInTime() {
-        assertEquals(Distance.SAME_REGION, chosen(LARGE_RESPONSE, at(Distance.SAME_ZONE, 80, 200), at(Distance.SAME_REGION, 0, 200)));
+        assertEquals(Distance.SAME_REGION, chosen(LARGE_RESPONSE, candidate(Distance.SAME_ZONE, 80, 200), candidate(Distance.SAME_REGION, 0, 200)));
     }
 
     /**
@@ -66,7 +66,7 @@
      */
     @Test
     void backendServerThatLosesAnswersIsPassedOver() {
-        Candidate other = at(Distance.SAME_REGION, 2, 200);
+        Candidate other = candidate(Distance.SAME_REGION, 2, 200);
         assertEquals(Distance.SAME_REGION, chosen(SMALL_RESPONSE, losing(Distance.SAME_ZONE, 300), other));
         assertEquals(Distance.SAME_ZONE, chosen(SMALL_RESPONSE, losing(Distance.SAME_ZONE, 30), other));
         assertEquals(Distance.SAME_ZONE, chosen(SMALL_RESPONSE, losing(Distance.SAME_ZONE, 300), losing(Distance.SAME_REGION, 300)));
@@ -110,22 +110,22 @@
                 Distance.SELF,
                 false,
                 true);
-        assertEquals(Distance.SAME_REGION, chosen(SMALL_RESPONSE, suspect, at(Distance.SAME_REGION, 5, 200)));
+        assertEquals(Distance.SAME_REGION, chosen(SMALL_RESPONSE, suspect, candidate(Distance.SAME_REGION, 5, 200)));
         assertEquals(Distance.SELF, chosen(SMALL_RESPONSE, suspect));
     }
 
     @Test
     void ownerMayRefuseWhenAnotherIsNearlyAsGood() {
         CandidateChooser.Choice choice = chooser.choose(
-                        List.of(at(Distance.SAME_ZONE, 0, 200), at(Distance.SAME_ZONE, 0, 200)), SMALL_RESPONSE)
+                        List.of(candidate(Distance.SAME_ZONE, 0, 200), candidate(Distance.SAME_ZONE, 0, 200)), SMALL_RESPONSE)
                 .orElseThrow();
         assertTrue(choice.maxWaitNanos() < 50 * MS, "waits " + choice.maxWaitNanos());
         CandidateChooser.Choice far = chooser.choose(
-                        List.of(at(Distance.SAME_ZONE, 0, 200), at(Distance.SAME_REGION, 0, 200)), SMALL_RESPONSE)
+                        List.of(candidate(Distance.SAME_ZONE, 0, 200), candidate(Distance.SAME_REGION, 0, 200)), SMALL_RESPONSE)
                 .orElseThrow();
         assertTrue(far.maxWaitNanos() < 400 * MS, "waits " + far.maxWaitNanos());
         CandidateChooser.Choice only =
-                chooser.choose(List.of(at(Distance.SAME_ZONE, 0, 200)), SMALL_RESPONSE).orElseThrow();
+                chooser.choose(List.of(candidate(Distance.SAME_ZONE, 0, 200)), SMALL_RESPONSE).orElseThrow();
         assertTrue(only.maxWaitNanos() > 300 * MS, "waits " + only.maxWaitNanos());
         // Behind that wait it would be late, and others with it.
         assertTrue(only.maxWaitNanos() < 700 * MS, "waits " + only.maxWaitNanos());
