--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
@@ -35,7 +35,7 @@
         return new Candidate(Optional.empty(), load, List.of(), ahead, 0, LinkLoad.NONE, distance, false, false);
     }
 
-    private Distance chosen(RequestProfile question, Candidate... candidates) {
+    private Distance chosenDistance(RequestProfile question, Candidate... candidates) {
         return chooser.choose(List.of(candidates), question)
                 .orElseThrow()
                 .candidate()
@@ -44,20 +44,20 @@
 
     @Test
     void ownZoneIsKeptThoughABackendServerElsewhereIsFaster() {
-        assertEquals(Distance.SELF, chosen(SMALL_RESPONSE, candidate(Distance.SELF, 11, 220), candidate(Distance.SAME_REGION, 0, 120)));
+        assertEquals(Distance.SELF, chosenDistance(SMALL_RESPONSE, candidate(Distance.SELF, 11, 220), candidate(Distance.SAME_REGION, 0, 120)));
     }
 
     @Test
     void smallAnswersSpillForAWaitThatLargeOnesStayFor() {
         Candidate own = candidate(Distance.SAME_ZONE, 36, 200);
         Candidate other = candidate(Distance.SAME_REGION, 2, 200);
-        assertEquals(Distance.SAME_REGION, chosen(SMALL_RESPONSE, own, other));
-        assertEquals(Distance.SAME_ZONE, chosen(LARGE_RESPONSE, own, other));
+        assertEquals(Distance.SAME_REGION, chosenDistance(SMALL_RESPONSE, own, other));
+        assertEquals(Distance.SAME_ZONE, chosenDistance(LARGE_RESPONSE, own, other));
     }
 
     @Test
     void largeAnswersSpillWhenTheirZoneCannotServeThemInTime() {
-        assertEquals(Distance.SAME_REGION, chosen(LARGE_RESPONSE, candidate(Distance.SAME_ZONE, 80, 200), candidate(Distance.SAME_REGION, 0, 200)));
+        assertEquals(Distance.SAME_REGION, chosenDistance(LARGE_RESPONSE, candidate(Distance.SAME_ZONE, 80, 200), candidate(Distance.SAME_REGION, 0, 200)));
     }
 
     /**
@@ -67,9 +67,9 @@
     @Test
     void backendServerThatLosesAnswersIsPassedOver() {
         Candidate other = candidate(Distance.SAME_REGION, 2, 200);
-        assertEquals(Distance.SAME_REGION, chosen(SMALL_RESPONSE, losing(Distance.SAME_ZONE, 300), other));
-        assertEquals(Distance.SAME_ZONE, chosen(SMALL_RESPONSE, losing(Distance.SAME_ZONE, 30), other));
-        assertEquals(Distance.SAME_ZONE, chosen(SMALL_RESPONSE, losing(Distance.SAME_ZONE, 300), losing(Distance.SAME_REGION, 300)));
+        assertEquals(Distance.SAME_REGION, chosenDistance(SMALL_RESPONSE, losing(Distance.SAME_ZONE, 300), other));
+        assertEquals(Distance.SAME_ZONE, chosenDistance(SMALL_RESPONSE, losing(Distance.SAME_ZONE, 30), other));
+        assertEquals(Distance.SAME_ZONE, chosenDistance(SMALL_RESPONSE, losing(Distance.SAME_ZONE, 300), losing(Distance.SAME_REGION, 300)));
     }
 
     private static Candidate losing(Distance distance, int perMille) {
@@ -82,14 +82,14 @@
     void largeAnswersLeaveALinkThatIsFullOfThem() {
         Candidate full = overLink(Distance.SAME_ZONE, 700 * MS);
         Candidate free = overLink(Distance.SAME_REGION, 0);
-        assertEquals(Distance.SAME_REGION, chosen(LARGE_RESPONSE, full, free));
-        assertEquals(Distance.SAME_ZONE, chosen(SMALL_RESPONSE, full, free));
+        assertEquals(Distance.SAME_REGION, chosenDistance(LARGE_RESPONSE, full, free));
+        assertEquals(Distance.SAME_ZONE, chosenDistance(SMALL_RESPONSE, full, free));
     }
 
     /** Answers that leave while the next one is made cost it nothing. */
     @Test
     void answersThatHaveLeftBeforeItIsMadeCostNothing() {
-        assertEquals(Distance.SAME_ZONE, chosen(LARGE_RESPONSE, overLink(Distance.SAME_ZONE, 150 * MS), overLink(Distance.SAME_REGION, 0)));
+        assertEquals(Distance.SAME_ZONE, chosenDistance(LARGE_RESPONSE, overLink(Distance.SAME_ZONE, 150 * MS), overLink(Distance.SAME_REGION, 0)));
     }
 
     private static Candidate overLink(Distance distance, long answersNanos) {
@@ -110,8 +110,8 @@
                 Distance.SELF,
                 false,
                 true);
-        assertEquals(Distance.SAME_REGION, chosen(SMALL_RESPONSE, suspect, candidate(Distance.SAME_REGION, 5, 200)));
-        assertEquals(Distance.SELF, chosen(SMALL_RESPONSE, suspect));
+        assertEquals(Distance.SAME_REGION, chosenDistance(SMALL_RESPONSE, suspect, candidate(Distance.SAME_REGION, 5, 200)));
+        assertEquals(Distance.SELF, chosenDistance(SMALL_RESPONSE, suspect));
     }
 
     @Test
