--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
@@ -67,12 +67,12 @@
     @Test
     void backendServerThatLosesAnswersIsPassedOver() {
         Candidate other = candidate(Distance.SAME_REGION, 2, 200);
-        assertEquals(Distance.SAME_REGION, chosenDistance(SMALL_RESPONSE, losing(Distance.SAME_ZONE, 300), other));
-        assertEquals(Distance.SAME_ZONE, chosenDistance(SMALL_RESPONSE, losing(Distance.SAME_ZONE, 30), other));
-        assertEquals(Distance.SAME_ZONE, chosenDistance(SMALL_RESPONSE, losing(Distance.SAME_ZONE, 300), losing(Distance.SAME_REGION, 300)));
+        assertEquals(Distance.SAME_REGION, chosenDistance(SMALL_RESPONSE, lossyCandidate(Distance.SAME_ZONE, 300), other));
+        assertEquals(Distance.SAME_ZONE, chosenDistance(SMALL_RESPONSE, lossyCandidate(Distance.SAME_ZONE, 30), other));
+        assertEquals(Distance.SAME_ZONE, chosenDistance(SMALL_RESPONSE, lossyCandidate(Distance.SAME_ZONE, 300), lossyCandidate(Distance.SAME_REGION, 300)));
     }
 
-    private static Candidate losing(Distance distance, int perMille) {
+    private static Candidate lossyCandidate(Distance distance, int perMille) {
         OwnerLoad load = new OwnerLoad(2, 0, 12, 200 * MS, perMille, 0, 0);
         return new Candidate(Optional.empty(), load, List.of(), 2, 0, LinkLoad.NONE, distance, false, false);
     }
