--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
@@ -80,8 +80,8 @@
     /** Guards against large answers queueing at one VM's link while another's is free, whatever their bytes cost. */
     @Test
     void largeAnswersLeaveALinkThatIsFullOfThem() {
-        Candidate full = overLink(Distance.SAME_ZONE, 700 * MS);
-        Candidate free = overLink(Distance.SAME_REGION, 0);
+        Candidate full = candidateBehindLink(Distance.SAME_ZONE, 700 * MS);
+        Candidate free = candidateBehindLink(Distance.SAME_REGION, 0);
         assertEquals(Distance.SAME_REGION, chosenDistance(LARGE_RESPONSE, full, free));
         assertEquals(Distance.SAME_ZONE, chosenDistance(SMALL_RESPONSE, full, free));
     }
@@ -89,10 +89,10 @@
     /** Answers that leave while the next one is made cost it nothing. */
     @Test
     void answersThatHaveLeftBeforeItIsMadeCostNothing() {
-        assertEquals(Distance.SAME_ZONE, chosenDistance(LARGE_RESPONSE, overLink(Distance.SAME_ZONE, 150 * MS), overLink(Distance.SAME_REGION, 0)));
+        assertEquals(Distance.SAME_ZONE, chosenDistance(LARGE_RESPONSE, candidateBehindLink(Distance.SAME_ZONE, 150 * MS), candidateBehindLink(Distance.SAME_REGION, 0)));
     }
 
-    private static Candidate overLink(Distance distance, long answersNanos) {
+    private static Candidate candidateBehindLink(Distance distance, long answersNanos) {
         OwnerLoad load = new OwnerLoad(0, 0, 12, 200 * MS);
         LinkLoad link = new LinkLoad(0, answersNanos, 7);
         return new Candidate(Optional.empty(), load, List.of(), 0, 0, link, distance, false, false);
