--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void ownZoneIsKeptThoughABackendServerElsewhereIsFaster() {
+    void prefersOwnZoneOverFasterBackendServerInAnotherZone() {
         assertEquals(Distance.SELF, chosenDistance(SMALL_RESPONSE, candidate(Distance.SELF, 11, 220), candidate(Distance.SAME_REGION, 0, 120)));
     }
 
