--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void smallAnswersSpillForAWaitThatLargeOnesStayFor() {
+    void movesSmallResponsesToAnotherZoneAtAShorterWaitThanLargeOnes() {
         Candidate own = candidate(Distance.SAME_ZONE, 36, 200);
         Candidate other = candidate(Distance.SAME_REGION, 2, 200);
         assertEquals(Distance.SAME_REGION, chosenDistance(SMALL_RESPONSE, own, other));
