--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void largeAnswersSpillWhenTheirZoneCannotServeThemInTime() {
+    void movesLargeResponsesToAnotherZoneWhenOwnZoneWouldBeLate() {
         assertEquals(Distance.SAME_REGION, chosenDistance(LARGE_RESPONSE, candidate(Distance.SAME_ZONE, 80, 200), candidate(Distance.SAME_REGION, 0, 200)));
     }
 
