--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
@@ -65,7 +65,7 @@
      * not.
      */
     @Test
-    void backendServerThatLosesAnswersIsPassedOver() {
+    void avoidsBackendServerWithHighLossRate() {
         Candidate other = candidate(Distance.SAME_REGION, 2, 200);
         assertEquals(Distance.SAME_REGION, chosenDistance(SMALL_RESPONSE, lossyCandidate(Distance.SAME_ZONE, 300), other));
         assertEquals(Distance.SAME_ZONE, chosenDistance(SMALL_RESPONSE, lossyCandidate(Distance.SAME_ZONE, 30), other));
