--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
@@ -79,7 +79,7 @@
 
     /** Guards against large answers queueing at one VM's link while another's is free, whatever their bytes cost. */
     @Test
-    void largeAnswersLeaveALinkThatIsFullOfThem() {
+    void movesLargeResponsesAwayFromABusyLink() {
         Candidate full = candidateBehindLink(Distance.SAME_ZONE, 700 * MS);
         Candidate free = candidateBehindLink(Distance.SAME_REGION, 0);
         assertEquals(Distance.SAME_REGION, chosenDistance(LARGE_RESPONSE, full, free));
