--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
@@ -88,7 +88,7 @@
 
     /** Answers that leave while the next one is made cost it nothing. */
     @Test
-    void answersThatHaveLeftBeforeItIsMadeCostNothing() {
+    void ignoresResponsesTransferredBeforeTheNewOneIsReady() {
         assertEquals(Distance.SAME_ZONE, chosenDistance(LARGE_RESPONSE, candidateBehindLink(Distance.SAME_ZONE, 150 * MS), candidateBehindLink(Distance.SAME_REGION, 0)));
     }
 
