--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void suspectIsTakenOnlyIfThereIsNoOther() {
+    void choosesSuspectOnlyWithoutAlternative() {
         Candidate suspect = new Candidate(
                 Optional.empty(),
                 new OwnerLoad(0, 0, 12, 100 * MS),
