--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
@@ -115,7 +115,7 @@
     }
 
     @Test
-    void ownerMayRefuseWhenAnotherIsNearlyAsGood() {
+    void limitsWaitToWhatTheNextBestNodeWouldCost() {
         CandidateChooser.Choice choice = chooser.choose(
                         List.of(candidate(Distance.SAME_ZONE, 0, 200), candidate(Distance.SAME_ZONE, 0, 200)), SMALL_RESPONSE)
                 .orElseThrow();
