--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
@@ -132,7 +132,7 @@
     }
 
     @Property(tries = 200)
-    void someNodeIsChosenUnlessAllWereTriedOrAllWouldBeLate(
+    void choosesANodeUnlessAllWouldBeLate(
             @ForAll @IntRange(min = 1, max = 40) int count, @ForAll long seed) {
         Random random = new Random(seed);
         CandidateChooser any = new CandidateChooser(random::nextDouble);
