--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidatesTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateSamplerTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Which nodes an entry compares for a request. */
-class CandidatesTest {
+class CandidateSamplerTest {
     private static final HeaderNames NAMES =
             new HeaderNames("id", "deadline", "signature", "target", "load", "not-run", "caller", "instance");
     private static final String SERVICE = "work";
