--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateSamplerTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateSamplerTest.java
@@ -28,21 +28,21 @@
     private static final HeaderNames NAMES =
             new HeaderNames("id", "deadline", "signature", "target", "load", "not-run", "caller", "instance");
     private static final String SERVICE = "work";
-    private static final long SILENT = 2_000_000_000L;
+    private static final long SILENCE_THRESHOLD_NANOS = 2_000_000_000L;
     private static final int DRAWS = 4_000;
 
     private final VirtualClock clock = new VirtualClock();
     private final EventLog log = new EventLog("test", OutputStream.nullOutputStream());
     private final MemberTable table = new MemberTable(address -> null, (member, cause) -> {});
     private final Owner owner =
-            new Owner(clock, address -> null, NAMES, VmLink.of(1_000, clock), SILENT, new Counters(), log, () -> {});
+            new Owner(clock, address -> null, NAMES, VmLink.of(1_000, clock), SILENCE_THRESHOLD_NANOS, new Counters(), log, () -> {});
     private final Random random = new Random(1);
     private final CandidateSampler candidates = new CandidateSampler(
             "zone-a",
             "region-1",
             Map.of("zone-a", "region-1", "zone-b", "region-1", "zone-c", "region-2"),
             table,
-            () -> SILENT,
+            () -> SILENCE_THRESHOLD_NANOS,
             owner,
             random::nextDouble);
 
@@ -113,7 +113,7 @@
     @Test
     void silentNodesAreDrawnOnlyIfAllAreSilent() {
         hear("zone-a", 0, 20);
-        clock.runUntil(2 * SILENT);
+        clock.runUntil(2 * SILENCE_THRESHOLD_NANOS);
         hear("zone-b", 20, 21);
         List<Candidate> found = candidates.candidatesFor(SERVICE, Set.of(), clock.now());
         assertEquals(List.of("10.0.0.20"), found.stream().map(Candidate::key).toList());
