--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateSamplerTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateSamplerTest.java
@@ -29,7 +29,7 @@
             new HeaderNames("id", "deadline", "signature", "target", "load", "not-run", "caller", "instance");
     private static final String SERVICE = "work";
     private static final long SILENCE_THRESHOLD_NANOS = 2_000_000_000L;
-    private static final int DRAWS = 4_000;
+    private static final int SAMPLES = 4_000;
 
     private final VirtualClock clock = new VirtualClock();
     private final EventLog log = new EventLog("test", OutputStream.nullOutputStream());
@@ -92,11 +92,11 @@
     void allAreDrawnAlike() {
         hear("zone-a", 0, 10);
         Map<String, Integer> times = new HashMap<>();
-        for (int i = 0; i < DRAWS; i++) {
+        for (int i = 0; i < SAMPLES; i++) {
             candidates.candidatesFor(SERVICE, Set.of(), clock.now()).forEach(c -> times.merge(c.key(), 1, Integer::sum));
         }
         assertEquals(10, times.size());
-        int usual = DRAWS * 2 / 10;
+        int usual = SAMPLES * 2 / 10;
         times.forEach((key, count) ->
                 assertTrue(count > usual * 0.85 && count < usual * 1.15, key + " was drawn " + count + " times"));
     }
