--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateSamplerTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateSamplerTest.java
@@ -33,7 +33,7 @@
 
     private final VirtualClock clock = new VirtualClock();
     private final EventLog log = new EventLog("test", OutputStream.nullOutputStream());
-    private final MemberTable table = new MemberTable(address -> null, (member, cause) -> {});
+    private final MemberTable memberTable = new MemberTable(address -> null, (member, cause) -> {});
     private final Owner owner =
             new Owner(clock, address -> null, NAMES, VmLink.of(1_000, clock), SILENCE_THRESHOLD_NANOS, new Counters(), log, () -> {});
     private final Random random = new Random(1);
@@ -41,7 +41,7 @@
             "zone-a",
             "region-1",
             Map.of("zone-a", "region-1", "zone-b", "region-1", "zone-c", "region-2"),
-            table,
+            memberTable,
             () -> SILENCE_THRESHOLD_NANOS,
             owner,
             random::nextDouble);
@@ -67,7 +67,7 @@
                     0,
                     new OwnerLoad(0, 0, 8, 1),
                     List.of());
-            table.hear("10.0.0." + i, state, clock.now());
+            memberTable.hear("10.0.0." + i, state, clock.now());
         }
     }
 
