--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateSamplerTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateSamplerTest.java
@@ -37,7 +37,7 @@
     private final Owner owner =
             new Owner(clock, address -> null, NAMES, VmLink.of(1_000, clock), SILENCE_THRESHOLD_NANOS, new Counters(), log, () -> {});
     private final Random random = new Random(1);
-    private final CandidateSampler candidates = new CandidateSampler(
+    private final CandidateSampler sampler = new CandidateSampler(
             "zone-a",
             "region-1",
             Map.of("zone-a", "region-1", "zone-b", "region-1", "zone-c", "region-2"),
@@ -72,7 +72,7 @@
     }
 
     private Map<Candidate.Distance, Long> drawn(Set<String> tried) {
-        return candidates.candidatesFor(SERVICE, tried, clock.now()).stream()
+        return sampler.candidatesFor(SERVICE, tried, clock.now()).stream()
                 .collect(Collectors.groupingBy(Candidate::distance, Collectors.counting()));
     }
 
@@ -93,7 +93,7 @@
         hear("zone-a", 0, 10);
         Map<String, Integer> times = new HashMap<>();
         for (int i = 0; i < SAMPLES; i++) {
-            candidates.candidatesFor(SERVICE, Set.of(), clock.now()).forEach(c -> times.merge(c.key(), 1, Integer::sum));
+            sampler.candidatesFor(SERVICE, Set.of(), clock.now()).forEach(c -> times.merge(c.key(), 1, Integer::sum));
         }
         assertEquals(10, times.size());
         int usual = SAMPLES * 2 / 10;
@@ -115,10 +115,10 @@
         hear("zone-a", 0, 20);
         clock.runUntil(2 * SILENCE_THRESHOLD_NANOS);
         hear("zone-b", 20, 21);
-        List<Candidate> found = candidates.candidatesFor(SERVICE, Set.of(), clock.now());
+        List<Candidate> found = sampler.candidatesFor(SERVICE, Set.of(), clock.now());
         assertEquals(List.of("10.0.0.20"), found.stream().map(Candidate::key).toList());
         assertFalse(found.get(0).suspect());
-        List<Candidate> rest = candidates.candidatesFor(SERVICE, Set.of("10.0.0.20"), clock.now());
+        List<Candidate> rest = sampler.candidatesFor(SERVICE, Set.of("10.0.0.20"), clock.now());
         assertEquals(2, rest.size());
         assertTrue(rest.stream().allMatch(Candidate::suspect));
     }
@@ -128,8 +128,8 @@
     void triedOnesAreNotDrawn() {
         hear("zone-a", 0, 3);
         Set<String> tried = Set.of("10.0.0.0", "10.0.0.2");
-        List<Candidate> found = candidates.candidatesFor(SERVICE, tried, clock.now());
+        List<Candidate> found = sampler.candidatesFor(SERVICE, tried, clock.now());
         assertEquals(List.of("10.0.0.1"), found.stream().map(Candidate::key).toList());
-        assertEquals(List.of(), candidates.candidatesFor("another", Set.of(), clock.now()));
+        assertEquals(List.of(), sampler.candidatesFor("another", Set.of(), clock.now()));
     }
 }
