--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateSamplerTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateSamplerTest.java
@@ -51,7 +51,7 @@
         log.close();
     }
 
-    private void hear(String zone, int from, int to) {
+    private void addMembers(String zone, int from, int to) {
         for (int i = from; i < to; i++) {
             NodeState state = new NodeState(
                     1,
@@ -79,9 +79,9 @@
     /** With the many that a large fleet has, two are drawn from here, two from the region, and one from elsewhere. */
     @Test
     void fewOfManyAreDrawnNearOnesToo() {
-        hear("zone-a", 0, 20);
-        hear("zone-b", 20, 60);
-        hear("zone-c", 60, 90);
+        addMembers("zone-a", 0, 20);
+        addMembers("zone-b", 20, 60);
+        addMembers("zone-c", 60, 90);
         assertEquals(
                 Map.of(Candidate.Distance.SAME_ZONE, 2L, Candidate.Distance.SAME_REGION, 2L, Candidate.Distance.OTHER_REGION, 1L),
                 drawn(Set.of()));
@@ -90,7 +90,7 @@
     /** Each is drawn as often as any other of its zone, so no two entries compare the same few for long. */
     @Test
     void allAreDrawnAlike() {
-        hear("zone-a", 0, 10);
+        addMembers("zone-a", 0, 10);
         Map<String, Integer> times = new HashMap<>();
         for (int i = 0; i < SAMPLES; i++) {
             sampler.candidatesFor(SERVICE, Set.of(), clock.now()).forEach(c -> times.merge(c.key(), 1, Integer::sum));
@@ -104,17 +104,17 @@
     /** Where a zone has too few, others fill up: somebody must be compared. */
     @Test
     void othersFillUpWhereAZoneHasTooFew() {
-        hear("zone-a", 0, 1);
-        hear("zone-b", 1, 30);
+        addMembers("zone-a", 0, 1);
+        addMembers("zone-b", 1, 30);
         assertEquals(Map.of(Candidate.Distance.SAME_ZONE, 1L, Candidate.Distance.SAME_REGION, 3L), drawn(Set.of()));
     }
 
     /** Half of a fleet was killed: the dead ones are not drawn while one lives, however few that are. */
     @Test
     void silentNodesAreDrawnOnlyIfAllAreSilent() {
-        hear("zone-a", 0, 20);
+        addMembers("zone-a", 0, 20);
         clock.runUntil(2 * SILENCE_THRESHOLD_NANOS);
-        hear("zone-b", 20, 21);
+        addMembers("zone-b", 20, 21);
         List<Candidate> found = sampler.candidatesFor(SERVICE, Set.of(), clock.now());
         assertEquals(List.of("10.0.0.20"), found.stream().map(Candidate::key).toList());
         assertFalse(found.get(0).suspect());
@@ -126,7 +126,7 @@
     /** What a request was refused by is not asked again. */
     @Test
     void triedOnesAreNotDrawn() {
-        hear("zone-a", 0, 3);
+        addMembers("zone-a", 0, 3);
         Set<String> tried = Set.of("10.0.0.0", "10.0.0.2");
         List<Candidate> found = sampler.candidatesFor(SERVICE, tried, clock.now());
         assertEquals(List.of("10.0.0.1"), found.stream().map(Candidate::key).toList());
