--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateSamplerTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateSamplerTest.java
@@ -71,7 +71,7 @@
         }
     }
 
-    private Map<Candidate.Distance, Long> drawn(Set<String> tried) {
+    private Map<Candidate.Distance, Long> countByDistance(Set<String> tried) {
         return sampler.candidatesFor(SERVICE, tried, clock.now()).stream()
                 .collect(Collectors.groupingBy(Candidate::distance, Collectors.counting()));
     }
@@ -84,7 +84,7 @@
         addMembers("zone-c", 60, 90);
         assertEquals(
                 Map.of(Candidate.Distance.SAME_ZONE, 2L, Candidate.Distance.SAME_REGION, 2L, Candidate.Distance.OTHER_REGION, 1L),
-                drawn(Set.of()));
+                countByDistance(Set.of()));
     }
 
     /** Each is drawn as often as any other of its zone, so no two entries compare the same few for long. */
@@ -106,7 +106,7 @@
     void othersFillUpWhereAZoneHasTooFew() {
         addMembers("zone-a", 0, 1);
         addMembers("zone-b", 1, 30);
-        assertEquals(Map.of(Candidate.Distance.SAME_ZONE, 1L, Candidate.Distance.SAME_REGION, 3L), drawn(Set.of()));
+        assertEquals(Map.of(Candidate.Distance.SAME_ZONE, 1L, Candidate.Distance.SAME_REGION, 3L), countByDistance(Set.of()));
     }
 
     /** Half of a fleet was killed: the dead ones are not drawn while one lives, however few that are. */
