--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateSamplerTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateSamplerTest.java
@@ -78,7 +78,7 @@
 
     /** With the many that a large fleet has, two are drawn from here, two from the region, and one from elsewhere. */
     @Test
-    void fewOfManyAreDrawnNearOnesToo() {
+    void samplesAFewMembersOfEachDistance() {
         addMembers("zone-a", 0, 20);
         addMembers("zone-b", 20, 60);
         addMembers("zone-c", 60, 90);
