--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateSamplerTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateSamplerTest.java
@@ -89,7 +89,7 @@
 
     /** Each is drawn as often as any other of its zone, so no two entries compare the same few for long. */
     @Test
-    void allAreDrawnAlike() {
+    void samplesMembersUniformly() {
         addMembers("zone-a", 0, 10);
         Map<String, Integer> times = new HashMap<>();
         for (int i = 0; i < SAMPLES; i++) {
