--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateSamplerTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateSamplerTest.java
@@ -103,7 +103,7 @@
 
     /** Where a zone has too few, others fill up: somebody must be compared. */
     @Test
-    void othersFillUpWhereAZoneHasTooFew() {
+    void samplesOtherZonesWhenOwnZoneHasTooFewMembers() {
         addMembers("zone-a", 0, 1);
         addMembers("zone-b", 1, 30);
         assertEquals(Map.of(Candidate.Distance.SAME_ZONE, 1L, Candidate.Distance.SAME_REGION, 3L), countByDistance(Set.of()));
