--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateSamplerTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateSamplerTest.java
@@ -111,7 +111,7 @@
 
     /** Half of a fleet was killed: the dead ones are not drawn while one lives, however few that are. */
     @Test
-    void silentNodesAreDrawnOnlyIfAllAreSilent() {
+    void samplesSilentMembersOnlyIfAllAreSilent() {
         addMembers("zone-a", 0, 20);
         clock.runUntil(2 * SILENCE_THRESHOLD_NANOS);
         addMembers("zone-b", 20, 21);
