--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateSamplerTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateSamplerTest.java
@@ -125,7 +125,7 @@
 
     /** What a request was refused by is not asked again. */
     @Test
-    void triedOnesAreNotDrawn() {
+    void doesNotSampleExcludedMembers() {
         addMembers("zone-a", 0, 3);
         Set<String> tried = Set.of("10.0.0.0", "10.0.0.2");
         List<Candidate> found = sampler.candidatesFor(SERVICE, tried, clock.now());
