--- a/org.berylwick.test/tst/org/berylwick/node/call/RetryBudgetTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/RetryBudgetTest.java
@@ -23,7 +23,7 @@
      * the calling service makes calls to the called one, which count as repeats there.
      */
     @Property(tries = 40)
-    void fleetStaysWithinItsAllowance(
+    void fleetStaysWithinRetryAllowance(
             @ForAll @IntRange(min = 1, max = 40) int nodes,
             @ForAll @DoubleRange(min = 0.2, max = 1.0) double callsForEachRequest,
             @ForAll long seed) {
