--- a/org.berylwick.test/tst/org/berylwick/node/call/RetryBudgetTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/RetryBudgetTest.java
@@ -60,7 +60,7 @@
      * Seven runs of ten make calls. Seen in scale-1 of the small twin of grown Dakar: 633 arrivals, 569 allowed.
      */
     @Property(tries = 40)
-    void runsThatFailByTheirCallsDoNotFloodTheCalledService(
+    void retriesOfFailedCallersStayWithinAllowanceOfCalledService(
             @ForAll @IntRange(min = 1, max = 40) int nodes, @ForAll long seed) {
         Random random = new Random(seed);
         List<RetryBudget> budgets = new ArrayList<>();
