--- a/org.berylwick.test/tst/org/berylwick/node/call/RetryBudgetTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/RetryBudgetTest.java
@@ -100,7 +100,7 @@
      * Before, each of ten took the whole slack for its own.
      */
     @Example
-    void fleetThatWasKilledDoesNotSpendItsSlackAgain() {
+    void restartedFleetDoesNotSpendSlackTwice() {
         int nodes = 10;
         long repeats = 0;
         for (int life = 0; life < 2; life++) {
