--- a/org.berylwick.test/tst/org/berylwick/node/call/RetryBudgetTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/RetryBudgetTest.java
@@ -122,13 +122,13 @@
     private static void assertWithinAllowance(List<Long> requests, List<Long> repeats) {
         assertFalse(repeats.isEmpty(), "nothing was repeated");
         for (long from = WINDOW; from < 3 * WINDOW; from += WINDOW / 7) {
-            long allowed = (long) (0.2 * within(requests, from) + 58);
-            long sent = within(repeats, from);
+            long allowed = (long) (0.2 * countWithin(requests, from) + 58);
+            long sent = countWithin(repeats, from);
             assertTrue(sent <= allowed, sent + " repeats from " + from + ", allowed " + allowed);
         }
     }
 
-    private static long within(List<Long> times, long from) {
+    private static long countWithin(List<Long> times, long from) {
         return times.stream().filter(t -> t >= from && t < from + WINDOW).count();
     }
 }
