--- a/org.berylwick.node/src/org/berylwick/node/call/ResponseEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ResponseEstimator.java
@@ -31,8 +31,8 @@
         updateMean(meanNanosByClass, route, nanos);
     }
 
-    private static void updateMean(Map<String, double[]> byKind, Route route, double value) {
-        double[] mean = byKind.computeIfAbsent(key(route), k -> new double[] {value});
+    private static void updateMean(Map<String, double[]> meansByClass, Route route, double value) {
+        double[] mean = meansByClass.computeIfAbsent(key(route), k -> new double[] {value});
         mean[0] += SMOOTHING_FACTOR * (value - mean[0]);
     }
 
