--- a/org.berylwick.node/src/org/berylwick/node/call/CallerWaitEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallerWaitEstimator.java
@@ -22,15 +22,15 @@
     /**
      * How long the caller of a request has waited before it was sent.
      *
-     * @param route its name
-     * @param waitNanos how long it will wait from now on
+     * @param routeName its name
+     * @param timeoutNanos how long it will wait from now on
      */
-    long waitedNanos(String route, long waitNanos) {
+    long waitedNanos(String routeName, long timeoutNanos) {
         if (longestTimeoutByRoute.size() >= MAX_ROUTES) {
             longestTimeoutByRoute.clear();
         }
-        long usual = longestTimeoutByRoute.merge(route, waitNanos, Math::max);
-        long waited = usual - waitNanos;
+        long fullTimeoutNanos = longestTimeoutByRoute.merge(routeName, timeoutNanos, Math::max);
+        long waited = fullTimeoutNanos - timeoutNanos;
         return waited < TOLERANCE_NANOS ? 0 : waited;
     }
 }
