--- a/org.berylwick.node/src/org/berylwick/node/call/CallerRetryRate.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallerRetryRate.java
@@ -23,19 +23,19 @@
         private double retried = DEFAULT_RATE;
     }
 
-    void onRefused(RequestClass like) {
-        Counts counts = byClass.computeIfAbsent(like, l -> new Counts());
+    void onRefused(RequestClass requestClass) {
+        Counts counts = byClass.computeIfAbsent(requestClass, key -> new Counts());
         counts.refused += 1 - SMOOTHING_FACTOR * counts.refused;
         counts.retried -= SMOOTHING_FACTOR * counts.retried;
     }
 
-    void onRetried(RequestClass like) {
-        byClass.computeIfAbsent(like, l -> new Counts()).retried++;
+    void onRetried(RequestClass requestClass) {
+        byClass.computeIfAbsent(requestClass, key -> new Counts()).retried++;
     }
 
     /** The part of those refused that come back. */
-    double retryRate(RequestClass like) {
-        Counts counts = byClass.get(like);
+    double retryRate(RequestClass requestClass) {
+        Counts counts = byClass.get(requestClass);
         return counts == null ? DEFAULT_RATE : Math.min(1, counts.retried / counts.refused);
     }
 }
