--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -55,9 +55,9 @@
 
     private final DoubleSupplier random;
 
-    /** @param chance uniform in [0, 1) */
-    public CandidateChooser(DoubleSupplier chance) {
-        this.random = chance;
+    /** @param random uniform in [0, 1) */
+    public CandidateChooser(DoubleSupplier random) {
+        this.random = random;
     }
 
     /**
@@ -72,22 +72,22 @@
      * Chooses.
      *
      * @param candidates nodes whose backend server serves the request's service
-     * @param question about the request
+     * @param profile about the request
      * @return empty if there is none, or if it is better refused
      */
-    Optional<Choice> choose(List<Candidate> candidates, RequestProfile question) {
-        double usual = averageMeanNanos(candidates);
-        double refused = 1 - (1 - REFUSAL_COST) * question.callerRetryProbability();
+    Optional<Choice> choose(List<Candidate> candidates, RequestProfile profile) {
+        double averageMeanNanos = averageMeanNanos(candidates);
+        double refusalCost = 1 - (1 - REFUSAL_COST) * profile.callerRetryProbability();
         Candidate best = null;
         double bestCost = Double.MAX_VALUE;
         double nextCost = Double.MAX_VALUE;
         for (Candidate candidate : candidates) {
-            long wait = expectedWaitNanos(candidate, question, usual);
-            double lateness = latenessCost(candidate, question, usual, wait);
-            if (wait > 0 && (wait > question.maxWaitNanos() || lateness > refused)) {
+            long waitNanos = expectedWaitNanos(candidate, profile, averageMeanNanos);
+            double latenessCost = latenessCost(candidate, profile, averageMeanNanos, waitNanos);
+            if (waitNanos > 0 && (waitNanos > profile.maxWaitNanos() || latenessCost > refusalCost)) {
                 continue;
             }
-            double cost = timeIndependentCost(candidate, question) + lateness + random.getAsDouble() * MAX_COST_JITTER;
+            double cost = timeIndependentCost(candidate, profile) + latenessCost + random.getAsDouble() * MAX_COST_JITTER;
             if (cost < bestCost) {
                 nextCost = bestCost;
                 bestCost = cost;
@@ -99,43 +99,43 @@
         if (best == null) {
             return Optional.empty();
         }
-        long wait = expectedWaitNanos(best, question, usual);
-        double now = latenessCost(best, question, usual, wait);
-        double room = question.finalAttempt() ? refused - now : Math.min(refused - now, nextCost - bestCost);
-        return Optional.of(new Choice(best, longestAcceptableWaitNanos(best, question, usual, wait, now + Math.max(0, room))));
+        long waitNanos = expectedWaitNanos(best, profile, averageMeanNanos);
+        double bestLatenessCost = latenessCost(best, profile, averageMeanNanos, waitNanos);
+        double costMargin = profile.finalAttempt() ? refusalCost - bestLatenessCost : Math.min(refusalCost - bestLatenessCost, nextCost - bestCost);
+        return Optional.of(new Choice(best, longestAcceptableWaitNanos(best, profile, averageMeanNanos, waitNanos, bestLatenessCost + Math.max(0, costMargin))));
     }
 
     /** For a slot, or until the link has room: for what is on its way there, and for the answer once it is made. */
-    private static long expectedWaitNanos(Candidate candidate, RequestProfile question, double usual) {
+    private static long expectedWaitNanos(Candidate candidate, RequestProfile profile, double averageMeanNanos) {
         LinkLoad link = candidate.link();
-        long wait = Math.max(candidate.load().waitNanos(candidate.pendingRequests()), link.busyNanos());
-        if (!link.isLarge(question.expectedBytes())) {
-            return wait;
+        long waitNanos = Math.max(candidate.load().waitNanos(candidate.pendingRequests()), link.busyNanos());
+        if (!link.isLarge(profile.expectedBytes())) {
+            return waitNanos;
         }
         return Math.max(
-                wait, link.pendingResponsesNanos() - serviceTimeOf(candidate, question, usual).medianNanos());
+                waitNanos, link.pendingResponsesNanos() - serviceTimeOf(candidate, profile, averageMeanNanos).medianNanos());
     }
 
     /** How long the request's body and its answer take over the link of another VM. */
-    private static long transferNanos(Candidate candidate, RequestProfile question) {
-        return candidate.link().transferNanos(question.expectedBytes());
+    private static long transferNanos(Candidate candidate, RequestProfile profile) {
+        return candidate.link().transferNanos(profile.expectedBytes());
     }
 
     /** The longest wait with which a request stands to lose no more than a bound. */
     private static long longestAcceptableWaitNanos(
-            Candidate candidate, RequestProfile question, double usual, long least, double bound) {
-        long low = least;
-        long high = Math.max(least, question.deadlineRemainingNanos());
+            Candidate candidate, RequestProfile profile, double averageMeanNanos, long minWaitNanos, double maxCost) {
+        long low = minWaitNanos;
+        long high = Math.max(minWaitNanos, profile.deadlineRemainingNanos());
         for (int i = 0; i < BISECTION_STEPS; i++) {
             long middle = low + (high - low) / 2;
-            if (latenessCost(candidate, question, usual, middle) <= bound) {
+            if (latenessCost(candidate, profile, averageMeanNanos, middle) <= maxCost) {
                 low = middle;
             } else {
                 high = middle;
             }
         }
-        long stale = (long) (STALENESS_MARGIN * Math.max(question.objectiveRemainingNanos(), question.deadlineRemainingNanos() / 4));
-        return Math.min(Math.max(0, question.maxWaitNanos()), low + stale);
+        long stalenessNanos = (long) (STALENESS_MARGIN * Math.max(profile.objectiveRemainingNanos(), profile.deadlineRemainingNanos() / 4));
+        return Math.min(Math.max(0, profile.maxWaitNanos()), low + stalenessNanos);
     }
 
     private static double averageMeanNanos(List<Candidate> candidates) {
@@ -151,46 +151,46 @@
     }
 
     /** What does not depend on time. */
-    private double timeIndependentCost(Candidate candidate, RequestProfile question) {
+    private double timeIndependentCost(Candidate candidate, RequestProfile profile) {
         double cost = LOSS_COST * candidate.load().lostPerMille() / 1e3;
         if (candidate.suspect()) {
             cost += SUSPECT_COST;
         }
-        double bytes = Math.min(MAX_BYTES_COST, (question.expectedBytes() + HEADER_BYTES) / BYTES_PER_UNIT_COST);
-        if (candidate.neverUsed() && bytes < NEVER_USED_DISCOUNT && random.getAsDouble() < NEVER_USED_PROBABILITY) {
+        double bytesCost = Math.min(MAX_BYTES_COST, (profile.expectedBytes() + HEADER_BYTES) / BYTES_PER_UNIT_COST);
+        if (candidate.neverUsed() && bytesCost < NEVER_USED_DISCOUNT && random.getAsDouble() < NEVER_USED_PROBABILITY) {
             cost -= NEVER_USED_DISCOUNT;
         }
         return cost
                 + switch (candidate.distance()) {
                     case SELF -> 0;
                     case SAME_ZONE -> SAME_ZONE_COST;
-                    case SAME_REGION -> SAME_REGION_COST + bytes;
-                    case OTHER_REGION -> OTHER_REGION_COST + bytes;
+                    case SAME_REGION -> SAME_REGION_COST + bytesCost;
+                    case OTHER_REGION -> OTHER_REGION_COST + bytesCost;
                 };
     }
 
     /** What the caller stands to lose by time after a wait. */
-    private static double latenessCost(Candidate candidate, RequestProfile question, double usual, long wait) {
-        ServiceTimeDistribution time = serviceTimeOf(candidate, question, usual);
-        long before = wait + transferNanos(candidate, question);
-        double late = time.probabilityOfExceeding(question.objectiveRemainingNanos() - before);
-        double never = time.probabilityOfExceeding(question.deadlineRemainingNanos() - before);
-        double span = Math.max(1, question.deadlineRemainingNanos());
-        double share = Math.min(1, (before + time.medianNanos()) / span);
-        return LATE_COST * late + (1 - LATE_COST) * never + ELAPSED_TIME_COST * share;
+    private static double latenessCost(Candidate candidate, RequestProfile profile, double averageMeanNanos, long waitNanos) {
+        ServiceTimeDistribution serviceTime = serviceTimeOf(candidate, profile, averageMeanNanos);
+        long delayNanos = waitNanos + transferNanos(candidate, profile);
+        double lateProbability = serviceTime.probabilityOfExceeding(profile.objectiveRemainingNanos() - delayNanos);
+        double missedProbability = serviceTime.probabilityOfExceeding(profile.deadlineRemainingNanos() - delayNanos);
+        double remainingNanos = Math.max(1, profile.deadlineRemainingNanos());
+        double elapsedFraction = Math.min(1, (delayNanos + serviceTime.medianNanos()) / remainingNanos);
+        return LATE_COST * lateProbability + (1 - LATE_COST) * missedProbability + ELAPSED_TIME_COST * elapsedFraction;
     }
 
-    private static ServiceTimeDistribution serviceTimeOf(Candidate candidate, RequestProfile question, double usual) {
-        for (ServiceTimeDistribution time : candidate.serviceTimes()) {
-            if (time.requestClass().equals(question.requestClass())) {
-                return time;
+    private static ServiceTimeDistribution serviceTimeOf(Candidate candidate, RequestProfile profile, double averageMeanNanos) {
+        for (ServiceTimeDistribution serviceTime : candidate.serviceTimes()) {
+            if (serviceTime.requestClass().equals(profile.requestClass())) {
+                return serviceTime;
             }
         }
-        long mean = candidate.load().meanNanos();
-        double slowness = mean == 0 || usual == 0 ? 1 : Math.min(MAX_SLOWDOWN, mean / usual);
+        long meanNanos = candidate.load().meanNanos();
+        double slowdown = meanNanos == 0 || averageMeanNanos == 0 ? 1 : Math.min(MAX_SLOWDOWN, meanNanos / averageMeanNanos);
         if (candidate.warmUpNanos() > 0) {
-            slowness *= WARM_UP_SLOWDOWN;
+            slowdown *= WARM_UP_SLOWDOWN;
         }
-        return ServiceTimeDistribution.fromMean(question.requestClass(), question.expectedNanos() * slowness);
+        return ServiceTimeDistribution.fromMean(profile.requestClass(), profile.expectedNanos() * slowdown);
     }
 }
