--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateSource.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateSource.java
@@ -9,8 +9,8 @@
      * Nodes to compare whose backend server serves a service and takes work.
      *
      * @param service that is to run the request
-     * @param tried keys of nodes that failed the request or do not take it
+     * @param excludedKeys keys of nodes that failed the request or do not take it
      * @param now in {@link System#nanoTime} terms
      */
-    List<Candidate> candidatesFor(String service, Set<String> tried, long now);
+    List<Candidate> candidatesFor(String service, Set<String> excludedKeys, long now);
 }
