--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateSampler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateSampler.java
@@ -38,36 +38,36 @@
      * @param zone of this node
      * @param region of this node
      * @param regionOfZone regions by availability zone
-     * @param table other nodes
-     * @param silentNanos after which without a word a node counts as silent
+     * @param memberTable other nodes
+     * @param silenceThresholdNanos after which without a word a node counts as silent
      * @param owner of the backend server beside this node
-     * @param chance uniform in [0, 1)
+     * @param random uniform in [0, 1)
      */
     public CandidateSampler(
             String zone,
             String region,
             Map<String, String> regionOfZone,
-            MemberTable table,
-            LongSupplier silentNanos,
+            MemberTable memberTable,
+            LongSupplier silenceThresholdNanos,
             Owner owner,
-            DoubleSupplier chance) {
+            DoubleSupplier random) {
         this.zone = zone;
         this.region = region;
         this.regionOfZone = Map.copyOf(regionOfZone);
-        this.memberTable = table;
-        this.silenceThresholdNanos = silentNanos;
+        this.memberTable = memberTable;
+        this.silenceThresholdNanos = silenceThresholdNanos;
         this.owner = owner;
-        this.random = chance;
+        this.random = random;
     }
 
     @Override
-    public List<Candidate> candidatesFor(String service, Set<String> tried, long now) {
-        List<Member> near = new ArrayList<>();
-        List<Member> region = new ArrayList<>();
-        List<Member> far = new ArrayList<>();
+    public List<Candidate> candidatesFor(String service, Set<String> excludedKeys, long now) {
+        List<Member> sameZone = new ArrayList<>();
+        List<Member> sameRegion = new ArrayList<>();
+        List<Member> otherRegions = new ArrayList<>();
         List<Member> suspects = new ArrayList<>();
         for (Member member : memberTable.takingWork(service)) {
-            if (tried.contains(member.ip())) {
+            if (excludedKeys.contains(member.ip())) {
                 continue;
             }
             if (isSuspect(member, now)) {
@@ -75,32 +75,32 @@
                 continue;
             }
             switch (distance(member)) {
-                case SELF, SAME_ZONE -> near.add(member);
-                case SAME_REGION -> region.add(member);
-                case OTHER_REGION -> far.add(member);
+                case SELF, SAME_ZONE -> sameZone.add(member);
+                case SAME_REGION -> sameRegion.add(member);
+                case OTHER_REGION -> otherRegions.add(member);
             }
         }
-        List<Candidate> found = new ArrayList<>(2 * SAMPLE_SIZE + OTHER_REGION_SAMPLE_SIZE + 1);
-        if (owner.takesWork(service) && !tried.contains(Candidate.SELF_KEY)) {
-            found.add(localCandidate(now));
+        List<Candidate> candidates = new ArrayList<>(2 * SAMPLE_SIZE + OTHER_REGION_SAMPLE_SIZE + 1);
+        if (owner.takesWork(service) && !excludedKeys.contains(Candidate.SELF_KEY)) {
+            candidates.add(localCandidate(now));
         }
-        int missing = sample(near, SAMPLE_SIZE, now, found);
-        missing = sample(region, SAMPLE_SIZE + missing, now, found);
-        sample(far, OTHER_REGION_SAMPLE_SIZE + missing, now, found);
-        if (found.isEmpty()) {
-            sample(suspects, SAMPLE_SIZE, now, found);
+        int shortfall = sample(sameZone, SAMPLE_SIZE, now, candidates);
+        shortfall = sample(sameRegion, SAMPLE_SIZE + shortfall, now, candidates);
+        sample(otherRegions, OTHER_REGION_SAMPLE_SIZE + shortfall, now, candidates);
+        if (candidates.isEmpty()) {
+            sample(suspects, SAMPLE_SIZE, now, candidates);
         }
-        return found;
+        return candidates;
     }
 
     /** Adds so many by chance; returns how many there were too few. */
-    private int sample(List<Member> from, int count, long now, List<Candidate> found) {
-        int drawn = Math.min(count, from.size());
-        for (int i = 0; i < drawn; i++) {
-            Collections.swap(from, i, i + (int) (random.getAsDouble() * (from.size() - i)));
-            found.add(remoteCandidate(from.get(i), now));
+    private int sample(List<Member> members, int sampleSize, long now, List<Candidate> candidates) {
+        int sampledCount = Math.min(sampleSize, members.size());
+        for (int i = 0; i < sampledCount; i++) {
+            Collections.swap(members, i, i + (int) (random.getAsDouble() * (members.size() - i)));
+            candidates.add(remoteCandidate(members.get(i), now));
         }
-        return count - drawn;
+        return sampleSize - sampledCount;
     }
 
     private boolean isSuspect(Member member, long now) {
@@ -109,14 +109,14 @@
 
     private Candidate localCandidate(long now) {
         OwnerLoad load = owner.load();
-        long warmUp = owner.backend().orElseThrow().warmUpNanos(now);
-        int ahead = load.running() + load.queued();
+        long warmUpNanos = owner.backend().orElseThrow().warmUpNanos(now);
+        int pendingRequests = load.running() + load.queued();
         return new Candidate(
                 Optional.empty(),
                 load,
                 owner.times(),
-                ahead,
-                warmUp,
+                pendingRequests,
+                warmUpNanos,
                 LinkLoad.NONE,
                 Candidate.Distance.SELF,
                 false,
@@ -137,11 +137,11 @@
     }
 
     private Candidate.Distance distance(Member member) {
-        String there = member.state().zone();
-        if (there.equals(zone)) {
+        String memberZone = member.state().zone();
+        if (memberZone.equals(zone)) {
             return Candidate.Distance.SAME_ZONE;
         }
-        String other = regionOfZone.get(there);
-        return other == null || other.equals(region) ? Candidate.Distance.SAME_REGION : Candidate.Distance.OTHER_REGION;
+        String memberRegion = regionOfZone.get(memberZone);
+        return memberRegion == null || memberRegion.equals(region) ? Candidate.Distance.SAME_REGION : Candidate.Distance.OTHER_REGION;
     }
 }
