--- a/org.berylwick.node/src/org/berylwick/node/call/RetryBudget.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RetryBudget.java
@@ -37,24 +37,24 @@
 
     /**
      * @param bounds ratio, slack and window
-     * @param nodes how many nodes share the slack
-     * @param listed whether this node has read the list of nodes; without it, it takes none of the slack for 2 s, until
+     * @param nodeCount how many nodes share the slack
+     * @param directoryRead whether this node has read the list of nodes; without it, it takes none of the slack for 2 s, until
      *     it has heard most of them
      * @param startedAt when this node was started, in {@link System#nanoTime} terms: for the length of a window it
      *     takes half of its part, since what it spent in a life that it does not remember may still lie in the window
      */
-    public RetryBudget(PlatformBounds bounds, IntSupplier nodes, BooleanSupplier listed, long startedAt) {
+    public RetryBudget(PlatformBounds bounds, IntSupplier nodeCount, BooleanSupplier directoryRead, long startedAt) {
         this.bounds = bounds;
-        this.nodeCount = nodes;
-        this.directoryRead = listed;
+        this.nodeCount = nodeCount;
+        this.directoryRead = directoryRead;
         this.startedAt = startedAt;
     }
 
     /** Counts a request for a service. */
     public void onRequest(String service, long now) {
-        Window w = windowOf(service);
-        w.advance(now);
-        w.requests[w.index]++;
+        Window window = windowOf(service);
+        window.advance(now);
+        window.requests[window.index]++;
     }
 
     /** Takes one repeat of a request that would fail without it, or says that none is left. */
@@ -67,14 +67,14 @@
         return acquire(service, SERVER_FAILURE_RETRY_FRACTION, now);
     }
 
-    private boolean acquire(String service, double share, long now) {
-        Window w = windowOf(service);
-        w.advance(now);
-        double allowed = share * (bounds.retryRatio() * w.sum(w.requests) + slack(now));
-        if (w.sum(w.retries) + 1 > allowed) {
+    private boolean acquire(String service, double fraction, long now) {
+        Window window = windowOf(service);
+        window.advance(now);
+        double allowed = fraction * (bounds.retryRatio() * window.sum(window.requests) + slack(now));
+        if (window.sum(window.retries) + 1 > allowed) {
             return false;
         }
-        w.retries[w.index]++;
+        window.retries[window.index]++;
         return true;
     }
 
@@ -83,12 +83,12 @@
         if (age < DISCOVERY_NANOS && !directoryRead.getAsBoolean()) {
             return 0;
         }
-        double part = bounds.retrySlack() / Math.max(1, nodeCount.getAsInt());
-        return age < bounds.retryWindowNanos() ? part / 2 : part;
+        double slackPerNode = bounds.retrySlack() / Math.max(1, nodeCount.getAsInt());
+        return age < bounds.retryWindowNanos() ? slackPerNode / 2 : slackPerNode;
     }
 
     private Window windowOf(String service) {
-        return byService.computeIfAbsent(service, s -> new Window(bounds.retryWindowNanos() / (BUCKETS - 1)));
+        return byService.computeIfAbsent(service, key -> new Window(bounds.retryWindowNanos() / (BUCKETS - 1)));
     }
 
     /** Counts of the last window, in buckets; one bucket more than the window so that any span of it is covered. */
@@ -104,17 +104,17 @@
         }
 
         void advance(long now) {
-            long current = Math.floorDiv(now, bucketNanos);
+            long newBucket = Math.floorDiv(now, bucketNanos);
             if (currentBucket == Long.MIN_VALUE) {
-                currentBucket = current;
+                currentBucket = newBucket;
             }
-            long steps = Math.min(BUCKETS, current - currentBucket);
+            long steps = Math.min(BUCKETS, newBucket - currentBucket);
             for (long i = 0; i < steps; i++) {
                 index = (index + 1) % BUCKETS;
                 requests[index] = 0;
                 retries[index] = 0;
             }
-            currentBucket = Math.max(currentBucket, current);
+            currentBucket = Math.max(currentBucket, newBucket);
         }
 
         int sum(int[] counts) {
