--- a/org.berylwick.node/src/org/berylwick/node/call/StartRateBalancer.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/StartRateBalancer.java
@@ -25,9 +25,9 @@
         private long decayedAt;
 
         void decay(long now) {
-            double left = Math.exp((decayedAt - now) / DECAY_NANOS);
-            offered *= left;
-            started *= left;
+            double decayFactor = Math.exp((decayedAt - now) / DECAY_NANOS);
+            offered *= decayFactor;
+            started *= decayFactor;
             decayedAt = now;
         }
 
@@ -40,12 +40,12 @@
     long onOffered(CallSpec call, long now) {
         Counts own = counts(call, now);
         own.offered++;
-        double best = 0;
+        double highestRate = 0;
         for (Counts other : byClass.values()) {
             other.decay(now);
-            best = Math.max(best, Math.min(1, other.startRate()));
+            highestRate = Math.max(highestRate, Math.min(1, other.startRate()));
         }
-        return (long) (MAX_ADVANCE_NANOS * Math.max(0, best - own.startRate()));
+        return (long) (MAX_ADVANCE_NANOS * Math.max(0, highestRate - own.startRate()));
     }
 
     void onStarted(CallSpec call, long now) {
