--- a/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
@@ -34,20 +34,20 @@
         private double logVariance = ServiceTimeDistribution.DEFAULT_LOG_STD_DEV * ServiceTimeDistribution.DEFAULT_LOG_STD_DEV;
         private int responses;
 
-        ClassEstimate(RequestClass like) {
-            this.requestClass = like;
+        ClassEstimate(RequestClass requestClass) {
+            this.requestClass = requestClass;
         }
 
         void record(long nanos) {
             responses++;
-            double log = Math.log(Math.max(1, nanos));
+            double logNanos = Math.log(Math.max(1, nanos));
             if (responses == 1) {
-                logMean = log;
+                logMean = logNanos;
                 return;
             }
-            double off = log - logMean;
-            logMean += Math.max(MEAN_SMOOTHING_FACTOR, 1.0 / responses) * off;
-            logVariance += VARIANCE_SMOOTHING_FACTOR * (off * off - logVariance);
+            double deviation = logNanos - logMean;
+            logMean += Math.max(MEAN_SMOOTHING_FACTOR, 1.0 / responses) * deviation;
+            logVariance += VARIANCE_SMOOTHING_FACTOR * (deviation * deviation - logVariance);
         }
 
         ServiceTimeDistribution distribution() {
@@ -63,29 +63,29 @@
 
     /** The time of a request like this one. */
     ServiceTimeDistribution distribution(CallSpec call) {
-        ClassEstimate learnt = byClass.get(call.like());
-        return learnt == null ? ServiceTimeDistribution.fromMean(call.like(), defaultNanos(call.like())) : learnt.distribution();
+        ClassEstimate estimate = byClass.get(call.like());
+        return estimate == null ? ServiceTimeDistribution.fromMean(call.like(), defaultNanos(call.like())) : estimate.distribution();
     }
 
     /** The times of all kinds that were seen. */
     List<ServiceTimeDistribution> distributions() {
-        List<ServiceTimeDistribution> times = new ArrayList<>();
-        for (ClassEstimate learnt : byClass.values()) {
-            if (times.size() < MAX_PUBLISHED_CLASSES) {
-                times.add(learnt.distribution());
+        List<ServiceTimeDistribution> distributions = new ArrayList<>();
+        for (ClassEstimate estimate : byClass.values()) {
+            if (distributions.size() < MAX_PUBLISHED_CLASSES) {
+                distributions.add(estimate.distribution());
             }
         }
-        return times;
+        return distributions;
     }
 
     /** Without an answer yet the operators' objective tells most: nobody sets one that is mostly missed. */
-    private long defaultNanos(RequestClass like) {
+    private long defaultNanos(RequestClass requestClass) {
         if (responses > 0) {
             return (long) overallMeanNanos;
         }
-        return like.objectiveMillis() == 0
+        return requestClass.objectiveMillis() == 0
                 ? DEFAULT_NANOS
-                : (long) (DEFAULT_OBJECTIVE_FRACTION * like.objectiveMillis() * 1_000_000);
+                : (long) (DEFAULT_OBJECTIVE_FRACTION * requestClass.objectiveMillis() * 1_000_000);
     }
 
     /** Mean time of all requests, 0 before the first answer. */
