--- a/org.berylwick.node/src/org/berylwick/node/lib/Clock.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/Clock.java
@@ -11,11 +11,11 @@
     /**
      * Runs a task at a time.
      *
-     * @param at in the terms of {@link #now}; a task whose time has passed runs soon
+     * @param timeNanos in the terms of {@link #now}; a task whose time has passed runs soon
      * @param task runs where all others of this clock do
      */
     Timer schedule(
-            long at, Runnable task);
+            long timeNanos, Runnable task);
 
     /** Runs a task after what runs now. */
     void defer(Runnable task);
