--- a/org.berylwick.node/src/org/berylwick/node/lib/ServiceTimeDistribution.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/ServiceTimeDistribution.java
@@ -21,9 +21,9 @@
     }
 
     /** The time of a kind that was not seen, from its mean. */
-    public static ServiceTimeDistribution fromMean(RequestClass like, double meanNanos) {
-        double median = meanNanos / Math.exp(DEFAULT_LOG_STD_DEV * DEFAULT_LOG_STD_DEV / 2);
-        return new ServiceTimeDistribution(like, (long) median, DEFAULT_LOG_STD_DEV);
+    public static ServiceTimeDistribution fromMean(RequestClass requestClass, double meanNanos) {
+        double medianNanos = meanNanos / Math.exp(DEFAULT_LOG_STD_DEV * DEFAULT_LOG_STD_DEV / 2);
+        return new ServiceTimeDistribution(requestClass, (long) medianNanos, DEFAULT_LOG_STD_DEV);
     }
 
     /** The mean time. */
@@ -36,8 +36,8 @@
         if (nanos <= 0) {
             return 1;
         }
-        double deviations = Math.log((double) nanos / Math.max(1, medianNanos)) / logStdDev;
-        return 1 / (1 + Math.exp(LOGISTIC_SLOPE * deviations));
+        double standardScore = Math.log((double) nanos / Math.max(1, medianNanos)) / logStdDev;
+        return 1 / (1 + Math.exp(LOGISTIC_SLOPE * standardScore));
     }
 
     /** The same on a backend server that takes so many times as long. */
