--- a/org.berylwick.node/src/org/berylwick/node/lib/ConfigurationVersion.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/ConfigurationVersion.java
@@ -98,11 +98,11 @@
 
         /**
          * @param number of the version
-         * @param source the bytes it is read from
+         * @param encoded the bytes it is read from
          */
-        public Builder(long number, byte[] source) {
+        public Builder(long number, byte[] encoded) {
             this.number = number;
-            this.encoded = source;
+            this.encoded = encoded;
         }
 
         /** Adds a route of a host. */
@@ -146,10 +146,10 @@
         }
 
         private void requireKnownServices(Route route) {
-            for (WeightedService part : route.weightedServices()) {
-                if (!maxConnections.containsKey(part.service())) {
+            for (WeightedService weightedService : route.weightedServices()) {
+                if (!maxConnections.containsKey(weightedService.service())) {
                     throw new IllegalArgumentException(
-                            "route " + route.name() + " leads to unknown service " + part.service());
+                            "route " + route.name() + " leads to unknown service " + weightedService.service());
                 }
             }
         }
