--- a/org.berylwick.node/src/org/berylwick/node/lib/OwnerLoad.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/OwnerLoad.java
@@ -29,13 +29,13 @@
     /**
      * How long one more request would wait for a slot.
      *
-     * @param ahead requests that are there already
+     * @param pendingRequests requests that are there already
      */
-    public long waitNanos(int ahead) {
+    public long waitNanos(int pendingRequests) {
         if (slots == 0) {
             return 0;
         }
-        int excess = ahead - slots + 1;
+        int excess = pendingRequests - slots + 1;
         return excess <= 0 ? 0 : excess * meanNanos / slots;
     }
 }
