--- a/org.berylwick.node/src/org/berylwick/node/lib/Route.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/Route.java
@@ -40,14 +40,14 @@
             return weightedServices.get(0).service();
         }
         double total = 0;
-        for (WeightedService part : weightedServices) {
-            total += part.weight();
+        for (WeightedService weightedService : weightedServices) {
+            total += weightedService.weight();
         }
-        double rest = point * total;
-        for (WeightedService part : weightedServices) {
-            rest -= part.weight();
-            if (rest < 0) {
-                return part.service();
+        double remainder = point * total;
+        for (WeightedService weightedService : weightedServices) {
+            remainder -= weightedService.weight();
+            if (remainder < 0) {
+                return weightedService.service();
             }
         }
         return weightedServices.get(weightedServices.size() - 1).service();
