--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
@@ -30,13 +30,13 @@
 
     private final CandidateChooser chooser = new CandidateChooser(() -> 0.5);
 
-    private static Candidate candidate(Distance distance, int ahead, long meanMillis) {
-        OwnerLoad load = new OwnerLoad(ahead, 0, 12, meanMillis * MS);
-        return new Candidate(Optional.empty(), load, List.of(), ahead, 0, LinkLoad.NONE, distance, false, false);
+    private static Candidate candidate(Distance distance, int pendingRequests, long meanMillis) {
+        OwnerLoad load = new OwnerLoad(pendingRequests, 0, 12, meanMillis * MS);
+        return new Candidate(Optional.empty(), load, List.of(), pendingRequests, 0, LinkLoad.NONE, distance, false, false);
     }
 
-    private Distance chosenDistance(RequestProfile question, Candidate... candidates) {
-        return chooser.choose(List.of(candidates), question)
+    private Distance chosenDistance(RequestProfile profile, Candidate... candidates) {
+        return chooser.choose(List.of(candidates), profile)
                 .orElseThrow()
                 .candidate()
                 .distance();
@@ -80,10 +80,10 @@
     /** Guards against large answers queueing at one VM's link while another's is free, whatever their bytes cost. */
     @Test
     void movesLargeResponsesAwayFromABusyLink() {
-        Candidate full = candidateBehindLink(Distance.SAME_ZONE, 700 * MS);
+        Candidate busy = candidateBehindLink(Distance.SAME_ZONE, 700 * MS);
         Candidate free = candidateBehindLink(Distance.SAME_REGION, 0);
-        assertEquals(Distance.SAME_REGION, chosenDistance(LARGE_RESPONSE, full, free));
-        assertEquals(Distance.SAME_ZONE, chosenDistance(SMALL_RESPONSE, full, free));
+        assertEquals(Distance.SAME_REGION, chosenDistance(LARGE_RESPONSE, busy, free));
+        assertEquals(Distance.SAME_ZONE, chosenDistance(SMALL_RESPONSE, busy, free));
     }
 
     /** Answers that leave while the next one is made cost it nothing. */
@@ -92,9 +92,9 @@
         assertEquals(Distance.SAME_ZONE, chosenDistance(LARGE_RESPONSE, candidateBehindLink(Distance.SAME_ZONE, 150 * MS), candidateBehindLink(Distance.SAME_REGION, 0)));
     }
 
-    private static Candidate candidateBehindLink(Distance distance, long answersNanos) {
+    private static Candidate candidateBehindLink(Distance distance, long pendingResponsesNanos) {
         OwnerLoad load = new OwnerLoad(0, 0, 12, 200 * MS);
-        LinkLoad link = new LinkLoad(0, answersNanos, 7);
+        LinkLoad link = new LinkLoad(0, pendingResponsesNanos, 7);
         return new Candidate(Optional.empty(), load, List.of(), 0, 0, link, distance, false, false);
     }
 
@@ -135,7 +135,7 @@
     void choosesANodeUnlessAllWouldBeLate(
             @ForAll @IntRange(min = 1, max = 40) int count, @ForAll long seed) {
         Random random = new Random(seed);
-        CandidateChooser any = new CandidateChooser(random::nextDouble);
+        CandidateChooser randomChooser = new CandidateChooser(random::nextDouble);
         List<Candidate> candidates = new java.util.ArrayList<>();
         for (int i = 0; i < count; i++) {
             Distance distance = Distance.values()[random.nextInt(4)];
@@ -150,13 +150,13 @@
                     random.nextBoolean(),
                     random.nextBoolean()));
         }
-        if (any.choose(candidates, SMALL_RESPONSE).isEmpty()) {
-            long soonest = candidates.stream()
+        if (randomChooser.choose(candidates, SMALL_RESPONSE).isEmpty()) {
+            long shortestWaitNanos = candidates.stream()
                     .mapToLong(c -> c.load().waitNanos(c.pendingRequests()))
                     .min()
                     .orElseThrow();
-            assertTrue(soonest > 300 * MS, "refused, though one waits " + soonest + " ns");
+            assertTrue(shortestWaitNanos > 300 * MS, "refused, though one waits " + shortestWaitNanos + " ns");
         }
-        assertFalse(any.choose(List.of(), SMALL_RESPONSE).isPresent());
+        assertFalse(randomChooser.choose(List.of(), SMALL_RESPONSE).isPresent());
     }
 }
