--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateSamplerTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateSamplerTest.java
@@ -71,8 +71,8 @@
         }
     }
 
-    private Map<Candidate.Distance, Long> countByDistance(Set<String> tried) {
-        return sampler.candidatesFor(SERVICE, tried, clock.now()).stream()
+    private Map<Candidate.Distance, Long> countByDistance(Set<String> excludedKeys) {
+        return sampler.candidatesFor(SERVICE, excludedKeys, clock.now()).stream()
                 .collect(Collectors.groupingBy(Candidate::distance, Collectors.counting()));
     }
 
@@ -91,14 +91,14 @@
     @Test
     void samplesMembersUniformly() {
         addMembers("zone-a", 0, 10);
-        Map<String, Integer> times = new HashMap<>();
+        Map<String, Integer> sampleCounts = new HashMap<>();
         for (int i = 0; i < SAMPLES; i++) {
-            sampler.candidatesFor(SERVICE, Set.of(), clock.now()).forEach(c -> times.merge(c.key(), 1, Integer::sum));
+            sampler.candidatesFor(SERVICE, Set.of(), clock.now()).forEach(c -> sampleCounts.merge(c.key(), 1, Integer::sum));
         }
-        assertEquals(10, times.size());
-        int usual = SAMPLES * 2 / 10;
-        times.forEach((key, count) ->
-                assertTrue(count > usual * 0.85 && count < usual * 1.15, key + " was drawn " + count + " times"));
+        assertEquals(10, sampleCounts.size());
+        int expected = SAMPLES * 2 / 10;
+        sampleCounts.forEach((key, count) ->
+                assertTrue(count > expected * 0.85 && count < expected * 1.15, key + " was drawn " + count + " times"));
     }
 
     /** Where a zone has too few, others fill up: somebody must be compared. */
@@ -115,21 +115,21 @@
         addMembers("zone-a", 0, 20);
         clock.runUntil(2 * SILENCE_THRESHOLD_NANOS);
         addMembers("zone-b", 20, 21);
-        List<Candidate> found = sampler.candidatesFor(SERVICE, Set.of(), clock.now());
-        assertEquals(List.of("10.0.0.20"), found.stream().map(Candidate::key).toList());
-        assertFalse(found.get(0).suspect());
-        List<Candidate> rest = sampler.candidatesFor(SERVICE, Set.of("10.0.0.20"), clock.now());
-        assertEquals(2, rest.size());
-        assertTrue(rest.stream().allMatch(Candidate::suspect));
+        List<Candidate> sampled = sampler.candidatesFor(SERVICE, Set.of(), clock.now());
+        assertEquals(List.of("10.0.0.20"), sampled.stream().map(Candidate::key).toList());
+        assertFalse(sampled.get(0).suspect());
+        List<Candidate> remaining = sampler.candidatesFor(SERVICE, Set.of("10.0.0.20"), clock.now());
+        assertEquals(2, remaining.size());
+        assertTrue(remaining.stream().allMatch(Candidate::suspect));
     }
 
     /** What a request was refused by is not asked again. */
     @Test
     void doesNotSampleExcludedMembers() {
         addMembers("zone-a", 0, 3);
-        Set<String> tried = Set.of("10.0.0.0", "10.0.0.2");
-        List<Candidate> found = sampler.candidatesFor(SERVICE, tried, clock.now());
-        assertEquals(List.of("10.0.0.1"), found.stream().map(Candidate::key).toList());
+        Set<String> excludedKeys = Set.of("10.0.0.0", "10.0.0.2");
+        List<Candidate> sampled = sampler.candidatesFor(SERVICE, excludedKeys, clock.now());
+        assertEquals(List.of("10.0.0.1"), sampled.stream().map(Candidate::key).toList());
         assertEquals(List.of(), sampler.candidatesFor("another", Set.of(), clock.now()));
     }
 }
