--- a/org.berylwick.test/tst/org/berylwick/node/call/RetryBudgetTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/RetryBudgetTest.java
@@ -25,7 +25,7 @@
     @Property(tries = 40)
     void fleetStaysWithinRetryAllowance(
             @ForAll @IntRange(min = 1, max = 40) int nodes,
-            @ForAll @DoubleRange(min = 0.2, max = 1.0) double callsForEachRequest,
+            @ForAll @DoubleRange(min = 0.2, max = 1.0) double callsPerRequest,
             @ForAll long seed) {
         Random random = new Random(seed);
         List<RetryBudget> budgets = new ArrayList<>();
@@ -33,8 +33,8 @@
             budgets.add(new RetryBudget(BOUNDS, () -> nodes, () -> true, -WINDOW));
         }
         List<Long> requests = new ArrayList<>();
-        List<Long> repeats = new ArrayList<>();
-        double owed = 0;
+        List<Long> retries = new ArrayList<>();
+        double pendingCalls = 0;
         long now = 0;
         while (now < 4 * WINDOW) {
             now += 5_000_000L + random.nextInt(10_000_000);
@@ -43,16 +43,16 @@
             budget.onRequest("called", now);
             requests.add(now);
             for (int i = 0; i < 3 && budget.tryAcquire("calling", now); i++) {
-                owed += callsForEachRequest;
+                pendingCalls += callsPerRequest;
             }
             for (int i = 0; i < 3 && budget.tryAcquire("called", now); i++) {
-                repeats.add(now);
+                retries.add(now);
             }
-            for (; owed >= 1; owed--) {
-                repeats.add(now);
+            for (; pendingCalls >= 1; pendingCalls--) {
+                retries.add(now);
             }
         }
-        assertWithinAllowance(requests, repeats);
+        assertWithinAllowance(requests, retries);
     }
 
     /**
@@ -68,7 +68,7 @@
             budgets.add(new RetryBudget(BOUNDS, () -> nodes, () -> true, -WINDOW));
         }
         List<Long> requests = new ArrayList<>();
-        List<Long> repeats = new ArrayList<>();
+        List<Long> retries = new ArrayList<>();
         for (long now = 0; now < 4 * WINDOW; now += 5_000_000L + random.nextInt(10_000_000)) {
             budgets.get(random.nextInt(nodes)).onRequest("calling", now);
             RetryBudget caller = budgets.get(random.nextInt(nodes));
@@ -85,14 +85,14 @@
                     requests.add(now);
                     budget.onRequest("called", now);
                 } else {
-                    repeats.add(now);
+                    retries.add(now);
                 }
                 while (budget.tryAcquire("called", now)) {
-                    repeats.add(now);
+                    retries.add(now);
                 }
             }
         }
-        assertWithinAllowance(requests, repeats);
+        assertWithinAllowance(requests, retries);
     }
 
     /**
@@ -102,28 +102,28 @@
     @Example
     void restartedFleetDoesNotSpendSlackTwice() {
         int nodes = 10;
-        long repeats = 0;
-        for (int life = 0; life < 2; life++) {
-            long start = life * WINDOW / 4;
-            boolean first = life == 0;
+        long retries = 0;
+        for (int round = 0; round < 2; round++) {
+            long startedAt = round * WINDOW / 4;
+            boolean firstStart = round == 0;
             for (int i = 0; i < nodes; i++) {
                 long[] age = {0};
                 RetryBudget budget = new RetryBudget(
-                        BOUNDS, () -> first || age[0] > 1_000 ? nodes : 1, () -> first, first ? -WINDOW : start);
+                        BOUNDS, () -> firstStart || age[0] > 1_000 ? nodes : 1, () -> firstStart, firstStart ? -WINDOW : startedAt);
                 for (; age[0] < 4_000; age[0]++) {
-                    repeats += budget.tryAcquire("work", start + age[0] * 1_000_000) ? 1 : 0;
+                    retries += budget.tryAcquire("work", startedAt + age[0] * 1_000_000) ? 1 : 0;
                 }
             }
         }
-        assertTrue(repeats <= 58, repeats + " repeats without a request, allowed 58");
-        assertTrue(repeats >= 20, repeats + " repeats: the slack is not used");
+        assertTrue(retries <= 58, retries + " repeats without a request, allowed 58");
+        assertTrue(retries >= 20, retries + " repeats: the slack is not used");
     }
 
-    private static void assertWithinAllowance(List<Long> requests, List<Long> repeats) {
-        assertFalse(repeats.isEmpty(), "nothing was repeated");
+    private static void assertWithinAllowance(List<Long> requests, List<Long> retries) {
+        assertFalse(retries.isEmpty(), "nothing was repeated");
         for (long from = WINDOW; from < 3 * WINDOW; from += WINDOW / 7) {
             long allowed = (long) (0.2 * countWithin(requests, from) + 58);
-            long sent = countWithin(repeats, from);
+            long sent = countWithin(retries, from);
             assertTrue(sent <= allowed, sent + " repeats from " + from + ", allowed " + allowed);
         }
     }
