--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -157,7 +157,8 @@
     }
 
     private ConnectionPool connect(String ip) {
-        InetSocketAddress target = new InetSocketAddress(ip, settings.peerAddress().getPort());
+        InetSocketAddress target =
+                new InetSocketAddress(ip, settings.peerAddress().getPort());
         return new ConnectionPool(loop, target, PEER_CONNECT_MILLIS, PEER_IDLE_NANOS);
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/CallPath.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallPath.java
@@ -4,8 +4,8 @@
 import java.util.Optional;
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.function.Supplier;
-import org.berylwick.node.lib.HeaderNames;
 import org.berylwick.node.lib.ConfigurationVersion;
+import org.berylwick.node.lib.HeaderNames;
 import org.berylwick.node.lib.NodeSettings;
 import org.berylwick.node.log.Counters;
 import org.berylwick.node.log.Instruments;
@@ -25,7 +25,8 @@
      * @param version in force
      * @param service on this VM
      */
-    public record Callers(HeaderNames names, Supplier<Optional<ConfigurationVersion>> version, Supplier<String> service) {}
+    public record Callers(
+            HeaderNames names, Supplier<Optional<ConfigurationVersion>> version, Supplier<String> service) {}
 
     private CallPath() {}
 
--- a/org.berylwick.node/src/org/berylwick/node/call/Candidate.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Candidate.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 import java.util.Optional;
-import org.berylwick.node.lib.ServiceTimeDistribution;
 import org.berylwick.node.lib.LinkLoad;
 import org.berylwick.node.lib.OwnerLoad;
+import org.berylwick.node.lib.ServiceTimeDistribution;
 import org.berylwick.node.member.Member;
 
 /**
--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.DoubleSupplier;
-import org.berylwick.node.lib.ServiceTimeDistribution;
 import org.berylwick.node.lib.LinkLoad;
+import org.berylwick.node.lib.ServiceTimeDistribution;
 
 /**
  * Chooses where a request runs by what its caller stands to lose there; keeps nothing between requests.
@@ -87,7 +87,8 @@
             if (waitNanos > 0 && (waitNanos > profile.maxWaitNanos() || latenessCost > refusalCost)) {
                 continue;
             }
-            double cost = timeIndependentCost(candidate, profile) + latenessCost + random.getAsDouble() * MAX_COST_JITTER;
+            double cost =
+                    timeIndependentCost(candidate, profile) + latenessCost + random.getAsDouble() * MAX_COST_JITTER;
             if (cost < bestCost) {
                 nextCost = bestCost;
                 bestCost = cost;
@@ -101,8 +102,13 @@
         }
         long waitNanos = expectedWaitNanos(best, profile, averageMeanNanos);
         double bestLatenessCost = latenessCost(best, profile, averageMeanNanos, waitNanos);
-        double costMargin = profile.finalAttempt() ? refusalCost - bestLatenessCost : Math.min(refusalCost - bestLatenessCost, nextCost - bestCost);
-        return Optional.of(new Choice(best, longestAcceptableWaitNanos(best, profile, averageMeanNanos, waitNanos, bestLatenessCost + Math.max(0, costMargin))));
+        double costMargin = profile.finalAttempt()
+                ? refusalCost - bestLatenessCost
+                : Math.min(refusalCost - bestLatenessCost, nextCost - bestCost);
+        return Optional.of(new Choice(
+                best,
+                longestAcceptableWaitNanos(
+                        best, profile, averageMeanNanos, waitNanos, bestLatenessCost + Math.max(0, costMargin))));
     }
 
     /** For a slot, or until the link has room: for what is on its way there, and for the answer once it is made. */
@@ -113,7 +119,9 @@
             return waitNanos;
         }
         return Math.max(
-                waitNanos, link.pendingResponsesNanos() - serviceTimeOf(candidate, profile, averageMeanNanos).medianNanos());
+                waitNanos,
+                link.pendingResponsesNanos()
+                        - serviceTimeOf(candidate, profile, averageMeanNanos).medianNanos());
     }
 
     /** How long the request's body and its answer take over the link of another VM. */
@@ -134,7 +142,8 @@
                 high = middle;
             }
         }
-        long stalenessNanos = (long) (STALENESS_MARGIN * Math.max(profile.objectiveRemainingNanos(), profile.deadlineRemainingNanos() / 4));
+        long stalenessNanos = (long)
+                (STALENESS_MARGIN * Math.max(profile.objectiveRemainingNanos(), profile.deadlineRemainingNanos() / 4));
         return Math.min(Math.max(0, profile.maxWaitNanos()), low + stalenessNanos);
     }
 
@@ -170,7 +179,8 @@
     }
 
     /** What the caller stands to lose by time after a wait. */
-    private static double latenessCost(Candidate candidate, RequestProfile profile, double averageMeanNanos, long waitNanos) {
+    private static double latenessCost(
+            Candidate candidate, RequestProfile profile, double averageMeanNanos, long waitNanos) {
         ServiceTimeDistribution serviceTime = serviceTimeOf(candidate, profile, averageMeanNanos);
         long delayNanos = waitNanos + transferNanos(candidate, profile);
         double lateProbability = serviceTime.probabilityOfExceeding(profile.objectiveRemainingNanos() - delayNanos);
@@ -180,14 +190,16 @@
         return LATE_COST * lateProbability + (1 - LATE_COST) * missedProbability + ELAPSED_TIME_COST * elapsedFraction;
     }
 
-    private static ServiceTimeDistribution serviceTimeOf(Candidate candidate, RequestProfile profile, double averageMeanNanos) {
+    private static ServiceTimeDistribution serviceTimeOf(
+            Candidate candidate, RequestProfile profile, double averageMeanNanos) {
         for (ServiceTimeDistribution serviceTime : candidate.serviceTimes()) {
             if (serviceTime.requestClass().equals(profile.requestClass())) {
                 return serviceTime;
             }
         }
         long meanNanos = candidate.load().meanNanos();
-        double slowdown = meanNanos == 0 || averageMeanNanos == 0 ? 1 : Math.min(MAX_SLOWDOWN, meanNanos / averageMeanNanos);
+        double slowdown =
+                meanNanos == 0 || averageMeanNanos == 0 ? 1 : Math.min(MAX_SLOWDOWN, meanNanos / averageMeanNanos);
         if (candidate.warmUpNanos() > 0) {
             slowdown *= WARM_UP_SLOWDOWN;
         }
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -143,7 +143,10 @@
     }
 
     private CallerLimits limits() {
-        return services.version().get().map(ConfigurationVersion::limits).orElse(EntryServer.LIMITS_BEFORE_FIRST_VERSION);
+        return services.version()
+                .get()
+                .map(ConfigurationVersion::limits)
+                .orElse(EntryServer.LIMITS_BEFORE_FIRST_VERSION);
     }
 
     private void refuseMalformed(Throwable cause) {
--- a/org.berylwick.node/src/org/berylwick/node/call/RetryBudget.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RetryBudget.java
@@ -38,8 +38,8 @@
     /**
      * @param bounds ratio, slack and window
      * @param nodeCount how many nodes share the slack
-     * @param directoryRead whether this node has read the list of nodes; without it, it takes none of the slack for 2 s, until
-     *     it has heard most of them
+     * @param directoryRead whether this node has read the list of nodes; without it, it takes none of the slack for 2
+     *     s, until it has heard most of them
      * @param startedAt when this node was started, in {@link System#nanoTime} terms: for the length of a window it
      *     takes half of its part, since what it spent in a life that it does not remember may still lie in the window
      */
--- a/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
@@ -4,8 +4,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.berylwick.node.lib.ServiceTimeDistribution;
 import org.berylwick.node.lib.RequestClass;
+import org.berylwick.node.lib.ServiceTimeDistribution;
 
 /** How long a backend server takes for each kind of request, learnt from its answers; confined to the event loop. */
 final class ServiceTimeEstimator {
@@ -31,7 +31,8 @@
     private static final class ClassEstimate {
         private final RequestClass requestClass;
         private double logMean;
-        private double logVariance = ServiceTimeDistribution.DEFAULT_LOG_STD_DEV * ServiceTimeDistribution.DEFAULT_LOG_STD_DEV;
+        private double logVariance =
+                ServiceTimeDistribution.DEFAULT_LOG_STD_DEV * ServiceTimeDistribution.DEFAULT_LOG_STD_DEV;
         private int responses;
 
         ClassEstimate(RequestClass requestClass) {
@@ -64,7 +65,9 @@
     /** The time of a request like this one. */
     ServiceTimeDistribution distribution(CallSpec call) {
         ClassEstimate estimate = byClass.get(call.like());
-        return estimate == null ? ServiceTimeDistribution.fromMean(call.like(), defaultNanos(call.like())) : estimate.distribution();
+        return estimate == null
+                ? ServiceTimeDistribution.fromMean(call.like(), defaultNanos(call.like()))
+                : estimate.distribution();
     }
 
     /** The times of all kinds that were seen. */
--- a/org.berylwick.node/src/org/berylwick/node/lib/Clock.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/Clock.java
@@ -14,8 +14,7 @@
      * @param timeNanos in the terms of {@link #now}; a task whose time has passed runs soon
      * @param task runs where all others of this clock do
      */
-    Timer schedule(
-            long timeNanos, Runnable task);
+    Timer schedule(long timeNanos, Runnable task);
 
     /** Runs a task after what runs now. */
     void defer(Runnable task);
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeState.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeState.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import org.berylwick.node.lib.BackendState;
-import org.berylwick.node.lib.ServiceTimeDistribution;
 import org.berylwick.node.lib.OwnerLoad;
+import org.berylwick.node.lib.ServiceTimeDistribution;
 
 /**
  * What a node says of itself.
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
@@ -6,10 +6,10 @@
 import java.util.List;
 import java.util.Optional;
 import org.berylwick.node.lib.BackendState;
-import org.berylwick.node.lib.ServiceTimeDistribution;
 import org.berylwick.node.lib.OwnerLoad;
 import org.berylwick.node.lib.RequestClass;
 import org.berylwick.node.lib.RouteKind;
+import org.berylwick.node.lib.ServiceTimeDistribution;
 
 /** The datagram between nodes: the sender's state and some addresses of other nodes. */
 public final class NodeStateCodec {
@@ -34,7 +34,8 @@
             long median = in.readInt() * 1_000L;
             double spread = in.readUnsignedShort() / PER_MILLE;
             if (kind < KINDS.length && median > 0) {
-                times.add(new ServiceTimeDistribution(new RequestClass(KINDS[kind], priority, objective), median, spread));
+                times.add(new ServiceTimeDistribution(
+                        new RequestClass(KINDS[kind], priority, objective), median, spread));
             }
         }
         return times;
--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -22,11 +22,11 @@
 import java.util.function.Consumer;
 import org.berylwick.node.lib.BackendReport;
 import org.berylwick.node.lib.BackendState;
-import org.berylwick.node.lib.PlatformBounds;
 import org.berylwick.node.lib.CallerLimits;
-import org.berylwick.node.lib.HeaderNames;
 import org.berylwick.node.lib.ConfigurationVersion;
+import org.berylwick.node.lib.HeaderNames;
 import org.berylwick.node.lib.NodeSettings;
+import org.berylwick.node.lib.PlatformBounds;
 import org.berylwick.node.lib.Route;
 import org.berylwick.node.lib.RouteKind;
 import org.berylwick.node.lib.WeightedService;
@@ -284,7 +284,8 @@
 
     /** A version with a route of each kind under {@code /read/}, {@code /pay/} and {@code /bulk/}. */
     static ConfigurationVersion version(long number, Consumer<ConfigurationVersion.Builder> more) {
-        ConfigurationVersion.Builder builder = new ConfigurationVersion.Builder(number, MemoryConfiguration.sourceOf(number))
+        ConfigurationVersion.Builder builder = new ConfigurationVersion.Builder(
+                        number, MemoryConfiguration.sourceOf(number))
                 .service("work", 100)
                 .limits(new CallerLimits(16_384, 1 << 20, 3_000_000_000L, 15_000_000_000L))
                 .route(HOST, route("read", "/read/", RouteKind.IDEMPOTENT, 2_000))
@@ -337,7 +338,8 @@
                 1,
                 200,
                 linkMbps.getOrDefault(number, WIDE_MBPS),
-                new PlatformBounds(2_000_000_000L, GRACE_MILLIS * 1_000_000L, 2_000_000_000L, 0.2, 10_000_000_000L, 60));
+                new PlatformBounds(
+                        2_000_000_000L, GRACE_MILLIS * 1_000_000L, 2_000_000_000L, 0.2, 10_000_000_000L, 60));
     }
 
     @Override
--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
@@ -32,7 +32,8 @@
 
     private static Candidate candidate(Distance distance, int pendingRequests, long meanMillis) {
         OwnerLoad load = new OwnerLoad(pendingRequests, 0, 12, meanMillis * MS);
-        return new Candidate(Optional.empty(), load, List.of(), pendingRequests, 0, LinkLoad.NONE, distance, false, false);
+        return new Candidate(
+                Optional.empty(), load, List.of(), pendingRequests, 0, LinkLoad.NONE, distance, false, false);
     }
 
     private Distance chosenDistance(RequestProfile profile, Candidate... candidates) {
@@ -44,7 +45,10 @@
 
     @Test
     void prefersOwnZoneOverFasterBackendServerInAnotherZone() {
-        assertEquals(Distance.SELF, chosenDistance(SMALL_RESPONSE, candidate(Distance.SELF, 11, 220), candidate(Distance.SAME_REGION, 0, 120)));
+        assertEquals(
+                Distance.SELF,
+                chosenDistance(
+                        SMALL_RESPONSE, candidate(Distance.SELF, 11, 220), candidate(Distance.SAME_REGION, 0, 120)));
     }
 
     @Test
@@ -57,7 +61,12 @@
 
     @Test
     void movesLargeResponsesToAnotherZoneWhenOwnZoneWouldBeLate() {
-        assertEquals(Distance.SAME_REGION, chosenDistance(LARGE_RESPONSE, candidate(Distance.SAME_ZONE, 80, 200), candidate(Distance.SAME_REGION, 0, 200)));
+        assertEquals(
+                Distance.SAME_REGION,
+                chosenDistance(
+                        LARGE_RESPONSE,
+                        candidate(Distance.SAME_ZONE, 80, 200),
+                        candidate(Distance.SAME_REGION, 0, 200)));
     }
 
     /**
@@ -67,9 +76,15 @@
     @Test
     void avoidsBackendServerWithHighLossRate() {
         Candidate other = candidate(Distance.SAME_REGION, 2, 200);
-        assertEquals(Distance.SAME_REGION, chosenDistance(SMALL_RESPONSE, lossyCandidate(Distance.SAME_ZONE, 300), other));
+        assertEquals(
+                Distance.SAME_REGION, chosenDistance(SMALL_RESPONSE, lossyCandidate(Distance.SAME_ZONE, 300), other));
         assertEquals(Distance.SAME_ZONE, chosenDistance(SMALL_RESPONSE, lossyCandidate(Distance.SAME_ZONE, 30), other));
-        assertEquals(Distance.SAME_ZONE, chosenDistance(SMALL_RESPONSE, lossyCandidate(Distance.SAME_ZONE, 300), lossyCandidate(Distance.SAME_REGION, 300)));
+        assertEquals(
+                Distance.SAME_ZONE,
+                chosenDistance(
+                        SMALL_RESPONSE,
+                        lossyCandidate(Distance.SAME_ZONE, 300),
+                        lossyCandidate(Distance.SAME_REGION, 300)));
     }
 
     private static Candidate lossyCandidate(Distance distance, int perMille) {
@@ -89,7 +104,12 @@
     /** Answers that leave while the next one is made cost it nothing. */
     @Test
     void ignoresResponsesTransferredBeforeTheNewOneIsReady() {
-        assertEquals(Distance.SAME_ZONE, chosenDistance(LARGE_RESPONSE, candidateBehindLink(Distance.SAME_ZONE, 150 * MS), candidateBehindLink(Distance.SAME_REGION, 0)));
+        assertEquals(
+                Distance.SAME_ZONE,
+                chosenDistance(
+                        LARGE_RESPONSE,
+                        candidateBehindLink(Distance.SAME_ZONE, 150 * MS),
+                        candidateBehindLink(Distance.SAME_REGION, 0)));
     }
 
     private static Candidate candidateBehindLink(Distance distance, long pendingResponsesNanos) {
@@ -110,30 +130,32 @@
                 Distance.SELF,
                 false,
                 true);
-        assertEquals(Distance.SAME_REGION, chosenDistance(SMALL_RESPONSE, suspect, candidate(Distance.SAME_REGION, 5, 200)));
+        assertEquals(
+                Distance.SAME_REGION, chosenDistance(SMALL_RESPONSE, suspect, candidate(Distance.SAME_REGION, 5, 200)));
         assertEquals(Distance.SELF, chosenDistance(SMALL_RESPONSE, suspect));
     }
 
     @Test
     void limitsWaitToWhatTheNextBestNodeWouldCost() {
         CandidateChooser.Choice choice = chooser.choose(
-                        List.of(candidate(Distance.SAME_ZONE, 0, 200), candidate(Distance.SAME_ZONE, 0, 200)), SMALL_RESPONSE)
+                        List.of(candidate(Distance.SAME_ZONE, 0, 200), candidate(Distance.SAME_ZONE, 0, 200)),
+                        SMALL_RESPONSE)
                 .orElseThrow();
         assertTrue(choice.maxWaitNanos() < 50 * MS, "waits " + choice.maxWaitNanos());
         CandidateChooser.Choice far = chooser.choose(
-                        List.of(candidate(Distance.SAME_ZONE, 0, 200), candidate(Distance.SAME_REGION, 0, 200)), SMALL_RESPONSE)
+                        List.of(candidate(Distance.SAME_ZONE, 0, 200), candidate(Distance.SAME_REGION, 0, 200)),
+                        SMALL_RESPONSE)
                 .orElseThrow();
         assertTrue(far.maxWaitNanos() < 400 * MS, "waits " + far.maxWaitNanos());
-        CandidateChooser.Choice only =
-                chooser.choose(List.of(candidate(Distance.SAME_ZONE, 0, 200)), SMALL_RESPONSE).orElseThrow();
+        CandidateChooser.Choice only = chooser.choose(List.of(candidate(Distance.SAME_ZONE, 0, 200)), SMALL_RESPONSE)
+                .orElseThrow();
         assertTrue(only.maxWaitNanos() > 300 * MS, "waits " + only.maxWaitNanos());
         // Behind that wait it would be late, and others with it.
         assertTrue(only.maxWaitNanos() < 700 * MS, "waits " + only.maxWaitNanos());
     }
 
     @Property(tries = 200)
-    void choosesANodeUnlessAllWouldBeLate(
-            @ForAll @IntRange(min = 1, max = 40) int count, @ForAll long seed) {
+    void choosesANodeUnlessAllWouldBeLate(@ForAll @IntRange(min = 1, max = 40) int count, @ForAll long seed) {
         Random random = new Random(seed);
         CandidateChooser randomChooser = new CandidateChooser(random::nextDouble);
         List<Candidate> candidates = new java.util.ArrayList<>();
--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateSamplerTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateSamplerTest.java
@@ -34,8 +34,15 @@
     private final VirtualClock clock = new VirtualClock();
     private final EventLog log = new EventLog("test", OutputStream.nullOutputStream());
     private final MemberTable memberTable = new MemberTable(address -> null, (member, cause) -> {});
-    private final Owner owner =
-            new Owner(clock, address -> null, NAMES, VmLink.of(1_000, clock), SILENCE_THRESHOLD_NANOS, new Counters(), log, () -> {});
+    private final Owner owner = new Owner(
+            clock,
+            address -> null,
+            NAMES,
+            VmLink.of(1_000, clock),
+            SILENCE_THRESHOLD_NANOS,
+            new Counters(),
+            log,
+            () -> {});
     private final Random random = new Random(1);
     private final CandidateSampler sampler = new CandidateSampler(
             "zone-a",
@@ -83,7 +90,13 @@
         addMembers("zone-b", 20, 60);
         addMembers("zone-c", 60, 90);
         assertEquals(
-                Map.of(Candidate.Distance.SAME_ZONE, 2L, Candidate.Distance.SAME_REGION, 2L, Candidate.Distance.OTHER_REGION, 1L),
+                Map.of(
+                        Candidate.Distance.SAME_ZONE,
+                        2L,
+                        Candidate.Distance.SAME_REGION,
+                        2L,
+                        Candidate.Distance.OTHER_REGION,
+                        1L),
                 countByDistance(Set.of()));
     }
 
@@ -93,7 +106,8 @@
         addMembers("zone-a", 0, 10);
         Map<String, Integer> sampleCounts = new HashMap<>();
         for (int i = 0; i < SAMPLES; i++) {
-            sampler.candidatesFor(SERVICE, Set.of(), clock.now()).forEach(c -> sampleCounts.merge(c.key(), 1, Integer::sum));
+            sampler.candidatesFor(SERVICE, Set.of(), clock.now())
+                    .forEach(c -> sampleCounts.merge(c.key(), 1, Integer::sum));
         }
         assertEquals(10, sampleCounts.size());
         int expected = SAMPLES * 2 / 10;
@@ -106,7 +120,9 @@
     void samplesOtherZonesWhenOwnZoneHasTooFewMembers() {
         addMembers("zone-a", 0, 1);
         addMembers("zone-b", 1, 30);
-        assertEquals(Map.of(Candidate.Distance.SAME_ZONE, 1L, Candidate.Distance.SAME_REGION, 3L), countByDistance(Set.of()));
+        assertEquals(
+                Map.of(Candidate.Distance.SAME_ZONE, 1L, Candidate.Distance.SAME_REGION, 3L),
+                countByDistance(Set.of()));
     }
 
     /** Half of a fleet was killed: the dead ones are not drawn while one lives, however few that are. */
--- a/org.berylwick.test/tst/org/berylwick/node/call/RetryBudgetTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/RetryBudgetTest.java
@@ -109,7 +109,10 @@
             for (int i = 0; i < nodes; i++) {
                 long[] age = {0};
                 RetryBudget budget = new RetryBudget(
-                        BOUNDS, () -> firstStart || age[0] > 1_000 ? nodes : 1, () -> firstStart, firstStart ? -WINDOW : startedAt);
+                        BOUNDS,
+                        () -> firstStart || age[0] > 1_000 ? nodes : 1,
+                        () -> firstStart,
+                        firstStart ? -WINDOW : startedAt);
                 for (; age[0] < 4_000; age[0]++) {
                     retries += budget.tryAcquire("work", startedAt + age[0] * 1_000_000) ? 1 : 0;
                 }
--- a/org.berylwick.test/tst/org/berylwick/node/member/NodeStateCodecTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/member/NodeStateCodecTest.java
@@ -13,10 +13,10 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.StringLength;
 import org.berylwick.node.lib.BackendState;
-import org.berylwick.node.lib.ServiceTimeDistribution;
 import org.berylwick.node.lib.OwnerLoad;
 import org.berylwick.node.lib.RequestClass;
 import org.berylwick.node.lib.RouteKind;
+import org.berylwick.node.lib.ServiceTimeDistribution;
 
 /** A datagram is read as it was written; anything else is no datagram, whatever its bytes. */
 class NodeStateCodecTest {
@@ -42,7 +42,8 @@
                 3_000_000L,
                 new OwnerLoad(load, load, load, 5_000L, load, load * 1_000_000L, load * 1_000_000L),
                 List.of(
-                        new ServiceTimeDistribution(new RequestClass(RouteKind.NON_IDEMPOTENT, 3, load), 1_000L * (load + 1), 0.25),
+                        new ServiceTimeDistribution(
+                                new RequestClass(RouteKind.NON_IDEMPOTENT, 3, load), 1_000L * (load + 1), 0.25),
                         new ServiceTimeDistribution(new RequestClass(RouteKind.BULK, 0, 100), 7_000L, 0.5)));
         NodeStateCodec.Message message = new NodeStateCodec.Message(told, flag, List.of("10.0.0.1", "10.0.0.2"));
         ByteBuf bytes = Unpooled.buffer();
