--- a/org.berylwick.node/src/org/berylwick/node/lib/BackendReport.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/BackendReport.java
@@ -3,16 +3,16 @@
 import java.net.InetSocketAddress;
 
 /**
- * A heartbeat of a backend server, decoded.
+ * The decoded heartbeat or health status of a backend server.
  *
- * @param incarnation id of this start of the backend server
- * @param service that it serves
- * @param address where it listens
- * @param zone availability zone
- * @param slots requests it runs at once
- * @param state whether it takes work
- * @param sequence increases with each report of an incarnation
- * @param warmUpNanos how much longer it is slow after its start
+ * @param incarnation id of this backend server process; changes on each restart
+ * @param service name of the service that the backend server provides
+ * @param address address on which it accepts requests
+ * @param zone its availability zone
+ * @param slots number of requests it runs concurrently
+ * @param state whether it accepts requests
+ * @param sequence sequence number, increasing with each report of an incarnation
+ * @param warmUpNanos remaining duration of its slow phase after the start
  */
 public record BackendReport(
         String incarnation,
--- a/org.berylwick.node/src/org/berylwick/node/lib/BackendState.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/BackendState.java
@@ -1,17 +1,17 @@
 package org.berylwick.node.lib;
 
-/** What is known of the backend server beside a node. */
+/** State of the backend server on the same VM as a node. */
 public enum BackendState {
-    /** None has announced itself. */
+    /** No backend server has registered, or it has stopped sending heartbeats. */
     ABSENT,
-    /** Takes work. */
+    /** Accepts new requests. */
     READY,
-    /** Finishes what it has. */
+    /** Completes its current requests and accepts no new ones. */
     DRAINING;
 
     private static final BackendState[] VALUES = values();
 
-    /** The state with an ordinal; {@link #ABSENT} for one that is not known. */
+    /** Returns the state with the given ordinal, or {@link #ABSENT} if the ordinal is unknown. */
     public static BackendState fromOrdinal(int ordinal) {
         return ordinal >= 0 && ordinal < VALUES.length ? VALUES[ordinal] : ABSENT;
     }
--- a/org.berylwick.node/src/org/berylwick/node/lib/CallerLimits.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/CallerLimits.java
@@ -1,11 +1,11 @@
 package org.berylwick.node.lib;
 
 /**
- * What a caller may send, and how long it may take or stay idle.
+ * Size limits and timeouts for requests and connections of callers.
  *
- * @param maxHeaderBytes of one request
- * @param maxBodyBytes of one request
- * @param headerTimeoutNanos from the first byte of a request to the end of its headers
- * @param idleTimeoutNanos of a kept connection
+ * @param maxHeaderBytes maximum size of the headers of a request
+ * @param maxBodyBytes maximum size of the body of a request
+ * @param headerTimeoutNanos longest time between the first byte of a request and the end of its headers
+ * @param idleTimeoutNanos time after which an idle keep-alive connection is closed
  */
 public record CallerLimits(int maxHeaderBytes, long maxBodyBytes, long headerTimeoutNanos, long idleTimeoutNanos) {}
--- a/org.berylwick.node/src/org/berylwick/node/lib/Clock.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/Clock.java
@@ -1,27 +1,27 @@
 package org.berylwick.node.lib;
 
 /**
- * The time and the alarms that decisions live by: on a node those of its event loop, in tests and measurements of a
- * clock that is moved by hand, so that an hour of load is played in seconds.
+ * Source of time and timers. A node uses the timers of its event loop; tests and benchmarks use a virtual clock that is
+ * advanced explicitly, so that an hour of load is simulated in seconds.
  */
 public interface Clock {
-    /** Now, in nanoseconds since some moment; on a node that of {@link System#nanoTime}. */
+    /** Returns the current time in nanoseconds from an arbitrary origin; on a node, that of {@link System#nanoTime}. */
     long now();
 
     /**
-     * Runs a task at a time.
+     * Schedules a task.
      *
-     * @param timeNanos in the terms of {@link #now}; a task whose time has passed runs soon
-     * @param task runs where all others of this clock do
+     * @param timeNanos time to run the task, on the scale of {@link #now}; a time in the past runs the task as soon as possible
+     * @param task task to run, on the same thread as all other tasks of this clock
      */
     Timer schedule(long timeNanos, Runnable task);
 
-    /** Runs a task after what runs now. */
+    /** Runs a task after the current one has returned. */
     void defer(Runnable task);
 
-    /** A task that waits for its time. */
+    /** A scheduled task. */
     interface Timer {
-        /** Lets it not run any more. */
+        /** Cancels the task; does nothing if it has already run. */
         void cancel();
     }
 }
--- a/org.berylwick.node/src/org/berylwick/node/lib/ConfigurationVersion.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/ConfigurationVersion.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** One whole accepted version of the configuration, immutable. */
+/** An accepted, complete and immutable version of the mesh configuration. */
 public final class ConfigurationVersion {
     private final long number;
     private final Map<String, List<Route>> routesByHost;
@@ -32,41 +32,41 @@
         this.encoded = builder.encoded;
     }
 
-    /** The version's number; a node only ever installs a higher one. */
+    /** Returns the version number. A node installs a version only if its number is higher than that of the current one. */
     public long number() {
         return number;
     }
 
-    /** What callers may send. */
+    /** Returns the limits for requests of callers. */
     public CallerLimits limits() {
         return limits;
     }
 
-    /** The connections that one backend server of a service accepts from all callers together, 0 if unknown. */
+    /** Returns how many connections one backend server of a service accepts in total, 0 if unknown. */
     public int maxConnections(String service) {
         return maxConnections.getOrDefault(service, 0);
     }
 
-    /** Where a backend server of a service answers how it is; empty if it does not. */
+    /** Returns the path of the health check of a service, empty if it has none. */
     public Optional<String> healthPath(String service) {
         return Optional.ofNullable(healthPaths.get(service)).filter(p -> p.startsWith("/"));
     }
 
-    /** The bytes this version was read from, for other nodes; not to be changed. */
+    /** Returns the encoded form that this version was read from, as sent to other nodes. Must not be modified. */
     public byte[] encoded() {
         return encoded;
     }
 
-    /** How many routes there are. */
+    /** Returns the number of routes of all hosts. */
     public int routeCount() {
         return routesByHost.values().stream().mapToInt(List::size).sum();
     }
 
     /**
-     * The route with the longest prefix that begins the path.
+     * Finds the route of a host with the longest prefix that matches a path.
      *
-     * @param host as the caller sent it, with or without a port
-     * @param path with or without a query
+     * @param host value of the Host header, with or without a port
+     * @param path request path, with or without a query
      */
     public Optional<Route> route(String host, String path) {
         List<Route> routes = routesByHost.get(hostName(host));
@@ -87,7 +87,7 @@
         return name.toLowerCase(Locale.ROOT);
     }
 
-    /** Collects the parts of a version; {@link #build} makes it whole. */
+    /** Builder for {@link ConfigurationVersion}. */
     public static final class Builder {
         private final long number;
         private final byte[] encoded;
@@ -97,15 +97,15 @@
         private CallerLimits limits = new CallerLimits(16_384, 1 << 20, 3_000_000_000L, 15_000_000_000L);
 
         /**
-         * @param number of the version
-         * @param encoded the bytes it is read from
+         * @param number version number
+         * @param encoded encoded form that the version is read from
          */
         public Builder(long number, byte[] encoded) {
             this.number = number;
             this.encoded = encoded;
         }
 
-        /** Adds a route of a host. */
+        /** Adds a route to a host. */
         public Builder route(String host, Route route) {
             routesByHost
                     .computeIfAbsent(host.toLowerCase(Locale.ROOT), h -> new ArrayList<>())
@@ -113,30 +113,31 @@
             return this;
         }
 
-        /** Adds a service and the connections that each of its backend servers accepts. */
+        /** Adds a service and the number of connections that each of its backend servers accepts. */
         public Builder service(String name, int connections) {
             maxConnections.put(name, connections);
             return this;
         }
 
         /**
-         * Adds a service, the connections that each of its backend servers accepts, and where those tell their health.
+         * Adds a service, the number of connections that each of its backend servers accepts, and the path of their
+         * health check.
          */
         public Builder service(String name, int connections, String healthPath) {
             healthPaths.put(name, healthPath);
             return service(name, connections);
         }
 
-        /** Sets what callers may send. */
+        /** Sets the limits for requests of callers. */
         public Builder limits(CallerLimits callerLimits) {
             this.limits = callerLimits;
             return this;
         }
 
         /**
-         * The whole version.
+         * Builds the version.
          *
-         * @throws IllegalArgumentException if a route leads to a service that the version lacks
+         * @throws IllegalArgumentException if a route refers to a service that was not added
          */
         public ConfigurationVersion build() {
             for (List<Route> routes : routesByHost.values()) {
@@ -149,7 +150,7 @@
             for (WeightedService weightedService : route.weightedServices()) {
                 if (!maxConnections.containsKey(weightedService.service())) {
                     throw new IllegalArgumentException(
-                            "route " + route.name() + " leads to unknown service " + weightedService.service());
+                            "route " + route.name() + " refers to unknown service " + weightedService.service());
                 }
             }
         }
--- a/org.berylwick.node/src/org/berylwick/node/lib/HeaderNames.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/HeaderNames.java
@@ -1,11 +1,11 @@
 package org.berylwick.node.lib;
 
 /**
- * Names of the headers that callers and backend servers use.
+ * Names of the HTTP headers exchanged with callers and backend servers.
  *
  * @param requestId id of one attempt of a caller
- * @param deadline milliseconds that the sender will wait
- * @param signature of a backend server's answer over its body
+ * @param deadline remaining time, in milliseconds, that the sender waits for the response
+ * @param signature signature of a backend server over the body of its response
  * @param targetInstance incarnation that alone may run the request
  * @param load running, waiting and slots of a backend server, separated by commas
  * @param notExecuted marks an answer to a request that was not run
--- a/org.berylwick.node/src/org/berylwick/node/lib/NodeSettings.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/NodeSettings.java
@@ -4,27 +4,27 @@
 import java.util.List;
 
 /**
- * What a node is told at its start.
+ * Settings that a node reads when it starts.
  *
- * @param name of the VM
- * @param ip of the VM, for callers, other nodes and the backend server
+ * @param name name of the VM
+ * @param ip IP address of the VM, used by callers, other nodes and the backend server
  * @param zone availability zone of the VM
- * @param region of the availability zone
- * @param service of the backend server beside the node, empty if there is none
- * @param backendAddress where the backend server listens
- * @param callerAddress where callers on this VM send their requests
- * @param peerAddress where other nodes send theirs
- * @param readinessAddress where the platform asks whether the node is ready
- * @param heartbeatAddress where the backend server announces itself
- * @param gossipPort UDP port on every VM, for membership
- * @param metricsPort TCP port on this VM, for counters
- * @param seeds addresses of nodes that may be alive
- * @param storeAddress the platform's store
- * @param heartbeatNanos between two heartbeats of a backend server
- * @param cpuShare of one core
- * @param memoryMb the process may use at most
- * @param linkMbps bandwidth of the VM's link
- * @param bounds what must hold
+ * @param region region of the availability zone
+ * @param service service of the backend server on this VM, empty if there is none
+ * @param backendAddress address of the backend server
+ * @param callerAddress listening address for callers on this VM
+ * @param peerAddress listening address for requests from other nodes
+ * @param readinessAddress listening address for readiness checks of the platform
+ * @param heartbeatAddress listening address for heartbeats of the backend server
+ * @param gossipPort UDP port of the membership gossip, the same on every VM
+ * @param metricsPort TCP port of this VM on which metrics are served
+ * @param seeds addresses of nodes to contact first, not all of which need be alive
+ * @param storeAddress address of the platform's configuration store
+ * @param heartbeatNanos interval between heartbeats of a backend server
+ * @param cpuShare fraction of one core that the node may use
+ * @param memoryMb maximum memory of the process in MB
+ * @param linkMbps bandwidth of the VM's network link in Mbit/s
+ * @param bounds limits that the platform guarantees or requires
  */
 public record NodeSettings(
         String name,
--- a/org.berylwick.node/src/org/berylwick/node/lib/OwnerLoad.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/OwnerLoad.java
@@ -1,35 +1,35 @@
 package org.berylwick.node.lib;
 
 /**
- * How busy a backend server is, as its owner counts it.
+ * Load of a backend server as measured by its owner, the node on the same VM.
  *
- * @param running requests it works on
- * @param queued requests that wait at the owner
- * @param slots requests it runs at once
- * @param meanNanos a request takes on average
- * @param lostPerMille requests of late that it lost or turned away, of a thousand
- * @param incomingNanos until the bodies that are on their way to its VM have come over the VM's link
- * @param outgoingNanos until the large answers that are there, or are being made, have left over it
+ * @param running number of requests that the backend server is processing
+ * @param queued number of requests that wait at the owner
+ * @param slots number of requests that the backend server runs concurrently
+ * @param meanNanos mean service time of a request
+ * @param lostPerMille recent requests per thousand that the backend server lost or rejected
+ * @param incomingNanos time until the request bodies in transit to the VM have been received over its link
+ * @param outgoingNanos time until the large responses that are ready or being produced have been sent over its link
  */
 public record OwnerLoad(
         int running, int queued, int slots, long meanNanos, int lostPerMille, long incomingNanos, long outgoingNanos) {
-    /** Nothing is known yet. */
+    /** Load of a backend server of which nothing is known yet. */
     public static final OwnerLoad NONE = new OwnerLoad(0, 0, 0, 0, 0, 0, 0);
 
-    /** The load of a backend server that loses nothing, on a link that is free. */
+    /** Creates the load of a backend server that loses no requests and whose link is idle. */
     public OwnerLoad(int running, int queued, int slots, long meanNanos) {
         this(running, queued, slots, meanNanos, 0, 0, 0);
     }
 
-    /** How long one more request would wait for a slot. */
+    /** Returns how long one more request would wait for a slot. */
     public long waitNanos() {
         return waitNanos(running + queued);
     }
 
     /**
-     * How long one more request would wait for a slot.
+     * Returns how long one more request would wait for a slot.
      *
-     * @param pendingRequests requests that are there already
+     * @param pendingRequests number of requests that are running or queued
      */
     public long waitNanos(int pendingRequests) {
         if (slots == 0) {
--- a/org.berylwick.node/src/org/berylwick/node/lib/PlatformBounds.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/PlatformBounds.java
@@ -1,14 +1,17 @@
 package org.berylwick.node.lib;
 
 /**
- * What the operators' platform promises and demands, each in nanoseconds unless it says otherwise.
+ * Limits that the deployment platform guarantees or requires.
  *
- * @param drainNanos from the acknowledgement of a leave to the last request that may reach the backend server
- * @param graceNanos from the signal to stop to the kill
- * @param convergenceNanos from the acceptance of a version to its being in force everywhere
- * @param retryRatio repeats that one request of a service earns
- * @param retryWindowNanos the span over which repeats are counted
- * @param retrySlack repeats per span and service that are free, over the whole fleet
+ * @param drainNanos longest time between the acknowledgement of a backend server's leave and the last request that may
+ *     reach it
+ * @param graceNanos time between the stop signal and the kill
+ * @param convergenceNanos longest time between the acceptance of a configuration version and its installation on all
+ *     nodes
+ * @param retryRatio number of retries allowed per request to a service
+ * @param retryWindowNanos length of the window over which requests and retries are counted
+ * @param retrySlack number of retries that the whole fleet may send to a service in each window in addition to the
+ *     ratio
  */
 public record PlatformBounds(
         long drainNanos,
--- a/org.berylwick.node/src/org/berylwick/node/lib/RequestClass.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/RequestClass.java
@@ -1,21 +1,23 @@
 package org.berylwick.node.lib;
 
 /**
- * Requests that are alike: routes are too many to learn each, and those of one kind, rank and objective take alike.
+ * A class of requests that share their statistics. There are too many routes to keep statistics for each, and requests
+ * with the same kind, priority and latency objective have similar service times.
  *
- * @param kind what may be repeated
- * @param priority rank, 0 the highest
+ * @param kind whether the requests may be retried and have large responses
+ * @param priority priority, 0 being the highest
  * @param objectiveMillis latency objective, 0 for none
  */
 public record RequestClass(RouteKind kind, int priority, int objectiveMillis) {
     private static final int PRIME = 31;
 
-    /** The class of a route's requests. */
+    /** Returns the class of the requests of a route. */
     public static RequestClass of(Route route) {
         return new RequestClass(route.kind(), route.priority(), (int) (route.objectiveNanos() / 1_000_000));
     }
 
-    // Spelt out: those that are made at run time cost each start of a node some milliseconds.
+    // Written out, because the generated methods of a record are linked at run time, which adds some milliseconds to
+    // each start of a node.
     @Override
     public boolean equals(Object other) {
         return other instanceof RequestClass o
--- a/org.berylwick.node/src/org/berylwick/node/lib/Route.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/Route.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * Where requests of one host under one path prefix go, and what holds for them.
+ * Destination and policy of the requests to one host under one path prefix.
  *
- * @param name the operator's name of the route
- * @param prefix begins and ends with a slash
- * @param kind what may be repeated
- * @param timeoutNanos the longest time a request is kept waiting, 0 for no such limit
- * @param objectiveNanos the latency objective, 0 if none was set
- * @param maxAttempts the most backend servers that one request may run on
- * @param priority its rank, 0 the highest
- * @param weightedServices the services that serve it, at least one
+ * @param name name given by the operator
+ * @param prefix path prefix, beginning and ending with a slash
+ * @param kind whether the requests may be retried and have large responses
+ * @param timeoutNanos longest time until a request is answered, 0 for no limit
+ * @param objectiveNanos latency objective, 0 for none
+ * @param maxAttempts maximum number of backend servers that one request may run on
+ * @param priority priority, 0 being the highest
+ * @param weightedServices services that the requests are distributed over, at least one
  */
 public record Route(
         String name,
@@ -31,9 +31,9 @@
     }
 
     /**
-     * The service for one request.
+     * Selects the service for a request according to the weights.
      *
-     * @param point in [0, 1), uniformly drawn
+     * @param point uniformly distributed random number in [0, 1)
      */
     public String serviceAt(double point) {
         if (weightedServices.size() == 1) {
--- a/org.berylwick.node/src/org/berylwick/node/lib/RouteKind.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/RouteKind.java
@@ -1,15 +1,15 @@
 package org.berylwick.node.lib;
 
-/** What may be repeated of a route's requests. */
+/** Kind of the requests of a route: whether they may be retried, and whether their responses are large. */
 public enum RouteKind {
     /** May run more than once. */
     IDEMPOTENT,
     /** May run at most once. */
     NON_IDEMPOTENT,
-    /** May run more than once, and its answers are large. */
+    /** May run more than once, and has large responses. */
     BULK;
 
-    /** Whether a request that may have run can be sent again. */
+    /** Returns whether a request that may already have run may be sent again. */
     public boolean isRetryable() {
         return this != NON_IDEMPOTENT;
     }
--- a/org.berylwick.node/src/org/berylwick/node/lib/ServiceTimeDistribution.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/ServiceTimeDistribution.java
@@ -1,37 +1,40 @@
 package org.berylwick.node.lib;
 
 /**
- * How long one backend server takes for requests of one class: a log-normal time, since most requests take little and a
- * few take several times as long.
+ * Service time of one backend server for requests of one class, modelled as a log-normal distribution, since most
+ * requests are fast and a few take several times as long.
  *
- * @param requestClass the requests
- * @param medianNanos half of the requests take less
- * @param logStdDev standard deviation of the logarithm of the time
+ * @param requestClass class of the requests
+ * @param medianNanos median service time
+ * @param logStdDev standard deviation of the natural logarithm of the service time
  */
 public record ServiceTimeDistribution(RequestClass requestClass, long medianNanos, double logStdDev) {
-    /** The spread of times that were not seen yet; request times of services mostly have 0.4 to 1. */
+    /** Value assumed before any request was measured; service times mostly have 0.4 to 1. */
     public static final double DEFAULT_LOG_STD_DEV = 0.6;
-    /** With less, the chance of being late would jump where the time is known no better than to some milliseconds. */
+    /**
+     * Lower bound. With a smaller value, the probability of being late would rise almost in a step, although service
+     * times are known only to within some milliseconds.
+     */
     private static final double MIN_LOG_STD_DEV = 0.15;
-    /** The logistic curve with this slope is the normal one to within 0.01. */
+    /** Slope with which the logistic function approximates the normal distribution function to within 0.01. */
     private static final double LOGISTIC_SLOPE = 1.702;
 
     public ServiceTimeDistribution {
         logStdDev = Math.max(MIN_LOG_STD_DEV, logStdDev);
     }
 
-    /** The time of a kind that was not seen, from its mean. */
+    /** Returns the distribution with the given mean for a class of which no request was measured. */
     public static ServiceTimeDistribution fromMean(RequestClass requestClass, double meanNanos) {
         double medianNanos = meanNanos / Math.exp(DEFAULT_LOG_STD_DEV * DEFAULT_LOG_STD_DEV / 2);
         return new ServiceTimeDistribution(requestClass, (long) medianNanos, DEFAULT_LOG_STD_DEV);
     }
 
-    /** The mean time. */
+    /** Returns the mean service time. */
     public long meanNanos() {
         return (long) (medianNanos * Math.exp(logStdDev * logStdDev / 2));
     }
 
-    /** The chance that a request takes longer than a time. */
+    /** Returns the probability that a request takes longer than the given time. */
     public double probabilityOfExceeding(long nanos) {
         if (nanos <= 0) {
             return 1;
@@ -40,7 +43,7 @@
         return 1 / (1 + Math.exp(LOGISTIC_SLOPE * standardScore));
     }
 
-    /** The same on a backend server that takes so many times as long. */
+    /** Returns the distribution of a backend server that is slower by the given factor. */
     public ServiceTimeDistribution scaledBy(double factor) {
         return new ServiceTimeDistribution(requestClass, (long) (medianNanos * factor), logStdDev);
     }
--- a/org.berylwick.node/src/org/berylwick/node/lib/WeightedService.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/WeightedService.java
@@ -1,9 +1,9 @@
 package org.berylwick.node.lib;
 
 /**
- * One part of a route's traffic.
+ * A service that receives a part of the traffic of a route.
  *
- * @param service the service that takes this part
- * @param weight its share, relative to the other parts of the route
+ * @param service name of the service
+ * @param weight weight relative to the other services of the route
  */
 public record WeightedService(String service, double weight) {}
--- a/org.berylwick.node/src/org/berylwick/node/lib/package-info.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/package-info.java
@@ -1,2 +1,2 @@
-/** Nouns of the node: what an operator configured, who is a member, what a call asks for. */
+/** Value types shared by the packages of the node, such as settings, configuration, load and request classes. */
 package org.berylwick.node.lib;
