--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
@@ -17,7 +17,10 @@
 import org.berylwick.node.lib.RouteKind;
 import org.junit.jupiter.api.Test;
 
-/** Own zone first, small answers spill before large ones, nobody is left without a node. */
+/**
+ * Tests that nodes in the own zone are preferred, that requests with small responses move to other zones before those
+ * with large ones, and that a node is found for every request that can be served in time.
+ */
 class CandidateChooserTest {
     private static final long MS = 1_000_000L;
     private static final RequestClass REQUEST_CLASS = new RequestClass(RouteKind.IDEMPOTENT, 1, 600);
@@ -70,8 +73,8 @@
     }
 
     /**
-     * A backend server that loses a part of its answers gets less, though it is near; one that lost one request does
-     * not.
+     * A nearby backend server that loses a considerable part of its requests is avoided; one that lost a single request
+     * is not.
      */
     @Test
     void avoidsBackendServerWithHighLossRate() {
@@ -92,7 +95,7 @@
         return new Candidate(Optional.empty(), load, List.of(), 2, 0, LinkLoad.NONE, distance, false, false);
     }
 
-    /** Guards against large answers queueing at one VM's link while another's is free, whatever their bytes cost. */
+    /** Guards against large responses queueing at the link of one VM while another is idle, even in another zone. */
     @Test
     void movesLargeResponsesAwayFromABusyLink() {
         Candidate busy = candidateBehindLink(Distance.SAME_ZONE, 700 * MS);
@@ -101,7 +104,7 @@
         assertEquals(Distance.SAME_ZONE, chosenDistance(SMALL_RESPONSE, busy, free));
     }
 
-    /** Answers that leave while the next one is made cost it nothing. */
+    /** Responses that are transferred while the new one is still being produced do not delay it. */
     @Test
     void ignoresResponsesTransferredBeforeTheNewOneIsReady() {
         assertEquals(
@@ -141,17 +144,17 @@
                         List.of(candidate(Distance.SAME_ZONE, 0, 200), candidate(Distance.SAME_ZONE, 0, 200)),
                         SMALL_RESPONSE)
                 .orElseThrow();
-        assertTrue(choice.maxWaitNanos() < 50 * MS, "waits " + choice.maxWaitNanos());
+        assertTrue(choice.maxWaitNanos() < 50 * MS, "maximum wait in ns: " + choice.maxWaitNanos());
         CandidateChooser.Choice far = chooser.choose(
                         List.of(candidate(Distance.SAME_ZONE, 0, 200), candidate(Distance.SAME_REGION, 0, 200)),
                         SMALL_RESPONSE)
                 .orElseThrow();
-        assertTrue(far.maxWaitNanos() < 400 * MS, "waits " + far.maxWaitNanos());
+        assertTrue(far.maxWaitNanos() < 400 * MS, "maximum wait in ns: " + far.maxWaitNanos());
         CandidateChooser.Choice only = chooser.choose(List.of(candidate(Distance.SAME_ZONE, 0, 200)), SMALL_RESPONSE)
                 .orElseThrow();
-        assertTrue(only.maxWaitNanos() > 300 * MS, "waits " + only.maxWaitNanos());
-        // Behind that wait it would be late, and others with it.
-        assertTrue(only.maxWaitNanos() < 700 * MS, "waits " + only.maxWaitNanos());
+        assertTrue(only.maxWaitNanos() > 300 * MS, "maximum wait in ns: " + only.maxWaitNanos());
+        // With a longer wait this request would be late, and so would those queued behind it.
+        assertTrue(only.maxWaitNanos() < 700 * MS, "maximum wait in ns: " + only.maxWaitNanos());
     }
 
     @Property(tries = 200)
@@ -177,7 +180,7 @@
                     .mapToLong(c -> c.load().waitNanos(c.pendingRequests()))
                     .min()
                     .orElseThrow();
-            assertTrue(shortestWaitNanos > 300 * MS, "refused, though one waits " + shortestWaitNanos + " ns");
+            assertTrue(shortestWaitNanos > 300 * MS, "refused, although the shortest wait is " + shortestWaitNanos + " ns");
         }
         assertFalse(randomChooser.choose(List.of(), SMALL_RESPONSE).isPresent());
     }
--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateSamplerTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateSamplerTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Which nodes an entry compares for a request. */
+/** Tests which nodes are compared as candidates for a request. */
 class CandidateSamplerTest {
     private static final HeaderNames NAMES =
             new HeaderNames("id", "deadline", "signature", "target", "load", "not-run", "caller", "instance");
@@ -83,7 +83,7 @@
                 .collect(Collectors.groupingBy(Candidate::distance, Collectors.counting()));
     }
 
-    /** With the many that a large fleet has, two are drawn from here, two from the region, and one from elsewhere. */
+    /** In a large fleet, the sample has two members of the own zone, two of the region, and one of another region. */
     @Test
     void samplesAFewMembersOfEachDistance() {
         addMembers("zone-a", 0, 20);
@@ -100,7 +100,7 @@
                 countByDistance(Set.of()));
     }
 
-    /** Each is drawn as often as any other of its zone, so no two entries compare the same few for long. */
+    /** Members of a zone are sampled equally often, so that nodes do not keep comparing the same few. */
     @Test
     void samplesMembersUniformly() {
         addMembers("zone-a", 0, 10);
@@ -112,10 +112,10 @@
         assertEquals(10, sampleCounts.size());
         int expected = SAMPLES * 2 / 10;
         sampleCounts.forEach((key, count) ->
-                assertTrue(count > expected * 0.85 && count < expected * 1.15, key + " was drawn " + count + " times"));
+                assertTrue(count > expected * 0.85 && count < expected * 1.15, key + " was sampled " + count + " times"));
     }
 
-    /** Where a zone has too few, others fill up: somebody must be compared. */
+    /** Members of other zones complete the sample if the own zone has too few. */
     @Test
     void samplesOtherZonesWhenOwnZoneHasTooFewMembers() {
         addMembers("zone-a", 0, 1);
@@ -125,7 +125,7 @@
                 countByDistance(Set.of()));
     }
 
-    /** Half of a fleet was killed: the dead ones are not drawn while one lives, however few that are. */
+    /** After half of a fleet was killed, the dead members are not sampled as long as a single live one remains. */
     @Test
     void samplesSilentMembersOnlyIfAllAreSilent() {
         addMembers("zone-a", 0, 20);
@@ -139,7 +139,7 @@
         assertTrue(remaining.stream().allMatch(Candidate::suspect));
     }
 
-    /** What a request was refused by is not asked again. */
+    /** A node that refused a request is not tried again. */
     @Test
     void doesNotSampleExcludedMembers() {
         addMembers("zone-a", 0, 3);
--- a/org.berylwick.test/tst/org/berylwick/node/call/RetryBudgetTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/RetryBudgetTest.java
@@ -13,14 +13,14 @@
 import net.jqwik.api.constraints.IntRange;
 import org.berylwick.node.lib.PlatformBounds;
 
-/** No window of any position holds more repeats than the fleet may send, calls made by repeats included. */
+/** Tests that no window, wherever it begins, contains more retries than the fleet may send, nested calls included. */
 class RetryBudgetTest {
     private static final long WINDOW = 10_000_000_000L;
     private static final PlatformBounds BOUNDS = new PlatformBounds(0, 0, 0, 0.2, WINDOW, 58);
 
     /**
-     * A fleet whose backend servers turn nearly all away: each node repeats whenever its budget lets it. Each repeat of
-     * the calling service makes calls to the called one, which count as repeats there.
+     * The backend servers reject nearly all requests, and each node retries whenever its budget permits. Each retry at
+     * the calling service makes calls to the called service, which count as retries there.
      */
     @Property(tries = 40)
     void fleetStaysWithinRetryAllowance(
@@ -56,8 +56,8 @@
     }
 
     /**
-     * A service turns all calls away, so that the runs which make two calls each fail and are repeated, calls and all.
-     * Seven runs of ten make calls. Seen in scale-1 of the small twin of grown Dakar: 633 arrivals, 569 allowed.
+     * A service rejects all calls. Seven of ten requests to the calling service make two calls each, fail, and are
+     * retried with all their calls. Observed in a scaling test: 633 arrivals at the called service, 569 allowed.
      */
     @Property(tries = 40)
     void retriesOfFailedCallersStayWithinAllowanceOfCalledService(
@@ -96,8 +96,8 @@
     }
 
     /**
-     * All nodes are killed in the middle of a window and know neither what they spent nor, at first, how many they are.
-     * Before, each of ten took the whole slack for its own.
+     * All nodes are killed in the middle of a window. After the restart they do not know how much of the budget they
+     * have used nor, at first, how many nodes there are. Guards against each of ten nodes using the whole slack.
      */
     @Example
     void restartedFleetDoesNotSpendSlackTwice() {
@@ -118,16 +118,16 @@
                 }
             }
         }
-        assertTrue(retries <= 58, retries + " repeats without a request, allowed 58");
-        assertTrue(retries >= 20, retries + " repeats: the slack is not used");
+        assertTrue(retries <= 58, retries + " retries without a request, allowed 58");
+        assertTrue(retries >= 20, retries + " retries: the slack is not used");
     }
 
     private static void assertWithinAllowance(List<Long> requests, List<Long> retries) {
-        assertFalse(retries.isEmpty(), "nothing was repeated");
+        assertFalse(retries.isEmpty(), "no request was retried");
         for (long from = WINDOW; from < 3 * WINDOW; from += WINDOW / 7) {
             long allowed = (long) (0.2 * countWithin(requests, from) + 58);
             long sent = countWithin(retries, from);
-            assertTrue(sent <= allowed, sent + " repeats from " + from + ", allowed " + allowed);
+            assertTrue(sent <= allowed, sent + " retries from " + from + ", allowed " + allowed);
         }
     }
 
--- a/org.berylwick.test/tst/org/berylwick/node/call/package-info.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of decisions on the call path that need no sockets. */
+/** Tests of load balancing and retry decisions that need no sockets. */
 package org.berylwick.node.call;
