--- a/org.berylwick.node/src/org/berylwick/node/call/CallerRetryRate.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallerRetryRate.java
@@ -5,15 +5,16 @@
 import org.berylwick.node.lib.RequestClass;
 
 /**
- * Which callers come back after a refusal, learnt for each class of requests; confined to the event loop.
+ * Estimates for each request class which fraction of the refused callers retry. Confined to the event loop.
  *
- * <p>The load it answers is an overload: whoever comes back is best refused as soon as it would be late, as others wait
- * behind it. A call that a run makes does not come back: with its refusal the run fails, and its slot's time is wasted.
+ * <p>This matters under overload: a request whose caller retries is best refused as soon as it would be late, because
+ * others wait behind it. A call that a backend server makes while it processes another request is not retried: its
+ * refusal fails that request, and the slot time spent on it is wasted.
  */
 final class CallerRetryRate {
-    /** Weight of a new refusal; about the last fifty count. */
+    /** Weight of a new refusal; the estimate reflects about the last fifty refusals. */
     private static final double SMOOTHING_FACTOR = 0.02;
-    /** Before anything was seen callers are taken to come back, as they mostly do. */
+    /** Rate assumed before the first refusal, since most callers retry. */
     private static final double DEFAULT_RATE = 1;
 
     private final Map<RequestClass, Counts> byClass = new HashMap<>();
@@ -33,7 +34,7 @@
         byClass.computeIfAbsent(requestClass, key -> new Counts()).retried++;
     }
 
-    /** The part of those refused that come back. */
+    /** Returns the fraction of refused callers that retry. */
     double retryRate(RequestClass requestClass) {
         Counts counts = byClass.get(requestClass);
         return counts == null ? DEFAULT_RATE : Math.min(1, counts.retried / counts.refused);
--- a/org.berylwick.node/src/org/berylwick/node/call/CallerWaitEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallerWaitEstimator.java
@@ -4,26 +4,27 @@
 import java.util.Map;
 
 /**
- * How long callers of a route wait, and from that how long one has waited already; confined to the event loop.
+ * Estimates how long a caller had already been waiting before it sent a request, from the longest timeout seen on the
+ * same route. Confined to the event loop.
  *
- * <p>A caller that was refused comes back as a new request that will wait for what is left. Its latency objective
- * counts from its first attempt, so a request whose objective cannot be met any more is told apart by its shorter wait.
+ * <p>A caller that was refused retries with a new request whose timeout is the remaining time. Its latency objective
+ * counts from the first attempt, so the shorter timeout identifies requests whose objective can no longer be met.
  */
 final class CallerWaitEstimator {
     private static final int MAX_ROUTES = 2_000;
     /**
-     * A wait shorter by less than this is rounding, time on the way, or a call whose run has little time left; whoever
-     * was refused comes back 50 ms later at the soonest.
+     * Smaller differences between timeouts are caused by rounding, network delay, or a nested call whose parent request
+     * has little time left. A caller that was refused retries after 50 ms at the earliest.
      */
     private static final long TOLERANCE_NANOS = 45_000_000L;
 
     private final Map<String, Long> longestTimeoutByRoute = new HashMap<>();
 
     /**
-     * How long the caller of a request has waited before it was sent.
+     * Returns how long the caller had been waiting before it sent a request, 0 for a first attempt.
      *
-     * @param routeName its name
-     * @param timeoutNanos how long it will wait from now on
+     * @param routeName name of the route of the request
+     * @param timeoutNanos how long the caller will wait from now on
      */
     long waitedNanos(String routeName, long timeoutNanos) {
         if (longestTimeoutByRoute.size() >= MAX_ROUTES) {
--- a/org.berylwick.node/src/org/berylwick/node/call/Candidate.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Candidate.java
@@ -8,17 +8,17 @@
 import org.berylwick.node.member.Member;
 
 /**
- * A node that may run a request.
+ * A node whose backend server may run a request.
  *
- * @param member the other node, empty for this one
- * @param load of its backend server, with what is known to be on its way there
- * @param serviceTimes of its backend server, for each kind that it has seen
- * @param pendingRequests requests there now
- * @param warmUpNanos how much longer its backend server is slow
- * @param link that leads to its VM
- * @param distance to it
- * @param neverUsed whether this node never sent it a request
- * @param suspect whether calls to it failed a short time ago, or it fell silent
+ * @param member the remote node, empty for this node
+ * @param load last known load of its backend server
+ * @param serviceTimes service times of its backend server, for each request class that it has processed
+ * @param pendingRequests estimated number of requests that are running or queued there now
+ * @param warmUpNanos remaining duration of the slow phase after the start of its backend server
+ * @param link load of the network link of its VM
+ * @param distance network distance to the node
+ * @param neverUsed whether this node has not sent it a request since its backend server joined
+ * @param suspect whether calls to it failed recently, or it has been silent for too long
  */
 public record Candidate(
         Optional<Member> member,
@@ -30,22 +30,22 @@
         Distance distance,
         boolean neverUsed,
         boolean suspect) {
-    /** Key of this node. */
+    /** Key of the local node. */
     public static final String SELF_KEY = "";
 
-    /** How far away a node is. */
+    /** Network distance from the local node. */
     public enum Distance {
-        /** This node. */
+        /** The local node. */
         SELF,
-        /** In this availability zone. */
+        /** A node in the same availability zone. */
         SAME_ZONE,
-        /** In another availability zone of this region. */
+        /** A node in another availability zone of the same region. */
         SAME_REGION,
-        /** In another region. */
+        /** A node in another region. */
         OTHER_REGION
     }
 
-    /** The VM's address, empty for this one. */
+    /** Returns the IP address of the VM, or {@link #SELF_KEY} for the local node. */
     public String key() {
         return member.map(Member::ip).orElse(SELF_KEY);
     }
--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -7,47 +7,50 @@
 import org.berylwick.node.lib.ServiceTimeDistribution;
 
 /**
- * Chooses where a request runs by what its caller stands to lose there; keeps nothing between requests.
+ * Chooses the node that runs a request by its expected cost to the caller. Stateless between requests.
  *
- * <p>Backend servers differ in speed, queues are known as they were last told, and bytes are dear between availability
- * zones. All are put in one measure, parts of what a request is worth: the chance that it ends after its objective, or
- * not at all, by the spread of times that the backend server has shown; the chance that it is lost; and its bytes.
- * Chances, not means, since the mean hides the tail that misses the objective.
+ * <p>Backend servers differ in speed, queue lengths are known only as last reported, and traffic between availability
+ * zones is expensive. The cost combines these factors as fractions of the value of a request: the probability that it
+ * exceeds its latency objective or its deadline, given the service time distribution of the backend server; the
+ * probability that it is lost; and the bytes transferred between zones. It uses probabilities rather than mean times,
+ * since a mean hides the tail that misses the objective.
  */
 public final class CandidateChooser {
-    /** What a caller loses when an answer is late, in parts of what it loses without one. */
+    /** Cost of a response after the latency objective, relative to the cost of no response. */
     private static final double LATE_COST = 0.7;
-    /** What a lost request costs: one that must run once fails, another takes its time and room again. */
+    /** Cost of a lost request: a non-idempotent one fails, and any other takes up time and a slot again. */
     private static final double LOSS_COST = 1;
-    /** Bytes across availability zones that cost as much as one request is worth. */
+    /** Bytes transferred between availability zones that cost as much as one failed request. */
     private static final double BYTES_PER_UNIT_COST = 16_384;
-    /** The most that bytes count: a caller is never refused, and rarely served late, to save them. */
+    /** Upper limit of the cost of bytes: no caller is refused, and few are served late, to save traffic. */
     private static final double MAX_BYTES_COST = 0.68;
-    /** Bytes of an answer's and a request's headers. */
+    /** Size of the headers of a request and its response. */
     private static final int HEADER_BYTES = 700;
 
     private static final double SAME_ZONE_COST = 0.002;
     private static final double SAME_REGION_COST = 0.004;
     private static final double OTHER_REGION_COST = 0.1;
-    /** Between equals the sooner one, so that room is left where it is scarce. */
+    /** Prefers the faster of otherwise equal candidates, which saves capacity where it is scarce. */
     private static final double ELAPSED_TIME_COST = 0.05;
-    /** A suspect is taken only if there is nothing else. */
+    /** Exceeds all other costs, so that a suspect node is chosen only if there is no other candidate. */
     private static final double SUSPECT_COST = 3;
-    /** Equal candidates are told apart by chance, or all entries would take the same one. */
+    /** Random addition to each cost; without it, all nodes would choose the same one of equal candidates. */
     private static final double MAX_COST_JITTER = 0.004;
-    /** A backend server that this node never used gets one request soon, so that one that joined is known to work. */
+    /** Discount for a backend server that this node has never used, so that a new one is soon known to work. */
     private static final double NEVER_USED_DISCOUNT = 0.25;
 
+    /** Probability with which {@link #NEVER_USED_DISCOUNT} applies to a request. */
     private static final double NEVER_USED_PROBABILITY = 0.1;
     /** A backend server that has just started takes about twice as long. */
     private static final double WARM_UP_SLOWDOWN = 2;
 
     private static final double MAX_SLOWDOWN = 4;
-    /** What a load that is some milliseconds old may be wrong by, in parts of the objective. */
+    /** Tolerance for load data that is some milliseconds old, as a fraction of the latency objective. */
     private static final double STALENESS_MARGIN = 0.02;
     /**
-     * What a refusal costs, at once and with a time to come back: a first attempt that would wait until it is almost
-     * surely late is better refused, as others would wait behind it. Whoever will not come back loses all.
+     * Cost of an immediate refusal with a Retry-After time to a caller that retries. A first attempt that would almost
+     * certainly be late is better refused, as others would wait behind it. A caller that does not retry loses the
+     * whole value of the request.
      */
     private static final double REFUSAL_COST = 0.65;
 
@@ -55,25 +58,25 @@
 
     private final DoubleSupplier random;
 
-    /** @param random uniform in [0, 1) */
+    /** @param random supplies uniformly distributed numbers in [0, 1) */
     public CandidateChooser(DoubleSupplier random) {
         this.random = random;
     }
 
     /**
-     * Where to send a request.
+     * The node to send a request to.
      *
-     * @param candidate the node
-     * @param maxWaitNanos the longest wait there that is still better than the next best node, or than a refusal
+     * @param candidate the chosen node
+     * @param maxWaitNanos longest wait there that still costs less than the next best node or a refusal
      */
     public record Choice(Candidate candidate, long maxWaitNanos) {}
 
     /**
-     * Chooses.
+     * Chooses the candidate with the lowest cost.
      *
-     * @param candidates nodes whose backend server serves the request's service
-     * @param profile about the request
-     * @return empty if there is none, or if it is better refused
+     * @param candidates nodes whose backend server provides the service of the request
+     * @param profile properties of the request
+     * @return the choice, or empty if there is no candidate or the request is better refused
      */
     Optional<Choice> choose(List<Candidate> candidates, RequestProfile profile) {
         double averageMeanNanos = averageMeanNanos(candidates);
@@ -111,7 +114,10 @@
                         best, profile, averageMeanNanos, waitNanos, bestLatenessCost + Math.max(0, costMargin))));
     }
 
-    /** For a slot, or until the link has room: for what is on its way there, and for the answer once it is made. */
+    /**
+     * Returns the expected wait for a slot and for the link: for the data in transit to the VM and, if the transfer is
+     * large, for the responses that leave before this one.
+     */
     private static long expectedWaitNanos(Candidate candidate, RequestProfile profile, double averageMeanNanos) {
         LinkLoad link = candidate.link();
         long waitNanos = Math.max(candidate.load().waitNanos(candidate.pendingRequests()), link.busyNanos());
@@ -124,12 +130,15 @@
                         - serviceTimeOf(candidate, profile, averageMeanNanos).medianNanos());
     }
 
-    /** How long the request's body and its answer take over the link of another VM. */
+    /** Returns how long the request body and the response take over the link of a remote VM. */
     private static long transferNanos(Candidate candidate, RequestProfile profile) {
         return candidate.link().transferNanos(profile.expectedBytes());
     }
 
-    /** The longest wait with which a request stands to lose no more than a bound. */
+    /**
+     * Returns the longest wait with which the lateness cost stays within a limit, found by bisection, plus the tolerance
+     * for stale load data.
+     */
     private static long longestAcceptableWaitNanos(
             Candidate candidate, RequestProfile profile, double averageMeanNanos, long minWaitNanos, double maxCost) {
         long low = minWaitNanos;
@@ -159,7 +168,7 @@
         return count == 0 ? 0 : sum / count;
     }
 
-    /** What does not depend on time. */
+    /** Returns the part of the cost that does not depend on time. */
     private double timeIndependentCost(Candidate candidate, RequestProfile profile) {
         double cost = LOSS_COST * candidate.load().lostPerMille() / 1e3;
         if (candidate.suspect()) {
@@ -178,7 +187,7 @@
                 };
     }
 
-    /** What the caller stands to lose by time after a wait. */
+    /** Returns the expected cost of a late or missing response after the given wait. */
     private static double latenessCost(
             Candidate candidate, RequestProfile profile, double averageMeanNanos, long waitNanos) {
         ServiceTimeDistribution serviceTime = serviceTimeOf(candidate, profile, averageMeanNanos);
--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateSampler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateSampler.java
@@ -14,16 +14,18 @@
 import org.berylwick.node.member.MemberTable;
 
 /**
- * Lists some nodes that may run a request: this one, and a few drawn by chance; confined to the event loop.
+ * Provides the local node and a small random sample of remote nodes as candidates for a request. Confined to the event
+ * loop.
  *
- * <p>Entries know each other's loads with a delay. If all of them compare all nodes, they take the same one until they
- * hear that it is full, and then the next, while others stand idle. A few drawn by chance differ enough to be worth
- * comparing, and differ from what other entries compare ("How useful is old information?", Mitzenmacher 2000).
+ * <p>Nodes learn the loads of others with a delay. If every node compared all others, they would all choose the same
+ * one until its load report showed that it was full, then all move on to the next, while others stay idle. A small
+ * random sample offers enough choice and differs between the nodes that choose ("How Useful Is Old Information?",
+ * Mitzenmacher 2000).
  */
 public final class CandidateSampler implements CandidateSource {
-    /** Drawn from this availability zone, and as many from the others of this region. */
+    /** Sample size for the availability zone of this node, and again for the other zones of its region. */
     private static final int SAMPLE_SIZE = 2;
-    /** Drawn from other regions. */
+    /** Sample size for the other regions. */
     private static final int OTHER_REGION_SAMPLE_SIZE = 1;
 
     private final String zone;
@@ -35,13 +37,13 @@
     private final DoubleSupplier random;
 
     /**
-     * @param zone of this node
-     * @param region of this node
+     * @param zone availability zone of this node
+     * @param region region of this node
      * @param regionOfZone regions by availability zone
-     * @param memberTable other nodes
-     * @param silenceThresholdNanos after which without a word a node counts as silent
-     * @param owner of the backend server beside this node
-     * @param random uniform in [0, 1)
+     * @param memberTable the other nodes
+     * @param silenceThresholdNanos time without a message after which a node is suspect
+     * @param owner owner of the backend server on this VM
+     * @param random supplies uniformly distributed numbers in [0, 1)
      */
     public CandidateSampler(
             String zone,
@@ -93,7 +95,7 @@
         return candidates;
     }
 
-    /** Adds so many by chance; returns how many there were too few. */
+    /** Adds a random sample of the members to the candidates; returns by how many the sample fell short of its size. */
     private int sample(List<Member> members, int sampleSize, long now, List<Candidate> candidates) {
         int sampledCount = Math.min(sampleSize, members.size());
         for (int i = 0; i < sampledCount; i++) {
--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateSource.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateSource.java
@@ -3,14 +3,14 @@
 import java.util.List;
 import java.util.Set;
 
-/** Lists the nodes that may run a request. */
+/** Provides the nodes that may run a request. */
 public interface CandidateSource {
     /**
-     * Nodes to compare whose backend server serves a service and takes work.
+     * Returns nodes whose backend server provides a service and accepts requests.
      *
-     * @param service that is to run the request
-     * @param excludedKeys keys of nodes that failed the request or do not take it
-     * @param now in {@link System#nanoTime} terms
+     * @param service name of the service
+     * @param excludedKeys keys of nodes that have failed or refused the request
+     * @param now current time on the scale of {@link System#nanoTime}
      */
     List<Candidate> candidatesFor(String service, Set<String> excludedKeys, long now);
 }
--- a/org.berylwick.node/src/org/berylwick/node/call/LossRate.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/LossRate.java
@@ -1,10 +1,10 @@
 package org.berylwick.node.call;
 
-/** Which part of its requests a backend server lost or turned away of late; confined to the event loop. */
+/** Estimates which fraction of its recent requests a backend server lost or rejected. Confined to the event loop. */
 final class LossRate {
-    /** Weight of a new request; about the last ten count. */
+    /** Weight of a new request; the estimate reflects about the last ten requests. */
     private static final double SMOOTHING_FACTOR = 0.1;
-    /** Time in which a loss loses its weight: a backend server that is passed over must be tried again. */
+    /** Time constant of the exponential decay. Without decay, a backend server that gets no requests would stay avoided. */
     private static final double DECAY_NANOS = 4e9;
 
     private double rate;
--- a/org.berylwick.node/src/org/berylwick/node/call/RequestProfile.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RequestProfile.java
@@ -3,16 +3,16 @@
 import org.berylwick.node.lib.RequestClass;
 
 /**
- * What is known of a request before it is sent.
+ * Properties of a request that determine which node runs it.
  *
- * @param requestClass the class of its route
- * @param expectedBytes of its answer and its body
- * @param expectedNanos that a backend server of usual speed takes, without a wait
- * @param objectiveRemainingNanos until its latency objective ends; below zero if that has passed
- * @param deadlineRemainingNanos until its deadline
- * @param maxWaitNanos that it may yet wait for slots, in all
- * @param callerRetryProbability the chance that its caller comes back if it is refused
- * @param finalAttempt whether nobody else is asked if this owner refuses
+ * @param requestClass class of the request
+ * @param expectedBytes expected size of the request body and the response
+ * @param expectedNanos expected response time of a backend server of average speed, without queueing
+ * @param objectiveRemainingNanos time left until its latency objective; negative if that has passed
+ * @param deadlineRemainingNanos time left until its deadline
+ * @param maxWaitNanos total time that it may still wait for slots
+ * @param callerRetryProbability probability that the caller retries if the request is refused
+ * @param finalAttempt whether no other node is tried if the chosen one refuses the request
  */
 record RequestProfile(
         RequestClass requestClass,
--- a/org.berylwick.node/src/org/berylwick/node/call/RequestQueue.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RequestQueue.java
@@ -7,17 +7,16 @@
 import java.util.TreeSet;
 
 /**
- * Requests that wait for a slot of one backend server; confined to the event loop.
+ * Requests that wait at the owner for their turn at one backend server. Confined to the event loop.
  *
- * <p>The load it answers is a burst, or a backend server that is short of room. Requests that can still meet their
- * latency objective go first, the earliest objective before the others; one that no longer can gives way to all that
- * can. With one queue for all, a burst leaves a backlog in which every request is served and every one is late, long
- * after the burst is over.
+ * <p>Designed for bursts and for backend servers that are short of capacity. Requests that can still meet their latency
+ * objective go first, in the order of their objectives; those that no longer can go after all of them. With a single
+ * queue, a burst would leave a backlog in which every request is served late, long after the burst is over.
  */
 final class RequestQueue {
-    /** A rank puts a request off by this much, so that no rank waits for ever. */
+    /** Delay added to the due time of a request for each priority level; bounded, so that no level starves. */
     static final long PRIORITY_STEP_NANOS = 100_000_000L;
-    /** Late requests that wait, for each slot: they start only when nothing else does. */
+    /** Maximum number of queued late requests per slot. They start only when no timely request is queued. */
     private static final double MAX_LATE_PER_SLOT = 0.5;
 
     private static final Comparator<OwnerRun> ORDER =
@@ -30,12 +29,12 @@
         return timely.size() + late.size();
     }
 
-    /** Requests that can meet their objective and would be started before this one. */
+    /** Returns how many queued requests that can meet their objective would start before the given one. */
     int countTimelyAhead(OwnerRun run) {
         return timely.headSet(run, true).size();
     }
 
-    /** Whether one more late request may wait. */
+    /** Returns whether one more late request may be queued. */
     boolean acceptsLate(int slots) {
         return late.size() < Math.max(1, slots * MAX_LATE_PER_SLOT);
     }
@@ -54,7 +53,7 @@
         }
     }
 
-    /** Takes the request to be started next. */
+    /** Removes and returns the request to start next. */
     Optional<OwnerRun> poll(long now) {
         while (!timely.isEmpty()) {
             OwnerRun first = timely.pollFirst();
@@ -66,7 +65,7 @@
         return Optional.ofNullable(late.pollFirst());
     }
 
-    /** Takes out all. */
+    /** Removes and returns all requests. */
     List<OwnerRun> drain() {
         List<OwnerRun> all = new ArrayList<>(timely);
         all.addAll(late);
--- a/org.berylwick.node/src/org/berylwick/node/call/ResponseEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ResponseEstimator.java
@@ -6,17 +6,19 @@
 import org.berylwick.node.lib.RouteKind;
 
 /**
- * How large the answers of each kind of route are and how long they take, learnt here; confined to the event loop.
+ * Estimates response sizes and response times from the responses that this node received. Confined to the event loop.
  *
- * <p>Routes of one kind, objective and rank are taken to be alike, as there are too many routes to learn each.
+ * <p>Routes with the same kind, latency objective and priority share an estimate, as there are too many routes to keep
+ * one for each.
  */
 final class ResponseEstimator {
     private static final double SMOOTHING_FACTOR = 0.1;
     private static final double DEFAULT_BYTES = 4_000;
     private static final double DEFAULT_BULK_BYTES = 100_000;
-    /** Part of its objective that a request is expected to take before one was seen. */
+    /** Response time assumed before the first response, as a fraction of the latency objective. */
     private static final double DEFAULT_OBJECTIVE_FRACTION = 0.35;
 
+    /** Response time assumed before the first response on routes without a latency objective. */
     private static final long DEFAULT_NANOS = 150_000_000L;
 
     private final Map<String, double[]> meanBytesByClass = new HashMap<>();
@@ -26,7 +28,7 @@
         updateMean(meanBytesByClass, route, bytes);
     }
 
-    /** Takes over how long an answer took that did not have to wait for a slot. */
+    /** Records the response time of a request that did not have to wait for a slot. */
     void recordNanos(Route route, long nanos) {
         updateMean(meanNanosByClass, route, nanos);
     }
--- a/org.berylwick.node/src/org/berylwick/node/call/RetryBudget.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RetryBudget.java
@@ -7,24 +7,24 @@
 import org.berylwick.node.lib.PlatformBounds;
 
 /**
- * This node's share of the repeats that the whole fleet may send to the backend servers of a service; confined to the
- * event loop.
+ * The share of this node in the retries that the whole fleet may send to the backend servers of a service. Confined to
+ * the event loop.
  *
- * <p>The allowance is a ratio of requests plus a fixed slack for each window, over all nodes. Each node spends the
- * ratio of what it was sent itself and an equal part of the slack, so that no node has to ask another. Calls made by a
- * run that was a repeat count as repeats too, at the service that is called, and cannot be told apart from here: part
- * of the allowance is left to them.
+ * <p>The allowance of the fleet is a ratio of its requests plus a fixed slack in each window. Each node spends the ratio
+ * of the requests that it received itself and an equal part of the slack, so that nodes need not coordinate. Calls that
+ * a backend server makes while it processes a retry also count as retries, at the called service, but a node cannot
+ * recognise them. Part of the allowance is therefore reserved for them.
  */
 public final class RetryBudget {
-    /** Part of the allowance that is spent here; calls made by repeats take about as much again. */
+    /** Fraction of the allowance used for direct retries; calls made by retried requests take about as much again. */
     private static final double RETRY_FRACTION = 0.4;
     /**
-     * Part that repeats of runs may take which a backend server ended with a failure of its own. Mostly a call that
-     * they made failed, and the repeat makes all its calls again, to the service that is short of room already.
+     * Fraction of the allowance used to retry requests that a backend server answered with an error. Usually a call
+     * made by the request has failed, and a retry repeats all its calls, to a service that is already overloaded.
      */
     private static final double SERVER_FAILURE_RETRY_FRACTION = 0.22;
 
-    /** In this time a node that could not read the list of nodes has heard most of them. */
+    /** Time within which a node that could not read the node directory has heard from most of the other nodes. */
     private static final long DISCOVERY_NANOS = 2_000_000_000L;
 
     private static final int BUCKETS = 20;
@@ -36,12 +36,12 @@
     private final Map<String, Window> byService = new HashMap<>();
 
     /**
-     * @param bounds ratio, slack and window
-     * @param nodeCount how many nodes share the slack
-     * @param directoryRead whether this node has read the list of nodes; without it, it takes none of the slack for 2
-     *     s, until it has heard most of them
-     * @param startedAt when this node was started, in {@link System#nanoTime} terms: for the length of a window it
-     *     takes half of its part, since what it spent in a life that it does not remember may still lie in the window
+     * @param bounds retry ratio, slack and window
+     * @param nodeCount number of nodes that share the slack
+     * @param directoryRead whether this node has read the node directory; if not, it uses no slack for its first 2 s,
+     *     until it has heard from most of the other nodes
+     * @param startedAt start time of this node on the scale of {@link System#nanoTime}; for one window after its start
+     *     the node uses half of its slack, since retries that it sent before a restart may still lie in the window
      */
     public RetryBudget(PlatformBounds bounds, IntSupplier nodeCount, BooleanSupplier directoryRead, long startedAt) {
         this.bounds = bounds;
@@ -50,19 +50,22 @@
         this.startedAt = startedAt;
     }
 
-    /** Counts a request for a service. */
+    /** Counts a request to a service. */
     public void onRequest(String service, long now) {
         Window window = windowOf(service);
         window.advance(now);
         window.requests[window.index]++;
     }
 
-    /** Takes one repeat of a request that would fail without it, or says that none is left. */
+    /** Takes one retry from the budget for a request that would otherwise fail; returns false if none is left. */
     public boolean tryAcquire(String service, long now) {
         return acquire(service, RETRY_FRACTION, now);
     }
 
-    /** Takes one repeat of a request whose run failed at the backend server, or says that none is left. */
+    /**
+     * Takes one retry from the budget for a request that a backend server answered with an error; returns false if none
+     * is left.
+     */
     public boolean tryAcquireAfterServerFailure(String service, long now) {
         return acquire(service, SERVER_FAILURE_RETRY_FRACTION, now);
     }
@@ -91,7 +94,7 @@
         return byService.computeIfAbsent(service, key -> new Window(bounds.retryWindowNanos() / (BUCKETS - 1)));
     }
 
-    /** Counts of the last window, in buckets; one bucket more than the window so that any span of it is covered. */
+    /** Counters of a sliding window in buckets; one bucket more than the window, so that they always cover all of it. */
     private static final class Window {
         private final long bucketNanos;
         private final int[] requests = new int[BUCKETS];
--- a/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
@@ -7,21 +7,22 @@
 import org.berylwick.node.lib.RequestClass;
 import org.berylwick.node.lib.ServiceTimeDistribution;
 
-/** How long a backend server takes for each kind of request, learnt from its answers; confined to the event loop. */
+/** Estimates the service times of a backend server by request class from its responses. Confined to the event loop. */
 final class ServiceTimeEstimator {
     /**
-     * Weight of a new answer; about the last twenty count. With the last ten, a heavy tail moved the mean by a quarter
-     * up and down; with fifty, a server that turned slow was believed for seconds.
+     * Weight of a new response in the means, which reflect about the last twenty responses. With ten, a heavy tail made
+     * the mean fluctuate by a quarter; with fifty, it took seconds to notice that a backend server had become slow.
      */
     private static final double MEAN_SMOOTHING_FACTOR = 0.05;
-    /** Weight of a new answer for the spread, which changes less and takes more answers to be seen. */
+    /** Weight of a new response in the variance, which changes less and needs more responses to be estimated. */
     private static final double VARIANCE_SMOOTHING_FACTOR = 0.02;
 
-    /** Part of its objective that a request is taken to run before one was seen. */
+    /** Service time assumed before the first response, as a fraction of the latency objective. */
     private static final double DEFAULT_OBJECTIVE_FRACTION = 0.35;
 
+    /** Service time assumed before the first response to a request without a latency objective. */
     private static final long DEFAULT_NANOS = 150_000_000L;
-    /** Kinds that are told to others; a service has fewer. */
+    /** Maximum number of request classes whose service times are sent to other nodes; a service has fewer. */
     private static final int MAX_PUBLISHED_CLASSES = 8;
 
     private final Map<RequestClass, ClassEstimate> byClass = new HashMap<>();
@@ -62,7 +63,7 @@
         overallMeanNanos += Math.max(MEAN_SMOOTHING_FACTOR, 1.0 / responses) * (nanos - overallMeanNanos);
     }
 
-    /** The time of a request like this one. */
+    /** Returns the estimated service time of a request. */
     ServiceTimeDistribution distribution(CallSpec call) {
         ClassEstimate estimate = byClass.get(call.like());
         return estimate == null
@@ -70,7 +71,7 @@
                 : estimate.distribution();
     }
 
-    /** The times of all kinds that were seen. */
+    /** Returns the estimates of the request classes that were measured, up to {@link #MAX_PUBLISHED_CLASSES}. */
     List<ServiceTimeDistribution> distributions() {
         List<ServiceTimeDistribution> distributions = new ArrayList<>();
         for (ClassEstimate estimate : byClass.values()) {
@@ -81,7 +82,10 @@
         return distributions;
     }
 
-    /** Without an answer yet the operators' objective tells most: nobody sets one that is mostly missed. */
+    /**
+     * Returns the mean service time to assume for a class that was not measured. Before the first response of any class,
+     * the latency objective is the best indication, since operators do not set one that is usually missed.
+     */
     private long defaultNanos(RequestClass requestClass) {
         if (responses > 0) {
             return (long) overallMeanNanos;
@@ -91,7 +95,7 @@
                 : (long) (DEFAULT_OBJECTIVE_FRACTION * requestClass.objectiveMillis() * 1_000_000);
     }
 
-    /** Mean time of all requests, 0 before the first answer. */
+    /** Returns the mean service time of all requests, 0 before the first response. */
     long meanNanos() {
         return (long) overallMeanNanos;
     }
--- a/org.berylwick.node/src/org/berylwick/node/call/StartRateBalancer.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/StartRateBalancer.java
@@ -5,16 +5,16 @@
 import org.berylwick.node.lib.RequestClass;
 
 /**
- * Which part of the requests of each kind an owner could start of late; confined to the event loop.
+ * Balances between request classes which fraction of its recent requests an owner starts. Confined to the event loop.
  *
- * <p>Where room is short, requests with a near objective would always go before those with a far one, and the latter
- * would be starved: calls of one service pushed out the orders of another. A kind that was served less often is put
- * forward until the shares are alike.
+ * <p>When capacity is short, requests with a short latency objective would always start before those with a long one,
+ * and starve them: calls of one service displaced the order requests of another. Requests of a class that was started
+ * less often are moved forward in the queue until the fractions are equal.
  */
 final class StartRateBalancer {
-    /** Time in which what was counted loses its weight. */
+    /** Time constant of the exponential decay of the counts. */
     private static final double DECAY_NANOS = 3e9;
-    /** How far a kind of which nothing was served is put before one of which all was. */
+    /** How far requests of a class of which none was started are moved ahead of a class of which all were started. */
     private static final double MAX_ADVANCE_NANOS = 1.5e9;
 
     private final Map<RequestClass, Counts> byClass = new HashMap<>();
@@ -36,7 +36,7 @@
         }
     }
 
-    /** Counts a request, and tells by how much it is put forward. */
+    /** Counts an offered request and returns by how much to advance its due time. */
     long onOffered(CallSpec call, long now) {
         Counts own = counts(call, now);
         own.offered++;
--- a/org.berylwick.node/src/org/berylwick/node/call/package-info.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/package-info.java
@@ -1,2 +1,2 @@
-/** The path of a call: entry, choice of a member, owner, backend server and back. */
+/** Request handling: receiving a request, choosing a node, queueing at the owner and running it on the backend server. */
 package org.berylwick.node.call;
--- a/org.berylwick.node/src/org/berylwick/node/lib/Clock.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/Clock.java
@@ -11,7 +11,8 @@
     /**
      * Schedules a task.
      *
-     * @param timeNanos time to run the task, on the scale of {@link #now}; a time in the past runs the task as soon as possible
+     * @param timeNanos time to run the task, on the scale of {@link #now}; if it has passed, the task runs as soon as
+     *     possible
      * @param task task to run, on the same thread as all other tasks of this clock
      */
     Timer schedule(long timeNanos, Runnable task);
--- a/org.berylwick.node/src/org/berylwick/node/lib/HeaderNames.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/HeaderNames.java
@@ -6,11 +6,11 @@
  * @param requestId id of one attempt of a caller
  * @param deadline remaining time, in milliseconds, that the sender waits for the response
  * @param signature signature of a backend server over the body of its response
- * @param targetInstance incarnation that alone may run the request
- * @param load running, waiting and slots of a backend server, separated by commas
- * @param notExecuted marks an answer to a request that was not run
- * @param callerService service on the VM where the request began
- * @param instance incarnation that answers
+ * @param targetInstance incarnation of the backend server that the request is addressed to; no other may run it
+ * @param load number of running and waiting requests and of slots of a backend server, separated by commas
+ * @param notExecuted marks a response to a request that was not executed
+ * @param callerService service of the VM on which the request originated
+ * @param instance incarnation of the backend server that responds
  */
 public record HeaderNames(
         String requestId,
