--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -49,8 +49,8 @@
     private static final double STALENESS_MARGIN = 0.02;
     /**
      * Cost of an immediate refusal with a Retry-After time to a caller that retries. A first attempt that would almost
-     * certainly be late is better refused, as others would wait behind it. A caller that does not retry loses the
-     * whole value of the request.
+     * certainly be late is better refused, as others would wait behind it. A caller that does not retry loses the whole
+     * value of the request.
      */
     private static final double REFUSAL_COST = 0.65;
 
@@ -136,8 +136,8 @@
     }
 
     /**
-     * Returns the longest wait with which the lateness cost stays within a limit, found by bisection, plus the tolerance
-     * for stale load data.
+     * Returns the longest wait with which the lateness cost stays within a limit, found by bisection, plus the
+     * tolerance for stale load data.
      */
     private static long longestAcceptableWaitNanos(
             Candidate candidate, RequestProfile profile, double averageMeanNanos, long minWaitNanos, double maxCost) {
--- a/org.berylwick.node/src/org/berylwick/node/call/LossRate.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/LossRate.java
@@ -4,7 +4,9 @@
 final class LossRate {
     /** Weight of a new request; the estimate reflects about the last ten requests. */
     private static final double SMOOTHING_FACTOR = 0.1;
-    /** Time constant of the exponential decay. Without decay, a backend server that gets no requests would stay avoided. */
+    /**
+     * Time constant of the exponential decay. Without decay, a backend server that gets no requests would stay avoided.
+     */
     private static final double DECAY_NANOS = 4e9;
 
     private double rate;
--- a/org.berylwick.node/src/org/berylwick/node/call/RetryBudget.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RetryBudget.java
@@ -10,10 +10,10 @@
  * The share of this node in the retries that the whole fleet may send to the backend servers of a service. Confined to
  * the event loop.
  *
- * <p>The allowance of the fleet is a ratio of its requests plus a fixed slack in each window. Each node spends the ratio
- * of the requests that it received itself and an equal part of the slack, so that nodes need not coordinate. Calls that
- * a backend server makes while it processes a retry also count as retries, at the called service, but a node cannot
- * recognise them. Part of the allowance is therefore reserved for them.
+ * <p>The allowance of the fleet is a ratio of its requests plus a fixed slack in each window. Each node spends the
+ * ratio of the requests that it received itself and an equal part of the slack, so that nodes need not coordinate.
+ * Calls that a backend server makes while it processes a retry also count as retries, at the called service, but a node
+ * cannot recognise them. Part of the allowance is therefore reserved for them.
  */
 public final class RetryBudget {
     /** Fraction of the allowance used for direct retries; calls made by retried requests take about as much again. */
@@ -94,7 +94,9 @@
         return byService.computeIfAbsent(service, key -> new Window(bounds.retryWindowNanos() / (BUCKETS - 1)));
     }
 
-    /** Counters of a sliding window in buckets; one bucket more than the window, so that they always cover all of it. */
+    /**
+     * Counters of a sliding window in buckets; one bucket more than the window, so that they always cover all of it.
+     */
     private static final class Window {
         private final long bucketNanos;
         private final int[] requests = new int[BUCKETS];
--- a/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
@@ -83,8 +83,8 @@
     }
 
     /**
-     * Returns the mean service time to assume for a class that was not measured. Before the first response of any class,
-     * the latency objective is the best indication, since operators do not set one that is usually missed.
+     * Returns the mean service time to assume for a class that was not measured. Before the first response of any
+     * class, the latency objective is the best indication, since operators do not set one that is usually missed.
      */
     private long defaultNanos(RequestClass requestClass) {
         if (responses > 0) {
--- a/org.berylwick.node/src/org/berylwick/node/lib/ConfigurationVersion.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/ConfigurationVersion.java
@@ -32,7 +32,9 @@
         this.encoded = builder.encoded;
     }
 
-    /** Returns the version number. A node installs a version only if its number is higher than that of the current one. */
+    /**
+     * Returns the version number. A node installs a version only if its number is higher than that of the current one.
+     */
     public long number() {
         return number;
     }
--- a/org.berylwick.node/src/org/berylwick/node/lib/LinkLoad.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/LinkLoad.java
@@ -16,7 +16,9 @@
 
     private static final double NANOS_PER_BYTE_AT_ONE_MBPS = 8_000;
 
-    /** Returns whether a transfer is so large that it has to queue for the link, as others would be delayed behind it. */
+    /**
+     * Returns whether a transfer is so large that it has to queue for the link, as others would be delayed behind it.
+     */
     public boolean isLarge(double bytes) {
         return transferNanos(bytes) >= LARGE_TRANSFER_NANOS;
     }
--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
@@ -180,7 +180,9 @@
                     .mapToLong(c -> c.load().waitNanos(c.pendingRequests()))
                     .min()
                     .orElseThrow();
-            assertTrue(shortestWaitNanos > 300 * MS, "refused, although the shortest wait is " + shortestWaitNanos + " ns");
+            assertTrue(
+                    shortestWaitNanos > 300 * MS,
+                    "refused, although the shortest wait is " + shortestWaitNanos + " ns");
         }
         assertFalse(randomChooser.choose(List.of(), SMALL_RESPONSE).isPresent());
     }
--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateSamplerTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateSamplerTest.java
@@ -111,8 +111,8 @@
         }
         assertEquals(10, sampleCounts.size());
         int expected = SAMPLES * 2 / 10;
-        sampleCounts.forEach((key, count) ->
-                assertTrue(count > expected * 0.85 && count < expected * 1.15, key + " was sampled " + count + " times"));
+        sampleCounts.forEach((key, count) -> assertTrue(
+                count > expected * 0.85 && count < expected * 1.15, key + " was sampled " + count + " times"));
     }
 
     /** Members of other zones complete the sample if the own zone has too few. */
