--- a/org.berylwick.node/src/org/berylwick/node/call/Backend.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Backend.java
@@ -91,7 +91,7 @@
 
     /** It answered a request. */
     void onAnswered(long now) {
-        losses.onAnswered(now);
+        losses.onResponse(now);
         answeredAt = now;
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/LossRate.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/LossRate.java
@@ -12,7 +12,7 @@
     private double rate;
     private long updatedAt;
 
-    void onAnswered(long now) {
+    void onResponse(long now) {
         update(0, now);
     }
 
