--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -120,7 +120,7 @@
      */
     private static long expectedWaitNanos(Candidate candidate, RequestProfile profile, double averageMeanNanos) {
         LinkLoad link = candidate.link();
-        long waitNanos = Math.max(candidate.load().waitNanos(candidate.pendingRequests()), link.busyNanos());
+        long waitNanos = Math.max(candidate.load().waitNanos(candidate.pendingRequests()), link.inTransitNanos());
         if (!link.isLarge(profile.expectedBytes())) {
             return waitNanos;
         }
--- a/org.berylwick.node/src/org/berylwick/node/lib/LinkLoad.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/LinkLoad.java
@@ -3,11 +3,11 @@
 /**
  * Estimated load of the network link of a VM.
  *
- * @param busyNanos time until the data known to be in transit to the VM has been transferred
+ * @param inTransitNanos time until the data known to be in transit to the VM has been transferred
  * @param pendingResponsesNanos time until the large responses that the VM is known to be producing have been sent
  * @param mbps bandwidth in Mbit/s, 0 if the link is not used or its bandwidth is unknown
  */
-public record LinkLoad(long busyNanos, long pendingResponsesNanos, double mbps) {
+public record LinkLoad(long inTransitNanos, long pendingResponsesNanos, double mbps) {
     /** Load of a link that is not used. */
     public static final LinkLoad NONE = new LinkLoad(0, 0, 0);
 
