--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -114,7 +114,7 @@
                 counters,
                 log);
         this.directory =
-                new Directory(loop, ports.directory(loop), gossip, counters, log, settings.name(), settings.ip());
+                new Directory(loop, ports.directory(loop), gossip, counters, log, settings.vmName(), settings.ip());
         RetryBudget budget =
                 new RetryBudget(settings.bounds(), this::nodeCount, directory::isListed, System.nanoTime());
         this.entry = CallPath.entry(
@@ -428,7 +428,7 @@
 
     /** Runs a node until the process is told to stop. */
     public static void run(NodePorts ports) {
-        EventLog log = new EventLog(ports.settings().name(), new java.io.FileOutputStream(java.io.FileDescriptor.out));
+        EventLog log = new EventLog(ports.settings().vmName(), new java.io.FileOutputStream(java.io.FileDescriptor.out));
         Node node = new Node(ports, log);
         Signals.on("HUP", node::reload);
         Runtime.getRuntime()
--- a/org.berylwick.node/src/org/berylwick/node/lib/NodeSettings.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/NodeSettings.java
@@ -6,7 +6,7 @@
 /**
  * Settings that a node reads when it starts.
  *
- * @param name name of the VM
+ * @param vmName name of the VM
  * @param ip IP address of the VM, used by callers, other nodes and the backend server
  * @param zone availability zone of the VM
  * @param region region of the availability zone
@@ -27,7 +27,7 @@
  * @param bounds limits that the platform guarantees or requires
  */
 public record NodeSettings(
-        String name,
+        String vmName,
         String ip,
         String zone,
         String region,
