--- a/org.berylwick.node/src/org/berylwick/node/call/CallerWaitEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallerWaitEstimator.java
@@ -31,7 +31,7 @@
             longestTimeoutByRoute.clear();
         }
         long fullTimeoutNanos = longestTimeoutByRoute.merge(routeName, timeoutNanos, Math::max);
-        long waited = fullTimeoutNanos - timeoutNanos;
-        return waited < TOLERANCE_NANOS ? 0 : waited;
+        long waitedNanos = fullTimeoutNanos - timeoutNanos;
+        return waitedNanos < TOLERANCE_NANOS ? 0 : waitedNanos;
     }
 }
