--- a/org.berylwick.test/tst/org/berylwick/node/call/RetryBudgetTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/RetryBudgetTest.java
@@ -71,15 +71,15 @@
         List<Long> retries = new ArrayList<>();
         for (long now = 0; now < 4 * WINDOW; now += 5_000_000L + random.nextInt(10_000_000)) {
             budgets.get(random.nextInt(nodes)).onRequest("calling", now);
-            RetryBudget caller = budgets.get(random.nextInt(nodes));
+            RetryBudget callerBudget = budgets.get(random.nextInt(nodes));
             if (random.nextInt(10) >= 7) {
                 continue;
             }
-            int runs = 1;
-            while (runs < 3 && caller.tryAcquireAfterServerFailure("calling", now)) {
-                runs++;
+            int attempts = 1;
+            while (attempts < 3 && callerBudget.tryAcquireAfterServerFailure("calling", now)) {
+                attempts++;
             }
-            for (int call = 0; call < 2 * runs; call++) {
+            for (int call = 0; call < 2 * attempts; call++) {
                 RetryBudget budget = budgets.get(random.nextInt(nodes));
                 if (call < 2) {
                     requests.add(now);
