--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -428,7 +428,8 @@
 
     /** Runs a node until the process is told to stop. */
     public static void run(NodePorts ports) {
-        EventLog log = new EventLog(ports.settings().vmName(), new java.io.FileOutputStream(java.io.FileDescriptor.out));
+        EventLog log =
+                new EventLog(ports.settings().vmName(), new java.io.FileOutputStream(java.io.FileDescriptor.out));
         Node node = new Node(ports, log);
         Signals.on("HUP", node::reload);
         Runtime.getRuntime()
