--- a/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
@@ -40,7 +40,7 @@
             this.requestClass = requestClass;
         }
 
-        void record(long nanos) {
+        void addSample(long nanos) {
             responses++;
             double logNanos = Math.log(Math.max(1, nanos));
             if (responses == 1) {
@@ -58,7 +58,7 @@
     }
 
     void record(CallSpec call, long nanos) {
-        byClass.computeIfAbsent(call.like(), ClassEstimate::new).record(nanos);
+        byClass.computeIfAbsent(call.like(), ClassEstimate::new).addSample(nanos);
         responses++;
         overallMeanNanos += Math.max(MEAN_SMOOTHING_FACTOR, 1.0 / responses) * (nanos - overallMeanNanos);
     }
