--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -288,7 +288,7 @@
             return;
         }
         long now = clock.now();
-        backend.times().record(call, now - sentAt);
+        backend.times().addSample(call, now - sentAt);
         backend.onAnswered(now);
         connection = null;
         finish();
--- a/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
@@ -57,7 +57,7 @@
         }
     }
 
-    void record(CallSpec call, long nanos) {
+    void addSample(CallSpec call, long nanos) {
         byClass.computeIfAbsent(call.like(), ClassEstimate::new).addSample(nanos);
         responses++;
         overallMeanNanos += Math.max(MEAN_SMOOTHING_FACTOR, 1.0 / responses) * (nanos - overallMeanNanos);
