--- a/org.berylwick.node/src/org/berylwick/node/lib/NodeSettings.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/NodeSettings.java
@@ -19,7 +19,7 @@
  * @param gossipPort UDP port of the membership gossip, the same on every VM
  * @param metricsPort TCP port of this VM on which metrics are served
  * @param seeds addresses of nodes to contact first, not all of which need be alive
- * @param storeAddress address of the platform's configuration store
+ * @param storeAddress address of the platform's store, which holds the configuration and the node directory
  * @param heartbeatNanos interval between heartbeats of a backend server
  * @param cpuShare fraction of one core that the node may use
  * @param memoryMb maximum memory of the process in MB
