--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedCaller.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedCaller.java
@@ -30,7 +30,7 @@
     private Optional<CallHandle> call = Optional.empty();
     private Optional<EmulatedSink> sink = Optional.empty();
     private Optional<EmulatedWay.BodyFlow> flow = Optional.empty();
-    private final Clock.Alarm leaves;
+    private final Clock.Timer leaves;
 
     EmulatedCaller(Emulation emulation, EmulatedNode node, RequestKind kind) {
         this.emulation = emulation;
@@ -40,7 +40,7 @@
         this.deadlineAt = askedAt + kind.deadlineNanos();
         this.workNanos = emulation.drawWork(kind);
         this.makesCall = emulation.drawCall(kind);
-        this.leaves = emulation.clock().at(deadlineAt, this::onDeadline);
+        this.leaves = emulation.clock().schedule(deadlineAt, this::onDeadline);
     }
 
     void send() {
@@ -91,7 +91,7 @@
         account(request, refused);
         long left = deadlineAt - emulation.clock().now();
         boolean again =
-                attempts <= kind.callerRetries() && (refused || kind.kind().isRepeatable()) && left > 0;
+                attempts <= kind.callerRetries() && (refused || kind.kind().isRetryable()) && left > 0;
         if (!again) {
             Outcomes.End refusal = wasRefused ? Outcomes.End.REFUSED_AGAIN : Outcomes.End.REFUSED;
             end(refused ? refusal : Outcomes.End.FAILED);
--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedNode.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedNode.java
@@ -15,14 +15,14 @@
 import org.berylwick.node.call.CallHandle;
 import org.berylwick.node.call.CallSpec;
 import org.berylwick.node.call.Candidate;
-import org.berylwick.node.call.Candidates;
+import org.berylwick.node.call.CandidateSampler;
 import org.berylwick.node.call.EntryCallFactory;
 import org.berylwick.node.call.Owner;
 import org.berylwick.node.call.RetryBudget;
 import org.berylwick.node.lib.BackendReport;
 import org.berylwick.node.lib.BackendState;
-import org.berylwick.node.lib.Bounds;
-import org.berylwick.node.lib.MeshVersion;
+import org.berylwick.node.lib.ConfigurationVersion;
+import org.berylwick.node.lib.PlatformBounds;
 import org.berylwick.node.log.Counters;
 import org.berylwick.node.log.Instruments;
 import org.berylwick.node.member.MemberTable;
@@ -80,9 +80,9 @@
         Map<String, String> regions =
                 emulation.deployment().zones().stream().collect(Collectors.toMap(Deployment.Zone::name, z -> "r"));
         long silentNanos = (long) (SILENT_ROUNDS * gossipNanos);
-        Candidates candidates =
-                new Candidates(place.zone(), "r", regions, table, () -> silentNanos, owner, random::nextDouble);
-        Bounds bounds = new Bounds(
+        CandidateSampler candidates =
+                new CandidateSampler(place.zone(), "r", regions, table, () -> silentNanos, owner, random::nextDouble);
+        PlatformBounds bounds = new PlatformBounds(
                 2_000_000_000L,
                 6_000_000_000L,
                 2_000_000_000L,
@@ -214,7 +214,7 @@
         HttpHeaders headers = new DefaultHttpHeaders();
         headers.set(Emulation.NAMES.requestId(), id);
         headers.set(Emulation.NAMES.deadline(), leftNanos / 1_000_000);
-        MeshVersion version = emulation.version();
+        ConfigurationVersion version = emulation.version();
         EntryCallFactory.CallerRequest request =
                 new EntryCallFactory.CallerRequest(HttpMethod.GET, "/" + kind.name() + "/x", headers, body);
         CallHandle call = entry.create(
--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedServer.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedServer.java
@@ -78,7 +78,7 @@
     /** Carries one request, which is enough here: what a connection costs is not emulated. */
     private final class Connection implements ServerConnection {
         private Optional<HttpExchange> waiter = Optional.empty();
-        private Optional<Clock.Alarm> end = Optional.empty();
+        private Optional<Clock.Timer> end = Optional.empty();
         private Optional<Runnable> abandonCall = Optional.empty();
         private boolean busy;
         private boolean reading = true;
@@ -167,7 +167,7 @@
             head.headers().set(Emulation.NAMES.requestId(), id);
             head.headers().set(Emulation.NAMES.signature(), "s");
             if (notRun) {
-                head.headers().set(Emulation.NAMES.notRun(), "1");
+                head.headers().set(Emulation.NAMES.notExecuted(), "1");
             }
             exchange.onHead(head);
             // One byte stands for an answer that does not wait for the link; its size is told by its request's kind.
@@ -210,14 +210,14 @@
             boolean resumes = on && !reading;
             reading = on;
             if (resumes && unwritten > 0) {
-                emulation.clock().soon(this::write);
+                emulation.clock().defer(this::write);
             }
         }
 
         @Override
         public void abandon() {
             waiter = Optional.empty();
-            end.ifPresent(Clock.Alarm::cancel);
+            end.ifPresent(Clock.Timer::cancel);
             abandonCall.ifPresent(Runnable::run);
             free();
         }
--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -13,7 +13,7 @@
 import org.berylwick.node.call.Backend;
 import org.berylwick.node.call.BackendProbe;
 import org.berylwick.node.call.CallPath;
-import org.berylwick.node.call.Candidates;
+import org.berylwick.node.call.CandidateSampler;
 import org.berylwick.node.call.EntryServer;
 import org.berylwick.node.call.Owner;
 import org.berylwick.node.call.PeerServer;
@@ -114,7 +114,7 @@
                 counters,
                 log);
         this.directory =
-                new NodeDiscovery(loop, ports.directory(loop), gossip, counters, log, settings.name(), settings.ip());
+                new NodeDiscovery(loop, ports.directory(loop), gossip, counters, log, settings.vmName(), settings.ip());
         RetryBudget budget =
                 new RetryBudget(settings.bounds(), this::nodeCount, directory::isDirectoryRead, System.nanoTime());
         this.entry = CallPath.createEntryServer(
@@ -126,7 +126,7 @@
                 candidates(),
                 budget,
                 new Instruments(counters, log));
-        this.peers = new PeerServer(loop, settings.peers(), owner, link, versions::encodeDeltaFrom);
+        this.peers = new PeerServer(loop, settings.peerAddress(), owner, link, versions::encodeDeltaFrom);
         this.stop = new NodeStop(
                 loop,
                 settings.bounds().graceNanos(),
@@ -140,8 +140,8 @@
                 stopped::countDown);
     }
 
-    private Candidates candidates() {
-        return new Candidates(
+    private CandidateSampler candidates() {
+        return new CandidateSampler(
                 settings.zone(),
                 settings.region(),
                 ports.regionOfZone(),
@@ -157,18 +157,18 @@
     }
 
     private ConnectionPool connect(String ip) {
-        InetSocketAddress target = new InetSocketAddress(ip, settings.peers().getPort());
+        InetSocketAddress target = new InetSocketAddress(ip, settings.peerAddress().getPort());
         return new ConnectionPool(loop, target, PEER_CONNECT_MILLIS, PEER_IDLE_NANOS);
     }
 
     /** Opens the ports and starts. */
     public void start() {
         gauges();
-        SmallHttpServer.open(loop, settings.heartbeats(), this::answerHeartbeat);
+        SmallHttpServer.open(loop, settings.heartbeatAddress(), this::answerHeartbeat);
         gossip.start();
         peers.start();
         entry.start();
-        SmallHttpServer.open(loop, settings.readiness(), q -> answerReadiness());
+        SmallHttpServer.open(loop, settings.readinessAddress(), q -> answerReadiness());
         if (settings.metricsPort() > 0) {
             InetSocketAddress address = new InetSocketAddress(settings.ip(), settings.metricsPort());
             SmallHttpServer.open(
@@ -427,7 +427,7 @@
 
     /** Runs a node until the process is told to stop. */
     public static void run(NodePorts ports) {
-        EventLog log = new EventLog(ports.settings().name(), new java.io.FileOutputStream(java.io.FileDescriptor.out));
+        EventLog log = new EventLog(ports.settings().vmName(), new java.io.FileOutputStream(java.io.FileDescriptor.out));
         Node node = new Node(ports, log);
         Signals.on("HUP", node::reload);
         Runtime.getRuntime()
--- a/org.berylwick.node/src/org/berylwick/node/call/Backend.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Backend.java
@@ -19,8 +19,8 @@
     private final String incarnation;
     private final String service;
     private final ServerConnections pool;
-    private final ServiceTimes serviceTimes = new ServiceTimes();
-    private final LossShare losses = new LossShare();
+    private final ServiceTimeEstimator serviceTimes = new ServiceTimeEstimator();
+    private final LossRate losses = new LossRate();
     private long maxIdleNanos = DEFAULT_MAX_IDLE_NANOS;
     private int slots;
     private BackendState state;
@@ -95,17 +95,17 @@
         maxIdleNanos = Math.max(MIN_MAX_IDLE_NANOS, Math.min(maxIdleNanos, idleNanos / 2));
     }
 
-    LossShare losses() {
+    LossRate losses() {
         return losses;
     }
 
     /** Records the end of a response. */
     void onResponse(long now) {
-        losses.onAnswered(now);
+        losses.onResponse(now);
         lastResponseAt = now;
     }
 
-    ServiceTimes serviceTimes() {
+    ServiceTimeEstimator serviceTimes() {
         return serviceTimes;
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.TimeUnit;
 import org.berylwick.node.lib.BackendReport;
 import org.berylwick.node.lib.BackendState;
+import org.berylwick.node.lib.ConfigurationVersion;
 import org.berylwick.node.lib.HeaderNames;
-import org.berylwick.node.lib.MeshVersion;
 import org.berylwick.node.lib.NodeSettings;
 import org.berylwick.node.log.Event;
 import org.berylwick.node.log.EventLog;
@@ -67,9 +67,9 @@
      * Starts probing unless it has been started before; called with each version, because the version contains the
      * health path.
      */
-    public void startOnce(MeshVersion version) {
+    public void startOnce(ConfigurationVersion version) {
         Optional<String> path = version.healthPath(settings.service());
-        if (started || path.isEmpty() || settings.backend().getPort() == 0) {
+        if (started || path.isEmpty() || settings.backendAddress().getPort() == 0) {
             return;
         }
         started = true;
@@ -82,8 +82,8 @@
         }
         tries++;
         HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path);
-        head.headers().set(HttpHeaderNames.HOST, settings.backend().getHostString());
-        ConnectionPool pool = new ConnectionPool(loop, settings.backend(), CONNECT_TIMEOUT_MILLIS, MAX_IDLE_NANOS);
+        head.headers().set(HttpHeaderNames.HOST, settings.backendAddress().getHostString());
+        ConnectionPool pool = new ConnectionPool(loop, settings.backendAddress(), CONNECT_TIMEOUT_MILLIS, MAX_IDLE_NANOS);
         SmallHttpCall.start(loop, pool, head, EMPTY_BODY, TIMEOUT_MILLIS, result -> {
             pool.close();
             onResult(path, result);
@@ -119,7 +119,7 @@
         return Optional.of(new BackendReport(
                 incarnation,
                 settings.service(),
-                settings.backend(),
+                settings.backendAddress(),
                 settings.zone(),
                 slots,
                 BackendState.READY,
--- a/org.berylwick.node/src/org/berylwick/node/call/CallPath.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallPath.java
@@ -4,8 +4,8 @@
 import java.util.Optional;
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.function.Supplier;
+import org.berylwick.node.lib.ConfigurationVersion;
 import org.berylwick.node.lib.HeaderNames;
-import org.berylwick.node.lib.MeshVersion;
 import org.berylwick.node.lib.NodeSettings;
 import org.berylwick.node.log.Counters;
 import org.berylwick.node.log.Instruments;
@@ -26,7 +26,7 @@
      * @param callerService service on this VM, which the callers belong to
      */
     public record Callers(
-            HeaderNames headerNames, Supplier<Optional<MeshVersion>> version, Supplier<String> callerService) {}
+            HeaderNames headerNames, Supplier<Optional<ConfigurationVersion>> version, Supplier<String> callerService) {}
 
     private CallPath() {}
 
@@ -48,7 +48,7 @@
             Callers callers,
             Owner owner,
             VmLink link,
-            Candidates candidates,
+            CandidateSampler candidates,
             RetryBudget retryBudget,
             Instruments instruments) {
         Counters counters = instruments.counters();
@@ -70,7 +70,7 @@
         EntryServer server = new EntryServer(
                 new EntryServices(callers.version(), callFactory, link.incoming(), counters, instruments.log()),
                 eventLoop,
-                settings.callers());
+                settings.callerAddress());
         counters.gauge(NodeMetricNames.ENTRY_CONNECTIONS, server::connectionCount);
         counters.gauge(NodeMetricNames.ENTRY_PENDING, server::pendingRequests);
         return server;
--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -3,91 +3,95 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.DoubleSupplier;
-import org.berylwick.node.lib.KindTime;
 import org.berylwick.node.lib.LinkLoad;
+import org.berylwick.node.lib.ServiceTimeDistribution;
 
 /**
- * Chooses where a request runs by what its caller stands to lose there; keeps nothing between requests.
+ * Chooses the node that runs a request by its expected cost to the caller. Stateless between requests.
  *
- * <p>Backend servers differ in speed, queues are known as they were last told, and bytes are dear between availability
- * zones. All are put in one measure, parts of what a request is worth: the chance that it ends after its objective, or
- * not at all, by the spread of times that the backend server has shown; the chance that it is lost; and its bytes.
- * Chances, not means, since the mean hides the tail that misses the objective.
+ * <p>Backend servers differ in speed, queue lengths are known only as last reported, and traffic between availability
+ * zones is expensive. The cost combines these factors as fractions of the value of a request: the probability that it
+ * exceeds its latency objective or its deadline, given the service time distribution of the backend server; the
+ * probability that it is lost; and the bytes transferred between zones. It uses probabilities rather than mean times,
+ * since a mean hides the tail that misses the objective.
  */
 public final class CandidateChooser {
-    /** What a caller loses when an answer is late, in parts of what it loses without one. */
-    private static final double LATE = 0.7;
-    /** What a lost request costs: one that must run once fails, another takes its time and room again. */
-    private static final double LOST = 1;
-    /** Bytes across availability zones that cost as much as one request is worth. */
-    private static final double BYTES_OF_A_REQUEST = 16_384;
-    /** The most that bytes count: a caller is never refused, and rarely served late, to save them. */
-    private static final double MOST_FOR_BYTES = 0.68;
-    /** Bytes of an answer's and a request's headers. */
+    /** Cost of a response after the latency objective, relative to the cost of no response. */
+    private static final double LATE_COST = 0.7;
+    /** Cost of a lost request: a non-idempotent one fails, and any other takes up time and a slot again. */
+    private static final double LOSS_COST = 1;
+    /** Bytes transferred between availability zones that cost as much as one failed request. */
+    private static final double BYTES_PER_UNIT_COST = 16_384;
+    /** Upper limit of the cost of bytes: no caller is refused, and few are served late, to save traffic. */
+    private static final double MAX_BYTES_COST = 0.68;
+    /** Size of the headers of a request and its response. */
     private static final int HEADER_BYTES = 700;
 
-    private static final double ZONE = 0.002;
-    private static final double REGION = 0.004;
-    private static final double FAR = 0.1;
-    /** Between equals the sooner one, so that room is left where it is scarce. */
-    private static final double TIME = 0.05;
-    /** A suspect is taken only if there is nothing else. */
-    private static final double SUSPECT = 3;
-    /** Equal candidates are told apart by chance, or all entries would take the same one. */
-    private static final double JITTER = 0.004;
-    /** A backend server that this node never used gets one request soon, so that one that joined is known to work. */
-    private static final double UNTRIED = 0.25;
-
-    private static final double UNTRIED_CHANCE = 0.1;
+    private static final double SAME_ZONE_COST = 0.002;
+    private static final double SAME_REGION_COST = 0.004;
+    private static final double OTHER_REGION_COST = 0.1;
+    /** Prefers the faster of otherwise equal candidates, which saves capacity where it is scarce. */
+    private static final double ELAPSED_TIME_COST = 0.05;
+    /** Exceeds all other costs, so that a suspect node is chosen only if there is no other candidate. */
+    private static final double SUSPECT_COST = 3;
+    /** Random addition to each cost; without it, all nodes would choose the same one of equal candidates. */
+    private static final double MAX_COST_JITTER = 0.004;
+    /** Discount for a backend server that this node has never used, so that a new one is soon known to work. */
+    private static final double NEVER_USED_DISCOUNT = 0.25;
+
+    /** Probability with which {@link #NEVER_USED_DISCOUNT} applies to a request. */
+    private static final double NEVER_USED_PROBABILITY = 0.1;
     /** A backend server that has just started takes about twice as long. */
-    private static final double COLD = 2;
+    private static final double WARM_UP_SLOWDOWN = 2;
 
-    private static final double SLOWEST = 4;
-    /** What a load that is some milliseconds old may be wrong by, in parts of the objective. */
-    private static final double STALE = 0.02;
+    private static final double MAX_SLOWDOWN = 4;
+    /** Tolerance for load data that is some milliseconds old, as a fraction of the latency objective. */
+    private static final double STALENESS_MARGIN = 0.02;
     /**
-     * What a refusal costs, at once and with a time to come back: a first attempt that would wait until it is almost
-     * surely late is better refused, as others would wait behind it. Whoever will not come back loses all.
+     * Cost of an immediate refusal with a Retry-After time to a caller that retries. A first attempt that would almost
+     * certainly be late is better refused, as others would wait behind it. A caller that does not retry loses the whole
+     * value of the request.
      */
-    private static final double REFUSED = 0.65;
+    private static final double REFUSAL_COST = 0.65;
 
-    private static final int WAIT_STEPS = 6;
+    private static final int BISECTION_STEPS = 6;
 
-    private final DoubleSupplier chance;
+    private final DoubleSupplier random;
 
-    /** @param chance uniform in [0, 1) */
-    public CandidateChooser(DoubleSupplier chance) {
-        this.chance = chance;
+    /** @param random supplies uniformly distributed numbers in [0, 1) */
+    public CandidateChooser(DoubleSupplier random) {
+        this.random = random;
     }
 
     /**
-     * Where to send a request.
+     * The node to send a request to.
      *
-     * @param candidate the node
-     * @param maxWaitNanos the longest wait there that is still better than the next best node, or than a refusal
+     * @param candidate the chosen node
+     * @param maxWaitNanos longest wait there that still costs less than the next best node or a refusal
      */
     public record Choice(Candidate candidate, long maxWaitNanos) {}
 
     /**
-     * Chooses.
+     * Chooses the candidate with the lowest cost.
      *
-     * @param candidates nodes whose backend server serves the request's service
-     * @param question about the request
-     * @return empty if there is none, or if it is better refused
+     * @param candidates nodes whose backend server provides the service of the request
+     * @param profile properties of the request
+     * @return the choice, or empty if there is no candidate or the request is better refused
      */
-    Optional<Choice> choose(List<Candidate> candidates, ChoiceQuestion question) {
-        double usual = usualMean(candidates);
-        double refused = 1 - (1 - REFUSED) * question.returns();
+    Optional<Choice> choose(List<Candidate> candidates, RequestProfile profile) {
+        double averageMeanNanos = averageMeanNanos(candidates);
+        double refusalCost = 1 - (1 - REFUSAL_COST) * profile.callerRetryProbability();
         Candidate best = null;
         double bestCost = Double.MAX_VALUE;
         double nextCost = Double.MAX_VALUE;
         for (Candidate candidate : candidates) {
-            long wait = waitOf(candidate, question, usual);
-            double lateness = lateness(candidate, question, usual, wait);
-            if (wait > 0 && (wait > question.waitNanos() || lateness > refused)) {
+            long waitNanos = expectedWaitNanos(candidate, profile, averageMeanNanos);
+            double latenessCost = latenessCost(candidate, profile, averageMeanNanos, waitNanos);
+            if (waitNanos > 0 && (waitNanos > profile.maxWaitNanos() || latenessCost > refusalCost)) {
                 continue;
             }
-            double cost = standing(candidate, question) + lateness + chance.getAsDouble() * JITTER;
+            double cost =
+                    timeIndependentCost(candidate, profile) + latenessCost + random.getAsDouble() * MAX_COST_JITTER;
             if (cost < bestCost) {
                 nextCost = bestCost;
                 bestCost = cost;
@@ -99,46 +103,60 @@
         if (best == null) {
             return Optional.empty();
         }
-        long wait = waitOf(best, question, usual);
-        double now = lateness(best, question, usual, wait);
-        double room = question.last() ? refused - now : Math.min(refused - now, nextCost - bestCost);
-        return Optional.of(new Choice(best, longestWait(best, question, usual, wait, now + Math.max(0, room))));
+        long waitNanos = expectedWaitNanos(best, profile, averageMeanNanos);
+        double bestLatenessCost = latenessCost(best, profile, averageMeanNanos, waitNanos);
+        double costMargin = profile.finalAttempt()
+                ? refusalCost - bestLatenessCost
+                : Math.min(refusalCost - bestLatenessCost, nextCost - bestCost);
+        return Optional.of(new Choice(
+                best,
+                longestAcceptableWaitNanos(
+                        best, profile, averageMeanNanos, waitNanos, bestLatenessCost + Math.max(0, costMargin))));
     }
 
-    /** For a slot, or until the link has room: for what is on its way there, and for the answer once it is made. */
-    private static long waitOf(Candidate candidate, ChoiceQuestion question, double usual) {
+    /**
+     * Returns the expected wait for a slot and for the link: for the data in transit to the VM and, if the transfer is
+     * large, for the responses that leave before this one.
+     */
+    private static long expectedWaitNanos(Candidate candidate, RequestProfile profile, double averageMeanNanos) {
         LinkLoad link = candidate.link();
-        long wait = Math.max(candidate.load().waitNanos(candidate.ahead()), link.busyNanos());
-        if (!link.isLarge(question.expectedBytes())) {
-            return wait;
+        long waitNanos = Math.max(candidate.load().waitNanos(candidate.pendingRequests()), link.inTransitNanos());
+        if (!link.isLarge(profile.expectedBytes())) {
+            return waitNanos;
         }
         return Math.max(
-                wait, link.answersNanos() - timeOf(candidate, question, usual).medianNanos());
+                waitNanos,
+                link.pendingResponsesNanos()
+                        - serviceTimeOf(candidate, profile, averageMeanNanos).medianNanos());
     }
 
-    /** How long the request's body and its answer take over the link of another VM. */
-    private static long transferNanos(Candidate candidate, ChoiceQuestion question) {
-        return candidate.link().nanosOf(question.expectedBytes());
+    /** Returns how long the request body and the response take over the link of a remote VM. */
+    private static long transferNanos(Candidate candidate, RequestProfile profile) {
+        return candidate.link().transferNanos(profile.expectedBytes());
     }
 
-    /** The longest wait with which a request stands to lose no more than a bound. */
-    private static long longestWait(
-            Candidate candidate, ChoiceQuestion question, double usual, long least, double bound) {
-        long low = least;
-        long high = Math.max(least, question.leftNanos());
-        for (int i = 0; i < WAIT_STEPS; i++) {
+    /**
+     * Returns the longest wait with which the lateness cost stays within a limit, found by bisection, plus the
+     * tolerance for stale load data.
+     */
+    private static long longestAcceptableWaitNanos(
+            Candidate candidate, RequestProfile profile, double averageMeanNanos, long minWaitNanos, double maxCost) {
+        long low = minWaitNanos;
+        long high = Math.max(minWaitNanos, profile.deadlineRemainingNanos());
+        for (int i = 0; i < BISECTION_STEPS; i++) {
             long middle = low + (high - low) / 2;
-            if (lateness(candidate, question, usual, middle) <= bound) {
+            if (latenessCost(candidate, profile, averageMeanNanos, middle) <= maxCost) {
                 low = middle;
             } else {
                 high = middle;
             }
         }
-        long stale = (long) (STALE * Math.max(question.objectiveNanos(), question.leftNanos() / 4));
-        return Math.min(Math.max(0, question.waitNanos()), low + stale);
+        long stalenessNanos = (long)
+                (STALENESS_MARGIN * Math.max(profile.objectiveRemainingNanos(), profile.deadlineRemainingNanos() / 4));
+        return Math.min(Math.max(0, profile.maxWaitNanos()), low + stalenessNanos);
     }
 
-    private static double usualMean(List<Candidate> candidates) {
+    private static double averageMeanNanos(List<Candidate> candidates) {
         double sum = 0;
         int count = 0;
         for (Candidate candidate : candidates) {
@@ -150,47 +168,50 @@
         return count == 0 ? 0 : sum / count;
     }
 
-    /** What does not depend on time. */
-    private double standing(Candidate candidate, ChoiceQuestion question) {
-        double cost = LOST * candidate.load().lostPerMille() / 1e3;
+    /** Returns the part of the cost that does not depend on time. */
+    private double timeIndependentCost(Candidate candidate, RequestProfile profile) {
+        double cost = LOSS_COST * candidate.load().lostPerMille() / 1e3;
         if (candidate.suspect()) {
-            cost += SUSPECT;
+            cost += SUSPECT_COST;
         }
-        double bytes = Math.min(MOST_FOR_BYTES, (question.expectedBytes() + HEADER_BYTES) / BYTES_OF_A_REQUEST);
-        if (candidate.untried() && bytes < UNTRIED && chance.getAsDouble() < UNTRIED_CHANCE) {
-            cost -= UNTRIED;
+        double bytesCost = Math.min(MAX_BYTES_COST, (profile.expectedBytes() + HEADER_BYTES) / BYTES_PER_UNIT_COST);
+        if (candidate.neverUsed() && bytesCost < NEVER_USED_DISCOUNT && random.getAsDouble() < NEVER_USED_PROBABILITY) {
+            cost -= NEVER_USED_DISCOUNT;
         }
         return cost
                 + switch (candidate.distance()) {
                     case SELF -> 0;
-                    case ZONE -> ZONE;
-                    case REGION -> REGION + bytes;
-                    case FAR -> FAR + bytes;
+                    case SAME_ZONE -> SAME_ZONE_COST;
+                    case SAME_REGION -> SAME_REGION_COST + bytesCost;
+                    case OTHER_REGION -> OTHER_REGION_COST + bytesCost;
                 };
     }
 
-    /** What the caller stands to lose by time after a wait. */
-    private static double lateness(Candidate candidate, ChoiceQuestion question, double usual, long wait) {
-        KindTime time = timeOf(candidate, question, usual);
-        long before = wait + transferNanos(candidate, question);
-        double late = time.chanceOver(question.objectiveNanos() - before);
-        double never = time.chanceOver(question.leftNanos() - before);
-        double span = Math.max(1, question.leftNanos());
-        double share = Math.min(1, (before + time.medianNanos()) / span);
-        return LATE * late + (1 - LATE) * never + TIME * share;
+    /** Returns the expected cost of a late or missing response after the given wait. */
+    private static double latenessCost(
+            Candidate candidate, RequestProfile profile, double averageMeanNanos, long waitNanos) {
+        ServiceTimeDistribution serviceTime = serviceTimeOf(candidate, profile, averageMeanNanos);
+        long delayNanos = waitNanos + transferNanos(candidate, profile);
+        double lateProbability = serviceTime.probabilityOfExceeding(profile.objectiveRemainingNanos() - delayNanos);
+        double missedProbability = serviceTime.probabilityOfExceeding(profile.deadlineRemainingNanos() - delayNanos);
+        double remainingNanos = Math.max(1, profile.deadlineRemainingNanos());
+        double elapsedFraction = Math.min(1, (delayNanos + serviceTime.medianNanos()) / remainingNanos);
+        return LATE_COST * lateProbability + (1 - LATE_COST) * missedProbability + ELAPSED_TIME_COST * elapsedFraction;
     }
 
-    private static KindTime timeOf(Candidate candidate, ChoiceQuestion question, double usual) {
-        for (KindTime time : candidate.times()) {
-            if (time.like().equals(question.like())) {
-                return time;
+    private static ServiceTimeDistribution serviceTimeOf(
+            Candidate candidate, RequestProfile profile, double averageMeanNanos) {
+        for (ServiceTimeDistribution serviceTime : candidate.serviceTimes()) {
+            if (serviceTime.requestClass().equals(profile.requestClass())) {
+                return serviceTime;
             }
         }
-        long mean = candidate.load().meanNanos();
-        double slowness = mean == 0 || usual == 0 ? 1 : Math.min(SLOWEST, mean / usual);
+        long meanNanos = candidate.load().meanNanos();
+        double slowdown =
+                meanNanos == 0 || averageMeanNanos == 0 ? 1 : Math.min(MAX_SLOWDOWN, meanNanos / averageMeanNanos);
         if (candidate.warmUpNanos() > 0) {
-            slowness *= COLD;
+            slowdown *= WARM_UP_SLOWDOWN;
         }
-        return KindTime.ofMean(question.like(), question.expectedNanos() * slowness);
+        return ServiceTimeDistribution.fromMean(profile.requestClass(), profile.expectedNanos() * slowdown);
     }
 }
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -56,7 +56,7 @@
     /** The previous attempt, which continues at a node that has gone silent. */
     private Optional<EntryAttempt> silentAttempt = Optional.empty();
 
-    private Clock.Alarm deadlineAlarm;
+    private Clock.Timer deadlineAlarm;
     private int attempts;
     private int possibleRuns;
     private int refusals;
@@ -101,9 +101,9 @@
         long now = context.clock().now();
         context.retryBudget().onRequest(spec.service(), now);
         if (callerRetried) {
-            context.callerRetryRates().onReturned(spec.requestClass());
+            context.callerRetryRates().onRetried(spec.requestClass());
         }
-        deadlineAlarm = context.clock().at(spec.deadlineAt() + DEADLINE_GRACE_NANOS, this::onDeadline);
+        deadlineAlarm = context.clock().schedule(spec.deadlineAt() + DEADLINE_GRACE_NANOS, this::onDeadline);
         sendNext(false);
     }
 
@@ -124,15 +124,15 @@
     }
 
     private Optional<CandidateChooser.Choice> chooseNode(long now) {
-        List<Candidate> candidates = context.candidates().of(spec.service(), triedNodes, now);
-        ChoiceQuestion criteria = new ChoiceQuestion(
+        List<Candidate> candidates = context.candidates().candidatesFor(spec.service(), triedNodes, now);
+        RequestProfile criteria = new RequestProfile(
                 spec.requestClass(),
                 spec.expectedResponseBytes() + spec.body().length(),
                 context.responseEstimates().expectedNanos(route),
                 spec.objectiveAt() - now,
                 spec.deadlineAt() - now,
                 queueWaitUntil - now,
-                callerRetried ? 0 : context.callerRetryRates().share(spec.requestClass()),
+                callerRetried ? 0 : context.callerRetryRates().retryRate(spec.requestClass()),
                 refusals + 1 >= MAX_REFUSALS);
         return context.chooser().choose(candidates, criteria);
     }
@@ -256,7 +256,7 @@
 
     private boolean mayRetry(int runsSoFar) {
         long requiredNanos = (long) (context.responseEstimates().expectedNanos(route) * MIN_RETRY_TIME_SHARE);
-        return spec.kind().isRepeatable()
+        return spec.kind().isRetryable()
                 && runsSoFar < Math.max(1, route.maxAttempts())
                 && context.clock().now() + requiredNanos < spec.deadlineAt();
     }
@@ -264,8 +264,8 @@
     private boolean tryTakeRetry(long now) {
         RetryBudget retryBudget = context.retryBudget();
         boolean granted = serverFailure.isPresent()
-                ? retryBudget.tryRepeatOfFailure(spec.service(), now)
-                : retryBudget.tryRepeat(spec.service(), now);
+                ? retryBudget.tryAcquireAfterServerFailure(spec.service(), now)
+                : retryBudget.tryAcquire(spec.service(), now);
         if (granted) {
             retryGranted = true;
             return true;
@@ -283,7 +283,7 @@
         }
         boolean retryInProgress = removeEndedAttempt(attempt);
         possibleRuns += retryInProgress ? 0 : 1;
-        if (status >= 500 && spec.kind().isRepeatable()) {
+        if (status >= 500 && spec.kind().isRetryable()) {
             trace.recordDecisiveOutcome(attempt, "status " + status);
             discardServerFailure();
             serverFailure = Optional.of(new ServerFailure(attempt, status, headers, body));
@@ -324,10 +324,10 @@
     }
 
     private void respond(EntryAttempt attempt, int status, HttpHeaders headers, ByteBuf body) {
-        context.responseEstimates().learnBytes(route, body.readableBytes());
+        context.responseEstimates().recordBytes(route, body.readableBytes());
         Candidate candidate = attempt.candidate();
-        if (candidate.load().waitNanos(candidate.ahead()) == 0) {
-            context.responseEstimates().learnNanos(route, context.clock().now() - attempt.startedAt());
+        if (candidate.load().waitNanos(candidate.pendingRequests()) == 0) {
+            context.responseEstimates().recordNanos(route, context.clock().now() - attempt.startedAt());
         }
         finish();
         boolean success = status < 400;
@@ -374,7 +374,7 @@
         if (done || concludeAt >= spec.deadlineAt()) {
             return;
         }
-        context.clock().at(concludeAt, () -> {
+        context.clock().schedule(concludeAt, () -> {
             if (!done && streamingAttempt.isEmpty()) {
                 concludeEarly("planned stop");
             }
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
@@ -5,8 +5,8 @@
 import java.util.function.DoubleSupplier;
 import java.util.function.Supplier;
 import org.berylwick.node.lib.Clock;
+import org.berylwick.node.lib.ConfigurationVersion;
 import org.berylwick.node.lib.HeaderNames;
-import org.berylwick.node.lib.MeshVersion;
 import org.berylwick.node.lib.RequestClass;
 import org.berylwick.node.lib.Route;
 import org.berylwick.node.log.Instruments;
@@ -23,7 +23,7 @@
     private static final long RESPONSE_TRANSIT_NANOS = 10_000_000L;
 
     private final EntryContext context;
-    private final CallerPatience callerWaitTimes = new CallerPatience();
+    private final CallerWaitEstimator callerWaitTimes = new CallerWaitEstimator();
     private long latestDeadline = Long.MAX_VALUE;
 
     /**
@@ -55,8 +55,8 @@
                 candidates,
                 new CandidateChooser(random),
                 retryBudget,
-                new AnswerHabits(),
-                new CallerReturns(),
+                new ResponseEstimator(),
+                new CallerRetryRate(),
                 new ResponseBufferBudget(responseBufferBytes),
                 instruments.counters(),
                 instruments.log(),
@@ -85,7 +85,7 @@
      * @param request the caller's request
      * @param sink receives the response
      */
-    public CallHandle create(MeshVersion version, Route route, CallerRequest request, ResponseSink sink) {
+    public CallHandle create(ConfigurationVersion version, Route route, CallerRequest request, ResponseSink sink) {
         long now = context.clock().now();
         HttpHeaders headers = Headers.endToEnd(request.headers());
         String id = headers.get(context.headerNames().requestId(), "");
@@ -93,7 +93,7 @@
         long alreadyWaited = callerWaitTimes.waitedNanos(route.name(), callerTimeout);
         long deadline = now + Math.max(1_000_000L, callerTimeout - RESPONSE_TRANSIT_NANOS);
         headers.remove(context.headerNames().deadline());
-        headers.remove(context.headerNames().target());
+        headers.remove(context.headerNames().targetInstance());
         headers.remove(context.headerNames().callerService());
         if (route.timeoutNanos() > 0) {
             deadline = Math.min(deadline, now + route.timeoutNanos());
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -30,7 +30,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import org.berylwick.node.lib.CallerLimits;
-import org.berylwick.node.lib.MeshVersion;
+import org.berylwick.node.lib.ConfigurationVersion;
 import org.berylwick.node.lib.Route;
 import org.berylwick.node.log.Event;
 import org.berylwick.node.log.NodeMetricNames;
@@ -144,7 +144,10 @@
     }
 
     private CallerLimits limits() {
-        return services.version().get().map(MeshVersion::limits).orElse(EntryServer.LIMITS_BEFORE_FIRST_VERSION);
+        return services.version()
+                .get()
+                .map(ConfigurationVersion::limits)
+                .orElse(EntryServer.LIMITS_BEFORE_FIRST_VERSION);
     }
 
     private void rejectMalformed(Throwable cause) {
@@ -220,7 +223,7 @@
             respond(503, EntryCall.retryAfterHeaders(UNAVAILABLE_RETRY_AFTER_S), Unpooled.EMPTY_BUFFER);
             return;
         }
-        Optional<MeshVersion> version = services.version().get();
+        Optional<ConfigurationVersion> version = services.version().get();
         if (version.isEmpty()) {
             requestBody.release();
             services.counters().add(NodeMetricNames.ENTRY_REFUSED_NO_VERSION);
--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -12,8 +12,8 @@
 import org.berylwick.node.lib.BackendState;
 import org.berylwick.node.lib.Clock;
 import org.berylwick.node.lib.HeaderNames;
-import org.berylwick.node.lib.KindTime;
 import org.berylwick.node.lib.OwnerLoad;
+import org.berylwick.node.lib.ServiceTimeDistribution;
 import org.berylwick.node.log.Counters;
 import org.berylwick.node.log.Event;
 import org.berylwick.node.log.EventLog;
@@ -60,10 +60,10 @@
     private final Counters counters;
     private final EventLog log;
     private final Runnable onBackendChange;
-    private final RunQueue queue = new RunQueue();
+    private final RequestQueue queue = new RequestQueue();
     private final RequestBodyScheduler bodyAdmission;
 
-    private final ServedShares servedShares = new ServedShares();
+    private final StartRateBalancer servedShares = new StartRateBalancer();
     private final Set<OwnerRun> running = new HashSet<>();
     private final Map<String, Boolean> departedIncarnations = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
@@ -131,8 +131,8 @@
     }
 
     /** Service time of each class of request that the backend server has answered. */
-    public List<KindTime> serviceTimes() {
-        return backend.map(server -> server.serviceTimes().times()).orElse(List.of());
+    public List<ServiceTimeDistribution> serviceTimes() {
+        return backend.map(server -> server.serviceTimes().distributions()).orElse(List.of());
     }
 
     /**
@@ -295,7 +295,7 @@
         if (reason.isPresent()) {
             counters.add(NodeMetricNames.OWNER_REFUSED_BY_REASON + reason.get());
             // Deferred, so that the caller holds the attempt before its listener is notified of the refusal.
-            clock.soon(() -> run.refuse(reason.get(), false));
+            clock.defer(() -> run.refuse(reason.get(), false));
             return run;
         }
         run.announceResponse();
@@ -339,7 +339,7 @@
             return Optional.of(Refusal.Reason.NOT_HERE);
         }
         Backend server = backend.orElseThrow();
-        run.setServiceTime(server.serviceTimes().time(call));
+        run.setServiceTime(server.serviceTimes().distribution(call));
         long now = clock.now();
         if (!run.canMeetDeadline(now)) {
             return Optional.of(Refusal.Reason.EXPIRED);
@@ -351,7 +351,7 @@
         long waitNanos = Math.max(
                 Math.max(expectedWaitNanos(run, server), linkWaitNanos), bodyAdmission.transferNanosAhead(call.body()));
         boolean queueFull = queuedCount() >= MAX_QUEUED_PER_SLOT * server.slots()
-                || !(isTimely(run) || queue.takesLate(server.slots()));
+                || !(isTimely(run) || queue.acceptsLate(server.slots()));
         if (queueFull
                 || waitNanos > call.maxWaitNanos()
                 || !run.canMeetDeadline(now + waitNanos + bodyAdmission.transferNanos(call.body()))) {
@@ -363,7 +363,7 @@
     /** Whether a request can meet its latency objective after the requests that would run before it. */
     private boolean isTimely(OwnerRun run) {
         Backend server = backend.orElseThrow();
-        int ahead = running.size() + queue.timelyBefore(run);
+        int ahead = running.size() + queue.countTimelyAhead(run);
         RequestBody body = run.call().body();
         long slotWaitNanos = Math.max(
                 slotWaitNanos(ahead, server), bodyAdmission.transferNanosAhead(body) + bodyAdmission.transferNanos(body));
@@ -372,7 +372,7 @@
     }
 
     private long expectedWaitNanos(OwnerRun run, Backend server) {
-        int queuedAhead = isTimely(run) ? queue.timelyBefore(run) : queue.size();
+        int queuedAhead = isTimely(run) ? queue.countTimelyAhead(run) : queue.size();
         return slotWaitNanos(running.size() + queuedAhead, server);
     }
 
@@ -419,7 +419,7 @@
         bodyAdmission.remove(run, clock.now());
         if (running.remove(run)) {
             // Deferred, because a request may end while dispatch() is starting others.
-            clock.soon(this::dispatch);
+            clock.defer(this::dispatch);
         }
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -9,8 +9,8 @@
 import io.netty.handler.codec.http.HttpVersion;
 import org.berylwick.node.lib.Clock;
 import org.berylwick.node.lib.HeaderNames;
-import org.berylwick.node.lib.KindTime;
 import org.berylwick.node.lib.RouteKind;
+import org.berylwick.node.lib.ServiceTimeDistribution;
 import org.berylwick.node.log.Event;
 import org.berylwick.node.log.NodeMetricNames;
 import org.berylwick.node.transport.HttpConnection;
@@ -50,7 +50,7 @@
     private long medianServiceNanos;
     private long responseTransferNanos;
     private long announcedBytes;
-    private Clock.Alarm timeout;
+    private Clock.Timer timeout;
     private ServerConnection connection;
     private Backend backend;
     private HeaderNames headerNames;
@@ -71,7 +71,7 @@
         this.clock = owner.clock();
         this.call = call;
         this.listener = listener;
-        this.effectiveObjectiveAt = call.objectiveAt() + call.priority() * RunQueue.RANK_NANOS - advanceNanos;
+        this.effectiveObjectiveAt = call.objectiveAt() + call.priority() * RequestQueue.PRIORITY_STEP_NANOS - advanceNanos;
         this.queuedAt = clock.now();
         this.sequenceNumber = owner.nextSequenceNumber();
         if (owner.outgoingLink().isLarge(call.expectedResponseBytes())) {
@@ -97,7 +97,7 @@
     }
 
     /** Sets the expected service time of the request. */
-    void setServiceTime(KindTime time) {
+    void setServiceTime(ServiceTimeDistribution time) {
         meanServiceNanos = time.meanNanos();
         medianServiceNanos = time.medianNanos();
     }
@@ -156,7 +156,7 @@
      */
     void awaitBody() {
         boolean awaitsContinue = call.body().isKeptBack();
-        timeout = clock.at(awaitsContinue ? maxWaitUntil() : call.deadlineAt(), this::onWaitTimeout);
+        timeout = clock.schedule(awaitsContinue ? maxWaitUntil() : call.deadlineAt(), this::onWaitTimeout);
         call.body().follow(this);
     }
 
@@ -167,7 +167,7 @@
     /** Asks the sender for the body, which is next to be transferred over the link. */
     void requestBodyTransfer() {
         timeout.cancel();
-        timeout = clock.at(call.deadlineAt(), this::onWaitTimeout);
+        timeout = clock.schedule(call.deadlineAt(), this::onWaitTimeout);
         call.body().ask();
     }
 
@@ -195,7 +195,7 @@
         if (finished || backend != null) {
             return;
         }
-        timeout = clock.at(maxWaitUntil(), this::onWaitTimeout);
+        timeout = clock.schedule(maxWaitUntil(), this::onWaitTimeout);
     }
 
     private void onWaitTimeout() {
@@ -221,8 +221,8 @@
         if (timeout != null) {
             timeout.cancel();
         }
-        timeout = clock.at(call.deadlineAt(), this::onDeadline);
-        long maxIdleNanos = call.kind().isRepeatable() ? Long.MAX_VALUE : target.maxIdleNanos();
+        timeout = clock.schedule(call.deadlineAt(), this::onDeadline);
+        long maxIdleNanos = call.kind().isRetryable() ? Long.MAX_VALUE : target.maxIdleNanos();
         target.pool().acquire(maxIdleNanos, this::send, this::onConnectFailed);
     }
 
@@ -251,7 +251,7 @@
         connectionIdleNanos = acquired.served() == 0 ? 0 : now - acquired.idleSince();
         HttpHeaders headers = Headers.copy(call.headers());
         headers.set(headerNames.deadline(), remainingMillis);
-        headers.set(headerNames.target(), backend.incarnation());
+        headers.set(headerNames.targetInstance(), backend.incarnation());
         headers.set(headerNames.callerService(), call.callerService());
         HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, call.method(), call.uri(), headers);
         HttpConnection.setLength(head, call.body().length());
@@ -273,7 +273,7 @@
     public void onHead(HttpResponse head) {
         int status = head.status().code();
         HttpHeaders headers = head.headers();
-        if (headers.contains(headerNames.notRun()) || status == 421) {
+        if (headers.contains(headerNames.notExecuted()) || status == 421) {
             notExecuted = true;
             return;
         }
@@ -308,7 +308,7 @@
             return;
         }
         long now = clock.now();
-        backend.serviceTimes().learn(call, now - sentAt);
+        backend.serviceTimes().addSample(call, now - sentAt);
         backend.onResponse(now);
         connection = null;
         finish();
--- a/org.berylwick.node/src/org/berylwick/node/call/RequestBodyScheduler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RequestBodyScheduler.java
@@ -24,7 +24,7 @@
     private static final long MAX_RECEIVING_NANOS = 60_000_000L;
 
     private final IncomingLink link;
-    private final RunQueue waiting = new RunQueue();
+    private final RequestQueue waiting = new RequestQueue();
     private final Set<OwnerRun> receiving = new LinkedHashSet<>();
 
     /** @param link incoming link of this VM */
--- a/org.berylwick.node/src/org/berylwick/node/lib/NodeSettings.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/NodeSettings.java
@@ -4,48 +4,48 @@
 import java.util.List;
 
 /**
- * What a node is told at its start.
+ * Settings that a node reads when it starts.
  *
- * @param name of the VM
- * @param ip of the VM, for callers, other nodes and the backend server
+ * @param vmName name of the VM
+ * @param ip IP address of the VM, used by callers, other nodes and the backend server
  * @param zone availability zone of the VM
- * @param region of the availability zone
- * @param service of the backend server beside the node, empty if there is none
- * @param backend where the backend server listens
- * @param callers where callers on this VM send their requests
- * @param peers where other nodes send theirs
- * @param readiness where the platform asks whether the node is ready
- * @param heartbeats where the backend server announces itself
- * @param gossipPort UDP port on every VM, for membership
- * @param metricsPort TCP port on this VM, for counters
- * @param seeds addresses of nodes that may be alive
- * @param store the platform's store
- * @param heartbeatNanos between two heartbeats of a backend server
- * @param cpuShare of one core
- * @param memoryMb the process may use at most
- * @param linkMbps bandwidth of the VM's link
- * @param bounds what must hold
+ * @param region region of the availability zone
+ * @param service service of the backend server on this VM, empty if there is none
+ * @param backendAddress address of the backend server
+ * @param callerAddress listening address for callers on this VM
+ * @param peerAddress listening address for requests from other nodes
+ * @param readinessAddress listening address for readiness checks of the platform
+ * @param heartbeatAddress listening address for heartbeats of the backend server
+ * @param gossipPort UDP port of the membership gossip, the same on every VM
+ * @param metricsPort TCP port of this VM on which metrics are served
+ * @param seeds addresses of nodes to contact first, not all of which need be alive
+ * @param storeAddress address of the platform's store, which holds the configuration and the node directory
+ * @param heartbeatNanos interval between heartbeats of a backend server
+ * @param cpuShare fraction of one core that the node may use
+ * @param memoryMb maximum memory of the process in MB
+ * @param linkMbps bandwidth of the VM's network link in Mbit/s
+ * @param bounds limits that the platform guarantees or requires
  */
 public record NodeSettings(
-        String name,
+        String vmName,
         String ip,
         String zone,
         String region,
         String service,
-        InetSocketAddress backend,
-        InetSocketAddress callers,
-        InetSocketAddress peers,
-        InetSocketAddress readiness,
-        InetSocketAddress heartbeats,
+        InetSocketAddress backendAddress,
+        InetSocketAddress callerAddress,
+        InetSocketAddress peerAddress,
+        InetSocketAddress readinessAddress,
+        InetSocketAddress heartbeatAddress,
         int gossipPort,
         int metricsPort,
         List<InetSocketAddress> seeds,
-        InetSocketAddress store,
+        InetSocketAddress storeAddress,
         long heartbeatNanos,
         double cpuShare,
         int memoryMb,
         double linkMbps,
-        Bounds bounds) {
+        PlatformBounds bounds) {
     public NodeSettings {
         seeds = List.copyOf(seeds);
     }
--- a/org.berylwick.node/src/org/berylwick/node/lib/Route.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/Route.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * Where requests of one host under one path prefix go, and what holds for them.
+ * Destination and policy of the requests to one host under one path prefix.
  *
- * @param name the operator's name of the route
- * @param prefix begins and ends with a slash
- * @param kind what may be repeated
- * @param timeoutNanos the longest time a request is kept waiting, 0 for no such limit
- * @param objectiveNanos the latency objective, 0 if none was set
- * @param maxAttempts the most backend servers that one request may run on
- * @param priority its rank, 0 the highest
- * @param parts the services that serve it, at least one
+ * @param name name given by the operator
+ * @param prefix path prefix, beginning and ending with a slash
+ * @param kind whether the requests may be retried and have large responses
+ * @param timeoutNanos longest time until a request is answered, 0 for no limit
+ * @param objectiveNanos latency objective, 0 for none
+ * @param maxAttempts maximum number of backend servers that one request may run on
+ * @param priority priority, 0 being the highest
+ * @param weightedServices services that the requests are distributed over, at least one
  */
 public record Route(
         String name,
@@ -22,34 +22,34 @@
         long objectiveNanos,
         int maxAttempts,
         int priority,
-        List<WeightedService> parts) {
+        List<WeightedService> weightedServices) {
     public Route {
-        parts = List.copyOf(parts);
-        if (parts.isEmpty()) {
+        weightedServices = List.copyOf(weightedServices);
+        if (weightedServices.isEmpty()) {
             throw new IllegalArgumentException("route " + name + " has no service");
         }
     }
 
     /**
-     * The service for one request.
+     * Selects the service for a request according to the weights.
      *
-     * @param point in [0, 1), uniformly drawn
+     * @param point uniformly distributed random number in [0, 1)
      */
     public String serviceAt(double point) {
-        if (parts.size() == 1) {
-            return parts.get(0).service();
+        if (weightedServices.size() == 1) {
+            return weightedServices.get(0).service();
         }
         double total = 0;
-        for (WeightedService part : parts) {
-            total += part.weight();
+        for (WeightedService weightedService : weightedServices) {
+            total += weightedService.weight();
         }
-        double rest = point * total;
-        for (WeightedService part : parts) {
-            rest -= part.weight();
-            if (rest < 0) {
-                return part.service();
+        double remainder = point * total;
+        for (WeightedService weightedService : weightedServices) {
+            remainder -= weightedService.weight();
+            if (remainder < 0) {
+                return weightedService.service();
             }
         }
-        return parts.get(parts.size() - 1).service();
+        return weightedServices.get(weightedServices.size() - 1).service();
     }
 }
--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -157,9 +157,9 @@
      */
     public void onRequestSent(PendingRequest request, int bodyBytes, int expectedResponseBytes, long now) {
         LinkLoad link = linkLoad(now);
-        incomingLinkFreeAt = Math.max(now, incomingLinkFreeAt) + link.nanosOf(bodyBytes);
+        incomingLinkFreeAt = Math.max(now, incomingLinkFreeAt) + link.transferNanos(bodyBytes);
         if (link.isLarge(expectedResponseBytes)) {
-            outgoingLinkFreeAt = Math.max(now, outgoingLinkFreeAt) + link.nanosOf(expectedResponseBytes);
+            outgoingLinkFreeAt = Math.max(now, outgoingLinkFreeAt) + link.transferNanos(expectedResponseBytes);
         }
         inFlight++;
         outstanding.put(request, now);
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeState.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeState.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import org.berylwick.node.lib.BackendState;
-import org.berylwick.node.lib.KindTime;
 import org.berylwick.node.lib.OwnerLoad;
+import org.berylwick.node.lib.ServiceTimeDistribution;
 
 /**
  * The state that a node sends to other nodes about itself and the backend server on its VM.
@@ -35,7 +35,7 @@
         BackendState backendState,
         long warmUpRemainingNanos,
         OwnerLoad load,
-        List<KindTime> requestTimes) {
+        List<ServiceTimeDistribution> requestTimes) {
     /** Largest bandwidth that fits the encoded field; faster links are sent as this value. */
     public static final int MAX_LINK_MBPS = 65_535;
 
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
@@ -6,10 +6,10 @@
 import java.util.List;
 import java.util.Optional;
 import org.berylwick.node.lib.BackendState;
-import org.berylwick.node.lib.KindTime;
 import org.berylwick.node.lib.OwnerLoad;
 import org.berylwick.node.lib.RequestClass;
 import org.berylwick.node.lib.RouteKind;
+import org.berylwick.node.lib.ServiceTimeDistribution;
 
 /** Encodes and decodes gossip datagrams: the sender's state and the addresses of some other nodes. */
 public final class NodeStateCodec {
@@ -24,9 +24,9 @@
 
     private NodeStateCodec() {}
 
-    private static List<KindTime> readRequestTimes(ByteBuf in) {
+    private static List<ServiceTimeDistribution> readRequestTimes(ByteBuf in) {
         int count = in.readUnsignedByte();
-        List<KindTime> times = new ArrayList<>(count);
+        List<ServiceTimeDistribution> times = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             int kind = in.readUnsignedByte();
             int priority = in.readByte();
@@ -34,7 +34,7 @@
             long medianNanos = in.readInt() * 1_000L;
             double spread = in.readUnsignedShort() / PER_MILLE;
             if (kind < ROUTE_KINDS.length && medianNanos > 0) {
-                times.add(new KindTime(
+                times.add(new ServiceTimeDistribution(
                         new RequestClass(ROUTE_KINDS[kind], priority, objectiveMillis), medianNanos, spread));
             }
         }
@@ -75,12 +75,12 @@
         writeString(state.service(), out);
         writeString(state.incarnation(), out);
         out.writeByte(state.requestTimes().size());
-        for (KindTime time : state.requestTimes()) {
-            out.writeByte(time.like().kind().ordinal());
-            out.writeByte(time.like().priority());
-            out.writeInt(time.like().objectiveMillis());
+        for (ServiceTimeDistribution time : state.requestTimes()) {
+            out.writeByte(time.requestClass().kind().ordinal());
+            out.writeByte(time.requestClass().priority());
+            out.writeInt(time.requestClass().objectiveMillis());
             out.writeInt((int) (time.medianNanos() / 1_000));
-            out.writeShort((int) (time.spread() * PER_MILLE));
+            out.writeShort((int) (time.logStdDev() * PER_MILLE));
         }
         out.writeByte(message.peerAddresses().size());
         for (String ip : message.peerAddresses()) {
@@ -112,7 +112,7 @@
             String zone = readString(in);
             String service = readString(in);
             String incarnation = readString(in);
-            List<KindTime> requestTimes = readRequestTimes(in);
+            List<ServiceTimeDistribution> requestTimes = readRequestTimes(in);
             NodeState state = new NodeState(
                     bootId,
                     sequence,
--- a/org.berylwick.node/src/org/berylwick/node/transport/EventLoopClock.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/EventLoopClock.java
@@ -13,13 +13,13 @@
     }
 
     @Override
-    public Alarm at(long at, Runnable task) {
+    public Timer schedule(long at, Runnable task) {
         ScheduledFuture<?> planned = loop.schedule(task, Math.max(0, at - System.nanoTime()), TimeUnit.NANOSECONDS);
         return () -> planned.cancel(false);
     }
 
     @Override
-    public void soon(Runnable task) {
+    public void defer(Runnable task) {
         loop.execute(task);
     }
 }
--- a/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
@@ -69,7 +69,7 @@
 
     /** How long so many bytes take; 0 on a wide link. */
     public long nanosOf(double bytes) {
-        return free.nanosOf(bytes);
+        return free.transferNanos(bytes);
     }
 
     /** Whether so many bytes have to wait for their turn. */
@@ -122,7 +122,7 @@
         }
         if (!planned && !flows.isEmpty()) {
             planned = true;
-            clock.at(freeAt - AHEAD_NANOS / 2, () -> {
+            clock.schedule(freeAt - AHEAD_NANOS / 2, () -> {
                 planned = false;
                 pump();
             });
--- a/org.berylwick.node/src/org/berylwick/node/version/ConfigurationSource.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/ConfigurationSource.java
@@ -1,14 +1,14 @@
 package org.berylwick.node.version;
 
 import java.util.function.Consumer;
-import org.berylwick.node.lib.MeshVersion;
+import org.berylwick.node.lib.ConfigurationVersion;
 
 /** Store of the accepted configuration versions. Calls are asynchronous; results are delivered on the event loop. */
 public interface ConfigurationSource {
     /** Result of a read, a watch or the decoding of a version. */
     sealed interface ReadResult {
         /** The newest version, and the store revision from which to watch for the next one. */
-        record Found(MeshVersion version, long revision) implements ReadResult {}
+        record Found(ConfigurationVersion version, long revision) implements ReadResult {}
 
         /** No new version was accepted since the watched revision. */
         record Unchanged(long revision) implements ReadResult {}
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
@@ -6,7 +6,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Optional;
-import org.berylwick.node.lib.MeshVersion;
+import org.berylwick.node.lib.ConfigurationVersion;
 
 /**
  * The latest versions that were in force on this node, kept to compute deltas for other nodes and to apply theirs.
@@ -23,9 +23,9 @@
     private final Map<Long, byte[]> deltasByBase = new HashMap<>();
     private long newestNumber;
 
-    void add(MeshVersion version) {
+    void add(ConfigurationVersion version) {
         newestNumber = version.number();
-        encodedByNumber.put(newestNumber, version.source());
+        encodedByNumber.put(newestNumber, version.encoded());
         deltasByBase.clear();
         long totalBytes =
                 encodedByNumber.values().stream().mapToLong(s -> s.length).sum();
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import org.berylwick.node.lib.MeshVersion;
+import org.berylwick.node.lib.ConfigurationVersion;
 import org.berylwick.node.log.Counters;
 import org.berylwick.node.log.Event;
 import org.berylwick.node.log.EventLog;
@@ -48,7 +48,7 @@
     private final EventLog log;
     private final VersionHistory history = new VersionHistory();
     private final VersionFetcher fetcher;
-    private Optional<MeshVersion> version = Optional.empty();
+    private Optional<ConfigurationVersion> version = Optional.empty();
     private long lastInstalledAt;
     private boolean storeReachable = true;
     private long retryMillis = INITIAL_RETRY_MILLIS;
@@ -88,7 +88,7 @@
     }
 
     /** The version in force on this node; empty until the first one is installed. */
-    public Optional<MeshVersion> version() {
+    public Optional<ConfigurationVersion> version() {
         return version;
     }
 
@@ -261,7 +261,7 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    private void install(MeshVersion candidate, String from, Origin origin) {
+    private void install(ConfigurationVersion candidate, String from, Origin origin) {
         if (version.isPresent() && candidate.number() <= version.get().number()) {
             return;
         }
@@ -278,7 +278,7 @@
                 "routes",
                 candidate.routeCount(),
                 "bytes",
-                candidate.source().length,
+                candidate.encoded().length,
                 "revision",
                 revision);
         onInstalled.accept(origin);
@@ -291,7 +291,7 @@
     }
 
     private long currentNumber() {
-        return version.map(MeshVersion::number).orElse(0L);
+        return version.map(ConfigurationVersion::number).orElse(0L);
     }
 
     private void onFetched(Member sender, byte[] encoded) {
--- a/org.berylwick.test/tst/org/berylwick/node/InMemoryConfigurationStore.java
+++ b/org.berylwick.test/tst/org/berylwick/node/InMemoryConfigurationStore.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
-import org.berylwick.node.lib.MeshVersion;
+import org.berylwick.node.lib.ConfigurationVersion;
 import org.berylwick.node.version.ConfigurationSource;
 
 /** An in-memory store of configuration versions that the nodes of a test share; it can be made unavailable. */
@@ -21,13 +21,13 @@
             .map(text -> text.substring(Math.max(0, text.length() - 12)))
             .collect(Collectors.joining(","));
 
-    private final Map<Long, MeshVersion> versions = new ConcurrentHashMap<>();
+    private final Map<Long, ConfigurationVersion> versions = new ConcurrentHashMap<>();
     private final List<Runnable> watchers = new ArrayList<>();
     private long newestNumber;
     private boolean unavailable;
 
     /** Stores a version as the newest accepted one and notifies the watchers. */
-    synchronized void publish(MeshVersion version) {
+    synchronized void publish(ConfigurationVersion version) {
         versions.put(version.number(), version);
         newestNumber = version.number();
         List<Runnable> waiting = new ArrayList<>(watchers);
@@ -36,7 +36,7 @@
     }
 
     /** Adds a version that can be decoded but not read from the store, as if only another node had it. */
-    synchronized void addUnpublished(MeshVersion version) {
+    synchronized void addUnpublished(ConfigurationVersion version) {
         versions.put(version.number(), version);
     }
 
--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -22,11 +22,11 @@
 import java.util.function.Consumer;
 import org.berylwick.node.lib.BackendReport;
 import org.berylwick.node.lib.BackendState;
-import org.berylwick.node.lib.Bounds;
 import org.berylwick.node.lib.CallerLimits;
+import org.berylwick.node.lib.ConfigurationVersion;
 import org.berylwick.node.lib.HeaderNames;
-import org.berylwick.node.lib.MeshVersion;
 import org.berylwick.node.lib.NodeSettings;
+import org.berylwick.node.lib.PlatformBounds;
 import org.berylwick.node.lib.Route;
 import org.berylwick.node.lib.RouteKind;
 import org.berylwick.node.lib.WeightedService;
@@ -63,7 +63,7 @@
     private final List<EventLog> logs = new ArrayList<>();
 
     /** Creates a rig and starts node 1 without a backend server, so that it forwards all requests. */
-    static NodeRig withEntryNode(MeshVersion version) {
+    static NodeRig withEntryNode(ConfigurationVersion version) {
         NodeRig rig = new NodeRig();
         rig.configuration.publish(version);
         rig.start(1, Optional.empty());
@@ -287,8 +287,8 @@
     }
 
     /** A version with one route of each kind, under {@code /read/}, {@code /pay/} and {@code /bulk/}. */
-    static MeshVersion version(long number, Consumer<MeshVersion.Builder> customizer) {
-        MeshVersion.Builder builder = new MeshVersion.Builder(number, InMemoryConfigurationStore.encodedVersion(number))
+    static ConfigurationVersion version(long number, Consumer<ConfigurationVersion.Builder> customizer) {
+        ConfigurationVersion.Builder builder = new ConfigurationVersion.Builder(number, InMemoryConfigurationStore.encodedVersion(number))
                 .service("work", 100)
                 .limits(new CallerLimits(16_384, 1 << 20, 3_000_000_000L, 15_000_000_000L))
                 .route(HOST, route("read", "/read/", RouteKind.IDEMPOTENT, 2_000))
@@ -298,7 +298,7 @@
         return builder.build();
     }
 
-    static MeshVersion version(long number) {
+    static ConfigurationVersion version(long number) {
         return version(number, b -> {});
     }
 
@@ -341,7 +341,7 @@
                 1,
                 200,
                 linkMbps.getOrDefault(number, DEFAULT_LINK_MBPS),
-                new Bounds(2_000_000_000L, GRACE_PERIOD_MILLIS * 1_000_000L, 2_000_000_000L, 0.2, 10_000_000_000L, 60));
+                new PlatformBounds(2_000_000_000L, GRACE_PERIOD_MILLIS * 1_000_000L, 2_000_000_000L, 0.2, 10_000_000_000L, 60));
     }
 
     @Override
--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateChooserTest.java
@@ -17,89 +17,112 @@
 import org.berylwick.node.lib.RouteKind;
 import org.junit.jupiter.api.Test;
 
-/** Own zone first, small answers spill before large ones, nobody is left without a node. */
+/**
+ * Tests that nodes in the own zone are preferred, that requests with small responses move to other zones before those
+ * with large ones, and that a node is found for every request that can be served in time.
+ */
 class CandidateChooserTest {
     private static final long MS = 1_000_000L;
-    private static final RequestClass LIKE = new RequestClass(RouteKind.IDEMPOTENT, 1, 600);
-    private static final ChoiceQuestion SMALL = question(2_000);
-    private static final ChoiceQuestion LARGE = question(90_000);
+    private static final RequestClass REQUEST_CLASS = new RequestClass(RouteKind.IDEMPOTENT, 1, 600);
+    private static final RequestProfile SMALL_RESPONSE = profile(2_000);
+    private static final RequestProfile LARGE_RESPONSE = profile(90_000);
 
-    private static ChoiceQuestion question(double bytes) {
-        return new ChoiceQuestion(LIKE, bytes, 200 * MS, 600 * MS, 4_000 * MS, 1_200 * MS, 1, false);
+    private static RequestProfile profile(double bytes) {
+        return new RequestProfile(REQUEST_CLASS, bytes, 200 * MS, 600 * MS, 4_000 * MS, 1_200 * MS, 1, false);
     }
 
     private final CandidateChooser chooser = new CandidateChooser(() -> 0.5);
 
-    private static Candidate at(Distance distance, int ahead, long meanMillis) {
-        OwnerLoad load = new OwnerLoad(ahead, 0, 12, meanMillis * MS);
-        return new Candidate(Optional.empty(), load, List.of(), ahead, 0, LinkLoad.NONE, distance, false, false);
+    private static Candidate candidate(Distance distance, int pendingRequests, long meanMillis) {
+        OwnerLoad load = new OwnerLoad(pendingRequests, 0, 12, meanMillis * MS);
+        return new Candidate(
+                Optional.empty(), load, List.of(), pendingRequests, 0, LinkLoad.NONE, distance, false, false);
     }
 
-    private Distance chosen(ChoiceQuestion question, Candidate... candidates) {
-        return chooser.choose(List.of(candidates), question)
+    private Distance chosenDistance(RequestProfile profile, Candidate... candidates) {
+        return chooser.choose(List.of(candidates), profile)
                 .orElseThrow()
                 .candidate()
                 .distance();
     }
 
     @Test
-    void ownZoneIsKeptThoughABackendServerElsewhereIsFaster() {
-        assertEquals(Distance.SELF, chosen(SMALL, at(Distance.SELF, 11, 220), at(Distance.REGION, 0, 120)));
+    void prefersOwnZoneOverFasterBackendServerInAnotherZone() {
+        assertEquals(
+                Distance.SELF,
+                chosenDistance(
+                        SMALL_RESPONSE, candidate(Distance.SELF, 11, 220), candidate(Distance.SAME_REGION, 0, 120)));
     }
 
     @Test
-    void smallAnswersSpillForAWaitThatLargeOnesStayFor() {
-        Candidate own = at(Distance.ZONE, 36, 200);
-        Candidate other = at(Distance.REGION, 2, 200);
-        assertEquals(Distance.REGION, chosen(SMALL, own, other));
-        assertEquals(Distance.ZONE, chosen(LARGE, own, other));
+    void movesSmallResponsesToAnotherZoneAtAShorterWaitThanLargeOnes() {
+        Candidate own = candidate(Distance.SAME_ZONE, 36, 200);
+        Candidate other = candidate(Distance.SAME_REGION, 2, 200);
+        assertEquals(Distance.SAME_REGION, chosenDistance(SMALL_RESPONSE, own, other));
+        assertEquals(Distance.SAME_ZONE, chosenDistance(LARGE_RESPONSE, own, other));
     }
 
     @Test
-    void largeAnswersSpillWhenTheirZoneCannotServeThemInTime() {
-        assertEquals(Distance.REGION, chosen(LARGE, at(Distance.ZONE, 80, 200), at(Distance.REGION, 0, 200)));
+    void movesLargeResponsesToAnotherZoneWhenOwnZoneWouldBeLate() {
+        assertEquals(
+                Distance.SAME_REGION,
+                chosenDistance(
+                        LARGE_RESPONSE,
+                        candidate(Distance.SAME_ZONE, 80, 200),
+                        candidate(Distance.SAME_REGION, 0, 200)));
     }
 
     /**
-     * A backend server that loses a part of its answers gets less, though it is near; one that lost one request does
-     * not.
+     * A nearby backend server that loses a considerable part of its requests is avoided; one that lost a single request
+     * is not.
      */
     @Test
-    void backendServerThatLosesAnswersIsPassedOver() {
-        Candidate other = at(Distance.REGION, 2, 200);
-        assertEquals(Distance.REGION, chosen(SMALL, losing(Distance.ZONE, 300), other));
-        assertEquals(Distance.ZONE, chosen(SMALL, losing(Distance.ZONE, 30), other));
-        assertEquals(Distance.ZONE, chosen(SMALL, losing(Distance.ZONE, 300), losing(Distance.REGION, 300)));
+    void avoidsBackendServerWithHighLossRate() {
+        Candidate other = candidate(Distance.SAME_REGION, 2, 200);
+        assertEquals(
+                Distance.SAME_REGION, chosenDistance(SMALL_RESPONSE, lossyCandidate(Distance.SAME_ZONE, 300), other));
+        assertEquals(Distance.SAME_ZONE, chosenDistance(SMALL_RESPONSE, lossyCandidate(Distance.SAME_ZONE, 30), other));
+        assertEquals(
+                Distance.SAME_ZONE,
+                chosenDistance(
+                        SMALL_RESPONSE,
+                        lossyCandidate(Distance.SAME_ZONE, 300),
+                        lossyCandidate(Distance.SAME_REGION, 300)));
     }
 
-    private static Candidate losing(Distance distance, int perMille) {
+    private static Candidate lossyCandidate(Distance distance, int perMille) {
         OwnerLoad load = new OwnerLoad(2, 0, 12, 200 * MS, perMille, 0, 0);
         return new Candidate(Optional.empty(), load, List.of(), 2, 0, LinkLoad.NONE, distance, false, false);
     }
 
-    /** Guards against large answers queueing at one VM's link while another's is free, whatever their bytes cost. */
+    /** Guards against large responses queueing at the link of one VM while another is idle, even in another zone. */
     @Test
-    void largeAnswersLeaveALinkThatIsFullOfThem() {
-        Candidate full = overLink(Distance.ZONE, 700 * MS);
-        Candidate free = overLink(Distance.REGION, 0);
-        assertEquals(Distance.REGION, chosen(LARGE, full, free));
-        assertEquals(Distance.ZONE, chosen(SMALL, full, free));
+    void movesLargeResponsesAwayFromABusyLink() {
+        Candidate busy = candidateBehindLink(Distance.SAME_ZONE, 700 * MS);
+        Candidate free = candidateBehindLink(Distance.SAME_REGION, 0);
+        assertEquals(Distance.SAME_REGION, chosenDistance(LARGE_RESPONSE, busy, free));
+        assertEquals(Distance.SAME_ZONE, chosenDistance(SMALL_RESPONSE, busy, free));
     }
 
-    /** Answers that leave while the next one is made cost it nothing. */
+    /** Responses that are transferred while the new one is still being produced do not delay it. */
     @Test
-    void answersThatHaveLeftBeforeItIsMadeCostNothing() {
-        assertEquals(Distance.ZONE, chosen(LARGE, overLink(Distance.ZONE, 150 * MS), overLink(Distance.REGION, 0)));
+    void ignoresResponsesTransferredBeforeTheNewOneIsReady() {
+        assertEquals(
+                Distance.SAME_ZONE,
+                chosenDistance(
+                        LARGE_RESPONSE,
+                        candidateBehindLink(Distance.SAME_ZONE, 150 * MS),
+                        candidateBehindLink(Distance.SAME_REGION, 0)));
     }
 
-    private static Candidate overLink(Distance distance, long answersNanos) {
+    private static Candidate candidateBehindLink(Distance distance, long pendingResponsesNanos) {
         OwnerLoad load = new OwnerLoad(0, 0, 12, 200 * MS);
-        LinkLoad link = new LinkLoad(0, answersNanos, 7);
+        LinkLoad link = new LinkLoad(0, pendingResponsesNanos, 7);
         return new Candidate(Optional.empty(), load, List.of(), 0, 0, link, distance, false, false);
     }
 
     @Test
-    void suspectIsTakenOnlyIfThereIsNoOther() {
+    void choosesSuspectOnlyWithoutAlternative() {
         Candidate suspect = new Candidate(
                 Optional.empty(),
                 new OwnerLoad(0, 0, 12, 100 * MS),
@@ -110,32 +133,34 @@
                 Distance.SELF,
                 false,
                 true);
-        assertEquals(Distance.REGION, chosen(SMALL, suspect, at(Distance.REGION, 5, 200)));
-        assertEquals(Distance.SELF, chosen(SMALL, suspect));
+        assertEquals(
+                Distance.SAME_REGION, chosenDistance(SMALL_RESPONSE, suspect, candidate(Distance.SAME_REGION, 5, 200)));
+        assertEquals(Distance.SELF, chosenDistance(SMALL_RESPONSE, suspect));
     }
 
     @Test
-    void ownerMayRefuseWhenAnotherIsNearlyAsGood() {
+    void limitsWaitToWhatTheNextBestNodeWouldCost() {
         CandidateChooser.Choice choice = chooser.choose(
-                        List.of(at(Distance.ZONE, 0, 200), at(Distance.ZONE, 0, 200)), SMALL)
+                        List.of(candidate(Distance.SAME_ZONE, 0, 200), candidate(Distance.SAME_ZONE, 0, 200)),
+                        SMALL_RESPONSE)
+                .orElseThrow();
+        assertTrue(choice.maxWaitNanos() < 50 * MS, "maximum wait in ns: " + choice.maxWaitNanos());
+        CandidateChooser.Choice withOtherZone = chooser.choose(
+                        List.of(candidate(Distance.SAME_ZONE, 0, 200), candidate(Distance.SAME_REGION, 0, 200)),
+                        SMALL_RESPONSE)
                 .orElseThrow();
-        assertTrue(choice.maxWaitNanos() < 50 * MS, "waits " + choice.maxWaitNanos());
-        CandidateChooser.Choice far = chooser.choose(
-                        List.of(at(Distance.ZONE, 0, 200), at(Distance.REGION, 0, 200)), SMALL)
+        assertTrue(withOtherZone.maxWaitNanos() < 400 * MS, "maximum wait in ns: " + withOtherZone.maxWaitNanos());
+        CandidateChooser.Choice single = chooser.choose(List.of(candidate(Distance.SAME_ZONE, 0, 200)), SMALL_RESPONSE)
                 .orElseThrow();
-        assertTrue(far.maxWaitNanos() < 400 * MS, "waits " + far.maxWaitNanos());
-        CandidateChooser.Choice only =
-                chooser.choose(List.of(at(Distance.ZONE, 0, 200)), SMALL).orElseThrow();
-        assertTrue(only.maxWaitNanos() > 300 * MS, "waits " + only.maxWaitNanos());
-        // Behind that wait it would be late, and others with it.
-        assertTrue(only.maxWaitNanos() < 700 * MS, "waits " + only.maxWaitNanos());
+        assertTrue(single.maxWaitNanos() > 300 * MS, "maximum wait in ns: " + single.maxWaitNanos());
+        // With a longer wait this request would be late, and so would those queued behind it.
+        assertTrue(single.maxWaitNanos() < 700 * MS, "maximum wait in ns: " + single.maxWaitNanos());
     }
 
     @Property(tries = 200)
-    void someNodeIsChosenUnlessAllWereTriedOrAllWouldBeLate(
-            @ForAll @IntRange(min = 1, max = 40) int count, @ForAll long seed) {
+    void choosesANodeUnlessAllWouldBeLate(@ForAll @IntRange(min = 1, max = 40) int count, @ForAll long seed) {
         Random random = new Random(seed);
-        CandidateChooser any = new CandidateChooser(random::nextDouble);
+        CandidateChooser randomChooser = new CandidateChooser(random::nextDouble);
         List<Candidate> candidates = new java.util.ArrayList<>();
         for (int i = 0; i < count; i++) {
             Distance distance = Distance.values()[random.nextInt(4)];
@@ -150,13 +175,15 @@
                     random.nextBoolean(),
                     random.nextBoolean()));
         }
-        if (any.choose(candidates, SMALL).isEmpty()) {
-            long soonest = candidates.stream()
-                    .mapToLong(c -> c.load().waitNanos(c.ahead()))
+        if (randomChooser.choose(candidates, SMALL_RESPONSE).isEmpty()) {
+            long shortestWaitNanos = candidates.stream()
+                    .mapToLong(c -> c.load().waitNanos(c.pendingRequests()))
                     .min()
                     .orElseThrow();
-            assertTrue(soonest > 300 * MS, "refused, though one waits " + soonest + " ns");
+            assertTrue(
+                    shortestWaitNanos > 300 * MS,
+                    "refused, although the shortest wait is " + shortestWaitNanos + " ns");
         }
-        assertFalse(any.choose(List.of(), SMALL).isPresent());
+        assertFalse(randomChooser.choose(List.of(), SMALL_RESPONSE).isPresent());
     }
 }
--- a/org.berylwick.test/tst/org/berylwick/node/call/RetryBudgetTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/RetryBudgetTest.java
@@ -11,21 +11,21 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.DoubleRange;
 import net.jqwik.api.constraints.IntRange;
-import org.berylwick.node.lib.Bounds;
+import org.berylwick.node.lib.PlatformBounds;
 
-/** No window of any position holds more repeats than the fleet may send, calls made by repeats included. */
+/** Tests that no window, wherever it begins, contains more retries than the fleet may send, nested calls included. */
 class RetryBudgetTest {
     private static final long WINDOW = 10_000_000_000L;
-    private static final Bounds BOUNDS = new Bounds(0, 0, 0, 0.2, WINDOW, 58);
+    private static final PlatformBounds BOUNDS = new PlatformBounds(0, 0, 0, 0.2, WINDOW, 58);
 
     /**
-     * A fleet whose backend servers turn nearly all away: each node repeats whenever its budget lets it. Each repeat of
-     * the calling service makes calls to the called one, which count as repeats there.
+     * The backend servers reject nearly all requests, and each node retries whenever its budget permits. Each retry at
+     * the calling service makes calls to the called service, which count as retries there.
      */
     @Property(tries = 40)
-    void fleetStaysWithinItsAllowance(
+    void fleetStaysWithinRetryAllowance(
             @ForAll @IntRange(min = 1, max = 40) int nodes,
-            @ForAll @DoubleRange(min = 0.2, max = 1.0) double callsForEachRequest,
+            @ForAll @DoubleRange(min = 0.2, max = 1.0) double callsPerRequest,
             @ForAll long seed) {
         Random random = new Random(seed);
         List<RetryBudget> budgets = new ArrayList<>();
@@ -33,8 +33,8 @@
             budgets.add(new RetryBudget(BOUNDS, () -> nodes, () -> true, -WINDOW));
         }
         List<Long> requests = new ArrayList<>();
-        List<Long> repeats = new ArrayList<>();
-        double owed = 0;
+        List<Long> retries = new ArrayList<>();
+        double pendingCalls = 0;
         long now = 0;
         while (now < 4 * WINDOW) {
             now += 5_000_000L + random.nextInt(10_000_000);
@@ -42,25 +42,25 @@
             budget.onRequest("calling", now);
             budget.onRequest("called", now);
             requests.add(now);
-            for (int i = 0; i < 3 && budget.tryRepeat("calling", now); i++) {
-                owed += callsForEachRequest;
+            for (int i = 0; i < 3 && budget.tryAcquire("calling", now); i++) {
+                pendingCalls += callsPerRequest;
             }
-            for (int i = 0; i < 3 && budget.tryRepeat("called", now); i++) {
-                repeats.add(now);
+            for (int i = 0; i < 3 && budget.tryAcquire("called", now); i++) {
+                retries.add(now);
             }
-            for (; owed >= 1; owed--) {
-                repeats.add(now);
+            for (; pendingCalls >= 1; pendingCalls--) {
+                retries.add(now);
             }
         }
-        assertWithinAllowance(requests, repeats);
+        assertWithinAllowance(requests, retries);
     }
 
     /**
-     * A service turns all calls away, so that the runs which make two calls each fail and are repeated, calls and all.
-     * Seven runs of ten make calls. Seen in scale-1 of the small twin of grown Dakar: 633 arrivals, 569 allowed.
+     * A service rejects all calls. Seven of ten requests to the calling service make two calls each, fail, and are
+     * retried with all their calls. Observed in a scaling test: 633 arrivals at the called service, 569 allowed.
      */
     @Property(tries = 40)
-    void runsThatFailByTheirCallsDoNotFloodTheCalledService(
+    void retriesOfFailedCallersStayWithinAllowanceOfCalledService(
             @ForAll @IntRange(min = 1, max = 40) int nodes, @ForAll long seed) {
         Random random = new Random(seed);
         List<RetryBudget> budgets = new ArrayList<>();
@@ -68,67 +68,70 @@
             budgets.add(new RetryBudget(BOUNDS, () -> nodes, () -> true, -WINDOW));
         }
         List<Long> requests = new ArrayList<>();
-        List<Long> repeats = new ArrayList<>();
+        List<Long> retries = new ArrayList<>();
         for (long now = 0; now < 4 * WINDOW; now += 5_000_000L + random.nextInt(10_000_000)) {
             budgets.get(random.nextInt(nodes)).onRequest("calling", now);
-            RetryBudget caller = budgets.get(random.nextInt(nodes));
+            RetryBudget callerBudget = budgets.get(random.nextInt(nodes));
             if (random.nextInt(10) >= 7) {
                 continue;
             }
-            int runs = 1;
-            while (runs < 3 && caller.tryRepeatOfFailure("calling", now)) {
-                runs++;
+            int attempts = 1;
+            while (attempts < 3 && callerBudget.tryAcquireAfterServerFailure("calling", now)) {
+                attempts++;
             }
-            for (int call = 0; call < 2 * runs; call++) {
+            for (int call = 0; call < 2 * attempts; call++) {
                 RetryBudget budget = budgets.get(random.nextInt(nodes));
                 if (call < 2) {
                     requests.add(now);
                     budget.onRequest("called", now);
                 } else {
-                    repeats.add(now);
+                    retries.add(now);
                 }
-                while (budget.tryRepeat("called", now)) {
-                    repeats.add(now);
+                while (budget.tryAcquire("called", now)) {
+                    retries.add(now);
                 }
             }
         }
-        assertWithinAllowance(requests, repeats);
+        assertWithinAllowance(requests, retries);
     }
 
     /**
-     * All nodes are killed in the middle of a window and know neither what they spent nor, at first, how many they are.
-     * Before, each of ten took the whole slack for its own.
+     * All nodes are killed in the middle of a window. After the restart they do not know how much of the budget they
+     * have used nor, at first, how many nodes there are. Guards against each of ten nodes using the whole slack.
      */
     @Example
-    void fleetThatWasKilledDoesNotSpendItsSlackAgain() {
+    void restartedFleetDoesNotSpendSlackTwice() {
         int nodes = 10;
-        long repeats = 0;
-        for (int life = 0; life < 2; life++) {
-            long start = life * WINDOW / 4;
-            boolean first = life == 0;
+        long retries = 0;
+        for (int round = 0; round < 2; round++) {
+            long startedAt = round * WINDOW / 4;
+            boolean firstStart = round == 0;
             for (int i = 0; i < nodes; i++) {
                 long[] age = {0};
                 RetryBudget budget = new RetryBudget(
-                        BOUNDS, () -> first || age[0] > 1_000 ? nodes : 1, () -> first, first ? -WINDOW : start);
+                        BOUNDS,
+                        () -> firstStart || age[0] > 1_000 ? nodes : 1,
+                        () -> firstStart,
+                        firstStart ? -WINDOW : startedAt);
                 for (; age[0] < 4_000; age[0]++) {
-                    repeats += budget.tryRepeat("work", start + age[0] * 1_000_000) ? 1 : 0;
+                    retries += budget.tryAcquire("work", startedAt + age[0] * 1_000_000) ? 1 : 0;
                 }
             }
         }
-        assertTrue(repeats <= 58, repeats + " repeats without a request, allowed 58");
-        assertTrue(repeats >= 20, repeats + " repeats: the slack is not used");
+        assertTrue(retries <= 58, retries + " retries without a request, allowed 58");
+        assertTrue(retries >= 20, retries + " retries: the slack is not used");
     }
 
-    private static void assertWithinAllowance(List<Long> requests, List<Long> repeats) {
-        assertFalse(repeats.isEmpty(), "nothing was repeated");
+    private static void assertWithinAllowance(List<Long> requests, List<Long> retries) {
+        assertFalse(retries.isEmpty(), "no request was retried");
         for (long from = WINDOW; from < 3 * WINDOW; from += WINDOW / 7) {
-            long allowed = (long) (0.2 * within(requests, from) + 58);
-            long sent = within(repeats, from);
-            assertTrue(sent <= allowed, sent + " repeats from " + from + ", allowed " + allowed);
+            long allowed = (long) (0.2 * countWithin(requests, from) + 58);
+            long sent = countWithin(retries, from);
+            assertTrue(sent <= allowed, sent + " retries from " + from + ", allowed " + allowed);
         }
     }
 
-    private static long within(List<Long> times, long from) {
+    private static long countWithin(List<Long> times, long from) {
         return times.stream().filter(t -> t >= from && t < from + WINDOW).count();
     }
 }
--- a/org.berylwick.test/tst/org/berylwick/node/member/NodeStateCodecTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/member/NodeStateCodecTest.java
@@ -13,10 +13,10 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.StringLength;
 import org.berylwick.node.lib.BackendState;
-import org.berylwick.node.lib.KindTime;
 import org.berylwick.node.lib.OwnerLoad;
 import org.berylwick.node.lib.RequestClass;
 import org.berylwick.node.lib.RouteKind;
+import org.berylwick.node.lib.ServiceTimeDistribution;
 
 /**
  * Tests that an encoded datagram is decoded to the same content, and that arbitrary or truncated bytes are rejected.
@@ -44,9 +44,9 @@
                 3_000_000L,
                 new OwnerLoad(number, number, number, 5_000L, number, number * 1_000_000L, number * 1_000_000L),
                 List.of(
-                        new KindTime(
+                        new ServiceTimeDistribution(
                                 new RequestClass(RouteKind.NON_IDEMPOTENT, 3, number), 1_000L * (number + 1), 0.25),
-                        new KindTime(new RequestClass(RouteKind.BULK, 0, 100), 7_000L, 0.5)));
+                        new ServiceTimeDistribution(new RequestClass(RouteKind.BULK, 0, 100), 7_000L, 0.5)));
         NodeStateCodec.Message message = new NodeStateCodec.Message(nodeState, flag, List.of("10.0.0.1", "10.0.0.2"));
         ByteBuf encoded = Unpooled.buffer();
         NodeStateCodec.write(message, encoded);
