--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -43,7 +43,7 @@
     private static final int READERS_PER_ZONE = 2;
 
     private static final int PEER_CONNECT_TIMEOUT_MILLIS = 400;
-    private static final long PEER_IDLE_NANOS = 20_000_000_000L;
+    private static final long PEER_MAX_IDLE_NANOS = 20_000_000_000L;
     private static final int BACKEND_CONNECT_MILLIS = 1_000;
     private static final long BACKEND_IDLE_NANOS = 30_000_000_000L;
     private static final long TICK_MILLIS = 1_000;
@@ -158,7 +158,7 @@
 
     private ConnectionPool connect(String ip) {
         InetSocketAddress target = new InetSocketAddress(ip, settings.peers().getPort());
-        return new ConnectionPool(loop, target, PEER_CONNECT_TIMEOUT_MILLIS, PEER_IDLE_NANOS);
+        return new ConnectionPool(loop, target, PEER_CONNECT_TIMEOUT_MILLIS, PEER_MAX_IDLE_NANOS);
     }
 
     /** Opens the ports and starts. */
