--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -45,7 +45,7 @@
     private static final int PEER_CONNECT_TIMEOUT_MILLIS = 400;
     private static final long PEER_MAX_IDLE_NANOS = 20_000_000_000L;
     private static final int BACKEND_CONNECT_TIMEOUT_MILLIS = 1_000;
-    private static final long BACKEND_IDLE_NANOS = 30_000_000_000L;
+    private static final long BACKEND_MAX_IDLE_NANOS = 30_000_000_000L;
     private static final long TICK_MILLIS = 1_000;
     /** A fresh node is not ready before it heard others, or this long after its start if there are none. */
     private static final long ALONE_NANOS = 1_500_000_000L;
@@ -94,7 +94,7 @@
         this.link = VmLink.of(settings.linkMbps(), new EventLoopClock(loop));
         this.owner = new Owner(
                 new EventLoopClock(loop),
-                address -> new ConnectionPool(loop, address, BACKEND_CONNECT_TIMEOUT_MILLIS, BACKEND_IDLE_NANOS),
+                address -> new ConnectionPool(loop, address, BACKEND_CONNECT_TIMEOUT_MILLIS, BACKEND_MAX_IDLE_NANOS),
                 ports.headerNames(),
                 link,
                 settings.heartbeatNanos(),
