--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -46,7 +46,7 @@
     private static final long PEER_MAX_IDLE_NANOS = 20_000_000_000L;
     private static final int BACKEND_CONNECT_TIMEOUT_MILLIS = 1_000;
     private static final long BACKEND_MAX_IDLE_NANOS = 30_000_000_000L;
-    private static final long TICK_MILLIS = 1_000;
+    private static final long TICK_INTERVAL_MILLIS = 1_000;
     /** A fresh node is not ready before it heard others, or this long after its start if there are none. */
     private static final long ALONE_NANOS = 1_500_000_000L;
 
@@ -197,7 +197,7 @@
         }
         versions.start();
         directory.start();
-        loop.scheduleAtFixedRate(this::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(this::tick, TICK_INTERVAL_MILLIS, TICK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private void gauges() {
