--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -48,7 +48,7 @@
     private static final long BACKEND_MAX_IDLE_NANOS = 30_000_000_000L;
     private static final long TICK_INTERVAL_MILLIS = 1_000;
     /** A fresh node is not ready before it heard others, or this long after its start if there are none. */
-    private static final long ALONE_NANOS = 1_500_000_000L;
+    private static final long READY_WITHOUT_PEERS_AFTER_NANOS = 1_500_000_000L;
 
     private final NodePorts ports;
     private final NodeSettings settings;
@@ -247,7 +247,7 @@
         if (stopping || versions.version().isEmpty()) {
             return false;
         }
-        return !table.all().isEmpty() || System.nanoTime() - startedAt > ALONE_NANOS;
+        return !table.all().isEmpty() || System.nanoTime() - startedAt > READY_WITHOUT_PEERS_AFTER_NANOS;
     }
 
     private SmallHttpServer.Answer answerReadiness() {
