--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -50,7 +50,7 @@
     /** A fresh node is not ready before it heard others, or this long after its start if there are none. */
     private static final long READY_WITHOUT_PEERS_AFTER_NANOS = 1_500_000_000L;
 
-    private final NodePorts ports;
+    private final NodePorts platform;
     private final NodeSettings settings;
     private final long startedAt = System.nanoTime();
     private final long boot = ThreadLocalRandom.current().nextLong(Long.MAX_VALUE);
@@ -83,7 +83,7 @@
      * @param log takes events
      */
     public Node(NodePorts ports, EventLog log) {
-        this.ports = ports;
+        this.platform = ports;
         this.settings = ports.settings();
         this.service = settings.service();
         this.log = log;
@@ -144,7 +144,7 @@
         return new Candidates(
                 settings.zone(),
                 settings.region(),
-                ports.regionOfZone(),
+                platform.regionOfZone(),
                 table,
                 gossip::silentNanos,
                 owner,
@@ -357,7 +357,7 @@
     }
 
     private SmallHttpServer.Answer answerHeartbeat(SmallHttpServer.Question question) {
-        HeartbeatProtocol protocol = ports.heartbeats();
+        HeartbeatProtocol protocol = platform.heartbeats();
         switch (protocol.read(question.method(), question.uri(), question.body())) {
             case HeartbeatProtocol.Announcement.Report report -> owner.onReport(report.report());
             case HeartbeatProtocol.Announcement.Leave leave -> owner.onLeave(leave.incarnation());
@@ -372,7 +372,7 @@
 
     /** Reads the settings again, without a pause for callers. */
     public void reload() {
-        Optional<NodeSettings> fresh = ports.reread();
+        Optional<NodeSettings> fresh = platform.reread();
         if (fresh.isEmpty()) {
             log.write(Event.SETTINGS_REFUSED, "follows", "the former settings stay in force");
             return;
