--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -53,7 +53,7 @@
     private final NodePorts platform;
     private final NodeSettings settings;
     private final long startedAt = System.nanoTime();
-    private final long boot = ThreadLocalRandom.current().nextLong(Long.MAX_VALUE);
+    private final long bootId = ThreadLocalRandom.current().nextLong(Long.MAX_VALUE);
     private final Counters counters = new Counters();
     private final EventLog log;
     private final MultiThreadIoEventLoopGroup group;
@@ -186,7 +186,7 @@
                 "service",
                 service,
                 "boot",
-                boot,
+                bootId,
                 "openAfterMs",
                 (System.nanoTime() - startedAt) / 1_000_000);
     }
@@ -288,7 +288,7 @@
     private NodeState selfState() {
         Optional<Backend> backend = owner.backend();
         return new NodeState(
-                boot,
+                bootId,
                 ++stateSequence,
                 settings.zone(),
                 linkMbps(),
