--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -56,7 +56,7 @@
     private final long bootId = ThreadLocalRandom.current().nextLong(Long.MAX_VALUE);
     private final Counters counters = new Counters();
     private final EventLog log;
-    private final MultiThreadIoEventLoopGroup group;
+    private final MultiThreadIoEventLoopGroup eventLoopGroup;
     private final EventLoop loop;
     private final MemberTable table;
     private final Owner owner;
@@ -87,9 +87,9 @@
         this.settings = ports.settings();
         this.service = settings.service();
         this.log = log;
-        this.group =
+        this.eventLoopGroup =
                 new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("loop", false), NioIoHandler.newFactory());
-        this.loop = (EventLoop) group.next();
+        this.loop = (EventLoop) eventLoopGroup.next();
         this.table = new MemberTable(this::connect, this::onSuspected);
         this.link = VmLink.of(settings.linkMbps(), new EventLoopClock(loop));
         this.owner = new Owner(
@@ -422,7 +422,7 @@
     /** Ends all at once; {@link #stop} comes first where calls are under way. */
     @Override
     public void close() {
-        group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
+        eventLoopGroup.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
     }
 
     /** Runs a node until the process is told to stop. */
