--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -58,7 +58,7 @@
     private final EventLog log;
     private final MultiThreadIoEventLoopGroup eventLoopGroup;
     private final EventLoop loop;
-    private final MemberTable table;
+    private final MemberTable memberTable;
     private final Owner owner;
     private final VmLink link;
     private final Gossip gossip;
@@ -90,7 +90,7 @@
         this.eventLoopGroup =
                 new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("loop", false), NioIoHandler.newFactory());
         this.loop = (EventLoop) eventLoopGroup.next();
-        this.table = new MemberTable(this::connect, this::onSuspected);
+        this.memberTable = new MemberTable(this::connect, this::onSuspected);
         this.link = VmLink.of(settings.linkMbps(), new EventLoopClock(loop));
         this.owner = new Owner(
                 new EventLoopClock(loop),
@@ -103,11 +103,11 @@
                 this::onBackendChange);
         this.probe = new BackendProbe(loop, settings, ports.headerNames(), owner, log);
         this.gossip = new Gossip(
-                loop, settings.ip(), settings.gossipPort(), table, this::selfState, counters, log, this::onHeard);
+                loop, settings.ip(), settings.gossipPort(), memberTable, this::selfState, counters, log, this::onHeard);
         this.versions = new VersionKeeper(
                 loop,
                 ports.configurationSource(loop),
-                table,
+                memberTable,
                 settings.zone(),
                 this::isReader,
                 this::onInstalled,
@@ -145,7 +145,7 @@
                 settings.zone(),
                 settings.region(),
                 platform.regionOfZone(),
-                table,
+                memberTable,
                 gossip::silentNanos,
                 owner,
                 () -> ThreadLocalRandom.current().nextDouble());
@@ -153,7 +153,7 @@
 
     /** How many nodes there are, with this one: those that were heard, or those that are listed if these are more. */
     private int nodeCount() {
-        return Math.max(table.all().size(), gossip.contactCount()) + 1;
+        return Math.max(memberTable.all().size(), gossip.contactCount()) + 1;
     }
 
     private ConnectionPool connect(String ip) {
@@ -213,7 +213,7 @@
                 NodeMetricNames.VERSION_IN_FORCE,
                 () -> versions.version().map(v -> v.number()).orElse(0L));
         counters.gauge(
-                NodeMetricNames.MEMBERS_HEARD, () -> table.countHeardWithin(gossip.silentNanos(), System.nanoTime()));
+                NodeMetricNames.MEMBERS_HEARD, () -> memberTable.countHeardWithin(gossip.silentNanos(), System.nanoTime()));
         counters.gauge(
                 NodeMetricNames.OWNER_CONNECTIONS_OPENED,
                 () -> owner.backend().map(Backend::connectionsOpened).orElse(0L));
@@ -237,7 +237,7 @@
                     "version",
                     versions.version().map(v -> v.number()).orElse(0L),
                     "members",
-                    table.all().size(),
+                    memberTable.all().size(),
                     "leaving",
                     stopping);
         }
@@ -247,7 +247,7 @@
         if (stopping || versions.version().isEmpty()) {
             return false;
         }
-        return !table.all().isEmpty() || System.nanoTime() - startedAt > READY_WITHOUT_PEERS_AFTER_NANOS;
+        return !memberTable.all().isEmpty() || System.nanoTime() - startedAt > READY_WITHOUT_PEERS_AFTER_NANOS;
     }
 
     private SmallHttpServer.Answer answerReadiness() {
@@ -262,7 +262,7 @@
         long now = System.nanoTime();
         long silent = gossip.silentNanos();
         int before = 0;
-        for (Member member : table.all()) {
+        for (Member member : memberTable.all()) {
             NodeState state = member.state();
             boolean able = state.zone().equals(settings.zone())
                     && state.storeReached()
