--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -62,7 +62,7 @@
     private final Owner owner;
     private final VmLink link;
     private final Gossip gossip;
-    private final VersionKeeper versions;
+    private final VersionKeeper versionKeeper;
     private final Directory directory;
     private final EntryServer entry;
     private final PeerServer peers;
@@ -104,7 +104,7 @@
         this.probe = new BackendProbe(loop, settings, ports.headerNames(), owner, log);
         this.gossip = new Gossip(
                 loop, settings.ip(), settings.gossipPort(), memberTable, this::selfState, counters, log, this::onHeard);
-        this.versions = new VersionKeeper(
+        this.versionKeeper = new VersionKeeper(
                 loop,
                 ports.configurationSource(loop),
                 memberTable,
@@ -120,13 +120,13 @@
         this.entry = CallPath.entry(
                 loop,
                 settings,
-                new CallPath.Callers(ports.headerNames(), versions::version, () -> service),
+                new CallPath.Callers(ports.headerNames(), versionKeeper::version, () -> service),
                 owner,
                 link,
                 candidates(),
                 budget,
                 new Instruments(counters, log));
-        this.peers = new PeerServer(loop, settings.peers(), owner, link, versions::deliver);
+        this.peers = new PeerServer(loop, settings.peers(), owner, link, versionKeeper::deliver);
         this.stop = new NodeStop(
                 loop,
                 settings.bounds().graceNanos(),
@@ -195,7 +195,7 @@
         for (InetSocketAddress seed : settings.seeds()) {
             gossip.addContact(seed.getAddress().getHostAddress());
         }
-        versions.start();
+        versionKeeper.start();
         directory.start();
         loop.scheduleAtFixedRate(this::tick, TICK_INTERVAL_MILLIS, TICK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
@@ -211,7 +211,7 @@
         counters.gauge(NodeMetricNames.OWNER_MEAN_US, () -> owner.load().meanNanos() / 1_000);
         counters.gauge(
                 NodeMetricNames.VERSION_IN_FORCE,
-                () -> versions.version().map(v -> v.number()).orElse(0L));
+                () -> versionKeeper.version().map(v -> v.number()).orElse(0L));
         counters.gauge(
                 NodeMetricNames.MEMBERS_HEARD, () -> memberTable.countHeardWithin(gossip.silentNanos(), System.nanoTime()));
         counters.gauge(
@@ -222,7 +222,7 @@
 
     private void tick() {
         owner.tick();
-        versions.tick();
+        versionKeeper.tick();
         tellReadiness();
     }
 
@@ -235,7 +235,7 @@
                     "ready",
                     ready,
                     "version",
-                    versions.version().map(v -> v.number()).orElse(0L),
+                    versionKeeper.version().map(v -> v.number()).orElse(0L),
                     "members",
                     memberTable.all().size(),
                     "leaving",
@@ -244,7 +244,7 @@
     }
 
     private boolean isReady() {
-        if (stopping || versions.version().isEmpty()) {
+        if (stopping || versionKeeper.version().isEmpty()) {
             return false;
         }
         return !memberTable.all().isEmpty() || System.nanoTime() - startedAt > READY_WITHOUT_PEERS_AFTER_NANOS;
@@ -292,8 +292,8 @@
                 ++stateSequence,
                 settings.zone(),
                 linkMbps(),
-                versions.version().map(v -> v.number()).orElse(0L),
-                versions.storeReached(),
+                versionKeeper.version().map(v -> v.number()).orElse(0L),
+                versionKeeper.storeReached(),
                 leaving,
                 backend.map(Backend::service).orElse(service),
                 backend.map(Backend::incarnation).orElse(""),
@@ -314,12 +314,12 @@
             case FAR -> gossip.tellZoneNow(settings.zone());
             case NEAR -> {}
         }
-        versions.version().ifPresent(probe::ask);
+        versionKeeper.version().ifPresent(probe::ask);
         tellReadiness();
     }
 
     private void onHeard(Member member, MemberTable.Hearing hearing) {
-        versions.onHeard(member);
+        versionKeeper.onHeard(member);
         if (hearing == MemberTable.Hearing.SAME) {
             return;
         }
