--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -64,7 +64,7 @@
     private final Gossip gossip;
     private final VersionKeeper versionKeeper;
     private final Directory directory;
-    private final EntryServer entry;
+    private final EntryServer entryServer;
     private final PeerServer peers;
     private final NodeStop stop;
     private final BackendProbe probe;
@@ -117,7 +117,7 @@
                 new Directory(loop, ports.directory(loop), gossip, counters, log, settings.name(), settings.ip());
         RetryBudget budget =
                 new RetryBudget(settings.bounds(), this::nodeCount, directory::isListed, System.nanoTime());
-        this.entry = CallPath.entry(
+        this.entryServer = CallPath.entry(
                 loop,
                 settings,
                 new CallPath.Callers(ports.headerNames(), versionKeeper::version, () -> service),
@@ -131,7 +131,7 @@
                 loop,
                 settings.bounds().graceNanos(),
                 owner,
-                entry,
+                entryServer,
                 peers,
                 () -> {
                     leaving = true;
@@ -167,7 +167,7 @@
         SmallHttpServer.open(loop, settings.heartbeats(), this::answerHeartbeat);
         gossip.start();
         peers.start();
-        entry.start();
+        entryServer.start();
         SmallHttpServer.open(loop, settings.readiness(), q -> answerReadiness());
         if (settings.metricsPort() > 0) {
             InetSocketAddress address = new InetSocketAddress(settings.ip(), settings.metricsPort());
@@ -406,7 +406,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        log.write(Event.STOPPED, "pending", owner.pending() + entry.pending());
+        log.write(Event.STOPPED, "pending", owner.pending() + entryServer.pending());
     }
 
     /** The event loop of all parts. */
