--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -65,7 +65,7 @@
     private final VersionKeeper versionKeeper;
     private final Directory directory;
     private final EntryServer entryServer;
-    private final PeerServer peers;
+    private final PeerServer peerServer;
     private final NodeStop stop;
     private final BackendProbe probe;
     private final CountDownLatch stopped = new CountDownLatch(1);
@@ -126,13 +126,13 @@
                 candidates(),
                 budget,
                 new Instruments(counters, log));
-        this.peers = new PeerServer(loop, settings.peers(), owner, link, versionKeeper::deliver);
+        this.peerServer = new PeerServer(loop, settings.peers(), owner, link, versionKeeper::deliver);
         this.stop = new NodeStop(
                 loop,
                 settings.bounds().graceNanos(),
                 owner,
                 entryServer,
-                peers,
+                peerServer,
                 () -> {
                     leaving = true;
                     gossip.tellNow();
@@ -166,7 +166,7 @@
         gauges();
         SmallHttpServer.open(loop, settings.heartbeats(), this::answerHeartbeat);
         gossip.start();
-        peers.start();
+        peerServer.start();
         entryServer.start();
         SmallHttpServer.open(loop, settings.readiness(), q -> answerReadiness());
         if (settings.metricsPort() > 0) {
@@ -203,7 +203,7 @@
     private void gauges() {
         counters.gauge(NodeMetricNames.OWNER_RUNNING, () -> owner.load().running());
         counters.gauge(NodeMetricNames.OWNER_ANSWERING, owner::answering);
-        counters.gauge(NodeMetricNames.PEERS_UNSENT_BYTES, peers::unsentBytes);
+        counters.gauge(NodeMetricNames.PEERS_UNSENT_BYTES, peerServer::unsentBytes);
         counters.gauge(
                 NodeMetricNames.LINK_OUTGOING_BUSY_MS, () -> link.outgoing().busyNanos() / 1_000_000);
         counters.gauge(NodeMetricNames.OWNER_QUEUED, () -> owner.load().queued());
