--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -67,7 +67,7 @@
     private final EntryServer entryServer;
     private final PeerServer peerServer;
     private final NodeStop stop;
-    private final BackendProbe probe;
+    private final BackendProbe backendProbe;
     private final CountDownLatch stopped = new CountDownLatch(1);
     private volatile String service;
     private long stateSequence;
@@ -101,7 +101,7 @@
                 counters,
                 log,
                 this::onBackendChange);
-        this.probe = new BackendProbe(loop, settings, ports.headerNames(), owner, log);
+        this.backendProbe = new BackendProbe(loop, settings, ports.headerNames(), owner, log);
         this.gossip = new Gossip(
                 loop, settings.ip(), settings.gossipPort(), memberTable, this::selfState, counters, log, this::onHeard);
         this.versionKeeper = new VersionKeeper(
@@ -314,7 +314,7 @@
             case FAR -> gossip.tellZoneNow(settings.zone());
             case NEAR -> {}
         }
-        versionKeeper.version().ifPresent(probe::ask);
+        versionKeeper.version().ifPresent(backendProbe::ask);
         tellReadiness();
     }
 
