--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -66,7 +66,7 @@
     private final Directory directory;
     private final EntryServer entryServer;
     private final PeerServer peerServer;
-    private final NodeStop stop;
+    private final NodeStop shutdown;
     private final BackendProbe backendProbe;
     private final CountDownLatch stopped = new CountDownLatch(1);
     private volatile String service;
@@ -127,7 +127,7 @@
                 budget,
                 new Instruments(counters, log));
         this.peerServer = new PeerServer(loop, settings.peers(), owner, link, versionKeeper::deliver);
-        this.stop = new NodeStop(
+        this.shutdown = new NodeStop(
                 loop,
                 settings.bounds().graceNanos(),
                 owner,
@@ -254,7 +254,7 @@
         if (isReady()) {
             return SmallHttpServer.Answer.ofStatus(200);
         }
-        stop.onMissed();
+        shutdown.onMissed();
         return SmallHttpServer.Answer.ofStatus(503);
     }
 
@@ -399,7 +399,7 @@
         loop.execute(() -> {
             stopping = true;
             tellReadiness();
-            stop.begin();
+            shutdown.begin();
         });
         try {
             stopped.await(settings.bounds().graceNanos(), TimeUnit.NANOSECONDS);
@@ -419,7 +419,7 @@
         return counters;
     }
 
-    /** Ends all at once; {@link #stop} comes first where calls are under way. */
+    /** Ends all at once; {@link #shutdown} comes first where calls are under way. */
     @Override
     public void close() {
         eventLoopGroup.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
