--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -68,7 +68,7 @@
     private final PeerServer peerServer;
     private final NodeStop shutdown;
     private final BackendProbe backendProbe;
-    private final CountDownLatch stopped = new CountDownLatch(1);
+    private final CountDownLatch shutdownComplete = new CountDownLatch(1);
     private volatile String service;
     private long stateSequence;
     /** Told to stop: not ready for callers. */
@@ -137,7 +137,7 @@
                     leaving = true;
                     gossip.tellNow();
                 },
-                stopped::countDown);
+                shutdownComplete::countDown);
     }
 
     private Candidates candidates() {
@@ -402,7 +402,7 @@
             shutdown.begin();
         });
         try {
-            stopped.await(settings.bounds().graceNanos(), TimeUnit.NANOSECONDS);
+            shutdownComplete.await(settings.bounds().graceNanos(), TimeUnit.NANOSECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
