--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -72,7 +72,7 @@
     private volatile String service;
     private long stateSequence;
     /** Told to stop: not ready for callers. */
-    private boolean stopping;
+    private boolean shuttingDown;
     /** Others are to send nothing more to the backend server here. */
     private boolean leaving;
 
@@ -239,12 +239,12 @@
                     "members",
                     memberTable.all().size(),
                     "leaving",
-                    stopping);
+                    shuttingDown);
         }
     }
 
     private boolean isReady() {
-        if (stopping || versionKeeper.version().isEmpty()) {
+        if (shuttingDown || versionKeeper.version().isEmpty()) {
             return false;
         }
         return !memberTable.all().isEmpty() || System.nanoTime() - startedAt > READY_WITHOUT_PEERS_AFTER_NANOS;
@@ -397,7 +397,7 @@
     public void stop() {
         log.write(Event.STOPPING, "graceMs", settings.bounds().graceNanos() / 1_000_000);
         loop.execute(() -> {
-            stopping = true;
+            shuttingDown = true;
             tellReadiness();
             shutdown.begin();
         });
