--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -123,7 +123,7 @@
                 new CallPath.Callers(ports.headerNames(), versionKeeper::version, () -> service),
                 owner,
                 link,
-                candidates(),
+                createCandidates(),
                 budget,
                 new Instruments(counters, log));
         this.peerServer = new PeerServer(loop, settings.peers(), owner, link, versionKeeper::deliver);
@@ -140,7 +140,7 @@
                 shutdownComplete::countDown);
     }
 
-    private Candidates candidates() {
+    private Candidates createCandidates() {
         return new Candidates(
                 settings.zone(),
                 settings.region(),
