--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -90,7 +90,7 @@
         this.eventLoopGroup =
                 new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("loop", false), NioIoHandler.newFactory());
         this.loop = (EventLoop) eventLoopGroup.next();
-        this.memberTable = new MemberTable(this::connect, this::onSuspected);
+        this.memberTable = new MemberTable(this::createPeerPool, this::onSuspected);
         this.link = VmLink.of(settings.linkMbps(), new EventLoopClock(loop));
         this.owner = new Owner(
                 new EventLoopClock(loop),
@@ -156,7 +156,7 @@
         return Math.max(memberTable.all().size(), gossip.contactCount()) + 1;
     }
 
-    private ConnectionPool connect(String ip) {
+    private ConnectionPool createPeerPool(String ip) {
         InetSocketAddress target = new InetSocketAddress(ip, settings.peers().getPort());
         return new ConnectionPool(loop, target, PEER_CONNECT_TIMEOUT_MILLIS, PEER_MAX_IDLE_NANOS);
     }
