--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -176,7 +176,7 @@
                     address,
                     q -> SmallHttpServer.Answer.of("text/plain", counters.text().getBytes(StandardCharsets.UTF_8)));
         }
-        loop.execute(this::startDuties);
+        loop.execute(this::startBackgroundTasks);
         log.write(
                 Event.STARTED,
                 "ip",
@@ -191,7 +191,7 @@
                 (System.nanoTime() - startedAt) / 1_000_000);
     }
 
-    private void startDuties() {
+    private void startBackgroundTasks() {
         for (InetSocketAddress seed : settings.seeds()) {
             gossip.addContact(seed.getAddress().getHostAddress());
         }
