--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -163,7 +163,7 @@
 
     /** Opens the ports and starts. */
     public void start() {
-        gauges();
+        registerGauges();
         SmallHttpServer.open(loop, settings.heartbeats(), this::answerHeartbeat);
         gossip.start();
         peerServer.start();
@@ -200,7 +200,7 @@
         loop.scheduleAtFixedRate(this::tick, TICK_INTERVAL_MILLIS, TICK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void gauges() {
+    private void registerGauges() {
         counters.gauge(NodeMetricNames.OWNER_RUNNING, () -> owner.load().running());
         counters.gauge(NodeMetricNames.OWNER_ANSWERING, owner::answering);
         counters.gauge(NodeMetricNames.PEERS_UNSENT_BYTES, peerServer::unsentBytes);
