--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -223,10 +223,10 @@
     private void tick() {
         owner.tick();
         versionKeeper.tick();
-        tellReadiness();
+        logReadinessChange();
     }
 
-    private void tellReadiness() {
+    private void logReadinessChange() {
         boolean ready = isReady();
         if (ready != wasReady) {
             wasReady = ready;
@@ -315,7 +315,7 @@
             case NEAR -> {}
         }
         versionKeeper.version().ifPresent(backendProbe::ask);
-        tellReadiness();
+        logReadinessChange();
     }
 
     private void onHeard(Member member, MemberTable.Hearing hearing) {
@@ -398,7 +398,7 @@
         log.write(Event.STOPPING, "graceMs", settings.bounds().graceNanos() / 1_000_000);
         loop.execute(() -> {
             shuttingDown = true;
-            tellReadiness();
+            logReadinessChange();
             shutdown.begin();
         });
         try {
