--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -168,7 +168,7 @@
         gossip.start();
         peerServer.start();
         entryServer.start();
-        SmallHttpServer.open(loop, settings.readiness(), q -> answerReadiness());
+        SmallHttpServer.open(loop, settings.readiness(), q -> handleReadinessRequest());
         if (settings.metricsPort() > 0) {
             InetSocketAddress address = new InetSocketAddress(settings.ip(), settings.metricsPort());
             SmallHttpServer.open(
@@ -250,7 +250,7 @@
         return !memberTable.all().isEmpty() || System.nanoTime() - startedAt > READY_WITHOUT_PEERS_AFTER_NANOS;
     }
 
-    private SmallHttpServer.Answer answerReadiness() {
+    private SmallHttpServer.Answer handleReadinessRequest() {
         if (isReady()) {
             return SmallHttpServer.Answer.ofStatus(200);
         }
