--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -164,7 +164,7 @@
     /** Opens the ports and starts. */
     public void start() {
         registerGauges();
-        SmallHttpServer.open(loop, settings.heartbeats(), this::answerHeartbeat);
+        SmallHttpServer.open(loop, settings.heartbeats(), this::handleHeartbeat);
         gossip.start();
         peerServer.start();
         entryServer.start();
@@ -356,7 +356,7 @@
                 (System.nanoTime() - member.heardAt()) / 1_000_000);
     }
 
-    private SmallHttpServer.Answer answerHeartbeat(SmallHttpServer.Question question) {
+    private SmallHttpServer.Answer handleHeartbeat(SmallHttpServer.Question question) {
         HeartbeatProtocol protocol = platform.heartbeats();
         switch (protocol.read(question.method(), question.uri(), question.body())) {
             case HeartbeatProtocol.Announcement.Report report -> owner.onReport(report.report());
