--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -109,7 +109,7 @@
                 ports.configurationSource(loop),
                 memberTable,
                 settings.zone(),
-                this::isReader,
+                this::isStoreReader,
                 this::onInstalled,
                 counters,
                 log);
@@ -258,7 +258,7 @@
         return SmallHttpServer.Answer.ofStatus(503);
     }
 
-    private boolean isReader() {
+    private boolean isStoreReader() {
         long now = System.nanoTime();
         long silent = gossip.silentNanos();
         int before = 0;
