--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -268,7 +268,7 @@
                     && state.storeReached()
                     && !state.leaving()
                     && now - member.heardAt() < silent;
-            if (able && readsBefore(member)) {
+            if (able && precedesAsReader(member)) {
                 before++;
             }
         }
@@ -276,7 +276,7 @@
     }
 
     /** A wide link first, as a reader takes every version whole and hands it on; then by address. */
-    private boolean readsBefore(Member member) {
+    private boolean precedesAsReader(Member member) {
         int order = Integer.compare(member.state().linkMbps(), linkMbps());
         return order > 0 || order == 0 && member.ip().compareTo(settings.ip()) < 0;
     }
