--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -103,7 +103,7 @@
                 this::onBackendChange);
         this.backendProbe = new BackendProbe(loop, settings, ports.headerNames(), owner, log);
         this.gossip = new Gossip(
-                loop, settings.ip(), settings.gossipPort(), memberTable, this::selfState, counters, log, this::onHeard);
+                loop, settings.ip(), settings.gossipPort(), memberTable, this::localState, counters, log, this::onHeard);
         this.versionKeeper = new VersionKeeper(
                 loop,
                 ports.configurationSource(loop),
@@ -285,7 +285,7 @@
         return (int) Math.max(1, Math.min(NodeState.MOST_LINK_MBPS, Math.round(settings.linkMbps())));
     }
 
-    private NodeState selfState() {
+    private NodeState localState() {
         Optional<Backend> backend = owner.backend();
         return new NodeState(
                 bootId,
