--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -103,7 +103,7 @@
                 this::onBackendChange);
         this.backendProbe = new BackendProbe(loop, settings, ports.headerNames(), owner, log);
         this.gossip = new Gossip(
-                loop, settings.ip(), settings.gossipPort(), memberTable, this::localState, counters, log, this::onHeard);
+                loop, settings.ip(), settings.gossipPort(), memberTable, this::localState, counters, log, this::onMemberState);
         this.versionKeeper = new VersionKeeper(
                 loop,
                 ports.configurationSource(loop),
@@ -318,7 +318,7 @@
         logReadinessChange();
     }
 
-    private void onHeard(Member member, MemberTable.Hearing hearing) {
+    private void onMemberState(Member member, MemberTable.Hearing hearing) {
         versionKeeper.onHeard(member);
         if (hearing == MemberTable.Hearing.SAME) {
             return;
