--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -50,7 +50,7 @@
     /** A fresh node is not ready before it heard others, or this long after its start if there are none. */
     private static final long READY_WITHOUT_PEERS_AFTER_NANOS = 1_500_000_000L;
 
-    private final NodePorts platform;
+    private final NodePlatform platform;
     private final NodeSettings settings;
     private final long startedAt = System.nanoTime();
     private final long bootId = ThreadLocalRandom.current().nextLong(Long.MAX_VALUE);
@@ -82,7 +82,7 @@
      * @param ports of the platform
      * @param log takes events
      */
-    public Node(NodePorts ports, EventLog log) {
+    public Node(NodePlatform ports, EventLog log) {
         this.platform = ports;
         this.settings = ports.settings();
         this.service = settings.service();
@@ -426,7 +426,7 @@
     }
 
     /** Runs a node until the process is told to stop. */
-    public static void run(NodePorts ports) {
+    public static void run(NodePlatform ports) {
         EventLog log = new EventLog(ports.settings().name(), new java.io.FileOutputStream(java.io.FileDescriptor.out));
         Node node = new Node(ports, log);
         Signals.on("HUP", node::reload);
--- a/org.berylwick.node/src/org/berylwick/node/NodePorts.java
+++ b/org.berylwick.node/src/org/berylwick/node/NodePlatform.java
@@ -10,7 +10,7 @@
 import org.berylwick.node.version.ConfigurationSource;
 
 /** What a node needs of the platform that it runs on. */
-public interface NodePorts {
+public interface NodePlatform {
     /** This node's settings as they were read at its start. */
     NodeSettings settings();
 
--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -347,7 +347,7 @@
     }
 
     /** What a node of a rig sees of its platform. */
-    private final class MemoryPorts implements NodePorts {
+    private final class MemoryPorts implements NodePlatform {
         private final NodeSettings settings;
 
         MemoryPorts(NodeSettings settings) {
