--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -372,7 +372,7 @@
 
     /** Reads the settings again, without a pause for callers. */
     public void reload() {
-        Optional<NodeSettings> fresh = platform.reread();
+        Optional<NodeSettings> fresh = platform.reloadSettings();
         if (fresh.isEmpty()) {
             log.write(Event.SETTINGS_REFUSED, "follows", "the former settings stay in force");
             return;
--- a/org.berylwick.node/src/org/berylwick/node/NodePlatform.java
+++ b/org.berylwick.node/src/org/berylwick/node/NodePlatform.java
@@ -18,7 +18,7 @@
     Map<String, String> regionOfZone();
 
     /** Reads the settings again; empty if they cannot be read now. */
-    Optional<NodeSettings> reread();
+    Optional<NodeSettings> reloadSettings();
 
     /** Headers that callers and backend servers know. */
     HeaderNames headerNames();
--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -365,7 +365,7 @@
         }
 
         @Override
-        public Optional<NodeSettings> reread() {
+        public Optional<NodeSettings> reloadSettings() {
             return Optional.of(settings);
         }
 
