--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -357,7 +357,7 @@
     }
 
     private SmallHttpServer.Answer handleHeartbeat(SmallHttpServer.Question question) {
-        HeartbeatProtocol protocol = platform.heartbeats();
+        HeartbeatProtocol protocol = platform.heartbeatProtocol();
         switch (protocol.read(question.method(), question.uri(), question.body())) {
             case HeartbeatProtocol.Announcement.Report report -> owner.onReport(report.report());
             case HeartbeatProtocol.Announcement.Leave leave -> owner.onLeave(leave.incarnation());
--- a/org.berylwick.node/src/org/berylwick/node/NodePlatform.java
+++ b/org.berylwick.node/src/org/berylwick/node/NodePlatform.java
@@ -24,7 +24,7 @@
     HeaderNames headerNames();
 
     /** How backend servers announce themselves. */
-    HeartbeatProtocol heartbeats();
+    HeartbeatProtocol heartbeatProtocol();
 
     /** Opens the place where accepted versions are kept. */
     ConfigurationSource configurationSource(EventLoop loop);
--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -375,7 +375,7 @@
         }
 
         @Override
-        public HeartbeatProtocol heartbeats() {
+        public HeartbeatProtocol heartbeatProtocol() {
             return new PlainHeartbeats();
         }
 
