--- a/org.berylwick.node/src/org/berylwick/node/NodeStop.java
+++ b/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
@@ -13,7 +13,7 @@
  * the owner works on while callers are sent elsewhere, and stops last. Its runs make calls of their own through the
  * port for callers, so that closes only after them. The stop ends when the last answer has been written.
  */
-final class NodeStop {
+final class GracefulShutdown {
     /** Callers are sent elsewhere after this many questions for readiness without a yes. */
     private static final int MISSES = 2;
     /** The platform asks once a second; whoever else asks in between tells nothing of callers. */
@@ -60,7 +60,7 @@
      * @param onOwnerStops has others told that the owner will stop in a moment
      * @param onDone hears that nothing is under way any more
      */
-    NodeStop(
+    GracefulShutdown(
             EventLoop loop,
             long graceNanos,
             Owner owner,
--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -66,7 +66,7 @@
     private final Directory directory;
     private final EntryServer entryServer;
     private final PeerServer peerServer;
-    private final NodeStop shutdown;
+    private final GracefulShutdown shutdown;
     private final BackendProbe backendProbe;
     private final CountDownLatch shutdownComplete = new CountDownLatch(1);
     private volatile String service;
@@ -127,7 +127,7 @@
                 budget,
                 new Instruments(counters, log));
         this.peerServer = new PeerServer(loop, settings.peers(), owner, link, versionKeeper::deliver);
-        this.shutdown = new NodeStop(
+        this.shutdown = new GracefulShutdown(
                 loop,
                 settings.bounds().graceNanos(),
                 owner,
