--- a/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
+++ b/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
@@ -15,7 +15,7 @@
  */
 final class GracefulShutdown {
     /** Callers are sent elsewhere after this many questions for readiness without a yes. */
-    private static final int MISSES = 2;
+    private static final int FAILED_PROBES_UNTIL_DRAINED = 2;
     /** The platform asks once a second; whoever else asks in between tells nothing of callers. */
     private static final long BETWEEN_MISSES_NANOS = 500_000_000L;
     /** Callers may have begun a request before they were sent elsewhere. */
@@ -92,7 +92,7 @@
         }
         missedAt = now;
         misses++;
-        if (misses == MISSES) {
+        if (misses == FAILED_PROBES_UNTIL_DRAINED) {
             loop.schedule(this::onCallersGone, MOVED_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
