--- a/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
+++ b/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
@@ -17,7 +17,7 @@
     /** Callers are sent elsewhere after this many questions for readiness without a yes. */
     private static final int FAILED_PROBES_UNTIL_DRAINED = 2;
     /** The platform asks once a second; whoever else asks in between tells nothing of callers. */
-    private static final long BETWEEN_MISSES_NANOS = 500_000_000L;
+    private static final long MIN_PROBE_SPACING_NANOS = 500_000_000L;
     /** Callers may have begun a request before they were sent elsewhere. */
     private static final long MOVED_MILLIS = 100;
     /** As long as the platform takes for so many questions; if it asks none, callers are taken to have gone by then. */
@@ -87,7 +87,7 @@
     /** Somebody asked whether this node is ready, and was told no. */
     void onMissed() {
         long now = System.nanoTime();
-        if (!begun || misses > 0 && now - missedAt < BETWEEN_MISSES_NANOS) {
+        if (!begun || misses > 0 && now - missedAt < MIN_PROBE_SPACING_NANOS) {
             return;
         }
         missedAt = now;
