--- a/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
+++ b/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
@@ -19,7 +19,7 @@
     /** The platform asks once a second; whoever else asks in between tells nothing of callers. */
     private static final long MIN_PROBE_SPACING_NANOS = 500_000_000L;
     /** Callers may have begun a request before they were sent elsewhere. */
-    private static final long MOVED_MILLIS = 100;
+    private static final long LAST_CALLER_REQUESTS_MILLIS = 100;
     /** As long as the platform takes for so many questions; if it asks none, callers are taken to have gone by then. */
     private static final long CALLERS_MILLIS = 2_600;
     /** Other nodes hear of the stop within this, and send nothing more to the backend server here. */
@@ -93,7 +93,7 @@
         missedAt = now;
         misses++;
         if (misses == FAILED_PROBES_UNTIL_DRAINED) {
-            loop.schedule(this::onCallersGone, MOVED_MILLIS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::onCallersGone, LAST_CALLER_REQUESTS_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
