--- a/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
+++ b/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
@@ -21,7 +21,7 @@
     /** Callers may have begun a request before they were sent elsewhere. */
     private static final long LAST_CALLER_REQUESTS_MILLIS = 100;
     /** As long as the platform takes for so many questions; if it asks none, callers are taken to have gone by then. */
-    private static final long CALLERS_MILLIS = 2_600;
+    private static final long CALLER_DRAIN_TIMEOUT_MILLIS = 2_600;
     /** Other nodes hear of the stop within this, and send nothing more to the backend server here. */
     private static final long TOLD_MILLIS = 100;
     /** Kept back from the grace, for the process to end. */
@@ -81,7 +81,7 @@
         begun = true;
         endAt = System.nanoTime() + graceNanos - MARGIN_MILLIS * 1_000_000;
         entry.drain(endAt - LAST_ANSWERS_MILLIS * 1_000_000);
-        loop.schedule(this::onCallersGone, CALLERS_MILLIS, TimeUnit.MILLISECONDS);
+        loop.schedule(this::onCallersGone, CALLER_DRAIN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /** Somebody asked whether this node is ready, and was told no. */
