--- a/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
+++ b/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
@@ -23,7 +23,7 @@
     /** As long as the platform takes for so many questions; if it asks none, callers are taken to have gone by then. */
     private static final long CALLER_DRAIN_TIMEOUT_MILLIS = 2_600;
     /** Other nodes hear of the stop within this, and send nothing more to the backend server here. */
-    private static final long TOLD_MILLIS = 100;
+    private static final long LEAVE_PROPAGATION_MILLIS = 100;
     /** Kept back from the grace, for the process to end. */
     private static final long MARGIN_MILLIS = 300;
     /** Calls have their final answer this much before the end, so that it leaves. */
@@ -103,7 +103,7 @@
         }
         callersGone = true;
         onOwnerStops.run();
-        loop.schedule(this::stopOwner, TOLD_MILLIS, TimeUnit.MILLISECONDS);
+        loop.schedule(this::stopOwner, LEAVE_PROPAGATION_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private void stopOwner() {
