--- a/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
+++ b/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
@@ -25,7 +25,7 @@
     /** Other nodes hear of the stop within this, and send nothing more to the backend server here. */
     private static final long LEAVE_PROPAGATION_MILLIS = 100;
     /** Kept back from the grace, for the process to end. */
-    private static final long MARGIN_MILLIS = 300;
+    private static final long PROCESS_EXIT_MARGIN_MILLIS = 300;
     /** Calls have their final answer this much before the end, so that it leaves. */
     private static final long LAST_ANSWERS_MILLIS = 150;
 
@@ -79,7 +79,7 @@
 
     void begin() {
         begun = true;
-        endAt = System.nanoTime() + graceNanos - MARGIN_MILLIS * 1_000_000;
+        endAt = System.nanoTime() + graceNanos - PROCESS_EXIT_MARGIN_MILLIS * 1_000_000;
         entry.drain(endAt - LAST_ANSWERS_MILLIS * 1_000_000);
         loop.schedule(this::onCallersGone, CALLER_DRAIN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
