--- a/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
+++ b/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
@@ -27,7 +27,7 @@
     /** Kept back from the grace, for the process to end. */
     private static final long PROCESS_EXIT_MARGIN_MILLIS = 300;
     /** Calls have their final answer this much before the end, so that it leaves. */
-    private static final long LAST_ANSWERS_MILLIS = 150;
+    private static final long RESPONSE_FLUSH_MILLIS = 150;
 
     /** A request that comes this much before the end may outlast the process, so it is refused. */
     private static final long LAST_REQUESTS_MILLIS = 1_500;
@@ -80,7 +80,7 @@
     void begin() {
         begun = true;
         endAt = System.nanoTime() + graceNanos - PROCESS_EXIT_MARGIN_MILLIS * 1_000_000;
-        entry.drain(endAt - LAST_ANSWERS_MILLIS * 1_000_000);
+        entry.drain(endAt - RESPONSE_FLUSH_MILLIS * 1_000_000);
         loop.schedule(this::onCallersGone, CALLER_DRAIN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
