--- a/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
+++ b/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
@@ -30,7 +30,7 @@
     private static final long RESPONSE_FLUSH_MILLIS = 150;
 
     /** A request that comes this much before the end may outlast the process, so it is refused. */
-    private static final long LAST_REQUESTS_MILLIS = 1_500;
+    private static final long REFUSE_REQUESTS_MILLIS = 1_500;
 
     private static final long CHECK_MILLIS = 50;
     /** Quiet checks in a row before the end: an answer may still be on its way out. */
@@ -114,7 +114,7 @@
     private void check() {
         long now = System.nanoTime();
         boolean late = now >= endAt;
-        if (now >= endAt - LAST_REQUESTS_MILLIS * 1_000_000) {
+        if (now >= endAt - REFUSE_REQUESTS_MILLIS * 1_000_000) {
             entry.refuseNew();
         }
         if (listening && (owner.pending() == 0 || late)) {
