--- a/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
+++ b/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
@@ -32,7 +32,7 @@
     /** A request that comes this much before the end may outlast the process, so it is refused. */
     private static final long REFUSE_REQUESTS_MILLIS = 1_500;
 
-    private static final long CHECK_MILLIS = 50;
+    private static final long CHECK_INTERVAL_MILLIS = 50;
     /** Quiet checks in a row before the end: an answer may still be on its way out. */
     private static final int QUIET_CHECKS = 3;
 
@@ -126,7 +126,7 @@
             onDone.run();
             return;
         }
-        loop.schedule(this::check, CHECK_MILLIS, TimeUnit.MILLISECONDS);
+        loop.schedule(this::check, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private boolean isQuiet() {
