--- a/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
+++ b/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
@@ -34,7 +34,7 @@
 
     private static final long CHECK_INTERVAL_MILLIS = 50;
     /** Quiet checks in a row before the end: an answer may still be on its way out. */
-    private static final int QUIET_CHECKS = 3;
+    private static final int REQUIRED_IDLE_CHECKS = 3;
 
     private final EventLoop loop;
     private final long graceNanos;
@@ -122,7 +122,7 @@
             entry.stopListening();
         }
         quiet = isQuiet() ? quiet + 1 : 0;
-        if (quiet >= QUIET_CHECKS || late) {
+        if (quiet >= REQUIRED_IDLE_CHECKS || late) {
             onDone.run();
             return;
         }
