--- a/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
+++ b/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
@@ -39,7 +39,7 @@
     private final EventLoop loop;
     private final long graceNanos;
     private final Owner owner;
-    private final EntryServer entry;
+    private final EntryServer entryServer;
     private final PeerServer peers;
     private final Runnable onOwnerStops;
     private final Runnable onDone;
@@ -71,7 +71,7 @@
         this.loop = loop;
         this.graceNanos = graceNanos;
         this.owner = owner;
-        this.entry = entry;
+        this.entryServer = entry;
         this.peers = peers;
         this.onOwnerStops = onOwnerStops;
         this.onDone = onDone;
@@ -80,7 +80,7 @@
     void begin() {
         begun = true;
         endAt = System.nanoTime() + graceNanos - PROCESS_EXIT_MARGIN_MILLIS * 1_000_000;
-        entry.drain(endAt - RESPONSE_FLUSH_MILLIS * 1_000_000);
+        entryServer.drain(endAt - RESPONSE_FLUSH_MILLIS * 1_000_000);
         loop.schedule(this::onCallersGone, CALLER_DRAIN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
@@ -115,11 +115,11 @@
         long now = System.nanoTime();
         boolean late = now >= endAt;
         if (now >= endAt - REFUSE_REQUESTS_MILLIS * 1_000_000) {
-            entry.refuseNew();
+            entryServer.refuseNew();
         }
         if (listening && (owner.pending() == 0 || late)) {
             listening = false;
-            entry.stopListening();
+            entryServer.stopListening();
         }
         quiet = isQuiet() ? quiet + 1 : 0;
         if (quiet >= REQUIRED_IDLE_CHECKS || late) {
@@ -130,6 +130,6 @@
     }
 
     private boolean isQuiet() {
-        return owner.pending() + entry.pending() == 0 && !peers.isSending();
+        return owner.pending() + entryServer.pending() == 0 && !peers.isSending();
     }
 }
