--- a/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
+++ b/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
@@ -40,7 +40,7 @@
     private final long graceNanos;
     private final Owner owner;
     private final EntryServer entryServer;
-    private final PeerServer peers;
+    private final PeerServer peerServer;
     private final Runnable onOwnerStops;
     private final Runnable onDone;
     private boolean begun;
@@ -72,7 +72,7 @@
         this.graceNanos = graceNanos;
         this.owner = owner;
         this.entryServer = entry;
-        this.peers = peers;
+        this.peerServer = peers;
         this.onOwnerStops = onOwnerStops;
         this.onDone = onDone;
     }
@@ -130,6 +130,6 @@
     }
 
     private boolean isQuiet() {
-        return owner.pending() + entryServer.pending() == 0 && !peers.isSending();
+        return owner.pending() + entryServer.pending() == 0 && !peerServer.isSending();
     }
 }
