--- a/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
+++ b/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
@@ -41,7 +41,7 @@
     private final Owner owner;
     private final EntryServer entryServer;
     private final PeerServer peerServer;
-    private final Runnable onOwnerStops;
+    private final Runnable announceLeaving;
     private final Runnable onDone;
     private boolean begun;
     private boolean callersGone;
@@ -73,7 +73,7 @@
         this.owner = owner;
         this.entryServer = entry;
         this.peerServer = peers;
-        this.onOwnerStops = onOwnerStops;
+        this.announceLeaving = onOwnerStops;
         this.onDone = onDone;
     }
 
@@ -102,7 +102,7 @@
             return;
         }
         callersGone = true;
-        onOwnerStops.run();
+        announceLeaving.run();
         loop.schedule(this::stopOwner, LEAVE_PROPAGATION_MILLIS, TimeUnit.MILLISECONDS);
     }
 
