--- a/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
+++ b/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
@@ -42,7 +42,7 @@
     private final EntryServer entryServer;
     private final PeerServer peerServer;
     private final Runnable announceLeaving;
-    private final Runnable onDone;
+    private final Runnable onComplete;
     private boolean begun;
     private boolean callersGone;
     private boolean listening = true;
@@ -74,7 +74,7 @@
         this.entryServer = entry;
         this.peerServer = peers;
         this.announceLeaving = onOwnerStops;
-        this.onDone = onDone;
+        this.onComplete = onDone;
     }
 
     void begin() {
@@ -123,7 +123,7 @@
         }
         quiet = isQuiet() ? quiet + 1 : 0;
         if (quiet >= REQUIRED_IDLE_CHECKS || late) {
-            onDone.run();
+            onComplete.run();
             return;
         }
         loop.schedule(this::check, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
