--- a/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
+++ b/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
@@ -43,7 +43,7 @@
     private final PeerServer peerServer;
     private final Runnable announceLeaving;
     private final Runnable onComplete;
-    private boolean begun;
+    private boolean started;
     private boolean callersGone;
     private boolean listening = true;
     private int misses;
@@ -78,7 +78,7 @@
     }
 
     void begin() {
-        begun = true;
+        started = true;
         endAt = System.nanoTime() + graceNanos - PROCESS_EXIT_MARGIN_MILLIS * 1_000_000;
         entryServer.drain(endAt - RESPONSE_FLUSH_MILLIS * 1_000_000);
         loop.schedule(this::onCallersGone, CALLER_DRAIN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
@@ -87,7 +87,7 @@
     /** Somebody asked whether this node is ready, and was told no. */
     void onMissed() {
         long now = System.nanoTime();
-        if (!begun || misses > 0 && now - missedAt < MIN_PROBE_SPACING_NANOS) {
+        if (!started || misses > 0 && now - missedAt < MIN_PROBE_SPACING_NANOS) {
             return;
         }
         missedAt = now;
