--- a/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
+++ b/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
@@ -44,7 +44,7 @@
     private final Runnable announceLeaving;
     private final Runnable onComplete;
     private boolean started;
-    private boolean callersGone;
+    private boolean callersDrained;
     private boolean listening = true;
     private int misses;
     private long missedAt;
@@ -98,10 +98,10 @@
     }
 
     private void onCallersGone() {
-        if (callersGone) {
+        if (callersDrained) {
             return;
         }
-        callersGone = true;
+        callersDrained = true;
         announceLeaving.run();
         loop.schedule(this::stopOwner, LEAVE_PROPAGATION_MILLIS, TimeUnit.MILLISECONDS);
     }
