--- a/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
+++ b/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
@@ -46,7 +46,7 @@
     private boolean started;
     private boolean callersDrained;
     private boolean listening = true;
-    private int misses;
+    private int failedProbes;
     private long missedAt;
     private long endAt;
     private int quiet;
@@ -87,12 +87,12 @@
     /** Somebody asked whether this node is ready, and was told no. */
     void onMissed() {
         long now = System.nanoTime();
-        if (!started || misses > 0 && now - missedAt < MIN_PROBE_SPACING_NANOS) {
+        if (!started || failedProbes > 0 && now - missedAt < MIN_PROBE_SPACING_NANOS) {
             return;
         }
         missedAt = now;
-        misses++;
-        if (misses == FAILED_PROBES_UNTIL_DRAINED) {
+        failedProbes++;
+        if (failedProbes == FAILED_PROBES_UNTIL_DRAINED) {
             loop.schedule(this::onCallersGone, LAST_CALLER_REQUESTS_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
