--- a/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
+++ b/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
@@ -47,7 +47,7 @@
     private boolean callersDrained;
     private boolean listening = true;
     private int failedProbes;
-    private long missedAt;
+    private long lastFailedProbeAt;
     private long endAt;
     private int quiet;
 
@@ -87,10 +87,10 @@
     /** Somebody asked whether this node is ready, and was told no. */
     void onMissed() {
         long now = System.nanoTime();
-        if (!started || failedProbes > 0 && now - missedAt < MIN_PROBE_SPACING_NANOS) {
+        if (!started || failedProbes > 0 && now - lastFailedProbeAt < MIN_PROBE_SPACING_NANOS) {
             return;
         }
-        missedAt = now;
+        lastFailedProbeAt = now;
         failedProbes++;
         if (failedProbes == FAILED_PROBES_UNTIL_DRAINED) {
             loop.schedule(this::onCallersGone, LAST_CALLER_REQUESTS_MILLIS, TimeUnit.MILLISECONDS);
