--- a/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
+++ b/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
@@ -49,7 +49,7 @@
     private int failedProbes;
     private long lastFailedProbeAt;
     private long endAt;
-    private int quiet;
+    private int idleChecks;
 
     /**
      * @param loop all runs on it
@@ -121,8 +121,8 @@
             listening = false;
             entryServer.stopListening();
         }
-        quiet = isQuiet() ? quiet + 1 : 0;
-        if (quiet >= REQUIRED_IDLE_CHECKS || late) {
+        idleChecks = isQuiet() ? idleChecks + 1 : 0;
+        if (idleChecks >= REQUIRED_IDLE_CHECKS || late) {
             onComplete.run();
             return;
         }
