--- a/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
+++ b/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
@@ -77,7 +77,7 @@
         this.onComplete = onDone;
     }
 
-    void begin() {
+    void start() {
         started = true;
         endAt = System.nanoTime() + graceNanos - PROCESS_EXIT_MARGIN_MILLIS * 1_000_000;
         entryServer.drain(endAt - RESPONSE_FLUSH_MILLIS * 1_000_000);
--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -399,7 +399,7 @@
         loop.execute(() -> {
             shuttingDown = true;
             logReadinessChange();
-            shutdown.begin();
+            shutdown.start();
         });
         try {
             shutdownComplete.await(settings.bounds().graceNanos(), TimeUnit.NANOSECONDS);
