--- a/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
+++ b/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
@@ -85,7 +85,7 @@
     }
 
     /** Somebody asked whether this node is ready, and was told no. */
-    void onMissed() {
+    void onReadinessProbeFailed() {
         long now = System.nanoTime();
         if (!started || failedProbes > 0 && now - lastFailedProbeAt < MIN_PROBE_SPACING_NANOS) {
             return;
--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -254,7 +254,7 @@
         if (isReady()) {
             return SmallHttpServer.Answer.ofStatus(200);
         }
-        shutdown.onMissed();
+        shutdown.onReadinessProbeFailed();
         return SmallHttpServer.Answer.ofStatus(503);
     }
 
