--- a/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
+++ b/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
@@ -81,7 +81,7 @@
         started = true;
         endAt = System.nanoTime() + graceNanos - PROCESS_EXIT_MARGIN_MILLIS * 1_000_000;
         entryServer.drain(endAt - RESPONSE_FLUSH_MILLIS * 1_000_000);
-        loop.schedule(this::onCallersGone, CALLER_DRAIN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+        loop.schedule(this::onCallersDrained, CALLER_DRAIN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /** Somebody asked whether this node is ready, and was told no. */
@@ -93,11 +93,11 @@
         lastFailedProbeAt = now;
         failedProbes++;
         if (failedProbes == FAILED_PROBES_UNTIL_DRAINED) {
-            loop.schedule(this::onCallersGone, LAST_CALLER_REQUESTS_MILLIS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::onCallersDrained, LAST_CALLER_REQUESTS_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void onCallersGone() {
+    private void onCallersDrained() {
         if (callersDrained) {
             return;
         }
