--- a/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
+++ b/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
@@ -108,10 +108,10 @@
 
     private void stopOwner() {
         owner.stop();
-        check();
+        checkProgress();
     }
 
-    private void check() {
+    private void checkProgress() {
         long now = System.nanoTime();
         boolean late = now >= endAt;
         if (now >= endAt - REFUSE_REQUESTS_MILLIS * 1_000_000) {
@@ -126,7 +126,7 @@
             onComplete.run();
             return;
         }
-        loop.schedule(this::check, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+        loop.schedule(this::checkProgress, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private boolean isQuiet() {
