--- a/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
+++ b/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
@@ -121,7 +121,7 @@
             listening = false;
             entryServer.stopListening();
         }
-        idleChecks = isQuiet() ? idleChecks + 1 : 0;
+        idleChecks = isIdle() ? idleChecks + 1 : 0;
         if (idleChecks >= REQUIRED_IDLE_CHECKS || late) {
             onComplete.run();
             return;
@@ -129,7 +129,7 @@
         loop.schedule(this::checkProgress, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private boolean isQuiet() {
+    private boolean isIdle() {
         return owner.pending() + entryServer.pending() == 0 && !peerServer.isSending();
     }
 }
