--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -429,7 +429,7 @@
     public static void run(NodePlatform ports) {
         EventLog log = new EventLog(ports.settings().name(), new java.io.FileOutputStream(java.io.FileDescriptor.out));
         Node node = new Node(ports, log);
-        Signals.on("HUP", node::reload);
+        Signals.handle("HUP", node::reload);
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
--- a/org.berylwick.node/src/org/berylwick/node/Signals.java
+++ b/org.berylwick.node/src/org/berylwick/node/Signals.java
@@ -13,7 +13,7 @@
      * @param task runs on a thread of the JVM
      * @return false if this JVM does not let signals be handled
      */
-    static boolean on(String name, Runnable task) {
+    static boolean handle(String name, Runnable task) {
         try {
             // The JVM's only way to handle a signal has no public name, and the compiler refuses it.
             Class<?> signal = Class.forName("sun.misc.Signal");
