--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -343,7 +343,7 @@
     }
 
     private void onSuspected(Member member, String cause) {
-        counters.add(NodeMetricNames.MEMBERS_SUSPECTED);
+        counters.increment(NodeMetricNames.MEMBERS_SUSPECTED);
         log.write(
                 Event.MEMBER_SUSPECTED,
                 "ip",
@@ -366,7 +366,7 @@
                 return SmallHttpServer.Answer.ofStatus(400);
             }
         }
-        counters.add(NodeMetricNames.HEARTBEATS_ACKNOWLEDGED);
+        counters.increment(NodeMetricNames.HEARTBEATS_ACKNOWLEDGED);
         return SmallHttpServer.Answer.of("application/json", protocol.acknowledgement());
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -162,7 +162,7 @@
             tried.remove(attempt.candidate().key());
         }
         trace.onEnd(attempt, refusal.reason().name());
-        context.counters().add(NodeMetricNames.ENTRY_REFUSALS_BY_REASON + refusal.reason());
+        context.counters().increment(NodeMetricNames.ENTRY_REFUSALS_BY_REASON + refusal.reason());
         if (refusal.load().slots() > 0) {
             long wait = refusal.load().waitNanos()
                     + refusal.load().meanNanos() / Math.max(1, refusal.load().slots());
@@ -262,7 +262,7 @@
             repeatTaken = true;
             return true;
         }
-        context.counters().add(NodeMetricNames.ENTRY_REPEATS_DENIED);
+        context.counters().increment(NodeMetricNames.ENTRY_REPEATS_DENIED);
         context.log().write(Event.RETRY_DENIED, "id", spec.id(), "service", spec.service());
         return false;
     }
@@ -323,7 +323,7 @@
         }
         finish();
         boolean good = status < 400;
-        context.counters().add(good ? NodeMetricNames.ENTRY_ANSWERED : NodeMetricNames.ENTRY_ANSWERED_ERRORS);
+        context.counters().increment(good ? NodeMetricNames.ENTRY_ANSWERED : NodeMetricNames.ENTRY_ANSWERED_ERRORS);
         log(
                 good ? Event.CALL_ANSWERED : Event.CALL_FAILED,
                 status,
@@ -342,7 +342,7 @@
 
     void onStreamed(EntryAttempt attempt, boolean whole) {
         finish();
-        context.counters().add(whole ? NodeMetricNames.ENTRY_STREAMED : NodeMetricNames.ENTRY_STREAMS_BROKEN);
+        context.counters().increment(whole ? NodeMetricNames.ENTRY_STREAMED : NodeMetricNames.ENTRY_STREAMS_BROKEN);
         log(
                 whole ? Event.CALL_ANSWERED : Event.CALL_FAILED,
                 200,
@@ -398,7 +398,7 @@
         double spread = wait * (0.75 + 0.5 * context.chance().getAsDouble());
         double seconds = Math.max(SHORTEST_RETRY_AFTER_S, Math.min(LONGEST_RETRY_AFTER_S, spread));
         context.returns().onRefused(spec.like());
-        context.counters().add(NodeMetricNames.ENTRY_REFUSED);
+        context.counters().increment(NodeMetricNames.ENTRY_REFUSED);
         log(Event.CALL_REFUSED, 503, "");
         sink.reply(503, retryAfter(seconds), Unpooled.EMPTY_BUFFER);
     }
@@ -412,7 +412,7 @@
         finish();
         boolean late = context.clock().now() >= spec.deadlineAt();
         int status = late ? 504 : 502;
-        context.counters().add(NodeMetricNames.ENTRY_FAILED);
+        context.counters().increment(NodeMetricNames.ENTRY_FAILED);
         log(Event.CALL_FAILED, status, "");
         sink.reply(status, Headers.empty(), Unpooled.EMPTY_BUFFER);
     }
@@ -423,7 +423,7 @@
             return;
         }
         finish();
-        context.counters().add(NodeMetricNames.ENTRY_ABANDONED);
+        context.counters().increment(NodeMetricNames.ENTRY_ABANDONED);
         log(Event.CALL_ABANDONED, 0, "");
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -158,7 +158,7 @@
 
     private void refuseAndClose(int status, String why) {
         services.log().write(Event.CALLER_FAULT, "status", status, "why", why);
-        services.counters().add(NodeMetricNames.ENTRY_CALLER_FAULTS);
+        services.counters().increment(NodeMetricNames.ENTRY_CALLER_FAULTS);
         abandonCall();
         dropBody();
         keepAlive = false;
@@ -212,17 +212,17 @@
         HttpRequest request = head;
         head = null;
         busy = true;
-        services.counters().add(NodeMetricNames.ENTRY_REQUESTS);
+        services.counters().increment(NodeMetricNames.ENTRY_REQUESTS);
         if (server.isRefusing()) {
             whole.release();
-            services.counters().add(NodeMetricNames.ENTRY_REFUSED);
+            services.counters().increment(NodeMetricNames.ENTRY_REFUSED);
             reply(503, EntryCall.retryAfter(RETRY_ELSEWHERE_S), Unpooled.EMPTY_BUFFER);
             return;
         }
         Optional<MeshVersion> version = services.version().get();
         if (version.isEmpty()) {
             whole.release();
-            services.counters().add(NodeMetricNames.ENTRY_REFUSED_NO_VERSION);
+            services.counters().increment(NodeMetricNames.ENTRY_REFUSED_NO_VERSION);
             reply(503, EntryCall.retryAfter(RETRY_ELSEWHERE_S), Unpooled.EMPTY_BUFFER);
             return;
         }
@@ -230,7 +230,7 @@
         Optional<Route> route = version.get().route(host, request.uri());
         if (route.isEmpty()) {
             whole.release();
-            services.counters().add(NodeMetricNames.ENTRY_NO_ROUTE);
+            services.counters().increment(NodeMetricNames.ENTRY_NO_ROUTE);
             reply(404, Headers.empty(), Unpooled.EMPTY_BUFFER);
             return;
         }
--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -275,7 +275,7 @@
         OwnerRun run = new OwnerRun(this, call, listener, forward);
         Optional<Refusal.Reason> reason = reasonAgainst(run);
         if (reason.isPresent()) {
-            counters.add(NodeMetricNames.OWNER_REFUSED_BY_REASON + reason.get());
+            counters.increment(NodeMetricNames.OWNER_REFUSED_BY_REASON + reason.get());
             // Told later, so that the caller has the attempt in hand before it hears of its end.
             clock.soon(() -> run.refuse(reason.get(), false));
             return run;
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -244,7 +244,7 @@
         if (id == null || id.equals(call.id())) {
             return true;
         }
-        owner.counters().add(NodeMetricNames.OWNER_DISCARDED);
+        owner.counters().increment(NodeMetricNames.OWNER_DISCARDED);
         owner.log().write(Event.ANSWER_DISCARDED, "id", call.id(), "belongsTo", id);
         return false;
     }
@@ -292,7 +292,7 @@
         backend.onAnswered(now);
         connection = null;
         finish();
-        owner.counters().add(NodeMetricNames.OWNER_ANSWERED);
+        owner.counters().increment(NodeMetricNames.OWNER_ANSWERED);
         listener.onEnd();
     }
 
@@ -321,7 +321,7 @@
         backend.losses().onLost(clock.now());
         closeConnection();
         finish();
-        owner.counters().add(NodeMetricNames.OWNER_LOST);
+        owner.counters().increment(NodeMetricNames.OWNER_LOST);
         owner.log()
                 .write(
                         Event.RUN_FAILED,
--- a/org.berylwick.node/src/org/berylwick/node/log/Counters.java
+++ b/org.berylwick.node/src/org/berylwick/node/log/Counters.java
@@ -10,7 +10,7 @@
     private final Map<String, LongSupplier> gauges = new TreeMap<>();
 
     /** Adds one. */
-    public void add(String name) {
+    public void increment(String name) {
         add(name, 1);
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/member/Directory.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Directory.java
@@ -66,7 +66,7 @@
     private void enter() {
         store.enter(name, ip, entered -> {
             if (!entered) {
-                counters.add(NodeMetricNames.DIRECTORY_FAILURES);
+                counters.increment(NodeMetricNames.DIRECTORY_FAILURES);
                 loop.schedule(this::enter, backOff(), TimeUnit.MILLISECONDS);
                 return;
             }
@@ -88,7 +88,7 @@
                 }
                 case NodeDirectory.Answer.Failed failed -> {
                     log.write(Event.STORE_CALL_FAILED, "call", "list nodes", "cause", failed.cause());
-                    counters.add(NodeMetricNames.DIRECTORY_FAILURES);
+                    counters.increment(NodeMetricNames.DIRECTORY_FAILURES);
                     loop.schedule(this::list, backOff(), TimeUnit.MILLISECONDS);
                 }
             }
--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -288,7 +288,7 @@
     private final class Receiver extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-            counters.add(NodeMetricNames.GOSSIP_RECEIVED_DATAGRAMS);
+            counters.increment(NodeMetricNames.GOSSIP_RECEIVED_DATAGRAMS);
             String from = packet.sender().getAddress().getHostAddress();
             NodeStateCodec.read(packet.content()).ifPresent(m -> receive(from, m));
         }
@@ -296,7 +296,7 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             // A port without a listener is told as an error of the socket; the node there is only down.
-            counters.add(NodeMetricNames.GOSSIP_ERRORS);
+            counters.increment(NodeMetricNames.GOSSIP_ERRORS);
             if (!(cause instanceof java.io.IOException)) {
                 log.write(Event.INTERNAL_ERROR, "where", "gossip", "cause", cause);
             }
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionFetcher.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionFetcher.java
@@ -128,7 +128,7 @@
         fetching = false;
         if (!(result instanceof SmallHttpCall.Result.Answered answered) || answered.status() != 200) {
             // Its link may be full of this very version: that says nothing of the requests it runs.
-            instruments.counters().add(NodeMetricNames.VERSIONS_FETCH_FAILURES);
+            instruments.counters().increment(NodeMetricNames.VERSIONS_FETCH_FAILURES);
             fetchAgain();
             return;
         }
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionKeeper.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionKeeper.java
@@ -139,7 +139,7 @@
             return;
         }
         reading = true;
-        counters.add(NodeMetricNames.STORE_READS);
+        counters.increment(NodeMetricNames.STORE_READS);
         source.read(freshness, answer -> {
             reading = false;
             onAnswer(answer);
@@ -171,7 +171,7 @@
             }
             case ConfigurationSource.Answer.HistoryGone gone -> {
                 // Not at once: a store that has lost its history to an overload would be asked without pause.
-                counters.add(NodeMetricNames.STORE_HISTORY_GONE);
+                counters.increment(NodeMetricNames.STORE_HISTORY_GONE);
                 retry(this::read);
             }
             case ConfigurationSource.Answer.Failed failed -> {
@@ -211,7 +211,7 @@
     }
 
     private void onLost(String cause) {
-        counters.add(NodeMetricNames.STORE_FAILURES);
+        counters.increment(NodeMetricNames.STORE_FAILURES);
         if (storeReached) {
             storeReached = false;
             log.write(Event.STORE_LOST, "cause", cause, "follows", "versions come from other nodes");
@@ -229,7 +229,7 @@
             return;
         }
         watching = true;
-        counters.add(NodeMetricNames.STORE_WATCHES);
+        counters.increment(NodeMetricNames.STORE_WATCHES);
         source.watch(revision, WATCH_MILLIS, answer -> {
             watching = false;
             onAnswer(answer);
@@ -260,7 +260,7 @@
         version = Optional.of(fresh);
         installedAt = System.nanoTime();
         shelf.add(fresh);
-        counters.add(NodeMetricNames.VERSIONS_INSTALLED);
+        counters.increment(NodeMetricNames.VERSIONS_INSTALLED);
         log.write(
                 Event.VERSION_INSTALLED,
                 "version",
