--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -201,23 +201,23 @@
     }
 
     private void registerGauges() {
-        counters.gauge(NodeMetricNames.OWNER_RUNNING, () -> owner.load().running());
-        counters.gauge(NodeMetricNames.OWNER_ANSWERING, owner::answering);
-        counters.gauge(NodeMetricNames.PEERS_UNSENT_BYTES, peerServer::unsentBytes);
-        counters.gauge(
+        counters.registerGauge(NodeMetricNames.OWNER_RUNNING, () -> owner.load().running());
+        counters.registerGauge(NodeMetricNames.OWNER_ANSWERING, owner::answering);
+        counters.registerGauge(NodeMetricNames.PEERS_UNSENT_BYTES, peerServer::unsentBytes);
+        counters.registerGauge(
                 NodeMetricNames.LINK_OUTGOING_BUSY_MS, () -> link.outgoing().busyNanos() / 1_000_000);
-        counters.gauge(NodeMetricNames.OWNER_QUEUED, () -> owner.load().queued());
-        counters.gauge(NodeMetricNames.OWNER_SLOTS, () -> owner.load().slots());
-        counters.gauge(NodeMetricNames.OWNER_MEAN_US, () -> owner.load().meanNanos() / 1_000);
-        counters.gauge(
+        counters.registerGauge(NodeMetricNames.OWNER_QUEUED, () -> owner.load().queued());
+        counters.registerGauge(NodeMetricNames.OWNER_SLOTS, () -> owner.load().slots());
+        counters.registerGauge(NodeMetricNames.OWNER_MEAN_US, () -> owner.load().meanNanos() / 1_000);
+        counters.registerGauge(
                 NodeMetricNames.VERSION_IN_FORCE,
                 () -> versionKeeper.version().map(v -> v.number()).orElse(0L));
-        counters.gauge(
+        counters.registerGauge(
                 NodeMetricNames.MEMBERS_HEARD, () -> memberTable.countHeardWithin(gossip.silentNanos(), System.nanoTime()));
-        counters.gauge(
+        counters.registerGauge(
                 NodeMetricNames.OWNER_CONNECTIONS_OPENED,
                 () -> owner.backend().map(Backend::connectionsOpened).orElse(0L));
-        counters.gauge(NodeMetricNames.LOG_LINES_DROPPED, log::dropped);
+        counters.registerGauge(NodeMetricNames.LOG_LINES_DROPPED, log::dropped);
     }
 
     private void tick() {
--- a/org.berylwick.node/src/org/berylwick/node/call/CallPath.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallPath.java
@@ -65,13 +65,13 @@
                 (long) settings.memoryMb() * (1 << 20) / GATHER_SHARE,
                 instruments,
                 () -> ThreadLocalRandom.current().nextDouble());
-        counters.gauge(NodeMetricNames.ENTRY_GATHERED_BYTES, calls::gatheredBytes);
+        counters.registerGauge(NodeMetricNames.ENTRY_GATHERED_BYTES, calls::gatheredBytes);
         EntryServer entry = new EntryServer(
                 new EntryServices(callers.version(), calls, link.incoming(), counters, instruments.log()),
                 loop,
                 settings.callers());
-        counters.gauge(NodeMetricNames.ENTRY_CONNECTIONS, entry::size);
-        counters.gauge(NodeMetricNames.ENTRY_PENDING, entry::pending);
+        counters.registerGauge(NodeMetricNames.ENTRY_CONNECTIONS, entry::size);
+        counters.registerGauge(NodeMetricNames.ENTRY_PENDING, entry::pending);
         return entry;
     }
 }
--- a/org.berylwick.node/src/org/berylwick/node/log/Counters.java
+++ b/org.berylwick.node/src/org/berylwick/node/log/Counters.java
@@ -26,7 +26,7 @@
     }
 
     /** Registers a value that is read when asked for. */
-    public void gauge(String name, LongSupplier value) {
+    public void registerGauge(String name, LongSupplier value) {
         gauges.put(name, value);
     }
 
