--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -174,7 +174,7 @@
             SmallHttpServer.open(
                     loop,
                     address,
-                    q -> SmallHttpServer.Answer.of("text/plain", counters.text().getBytes(StandardCharsets.UTF_8)));
+                    q -> SmallHttpServer.Answer.of("text/plain", counters.render().getBytes(StandardCharsets.UTF_8)));
         }
         loop.execute(this::startBackgroundTasks);
         log.write(
--- a/org.berylwick.node/src/org/berylwick/node/log/Counters.java
+++ b/org.berylwick.node/src/org/berylwick/node/log/Counters.java
@@ -31,7 +31,7 @@
     }
 
     /** All values, one "name value" a line. */
-    public String text() {
+    public String render() {
         StringBuilder text = new StringBuilder();
         counts.forEach((n, c) -> text.append(n).append(' ').append(c[0]).append('\n'));
         gauges.forEach(
--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -268,7 +268,7 @@
     /** The value of a node's gauge. */
     static long gauge(Node node, String name) {
         String text = node.loop()
-                .submit(() -> node.counters().text())
+                .submit(() -> node.counters().render())
                 .syncUninterruptibly()
                 .getNow();
         return text.lines()
--- a/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
@@ -38,7 +38,7 @@
     }
 
     private static long value(Node node, String name) {
-        for (String line : node.counters().text().split("\n")) {
+        for (String line : node.counters().render().split("\n")) {
             String[] words = line.split("[ :=]+");
             if (words[0].equals(name)) {
                 return Long.parseLong(words[1]);
