--- a/org.berylwick.node/src/org/berylwick/node/log/Event.java
+++ b/org.berylwick.node/src/org/berylwick/node/log/Event.java
@@ -65,11 +65,11 @@
     INTERNAL_ERROR(7099, 20);
 
     private final int number;
-    private final int linesPerSecond;
+    private final int maxLinesPerSecond;
 
     Event(int number, int linesPerSecond) {
         this.number = number;
-        this.linesPerSecond = linesPerSecond;
+        this.maxLinesPerSecond = linesPerSecond;
     }
 
     /** The number that stands in the log; never used again for something else. */
@@ -79,6 +79,6 @@
 
     /** Lines of it that one node writes a second at the most. */
     public int linesPerSecond() {
-        return linesPerSecond;
+        return maxLinesPerSecond;
     }
 }
