--- a/org.berylwick.node/src/org/berylwick/node/log/Event.java
+++ b/org.berylwick.node/src/org/berylwick/node/log/Event.java
@@ -78,7 +78,7 @@
     }
 
     /** Lines of it that one node writes a second at the most. */
-    public int linesPerSecond() {
+    public int maxLinesPerSecond() {
         return maxLinesPerSecond;
     }
 }
--- a/org.berylwick.node/src/org/berylwick/node/log/EventLog.java
+++ b/org.berylwick.node/src/org/berylwick/node/log/EventLog.java
@@ -37,7 +37,7 @@
         this.node = node;
         this.out = out;
         for (Event event : Event.values()) {
-            limits[event.ordinal()] = new LineLimit(event.linesPerSecond());
+            limits[event.ordinal()] = new LineLimit(event.maxLinesPerSecond());
         }
         this.writer = new Thread(this::drain, "log");
         writer.setDaemon(true);
--- a/org.berylwick.test/tst/org/berylwick/docs/NodePagesTest.java
+++ b/org.berylwick.test/tst/org/berylwick/docs/NodePagesTest.java
@@ -25,7 +25,7 @@
     void eventsAreOnThePage() throws IOException {
         Set<String> inCode = new TreeSet<>();
         for (Event event : Event.values()) {
-            String limit = event.linesPerSecond() == Integer.MAX_VALUE ? "all" : "" + event.linesPerSecond();
+            String limit = event.maxLinesPerSecond() == Integer.MAX_VALUE ? "all" : "" + event.maxLinesPerSecond();
             inCode.add(event.number() + " " + event.name() + " " + limit);
         }
         Set<String> onPage = new TreeSet<>();
