--- a/org.berylwick.node/src/org/berylwick/node/log/EventLog.java
+++ b/org.berylwick.node/src/org/berylwick/node/log/EventLog.java
@@ -15,13 +15,13 @@
  */
 public final class EventLog implements AutoCloseable {
     /** Lines waiting to be written; at 300 bytes a line this is 300 KB. */
-    private static final int RING_LINES = 1024;
+    private static final int QUEUE_CAPACITY = 1024;
 
     private static final long CLOSE_MILLIS = 200;
     /** Ends the writer's wait for a line. */
     private static final String WAKE_UP = "";
 
-    private final ArrayBlockingQueue<String> ring = new ArrayBlockingQueue<>(RING_LINES);
+    private final ArrayBlockingQueue<String> ring = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
     private final LongAdder dropped = new LongAdder();
     private final OutputStream out;
     private final String node;
