--- a/org.berylwick.node/src/org/berylwick/node/log/EventLog.java
+++ b/org.berylwick.node/src/org/berylwick/node/log/EventLog.java
@@ -17,7 +17,7 @@
     /** Lines waiting to be written; at 300 bytes a line this is 300 KB. */
     private static final int QUEUE_CAPACITY = 1024;
 
-    private static final long CLOSE_MILLIS = 200;
+    private static final long CLOSE_TIMEOUT_MILLIS = 200;
     /** Ends the writer's wait for a line. */
     private static final String WAKE_UP = "";
 
@@ -132,7 +132,7 @@
         closed = true;
         ring.offer(WAKE_UP);
         try {
-            writer.join(CLOSE_MILLIS);
+            writer.join(CLOSE_TIMEOUT_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
