--- a/org.berylwick.node/src/org/berylwick/node/log/EventLog.java
+++ b/org.berylwick.node/src/org/berylwick/node/log/EventLog.java
@@ -21,7 +21,7 @@
     /** Ends the writer's wait for a line. */
     private static final String WAKE_UP = "";
 
-    private final ArrayBlockingQueue<String> ring = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
+    private final ArrayBlockingQueue<String> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
     private final LongAdder dropped = new LongAdder();
     private final OutputStream out;
     private final String node;
@@ -55,7 +55,7 @@
         if (leftOut < 0) {
             return;
         }
-        if (!ring.offer(line(event, fields, leftOut))) {
+        if (!queue.offer(line(event, fields, leftOut))) {
             dropped.increment();
         }
     }
@@ -103,14 +103,14 @@
 
     private void drain() {
         StringBuilder batch = new StringBuilder();
-        while (!closed || !ring.isEmpty()) {
+        while (!closed || !queue.isEmpty()) {
             try {
-                String first = ring.poll(500, TimeUnit.MILLISECONDS);
+                String first = queue.poll(500, TimeUnit.MILLISECONDS);
                 if (first == null) {
                     continue;
                 }
                 batch.append(first);
-                for (String next = ring.poll(); next != null; next = ring.poll()) {
+                for (String next = queue.poll(); next != null; next = queue.poll()) {
                     batch.append(next);
                 }
                 out.write(batch.toString().getBytes(StandardCharsets.UTF_8));
@@ -130,7 +130,7 @@
     @Override
     public void close() {
         closed = true;
-        ring.offer(WAKE_UP);
+        queue.offer(WAKE_UP);
         try {
             writer.join(CLOSE_TIMEOUT_MILLIS);
         } catch (InterruptedException e) {
