--- a/org.berylwick.node/src/org/berylwick/node/log/EventLog.java
+++ b/org.berylwick.node/src/org/berylwick/node/log/EventLog.java
@@ -22,7 +22,7 @@
     private static final String WAKE_UP = "";
 
     private final ArrayBlockingQueue<String> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
-    private final LongAdder dropped = new LongAdder();
+    private final LongAdder droppedLines = new LongAdder();
     private final OutputStream out;
     private final String node;
     private final Thread writer;
@@ -56,13 +56,13 @@
             return;
         }
         if (!queue.offer(line(event, fields, leftOut))) {
-            dropped.increment();
+            droppedLines.increment();
         }
     }
 
     /** Lines dropped so far because the ring was full. */
     public long dropped() {
-        return dropped.sum();
+        return droppedLines.sum();
     }
 
     private String line(Event event, Object[] fields, int leftOut) {
@@ -121,7 +121,7 @@
             } catch (IOException e) {
                 // Whoever read the lines is gone; the node serves on without a log and counts what it lost.
                 batch.setLength(0);
-                dropped.increment();
+                droppedLines.increment();
             }
         }
     }
