--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -217,7 +217,7 @@
         counters.registerGauge(
                 NodeMetricNames.OWNER_CONNECTIONS_OPENED,
                 () -> owner.backend().map(Backend::connectionsOpened).orElse(0L));
-        counters.registerGauge(NodeMetricNames.LOG_LINES_DROPPED, log::dropped);
+        counters.registerGauge(NodeMetricNames.LOG_LINES_DROPPED, log::droppedLines);
     }
 
     private void tick() {
--- a/org.berylwick.node/src/org/berylwick/node/log/EventLog.java
+++ b/org.berylwick.node/src/org/berylwick/node/log/EventLog.java
@@ -61,7 +61,7 @@
     }
 
     /** Lines dropped so far because the ring was full. */
-    public long dropped() {
+    public long droppedLines() {
         return droppedLines.sum();
     }
 
