--- a/org.berylwick.node/src/org/berylwick/node/log/EventLog.java
+++ b/org.berylwick.node/src/org/berylwick/node/log/EventLog.java
@@ -26,7 +26,7 @@
     private final OutputStream out;
     private final String node;
     private final Thread writer;
-    private final LineLimit[] limits = new LineLimit[Event.values().length];
+    private final LineLimit[] rateLimiters = new LineLimit[Event.values().length];
     private volatile boolean closed;
 
     /**
@@ -37,7 +37,7 @@
         this.node = node;
         this.out = out;
         for (Event event : Event.values()) {
-            limits[event.ordinal()] = new LineLimit(event.maxLinesPerSecond());
+            rateLimiters[event.ordinal()] = new LineLimit(event.maxLinesPerSecond());
         }
         this.writer = new Thread(this::drain, "log");
         writer.setDaemon(true);
@@ -51,7 +51,7 @@
      * @param fields names and values by turns; ids and numbers, never bodies or secrets
      */
     public void write(Event event, Object... fields) {
-        int leftOut = limits[event.ordinal()].admit(System.nanoTime());
+        int leftOut = rateLimiters[event.ordinal()].admit(System.nanoTime());
         if (leftOut < 0) {
             return;
         }
