--- a/org.berylwick.node/src/org/berylwick/node/log/EventLog.java
+++ b/org.berylwick.node/src/org/berylwick/node/log/EventLog.java
@@ -24,7 +24,7 @@
     private final ArrayBlockingQueue<String> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
     private final LongAdder droppedLines = new LongAdder();
     private final OutputStream out;
-    private final String node;
+    private final String nodeName;
     private final Thread writer;
     private final LineLimit[] rateLimiters = new LineLimit[Event.values().length];
     private volatile boolean closed;
@@ -34,7 +34,7 @@
      * @param out takes the lines
      */
     public EventLog(String node, OutputStream out) {
-        this.node = node;
+        this.nodeName = node;
         this.out = out;
         for (Event event : Event.values()) {
             rateLimiters[event.ordinal()] = new LineLimit(event.maxLinesPerSecond());
@@ -68,7 +68,7 @@
     private String line(Event event, Object[] fields, int leftOut) {
         StringBuilder text = new StringBuilder(256);
         text.append("{\"t\":").append(System.currentTimeMillis());
-        text.append(",\"node\":\"").append(node);
+        text.append(",\"node\":\"").append(nodeName);
         text.append("\",\"event\":").append(event.number());
         text.append(",\"name\":\"").append(event.name()).append('"');
         for (int i = 0; i + 1 < fields.length; i += 2) {
