--- a/org.berylwick.node/src/org/berylwick/node/log/EventLog.java
+++ b/org.berylwick.node/src/org/berylwick/node/log/EventLog.java
@@ -55,7 +55,7 @@
         if (leftOut < 0) {
             return;
         }
-        if (!queue.offer(line(event, fields, leftOut))) {
+        if (!queue.offer(formatLine(event, fields, leftOut))) {
             droppedLines.increment();
         }
     }
@@ -65,7 +65,7 @@
         return droppedLines.sum();
     }
 
-    private String line(Event event, Object[] fields, int leftOut) {
+    private String formatLine(Event event, Object[] fields, int leftOut) {
         StringBuilder text = new StringBuilder(256);
         text.append("{\"t\":").append(System.currentTimeMillis());
         text.append(",\"node\":\"").append(nodeName);
