--- a/org.berylwick.node/src/org/berylwick/node/log/EventLog.java
+++ b/org.berylwick.node/src/org/berylwick/node/log/EventLog.java
@@ -39,7 +39,7 @@
         for (Event event : Event.values()) {
             rateLimiters[event.ordinal()] = new LineLimit(event.maxLinesPerSecond());
         }
-        this.writer = new Thread(this::drain, "log");
+        this.writer = new Thread(this::writeQueuedLines, "log");
         writer.setDaemon(true);
         writer.start();
     }
@@ -101,7 +101,7 @@
         text.append('"');
     }
 
-    private void drain() {
+    private void writeQueuedLines() {
         StringBuilder batch = new StringBuilder();
         while (!closed || !queue.isEmpty()) {
             try {
