--- a/org.berylwick.node/src/org/berylwick/node/log/EventLog.java
+++ b/org.berylwick.node/src/org/berylwick/node/log/EventLog.java
@@ -26,7 +26,7 @@
     private final OutputStream out;
     private final String nodeName;
     private final Thread writer;
-    private final LineLimit[] rateLimiters = new LineLimit[Event.values().length];
+    private final LineRateLimiter[] rateLimiters = new LineRateLimiter[Event.values().length];
     private volatile boolean closed;
 
     /**
@@ -37,7 +37,7 @@
         this.nodeName = node;
         this.out = out;
         for (Event event : Event.values()) {
-            rateLimiters[event.ordinal()] = new LineLimit(event.maxLinesPerSecond());
+            rateLimiters[event.ordinal()] = new LineRateLimiter(event.maxLinesPerSecond());
         }
         this.writer = new Thread(this::writeQueuedLines, "log");
         writer.setDaemon(true);
--- a/org.berylwick.node/src/org/berylwick/node/log/LineLimit.java
+++ b/org.berylwick.node/src/org/berylwick/node/log/LineRateLimiter.java
@@ -1,7 +1,7 @@
 package org.berylwick.node.log;
 
 /** Admits so many lines in each second and counts the others. */
-final class LineLimit {
+final class LineRateLimiter {
     private static final long SECOND_NANOS = 1_000_000_000L;
 
     private final int most;
@@ -9,7 +9,7 @@
     private int admitted;
     private int leftOut;
 
-    LineLimit(int most) {
+    LineRateLimiter(int most) {
         this.most = most;
     }
 
