--- a/org.berylwick.node/src/org/berylwick/node/log/LineRateLimiter.java
+++ b/org.berylwick.node/src/org/berylwick/node/log/LineRateLimiter.java
@@ -4,13 +4,13 @@
 final class LineRateLimiter {
     private static final long SECOND_NANOS = 1_000_000_000L;
 
-    private final int most;
+    private final int maxLinesPerSecond;
     private long secondStart = Long.MIN_VALUE;
     private int admitted;
     private int leftOut;
 
     LineRateLimiter(int most) {
-        this.most = most;
+        this.maxLinesPerSecond = most;
     }
 
     /** How many lines were left out before this one, or -1 if this one is left out too. */
@@ -19,7 +19,7 @@
             secondStart = now;
             admitted = 0;
         }
-        if (admitted >= most) {
+        if (admitted >= maxLinesPerSecond) {
             leftOut++;
             return -1;
         }
