--- a/org.berylwick.node/src/org/berylwick/node/log/LineRateLimiter.java
+++ b/org.berylwick.node/src/org/berylwick/node/log/LineRateLimiter.java
@@ -7,7 +7,7 @@
     private final int maxLinesPerSecond;
     private long secondStart = Long.MIN_VALUE;
     private int admitted;
-    private int leftOut;
+    private int suppressed;
 
     LineRateLimiter(int most) {
         this.maxLinesPerSecond = most;
@@ -20,12 +20,12 @@
             admitted = 0;
         }
         if (admitted >= maxLinesPerSecond) {
-            leftOut++;
+            suppressed++;
             return -1;
         }
         admitted++;
-        int told = leftOut;
-        leftOut = 0;
+        int told = suppressed;
+        suppressed = 0;
         return told;
     }
 }
