--- a/org.berylwick.node/src/org/berylwick/node/transport/ConnectionPool.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ConnectionPool.java
@@ -24,7 +24,7 @@
      * A connection may go silent for good without a reset, while new ones work; the system's own probes end it within 5
      * s. Shorter ones would cost bytes between zones on every idle connection.
      */
-    private static final int PROBE_AFTER_S = 3;
+    private static final int KEEPALIVE_IDLE_S = 3;
 
     private static final int PROBE_EVERY_S = 1;
     private static final int PROBES = 2;
@@ -52,7 +52,7 @@
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMillis)
                 .option(ChannelOption.SO_KEEPALIVE, true)
-                .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPIDLE), PROBE_AFTER_S)
+                .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPIDLE), KEEPALIVE_IDLE_S)
                 .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPINTERVAL), PROBE_EVERY_S)
                 .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPCOUNT), PROBES)
                 .handler(new ChannelInitializer<Channel>() {
