--- a/org.berylwick.node/src/org/berylwick/node/transport/ConnectionPool.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ConnectionPool.java
@@ -26,7 +26,7 @@
      */
     private static final int KEEPALIVE_IDLE_S = 3;
 
-    private static final int PROBE_EVERY_S = 1;
+    private static final int KEEPALIVE_INTERVAL_S = 1;
     private static final int PROBES = 2;
 
     private final Bootstrap bootstrap;
@@ -53,7 +53,7 @@
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMillis)
                 .option(ChannelOption.SO_KEEPALIVE, true)
                 .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPIDLE), KEEPALIVE_IDLE_S)
-                .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPINTERVAL), PROBE_EVERY_S)
+                .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPINTERVAL), KEEPALIVE_INTERVAL_S)
                 .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPCOUNT), PROBES)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
