--- a/org.berylwick.node/src/org/berylwick/node/transport/ConnectionPool.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ConnectionPool.java
@@ -32,7 +32,7 @@
     private final Bootstrap bootstrap;
     private final InetSocketAddress target;
     private final long maxIdleNanos;
-    private final ArrayDeque<HttpConnection> idle = new ArrayDeque<>();
+    private final ArrayDeque<HttpConnection> idleConnections = new ArrayDeque<>();
     private final Set<HttpConnection> open = new HashSet<>();
     private long opened;
     private boolean closed;
@@ -91,15 +91,15 @@
     public HttpConnection pollIdle(long freshestNanos) {
         long now = System.nanoTime();
         long most = Math.min(freshestNanos, maxIdleNanos);
-        while (!idle.isEmpty()) {
-            HttpConnection connection = idle.peekFirst();
+        while (!idleConnections.isEmpty()) {
+            HttpConnection connection = idleConnections.peekFirst();
             if (connection.isIdle() && now - connection.idleSince() <= usableFor(connection, most)) {
-                return idle.pollFirst();
+                return idleConnections.pollFirst();
             }
             if (connection.isIdle() && now - connection.idleSince() <= usableFor(connection, maxIdleNanos)) {
                 return null;
             }
-            idle.pollFirst().abandon();
+            idleConnections.pollFirst().abandon();
         }
         return null;
     }
@@ -157,31 +157,31 @@
             connection.abandon();
             return;
         }
-        idle.addFirst(connection);
+        idleConnections.addFirst(connection);
     }
 
     private void forget(HttpConnection connection) {
         open.remove(connection);
-        idle.remove(connection);
+        idleConnections.remove(connection);
     }
 
     @Override
     public void trim() {
         long now = System.nanoTime();
-        while (!idle.isEmpty()) {
-            HttpConnection oldest = idle.peekLast();
+        while (!idleConnections.isEmpty()) {
+            HttpConnection oldest = idleConnections.peekLast();
             if (now - oldest.idleSince() <= usableFor(oldest, maxIdleNanos)) {
                 return;
             }
-            idle.pollLast().abandon();
+            idleConnections.pollLast().abandon();
         }
     }
 
     @Override
     public void close() {
         closed = true;
-        while (!idle.isEmpty()) {
-            idle.pollFirst().abandon();
+        while (!idleConnections.isEmpty()) {
+            idleConnections.pollFirst().abandon();
         }
     }
 }
