--- a/org.berylwick.node/src/org/berylwick/node/transport/ConnectionPool.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ConnectionPool.java
@@ -33,7 +33,7 @@
     private final InetSocketAddress target;
     private final long maxIdleNanos;
     private final ArrayDeque<HttpConnection> idleConnections = new ArrayDeque<>();
-    private final Set<HttpConnection> open = new HashSet<>();
+    private final Set<HttpConnection> openConnections = new HashSet<>();
     private long opened;
     private boolean closed;
 
@@ -75,7 +75,7 @@
 
     /** Connections that are open now. */
     public int size() {
-        return open.size();
+        return openConnections.size();
     }
 
     /** The server that this pool leads to. */
@@ -132,7 +132,7 @@
                 return;
             }
             HttpConnection connection = connecting.channel().pipeline().get(HttpConnection.class);
-            open.add(connection);
+            openConnections.add(connection);
             if (closed) {
                 connection.abandon();
                 onFailure.accept("pool is closed");
@@ -161,7 +161,7 @@
     }
 
     private void forget(HttpConnection connection) {
-        open.remove(connection);
+        openConnections.remove(connection);
         idleConnections.remove(connection);
     }
 
