--- a/org.berylwick.node/src/org/berylwick/node/transport/ConnectionPool.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ConnectionPool.java
@@ -34,7 +34,7 @@
     private final long maxIdleNanos;
     private final ArrayDeque<HttpConnection> idleConnections = new ArrayDeque<>();
     private final Set<HttpConnection> openConnections = new HashSet<>();
-    private long opened;
+    private long openedCount;
     private boolean closed;
 
     /**
@@ -70,7 +70,7 @@
 
     @Override
     public long opened() {
-        return opened;
+        return openedCount;
     }
 
     /** Connections that are open now. */
@@ -124,7 +124,7 @@
             onFailure.accept("pool is closed");
             return;
         }
-        opened++;
+        openedCount++;
         ChannelFuture connecting = bootstrap.connect(target);
         connecting.addListener(f -> {
             if (!f.isSuccess()) {
