--- a/org.berylwick.node/src/org/berylwick/node/transport/ConnectionPool.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ConnectionPool.java
@@ -59,12 +59,12 @@
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline().addLast(new HttpClientCodec(8192, MAX_HEADER_BYTES, MAX_CHUNK_BYTES));
-                        channel.pipeline().addLast(connectionOf(channel));
+                        channel.pipeline().addLast(createConnection(channel));
                     }
                 });
     }
 
-    private HttpConnection connectionOf(Channel channel) {
+    private HttpConnection createConnection(Channel channel) {
         return new HttpConnection(channel, this::putBack, this::forget);
     }
 
