--- a/org.berylwick.node/src/org/berylwick/node/transport/ConnectionPool.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ConnectionPool.java
@@ -93,10 +93,10 @@
         long most = Math.min(freshestNanos, maxIdleNanos);
         while (!idleConnections.isEmpty()) {
             HttpConnection connection = idleConnections.peekFirst();
-            if (connection.isIdle() && now - connection.idleSince() <= usableFor(connection, most)) {
+            if (connection.isIdle() && now - connection.idleSince() <= usableIdleNanos(connection, most)) {
                 return idleConnections.pollFirst();
             }
-            if (connection.isIdle() && now - connection.idleSince() <= usableFor(connection, maxIdleNanos)) {
+            if (connection.isIdle() && now - connection.idleSince() <= usableIdleNanos(connection, maxIdleNanos)) {
                 return null;
             }
             idleConnections.pollFirst().abandon();
@@ -104,7 +104,7 @@
         return null;
     }
 
-    private static long usableFor(HttpConnection connection, long most) {
+    private static long usableIdleNanos(HttpConnection connection, long most) {
         if (connection.keepAliveNanos() == 0) {
             return most;
         }
@@ -170,7 +170,7 @@
         long now = System.nanoTime();
         while (!idleConnections.isEmpty()) {
             HttpConnection oldest = idleConnections.peekLast();
-            if (now - oldest.idleSince() <= usableFor(oldest, maxIdleNanos)) {
+            if (now - oldest.idleSince() <= usableIdleNanos(oldest, maxIdleNanos)) {
                 return;
             }
             idleConnections.pollLast().abandon();
