--- a/org.berylwick.node/src/org/berylwick/node/transport/ConnectionPool.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ConnectionPool.java
@@ -65,7 +65,7 @@
     }
 
     private HttpConnection createConnection(Channel channel) {
-        return new HttpConnection(channel, this::putBack, this::forget);
+        return new HttpConnection(channel, this::returnToPool, this::forget);
     }
 
     @Override
@@ -152,7 +152,7 @@
         open(onOpen, onFailure);
     }
 
-    private void putBack(HttpConnection connection) {
+    private void returnToPool(HttpConnection connection) {
         if (closed) {
             connection.abandon();
             return;
