--- a/org.berylwick.node/src/org/berylwick/node/transport/ConnectionPool.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ConnectionPool.java
@@ -65,7 +65,7 @@
     }
 
     private HttpConnection createConnection(Channel channel) {
-        return new HttpConnection(channel, this::returnToPool, this::forget);
+        return new HttpConnection(channel, this::returnToPool, this::remove);
     }
 
     @Override
@@ -160,7 +160,7 @@
         idleConnections.addFirst(connection);
     }
 
-    private void forget(HttpConnection connection) {
+    private void remove(HttpConnection connection) {
         openConnections.remove(connection);
         idleConnections.remove(connection);
     }
