--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedServer.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedServer.java
@@ -16,10 +16,10 @@
 import org.berylwick.node.transport.HttpExchange;
 import org.berylwick.node.transport.RequestBody;
 import org.berylwick.node.transport.ServerConnection;
-import org.berylwick.node.transport.ServerConnections;
+import org.berylwick.node.transport.ServerConnectionPool;
 
 /** A backend server: runs what its owner sends, at its own speed, and makes the calls of its runs. */
-final class EmulatedServer implements ServerConnections {
+final class EmulatedServer implements ServerConnectionPool {
     private static final long SHED_NANOS = 1_000_000L;
     private static final ByteBuf ZEROS = Unpooled.wrappedBuffer(new byte[EmulatedLink.PART_BYTES]);
 
--- a/org.berylwick.node/src/org/berylwick/node/call/Backend.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Backend.java
@@ -2,7 +2,7 @@
 
 import org.berylwick.node.lib.BackendReport;
 import org.berylwick.node.lib.BackendState;
-import org.berylwick.node.transport.ServerConnections;
+import org.berylwick.node.transport.ServerConnectionPool;
 
 /** One incarnation of the backend server beside this node, as its owner knows it; confined to the event loop. */
 public final class Backend {
@@ -13,7 +13,7 @@
 
     private final String incarnation;
     private final String service;
-    private final ServerConnections pool;
+    private final ServerConnectionPool pool;
     private final ServiceTimes times = new ServiceTimes();
     private final LossShare losses = new LossShare();
     private long freshNanos = FRESH_NANOS;
@@ -24,7 +24,7 @@
     private long reportedAt;
     private long answeredAt;
 
-    Backend(BackendReport report, ServerConnections pool, long now) {
+    Backend(BackendReport report, ServerConnectionPool pool, long now) {
         this.incarnation = report.incarnation();
         this.service = report.service();
         this.pool = pool;
@@ -71,7 +71,7 @@
         return pool.opened();
     }
 
-    ServerConnections pool() {
+    ServerConnectionPool pool() {
         return pool;
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -20,7 +20,7 @@
 import org.berylwick.node.log.NodeMetricNames;
 import org.berylwick.node.transport.OutgoingLink;
 import org.berylwick.node.transport.RequestBody;
-import org.berylwick.node.transport.ServerConnections;
+import org.berylwick.node.transport.ServerConnectionPool;
 import org.berylwick.node.transport.VmLink;
 
 /**
@@ -45,7 +45,7 @@
     private static final int LEAST_RUNNING = 4;
 
     private final Clock clock;
-    private final Function<InetSocketAddress, ServerConnections> connector;
+    private final Function<InetSocketAddress, ServerConnectionPool> connector;
     private final HeaderNames names;
     private final VmLink link;
     private final long heartbeatNanos;
@@ -81,7 +81,7 @@
      */
     public Owner(
             Clock clock,
-            Function<InetSocketAddress, ServerConnections> connector,
+            Function<InetSocketAddress, ServerConnectionPool> connector,
             HeaderNames names,
             VmLink link,
             long heartbeatNanos,
--- a/org.berylwick.node/src/org/berylwick/node/transport/ConnectionPool.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ConnectionPool.java
@@ -17,7 +17,7 @@
 import jdk.net.ExtendedSocketOptions;
 
 /** Connections to one server, the latest used first; confined to the event loop. */
-public final class ConnectionPool implements ServerConnections {
+public final class ConnectionPool implements ServerConnectionPool {
     private static final int MAX_HEADER_BYTES = 65_536;
     private static final int MAX_CHUNK_BYTES = 65_536;
     /**
--- a/org.berylwick.node/src/org/berylwick/node/transport/ServerConnections.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ServerConnectionPool.java
@@ -3,7 +3,7 @@
 import java.util.function.Consumer;
 
 /** Connections to one server. */
-public interface ServerConnections extends AutoCloseable {
+public interface ServerConnectionPool extends AutoCloseable {
     /**
      * Takes an idle connection or opens one.
      *
--- a/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
@@ -27,7 +27,7 @@
 import org.berylwick.node.transport.HttpExchange;
 import org.berylwick.node.transport.RequestBody;
 import org.berylwick.node.transport.ServerConnection;
-import org.berylwick.node.transport.ServerConnections;
+import org.berylwick.node.transport.ServerConnectionPool;
 import org.berylwick.node.transport.VmLink;
 import org.junit.jupiter.api.Test;
 
@@ -53,7 +53,7 @@
     private int answered;
 
     /** A backend server that answers all after 20 ms. */
-    private final class Answering implements ServerConnections, ServerConnection {
+    private final class Answering implements ServerConnectionPool, ServerConnection {
         @Override
         public void acquire(long freshest, Consumer<ServerConnection> onOpen, Consumer<String> onFailure) {
             onOpen.accept(this);
