--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedServer.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedServer.java
@@ -65,7 +65,7 @@
     }
 
     @Override
-    public long opened() {
+    public long openedCount() {
         return 0;
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/Backend.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Backend.java
@@ -68,7 +68,7 @@
 
     /** Connections opened to it since it joined. */
     public long connectionsOpened() {
-        return pool.opened();
+        return pool.openedCount();
     }
 
     ServerConnectionPool pool() {
--- a/org.berylwick.node/src/org/berylwick/node/transport/ConnectionPool.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ConnectionPool.java
@@ -69,7 +69,7 @@
     }
 
     @Override
-    public long opened() {
+    public long openedCount() {
         return openedCount;
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/transport/ServerConnectionPool.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ServerConnectionPool.java
@@ -14,7 +14,7 @@
     void acquire(long freshestNanos, Consumer<ServerConnection> onOpen, Consumer<String> onFailure);
 
     /** Connections opened since the start. */
-    long opened();
+    long openedCount();
 
     /** Closes connections that have been idle for too long. */
     void trim();
--- a/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
@@ -76,7 +76,7 @@
         }
 
         @Override
-        public long opened() {
+        public long openedCount() {
             return 1;
         }
 
