--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedServer.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedServer.java
@@ -70,7 +70,7 @@
     }
 
     @Override
-    public void trim() {}
+    public void evictIdle() {}
 
     @Override
     public void close() {}
--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -217,7 +217,7 @@
     /** Notices a backend server that fell silent; called about once a second. */
     public void tick() {
         long now = clock.now();
-        backend.ifPresent(b -> b.pool().trim());
+        backend.ifPresent(b -> b.pool().evictIdle());
         Backend known = backend.orElse(null);
         if (known == null || known.state() == BackendState.ABSENT) {
             return;
--- a/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
@@ -104,7 +104,7 @@
     public void tidy(long now) {
         List<Member> lost = new ArrayList<>();
         for (Member member : byIp.values()) {
-            member.pool().trim();
+            member.pool().evictIdle();
             if (now - member.heardAt() > FORGET_NANOS) {
                 lost.add(member);
             }
--- a/org.berylwick.node/src/org/berylwick/node/transport/ConnectionPool.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ConnectionPool.java
@@ -166,7 +166,7 @@
     }
 
     @Override
-    public void trim() {
+    public void evictIdle() {
         long now = System.nanoTime();
         while (!idleConnections.isEmpty()) {
             HttpConnection oldest = idleConnections.peekLast();
--- a/org.berylwick.node/src/org/berylwick/node/transport/ServerConnectionPool.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ServerConnectionPool.java
@@ -17,7 +17,7 @@
     long openedCount();
 
     /** Closes connections that have been idle for too long. */
-    void trim();
+    void evictIdle();
 
     /** Closes idle connections now, and busy ones as they become idle. */
     @Override
--- a/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
@@ -81,7 +81,7 @@
         }
 
         @Override
-        public void trim() {
+        public void evictIdle() {
             // Nothing is idle for long.
         }
 
