--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -24,7 +24,7 @@
  * complete answer belong to no request, and the connection that brought them is closed.
  */
 public final class HttpConnection extends ChannelInboundHandlerAdapter implements ServerConnection {
-    private static final String KEEP_ALIVE_TIMEOUT = "timeout=";
+    private static final String KEEP_ALIVE_TIMEOUT_PARAMETER = "timeout=";
 
     private final Channel channel;
     private final Consumer<HttpConnection> onIdle;
@@ -184,11 +184,11 @@
         if (value == null) {
             return;
         }
-        int at = value.indexOf(KEEP_ALIVE_TIMEOUT);
+        int at = value.indexOf(KEEP_ALIVE_TIMEOUT_PARAMETER);
         if (at < 0) {
             return;
         }
-        int from = at + KEEP_ALIVE_TIMEOUT.length();
+        int from = at + KEEP_ALIVE_TIMEOUT_PARAMETER.length();
         int to = from;
         while (to < value.length() && Character.isDigit(value.charAt(to))) {
             to++;
