--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -29,7 +29,7 @@
     private final Channel channel;
     private final Consumer<HttpConnection> onIdle;
     private final Consumer<HttpConnection> onClosed;
-    private HttpExchange exchange;
+    private HttpExchange responseHandler;
     private HttpResponse head;
     private boolean dropping;
     private boolean ended;
@@ -68,7 +68,7 @@
 
     /** Whether it is open and waits for a request. */
     public boolean isIdle() {
-        return exchange == null && !ended && channel.isActive();
+        return responseHandler == null && !ended && channel.isActive();
     }
 
     @Override
@@ -78,7 +78,7 @@
 
     @Override
     public void send(HttpRequest request, RequestBody requestBody, HttpExchange waiter) {
-        exchange = waiter;
+        responseHandler = waiter;
         head = null;
         dropping = false;
         reusable = true;
@@ -131,7 +131,7 @@
     @Override
     public void abandon() {
         unfollow();
-        exchange = null;
+        responseHandler = null;
         channel.close();
     }
 
@@ -142,7 +142,7 @@
             fail("unreadable answer");
             return;
         }
-        if (exchange == null) {
+        if (responseHandler == null) {
             ReferenceCountUtil.release(message);
             channel.close();
             return;
@@ -165,7 +165,7 @@
             }
             return;
         }
-        if (!exchange.owns(response)) {
+        if (!responseHandler.owns(response)) {
             // An extra answer to an earlier request stands where this one's is expected; this one's follows it.
             dropping = true;
             reusable = false;
@@ -176,7 +176,7 @@
         unframed = !HttpUtil.isContentLengthSet(response) && !HttpUtil.isTransferEncodingChunked(response);
         reusable &= HttpUtil.isKeepAlive(response) && !unframed;
         readKeepAlive(response);
-        exchange.onHead(response);
+        responseHandler.onHead(response);
     }
 
     private void readKeepAlive(HttpResponse response) {
@@ -213,16 +213,16 @@
             content.release();
             return;
         }
-        HttpExchange waiter = exchange;
+        HttpExchange waiter = responseHandler;
         if (content.content().isReadable()) {
             waiter.onBody(content.content());
         } else {
             content.release();
         }
-        if (!last || exchange != waiter) {
+        if (!last || responseHandler != waiter) {
             return;
         }
-        exchange = null;
+        responseHandler = null;
         ended = true;
         served++;
         unfollow();
@@ -259,8 +259,8 @@
     }
 
     private void fail(String cause) {
-        HttpExchange waiter = exchange;
-        exchange = null;
+        HttpExchange waiter = responseHandler;
+        responseHandler = null;
         unfollow();
         channel.close();
         if (waiter != null) {
