--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -30,7 +30,7 @@
     private final Consumer<HttpConnection> onIdle;
     private final Consumer<HttpConnection> onClosed;
     private HttpExchange responseHandler;
-    private HttpResponse head;
+    private HttpResponse responseHead;
     private boolean dropping;
     private boolean ended;
     private boolean reusable;
@@ -79,7 +79,7 @@
     @Override
     public void send(HttpRequest request, RequestBody requestBody, HttpExchange waiter) {
         responseHandler = waiter;
-        head = null;
+        responseHead = null;
         dropping = false;
         reusable = true;
         unframed = false;
@@ -172,7 +172,7 @@
             return;
         }
         dropping = false;
-        head = response;
+        responseHead = response;
         unframed = !HttpUtil.isContentLengthSet(response) && !HttpUtil.isTransferEncodingChunked(response);
         reusable &= HttpUtil.isKeepAlive(response) && !unframed;
         readKeepAlive(response);
@@ -205,7 +205,7 @@
             dropping = !last;
             return;
         }
-        if (head == null) {
+        if (responseHead == null) {
             content.release();
             return;
         }
@@ -254,7 +254,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        fail(head == null ? "closed before an answer" : "closed within an answer");
+        fail(responseHead == null ? "closed before an answer" : "closed within an answer");
         onClosed.accept(this);
     }
 
