--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -31,7 +31,7 @@
     private final Consumer<HttpConnection> onClosed;
     private HttpExchange responseHandler;
     private HttpResponse responseHead;
-    private boolean dropping;
+    private boolean discarding;
     private boolean ended;
     private boolean reusable;
     private boolean unframed;
@@ -80,7 +80,7 @@
     public void send(HttpRequest request, RequestBody requestBody, HttpExchange waiter) {
         responseHandler = waiter;
         responseHead = null;
-        dropping = false;
+        discarding = false;
         reusable = true;
         unframed = false;
         written = null;
@@ -158,7 +158,7 @@
     private void readHead(HttpResponse response) {
         int status = response.status().code();
         if (status >= 100 && status < 200) {
-            dropping = true;
+            discarding = true;
             if (status == HttpResponseStatus.CONTINUE.code() && !asked) {
                 asked = true;
                 body.follow(writer);
@@ -167,11 +167,11 @@
         }
         if (!responseHandler.owns(response)) {
             // An extra answer to an earlier request stands where this one's is expected; this one's follows it.
-            dropping = true;
+            discarding = true;
             reusable = false;
             return;
         }
-        dropping = false;
+        discarding = false;
         responseHead = response;
         unframed = !HttpUtil.isContentLengthSet(response) && !HttpUtil.isTransferEncodingChunked(response);
         reusable &= HttpUtil.isKeepAlive(response) && !unframed;
@@ -200,9 +200,9 @@
 
     private void readContent(HttpContent content) {
         boolean last = content instanceof LastHttpContent;
-        if (dropping) {
+        if (discarding) {
             content.release();
-            dropping = !last;
+            discarding = !last;
             return;
         }
         if (responseHead == null) {
