--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -32,7 +32,7 @@
     private HttpExchange responseHandler;
     private HttpResponse responseHead;
     private boolean discarding;
-    private boolean ended;
+    private boolean responseComplete;
     private boolean reusable;
     private boolean unframed;
     private boolean reset;
@@ -68,7 +68,7 @@
 
     /** Whether it is open and waits for a request. */
     public boolean isIdle() {
-        return responseHandler == null && !ended && channel.isActive();
+        return responseHandler == null && !responseComplete && channel.isActive();
     }
 
     @Override
@@ -223,7 +223,7 @@
             return;
         }
         responseHandler = null;
-        ended = true;
+        responseComplete = true;
         served++;
         unfollow();
         reusable &= written != null && written.isSuccess();
@@ -232,10 +232,10 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (!ended) {
+        if (!responseComplete) {
             return;
         }
-        ended = false;
+        responseComplete = false;
         if (!reusable) {
             channel.close();
             return;
