--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -34,7 +34,7 @@
     private boolean discarding;
     private boolean responseComplete;
     private boolean reusable;
-    private boolean unframed;
+    private boolean closeDelimited;
     private boolean reset;
     private ChannelFuture written;
     private RequestBody body;
@@ -82,7 +82,7 @@
         responseHead = null;
         discarding = false;
         reusable = true;
-        unframed = false;
+        closeDelimited = false;
         written = null;
         channel.write(request);
         body = requestBody;
@@ -173,8 +173,8 @@
         }
         discarding = false;
         responseHead = response;
-        unframed = !HttpUtil.isContentLengthSet(response) && !HttpUtil.isTransferEncodingChunked(response);
-        reusable &= HttpUtil.isKeepAlive(response) && !unframed;
+        closeDelimited = !HttpUtil.isContentLengthSet(response) && !HttpUtil.isTransferEncodingChunked(response);
+        reusable &= HttpUtil.isKeepAlive(response) && !closeDelimited;
         readKeepAlive(response);
         responseHandler.onHead(response);
     }
@@ -209,7 +209,7 @@
             content.release();
             return;
         }
-        if (last && unframed && reset) {
+        if (last && closeDelimited && reset) {
             content.release();
             return;
         }
