--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -35,7 +35,7 @@
     private boolean responseComplete;
     private boolean reusable;
     private boolean closeDelimited;
-    private boolean reset;
+    private boolean connectionFailed;
     private ChannelFuture written;
     private RequestBody body;
     private boolean asked;
@@ -209,7 +209,7 @@
             content.release();
             return;
         }
-        if (last && closeDelimited && reset) {
+        if (last && closeDelimited && connectionFailed) {
             content.release();
             return;
         }
@@ -248,7 +248,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         // The decoder takes any end of a connection for the end of an unframed answer; one that was reset is not whole.
-        reset = true;
+        connectionFailed = true;
         fail("connection broke: " + cause.getMessage());
     }
 
