--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -36,7 +36,7 @@
     private boolean reusable;
     private boolean closeDelimited;
     private boolean connectionFailed;
-    private ChannelFuture written;
+    private ChannelFuture lastWrite;
     private RequestBody body;
     private boolean asked;
     private final BodyWriter writer = new BodyWriter();
@@ -83,7 +83,7 @@
         discarding = false;
         reusable = true;
         closeDelimited = false;
-        written = null;
+        lastWrite = null;
         channel.write(request);
         body = requestBody;
         asked = !HttpUtil.is100ContinueExpected(request);
@@ -106,7 +106,7 @@
 
         @Override
         public void onWhole() {
-            written = channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
+            lastWrite = channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
             unfollow();
         }
     }
@@ -120,7 +120,7 @@
 
     @Override
     public boolean isSentWhole() {
-        return written != null;
+        return lastWrite != null;
     }
 
     @Override
@@ -226,7 +226,7 @@
         responseComplete = true;
         served++;
         unfollow();
-        reusable &= written != null && written.isSuccess();
+        reusable &= lastWrite != null && lastWrite.isSuccess();
         waiter.onEnd();
     }
 
