--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -37,7 +37,7 @@
     private boolean closeDelimited;
     private boolean connectionFailed;
     private ChannelFuture lastWrite;
-    private RequestBody body;
+    private RequestBody pendingBody;
     private boolean asked;
     private final BodyWriter writer = new BodyWriter();
     private long idleSince;
@@ -85,10 +85,10 @@
         closeDelimited = false;
         lastWrite = null;
         channel.write(request);
-        body = requestBody;
+        pendingBody = requestBody;
         asked = !HttpUtil.is100ContinueExpected(request);
         if (asked) {
-            body.follow(writer);
+            pendingBody.follow(writer);
         }
         channel.flush();
     }
@@ -97,7 +97,7 @@
     private final class BodyWriter implements RequestBody.Follower {
         @Override
         public void onPart(ByteBuf part) {
-            if (body.isWhole()) {
+            if (pendingBody.isWhole()) {
                 channel.write(new DefaultHttpContent(part));
             } else {
                 channel.writeAndFlush(new DefaultHttpContent(part));
@@ -112,9 +112,9 @@
     }
 
     private void unfollow() {
-        if (body != null) {
-            body.unfollow(writer);
-            body = null;
+        if (pendingBody != null) {
+            pendingBody.unfollow(writer);
+            pendingBody = null;
         }
     }
 
@@ -161,7 +161,7 @@
             discarding = true;
             if (status == HttpResponseStatus.CONTINUE.code() && !asked) {
                 asked = true;
-                body.follow(writer);
+                pendingBody.follow(writer);
             }
             return;
         }
