--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -38,7 +38,7 @@
     private boolean connectionFailed;
     private ChannelFuture lastWrite;
     private RequestBody pendingBody;
-    private boolean asked;
+    private boolean bodyRequested;
     private final BodyWriter writer = new BodyWriter();
     private long idleSince;
     private long keepAliveNanos;
@@ -86,8 +86,8 @@
         lastWrite = null;
         channel.write(request);
         pendingBody = requestBody;
-        asked = !HttpUtil.is100ContinueExpected(request);
-        if (asked) {
+        bodyRequested = !HttpUtil.is100ContinueExpected(request);
+        if (bodyRequested) {
             pendingBody.follow(writer);
         }
         channel.flush();
@@ -159,8 +159,8 @@
         int status = response.status().code();
         if (status >= 100 && status < 200) {
             discarding = true;
-            if (status == HttpResponseStatus.CONTINUE.code() && !asked) {
-                asked = true;
+            if (status == HttpResponseStatus.CONTINUE.code() && !bodyRequested) {
+                bodyRequested = true;
                 pendingBody.follow(writer);
             }
             return;
