--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -39,7 +39,7 @@
     private ChannelFuture lastWrite;
     private RequestBody pendingBody;
     private boolean bodyRequested;
-    private final BodyWriter writer = new BodyWriter();
+    private final BodyWriter bodyWriter = new BodyWriter();
     private long idleSince;
     private long keepAliveNanos;
     private int served;
@@ -88,7 +88,7 @@
         pendingBody = requestBody;
         bodyRequested = !HttpUtil.is100ContinueExpected(request);
         if (bodyRequested) {
-            pendingBody.follow(writer);
+            pendingBody.follow(bodyWriter);
         }
         channel.flush();
     }
@@ -113,7 +113,7 @@
 
     private void unfollow() {
         if (pendingBody != null) {
-            pendingBody.unfollow(writer);
+            pendingBody.unfollow(bodyWriter);
             pendingBody = null;
         }
     }
@@ -161,7 +161,7 @@
             discarding = true;
             if (status == HttpResponseStatus.CONTINUE.code() && !bodyRequested) {
                 bodyRequested = true;
-                pendingBody.follow(writer);
+                pendingBody.follow(bodyWriter);
             }
             return;
         }
