--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -42,7 +42,7 @@
     private final BodyWriter bodyWriter = new BodyWriter();
     private long idleSince;
     private long keepAliveNanos;
-    private int served;
+    private int servedRequests;
 
     HttpConnection(Channel channel, Consumer<HttpConnection> onIdle, Consumer<HttpConnection> onClosed) {
         this.channel = channel;
@@ -63,7 +63,7 @@
 
     @Override
     public int served() {
-        return served;
+        return servedRequests;
     }
 
     /** Whether it is open and waits for a request. */
@@ -224,7 +224,7 @@
         }
         responseHandler = null;
         responseComplete = true;
-        served++;
+        servedRequests++;
         unfollow();
         reusable &= lastWrite != null && lastWrite.isSuccess();
         waiter.onEnd();
