--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -107,11 +107,11 @@
         @Override
         public void onWhole() {
             lastWrite = channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
-            unfollow();
+            stopWritingBody();
         }
     }
 
-    private void unfollow() {
+    private void stopWritingBody() {
         if (pendingBody != null) {
             pendingBody.unfollow(bodyWriter);
             pendingBody = null;
@@ -130,7 +130,7 @@
 
     @Override
     public void abandon() {
-        unfollow();
+        stopWritingBody();
         responseHandler = null;
         channel.close();
     }
@@ -225,7 +225,7 @@
         responseHandler = null;
         responseComplete = true;
         servedRequests++;
-        unfollow();
+        stopWritingBody();
         reusable &= lastWrite != null && lastWrite.isSuccess();
         waiter.onEnd();
     }
@@ -261,7 +261,7 @@
     private void fail(String cause) {
         HttpExchange waiter = responseHandler;
         responseHandler = null;
-        unfollow();
+        stopWritingBody();
         channel.close();
         if (waiter != null) {
             waiter.onFailure(cause);
