--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -148,14 +148,14 @@
             return;
         }
         if (message instanceof HttpResponse response) {
-            readHead(response);
+            handleHead(response);
         }
         if (message instanceof HttpContent content) {
             readContent(content);
         }
     }
 
-    private void readHead(HttpResponse response) {
+    private void handleHead(HttpResponse response) {
         int status = response.status().code();
         if (status >= 100 && status < 200) {
             discarding = true;
