--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -175,11 +175,11 @@
         responseHead = response;
         closeDelimited = !HttpUtil.isContentLengthSet(response) && !HttpUtil.isTransferEncodingChunked(response);
         reusable &= HttpUtil.isKeepAlive(response) && !closeDelimited;
-        readKeepAlive(response);
+        parseKeepAlive(response);
         responseHandler.onHead(response);
     }
 
-    private void readKeepAlive(HttpResponse response) {
+    private void parseKeepAlive(HttpResponse response) {
         String value = response.headers().get("Keep-Alive");
         if (value == null) {
             return;
