--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -151,7 +151,7 @@
             handleHead(response);
         }
         if (message instanceof HttpContent content) {
-            readContent(content);
+            handleContent(content);
         }
     }
 
@@ -198,7 +198,7 @@
         }
     }
 
-    private void readContent(HttpContent content) {
+    private void handleContent(HttpContent content) {
         boolean last = content instanceof LastHttpContent;
         if (discarding) {
             content.release();
