--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -234,7 +234,7 @@
         headers.set(names.target(), backend.incarnation());
         headers.set(names.callerService(), call.callerService());
         HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, call.method(), call.uri(), headers);
-        HttpConnection.setLength(head, call.body().length());
+        HttpConnection.setContentLength(head, call.body().length());
         to.send(head, call.body(), this);
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
@@ -58,7 +58,7 @@
         HttpHeaders headers = Headers.copy(call.headers());
         headers.set(Headers.CALL, PeerCodec.callText(call, System.nanoTime()));
         HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, call.method(), call.uri(), headers);
-        HttpConnection.setLength(head, call.body().length());
+        HttpConnection.setContentLength(head, call.body().length());
         // A large body is sent when the owner asks for it: several at once would hold up all that is small behind
         // them, and what is refused would have taken the link in vain.
         boolean large = member.link(System.nanoTime()).isLarge(call.body().length());
--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -269,7 +269,7 @@
     }
 
     /** Names the request's length, which every request here carries. */
-    public static void setLength(HttpRequest request, int bytes) {
+    public static void setContentLength(HttpRequest request, int bytes) {
         if (bytes > 0 || !"GET".equals(request.method().name())) {
             request.headers().set(HttpHeaderNames.CONTENT_LENGTH, bytes);
         }
--- a/org.berylwick.node/src/org/berylwick/node/transport/SmallHttpCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/SmallHttpCall.java
@@ -67,7 +67,7 @@
             return;
         }
         connection = to;
-        HttpConnection.setLength(request, body.length);
+        HttpConnection.setContentLength(request, body.length);
         to.send(request, RequestBody.of(Unpooled.wrappedBuffer(body)), this);
     }
 
