--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedServer.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedServer.java
@@ -13,7 +13,7 @@
 import java.util.Random;
 import java.util.function.Consumer;
 import org.berylwick.node.lib.Clock;
-import org.berylwick.node.transport.HttpExchange;
+import org.berylwick.node.transport.HttpResponseHandler;
 import org.berylwick.node.transport.RequestBody;
 import org.berylwick.node.transport.ServerConnection;
 import org.berylwick.node.transport.ServerConnectionPool;
@@ -77,7 +77,7 @@
 
     /** Carries one request, which is enough here: what a connection costs is not emulated. */
     private final class Connection implements ServerConnection {
-        private Optional<HttpExchange> waiter = Optional.empty();
+        private Optional<HttpResponseHandler> waiter = Optional.empty();
         private Optional<Clock.Alarm> end = Optional.empty();
         private Optional<Runnable> abandonCall = Optional.empty();
         private boolean busy;
@@ -85,7 +85,7 @@
         private int unwritten;
 
         @Override
-        public void send(HttpRequest request, RequestBody body, HttpExchange exchange) {
+        public void send(HttpRequest request, RequestBody body, HttpResponseHandler exchange) {
             waiter = Optional.of(exchange);
             String id = request.headers().get(Emulation.NAMES.requestId());
             if (random.nextDouble() < shedShare) {
@@ -156,7 +156,7 @@
                 free();
                 return;
             }
-            HttpExchange exchange = waiter.get();
+            HttpResponseHandler exchange = waiter.get();
             if (!notRun && random.nextDouble() < lostShare) {
                 free();
                 waiter = Optional.empty();
@@ -184,7 +184,7 @@
             }
             if (waiter.isPresent() && unwritten == 0) {
                 free();
-                HttpExchange exchange = waiter.get();
+                HttpResponseHandler exchange = waiter.get();
                 waiter = Optional.empty();
                 exchange.onEnd();
             }
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -14,12 +14,12 @@
 import org.berylwick.node.log.Event;
 import org.berylwick.node.log.NodeMetricNames;
 import org.berylwick.node.transport.HttpConnection;
-import org.berylwick.node.transport.HttpExchange;
+import org.berylwick.node.transport.HttpResponseHandler;
 import org.berylwick.node.transport.RequestBody;
 import org.berylwick.node.transport.ServerConnection;
 
 /** One request at its owner, waiting or running; confined to the event loop. */
-final class OwnerRun implements Attempt, HttpExchange, RequestBody.Follower {
+final class OwnerRun implements Attempt, HttpResponseHandler, RequestBody.Follower {
     /** A reused connection that breaks within this had been dropped by the server while it was idle. */
     private static final long DROPPED_NANOS = 50_000_000L;
     /** What the answer needs from the backend server to the entry. */
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
@@ -11,11 +11,11 @@
 import org.berylwick.node.lib.OwnerLoad;
 import org.berylwick.node.member.Member;
 import org.berylwick.node.transport.HttpConnection;
-import org.berylwick.node.transport.HttpExchange;
+import org.berylwick.node.transport.HttpResponseHandler;
 import org.berylwick.node.transport.ServerConnection;
 
 /** One attempt at the owner of another node; confined to the event loop. */
-final class PeerAttempt implements Attempt, HttpExchange, Member.Waiting {
+final class PeerAttempt implements Attempt, HttpResponseHandler, Member.Waiting {
     /** Connections between nodes are kept this long by both ends; the entry lets go of them first. */
     static final long IDLE_NANOS = 20_000_000_000L;
 
--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -29,7 +29,7 @@
     private final Channel channel;
     private final Consumer<HttpConnection> onIdle;
     private final Consumer<HttpConnection> onClosed;
-    private HttpExchange responseHandler;
+    private HttpResponseHandler responseHandler;
     private HttpResponse responseHead;
     private boolean discarding;
     private boolean responseComplete;
@@ -77,7 +77,7 @@
     }
 
     @Override
-    public void send(HttpRequest request, RequestBody requestBody, HttpExchange waiter) {
+    public void send(HttpRequest request, RequestBody requestBody, HttpResponseHandler waiter) {
         responseHandler = waiter;
         responseHead = null;
         discarding = false;
@@ -213,7 +213,7 @@
             content.release();
             return;
         }
-        HttpExchange waiter = responseHandler;
+        HttpResponseHandler waiter = responseHandler;
         if (content.content().isReadable()) {
             waiter.onBody(content.content());
         } else {
@@ -259,7 +259,7 @@
     }
 
     private void fail(String cause) {
-        HttpExchange waiter = responseHandler;
+        HttpResponseHandler waiter = responseHandler;
         responseHandler = null;
         stopWritingBody();
         channel.close();
--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpExchange.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpResponseHandler.java
@@ -4,7 +4,7 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /** Who waits for the answer to one request on an {@link HttpConnection}; called on the event loop. */
-public interface HttpExchange {
+public interface HttpResponseHandler {
     /**
      * Whether a response head belongs to this exchange. One that does not is read to its end and dropped.
      *
--- a/org.berylwick.node/src/org/berylwick/node/transport/ServerConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ServerConnection.java
@@ -11,7 +11,7 @@
      * @param body is written as it comes; whoever sends it releases it
      * @param waiter gets the answer
      */
-    void send(HttpRequest request, RequestBody body, HttpExchange waiter);
+    void send(HttpRequest request, RequestBody body, HttpResponseHandler waiter);
 
     /** Whether all of the request that was sent last was handed to the connection; before that nobody has it whole. */
     boolean isSentWhole();
--- a/org.berylwick.node/src/org/berylwick/node/transport/SmallHttpCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/SmallHttpCall.java
@@ -12,7 +12,7 @@
 import java.util.function.Consumer;
 
 /** A call whose answer is gathered whole, and which ends after a time; confined to the event loop. */
-public final class SmallHttpCall implements HttpExchange {
+public final class SmallHttpCall implements HttpResponseHandler {
     private final ConnectionPool pool;
     private final HttpRequest request;
     private final byte[] body;
--- a/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
@@ -24,7 +24,7 @@
 import org.berylwick.node.lib.RouteKind;
 import org.berylwick.node.log.Counters;
 import org.berylwick.node.log.EventLog;
-import org.berylwick.node.transport.HttpExchange;
+import org.berylwick.node.transport.HttpResponseHandler;
 import org.berylwick.node.transport.RequestBody;
 import org.berylwick.node.transport.ServerConnection;
 import org.berylwick.node.transport.ServerConnectionPool;
@@ -60,7 +60,7 @@
         }
 
         @Override
-        public void send(HttpRequest request, RequestBody body, HttpExchange waiter) {
+        public void send(HttpRequest request, RequestBody body, HttpResponseHandler waiter) {
             HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
             head.headers().set(NAMES.requestId(), request.headers().get(NAMES.requestId()));
             head.headers().set(NAMES.signature(), "s");
