--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -239,7 +239,7 @@
     }
 
     @Override
-    public boolean owns(HttpResponse head) {
+    public boolean matches(HttpResponse head) {
         String id = head.headers().get(names.requestId());
         if (id == null || id.equals(call.id())) {
             return true;
--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -165,7 +165,7 @@
             }
             return;
         }
-        if (!responseHandler.owns(response)) {
+        if (!responseHandler.matches(response)) {
             // An extra answer to an earlier request stands where this one's is expected; this one's follows it.
             discarding = true;
             reusable = false;
--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpResponseHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpResponseHandler.java
@@ -10,7 +10,7 @@
      *
      * @param head of a response
      */
-    default boolean owns(HttpResponse head) {
+    default boolean matches(HttpResponse head) {
         return true;
     }
 
