--- a/org.berylwick.node/src/org/berylwick/node/transport/IncomingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/IncomingLink.java
@@ -12,7 +12,7 @@
     /** For bodies that are there already. */
     static final IncomingLink NONE = new IncomingLink(0);
 
-    private static final int MANY_BYTES = 1_000;
+    private static final int SAMPLE_BYTES = 1_000;
 
     private final LinkLoad free;
     private long missing;
@@ -37,8 +37,8 @@
 
     /** How many bytes come in within a span, 0 if the link's width is not known. */
     long bytesIn(long nanos) {
-        long perByte = free.nanosOf(MANY_BYTES);
-        return perByte == 0 ? 0 : nanos * MANY_BYTES / perByte;
+        long perByte = free.nanosOf(SAMPLE_BYTES);
+        return perByte == 0 ? 0 : nanos * SAMPLE_BYTES / perByte;
     }
 
     /** How long so many bytes take to come in. */
