--- a/org.berylwick.node/src/org/berylwick/node/transport/IncomingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/IncomingLink.java
@@ -14,12 +14,12 @@
 
     private static final int SAMPLE_BYTES = 1_000;
 
-    private final LinkLoad free;
+    private final LinkLoad unloadedLink;
     private long missing;
 
     /** @param mbps width of the link, in Mbit/s */
     public IncomingLink(double mbps) {
-        this.free = new LinkLoad(0, 0, mbps);
+        this.unloadedLink = new LinkLoad(0, 0, mbps);
     }
 
     void onAnnounced(int bytes) {
@@ -32,17 +32,17 @@
 
     /** How long what is on its way takes to come in. */
     public long busyNanos() {
-        return free.nanosOf(missing);
+        return unloadedLink.nanosOf(missing);
     }
 
     /** How many bytes come in within a span, 0 if the link's width is not known. */
     long bytesIn(long nanos) {
-        long perByte = free.nanosOf(SAMPLE_BYTES);
+        long perByte = unloadedLink.nanosOf(SAMPLE_BYTES);
         return perByte == 0 ? 0 : nanos * SAMPLE_BYTES / perByte;
     }
 
     /** How long so many bytes take to come in. */
     public long nanosOf(int bytes) {
-        return free.nanosOf(bytes);
+        return unloadedLink.nanosOf(bytes);
     }
 }
