--- a/org.berylwick.node/src/org/berylwick/node/transport/IncomingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/IncomingLink.java
@@ -15,7 +15,7 @@
     private static final int SAMPLE_BYTES = 1_000;
 
     private final LinkLoad unloadedLink;
-    private long missing;
+    private long outstandingBytes;
 
     /** @param mbps width of the link, in Mbit/s */
     public IncomingLink(double mbps) {
@@ -23,16 +23,16 @@
     }
 
     void onAnnounced(int bytes) {
-        missing += bytes;
+        outstandingBytes += bytes;
     }
 
     void onCame(int bytes) {
-        missing -= bytes;
+        outstandingBytes -= bytes;
     }
 
     /** How long what is on its way takes to come in. */
     public long busyNanos() {
-        return unloadedLink.nanosOf(missing);
+        return unloadedLink.nanosOf(outstandingBytes);
     }
 
     /** How many bytes come in within a span, 0 if the link's width is not known. */
