--- a/org.berylwick.node/src/org/berylwick/node/transport/IncomingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/IncomingLink.java
@@ -22,7 +22,7 @@
         this.unloadedLink = new LinkLoad(0, 0, mbps);
     }
 
-    void onAnnounced(int bytes) {
+    void onBodyAnnounced(int bytes) {
         outstandingBytes += bytes;
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
@@ -51,7 +51,7 @@
      * @param link that it comes over
      */
     public static RequestBody coming(int length, IncomingLink link) {
-        link.onAnnounced(length);
+        link.onBodyAnnounced(length);
         return new RequestBody(Unpooled.compositeBuffer(MOST_PARTS), length, link, false);
     }
 
