--- a/org.berylwick.node/src/org/berylwick/node/transport/IncomingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/IncomingLink.java
@@ -26,7 +26,7 @@
         outstandingBytes += bytes;
     }
 
-    void onCame(int bytes) {
+    void onBytesReceived(int bytes) {
         outstandingBytes -= bytes;
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
@@ -106,7 +106,7 @@
             part.release();
             return;
         }
-        link.onCame(part.readableBytes());
+        link.onBytesReceived(part.readableBytes());
         ((CompositeByteBuf) kept).addComponent(true, part);
         for (Follower follower : List.copyOf(followers)) {
             follower.onPart(part.retainedDuplicate());
@@ -147,7 +147,7 @@
         }
         released = true;
         followers.clear();
-        link.onCame(missing());
+        link.onBytesReceived(missing());
         kept.release();
     }
 }
