--- a/org.berylwick.node/src/org/berylwick/node/transport/IncomingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/IncomingLink.java
@@ -36,7 +36,7 @@
     }
 
     /** How many bytes come in within a span, 0 if the link's width is not known. */
-    long bytesIn(long nanos) {
+    long bytesWithin(long nanos) {
         long perByte = unloadedLink.nanosOf(SAMPLE_BYTES);
         return perByte == 0 ? 0 : nanos * SAMPLE_BYTES / perByte;
     }
--- a/org.berylwick.node/src/org/berylwick/node/transport/ReceiveWindow.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ReceiveWindow.java
@@ -27,7 +27,7 @@
 
     /** Its bytes, empty if the system's own choice is as good. */
     public static OptionalInt bytes(IncomingLink link) {
-        long bytes = link.bytesIn(WINDOW_NANOS);
+        long bytes = link.bytesWithin(WINDOW_NANOS);
         return bytes > 0 && bytes < MOST_BYTES
                 ? OptionalInt.of((int) Math.max(LEAST_BYTES, bytes))
                 : OptionalInt.empty();
