--- a/org.berylwick.node/src/org/berylwick/node/transport/IncomingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/IncomingLink.java
@@ -42,7 +42,7 @@
     }
 
     /** How long so many bytes take to come in. */
-    public long nanosOf(int bytes) {
+    public long transferNanos(int bytes) {
         return unloadedLink.nanosOf(bytes);
     }
 }
