--- a/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
@@ -18,7 +18,7 @@
  */
 public final class OutgoingLink {
     /** Bytes are written this much ahead, so that the link does not run dry before the next turn. */
-    private static final long AHEAD_NANOS = 20_000_000L;
+    private static final long SEND_AHEAD_NANOS = 20_000_000L;
     /** Small answers delay large ones by no more than this. */
     private static final long MOST_DELAYED_NANOS = 100_000_000L;
     /** Bytes that wait here, as time over the link; beyond that backend servers are not read any further. */
@@ -111,7 +111,7 @@
 
     private void pump() {
         long now = clock.now();
-        while (freeAt - now < AHEAD_NANOS) {
+        while (freeAt - now < SEND_AHEAD_NANOS) {
             Flow next = next(now);
             if (next == null) {
                 return;
@@ -122,7 +122,7 @@
         }
         if (!planned && !flows.isEmpty()) {
             planned = true;
-            clock.at(freeAt - AHEAD_NANOS / 2, () -> {
+            clock.at(freeAt - SEND_AHEAD_NANOS / 2, () -> {
                 planned = false;
                 pump();
             });
