--- a/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
@@ -20,7 +20,7 @@
     /** Bytes are written this much ahead, so that the link does not run dry before the next turn. */
     private static final long SEND_AHEAD_NANOS = 20_000_000L;
     /** Small answers delay large ones by no more than this. */
-    private static final long MOST_DELAYED_NANOS = 100_000_000L;
+    private static final long MAX_SMALL_WRITE_DELAY_NANOS = 100_000_000L;
     /** Bytes that wait here, as time over the link; beyond that backend servers are not read any further. */
     private static final long MOST_HELD_NANOS = 2_000_000_000L;
 
@@ -96,7 +96,7 @@
     public void onSent(int bytes) {
         long now = clock.now();
         long after = Math.max(now, freeAt) + nanosOf(bytes);
-        freeAt = Math.max(freeAt, Math.min(now + MOST_DELAYED_NANOS, after));
+        freeAt = Math.max(freeAt, Math.min(now + MAX_SMALL_WRITE_DELAY_NANOS, after));
     }
 
     /**
