--- a/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
@@ -22,7 +22,7 @@
     /** Small answers delay large ones by no more than this. */
     private static final long MAX_SMALL_WRITE_DELAY_NANOS = 100_000_000L;
     /** Bytes that wait here, as time over the link; beyond that backend servers are not read any further. */
-    private static final long MOST_HELD_NANOS = 2_000_000_000L;
+    private static final long MAX_QUEUED_NANOS = 2_000_000_000L;
 
     /** An answer past its objective gives way to those that are due within this after it, and to no others. */
     private static final long LATE_GIVES_WAY_NANOS = 500_000_000L;
@@ -130,7 +130,7 @@
     }
 
     private void resumeReading() {
-        if (stopped.isEmpty() || nanosOf(held) > MOST_HELD_NANOS / 2) {
+        if (stopped.isEmpty() || nanosOf(held) > MAX_QUEUED_NANOS / 2) {
             return;
         }
         List<Flow> waiting = List.copyOf(stopped);
@@ -204,7 +204,7 @@
             waiting.add(part);
             held += bytes;
             flows.add(this);
-            if (nanosOf(held) > MOST_HELD_NANOS) {
+            if (nanosOf(held) > MAX_QUEUED_NANOS) {
                 stopped.add(this);
                 pause();
             }
