--- a/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
@@ -25,7 +25,7 @@
     private static final long MAX_QUEUED_NANOS = 2_000_000_000L;
 
     /** An answer past its objective gives way to those that are due within this after it, and to no others. */
-    private static final long LATE_GIVES_WAY_NANOS = 500_000_000L;
+    private static final long LATE_PENALTY_NANOS = 500_000_000L;
 
     private static final int PART_BYTES = 8_192;
     /** The rest of the width is for packet headers and datagrams. */
@@ -186,7 +186,7 @@
         }
 
         private long turnAt(long now) {
-            return now < dueAt ? dueAt : dueAt + LATE_GIVES_WAY_NANOS;
+            return now < dueAt ? dueAt : dueAt + LATE_PENALTY_NANOS;
         }
 
         /** Sends some bytes when it is their turn; releases them. */
