--- a/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
@@ -31,7 +31,7 @@
     /** The rest of the width is for packet headers and datagrams. */
     private static final double PAYLOAD_SHARE = 0.93;
     /** A wider link is not paced. */
-    private static final double WIDE_MBPS = 40;
+    private static final double MIN_UNPACED_MBPS = 40;
 
     private final LinkLoad free;
     private final Clock clock;
@@ -63,7 +63,7 @@
      * @param clock all runs where its tasks do
      */
     public OutgoingLink(double mbps, Clock clock) {
-        this.free = new LinkLoad(0, 0, mbps < WIDE_MBPS ? mbps * PAYLOAD_SHARE : 0);
+        this.free = new LinkLoad(0, 0, mbps < MIN_UNPACED_MBPS ? mbps * PAYLOAD_SHARE : 0);
         this.clock = clock;
     }
 
