--- a/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
@@ -33,7 +33,7 @@
     /** A wider link is not paced. */
     private static final double MIN_UNPACED_MBPS = 40;
 
-    private final LinkLoad free;
+    private final LinkLoad unloadedLink;
     private final Clock clock;
     private final Set<Flow> flows = new LinkedHashSet<>();
     /** Flows that are not read until less is held. */
@@ -63,18 +63,18 @@
      * @param clock all runs where its tasks do
      */
     public OutgoingLink(double mbps, Clock clock) {
-        this.free = new LinkLoad(0, 0, mbps < MIN_UNPACED_MBPS ? mbps * PAYLOAD_SHARE : 0);
+        this.unloadedLink = new LinkLoad(0, 0, mbps < MIN_UNPACED_MBPS ? mbps * PAYLOAD_SHARE : 0);
         this.clock = clock;
     }
 
     /** How long so many bytes take; 0 on a wide link. */
     public long nanosOf(double bytes) {
-        return free.nanosOf(bytes);
+        return unloadedLink.nanosOf(bytes);
     }
 
     /** Whether so many bytes have to wait for their turn. */
     public boolean isLarge(double bytes) {
-        return free.isLarge(bytes);
+        return unloadedLink.isLarge(bytes);
     }
 
     /** Time until all large answers that wait here, or are announced, have left. */
