--- a/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
@@ -37,7 +37,7 @@
     private final Clock clock;
     private final Set<Flow> flows = new LinkedHashSet<>();
     /** Flows that are not read until less is held. */
-    private final Set<Flow> stopped = new LinkedHashSet<>();
+    private final Set<Flow> throttledFlows = new LinkedHashSet<>();
 
     private long held;
     private long expected;
@@ -130,11 +130,11 @@
     }
 
     private void resumeReading() {
-        if (stopped.isEmpty() || nanosOf(held) > MAX_QUEUED_NANOS / 2) {
+        if (throttledFlows.isEmpty() || nanosOf(held) > MAX_QUEUED_NANOS / 2) {
             return;
         }
-        List<Flow> waiting = List.copyOf(stopped);
-        stopped.clear();
+        List<Flow> waiting = List.copyOf(throttledFlows);
+        throttledFlows.clear();
         waiting.forEach(Flow::resume);
     }
 
@@ -205,7 +205,7 @@
             held += bytes;
             flows.add(this);
             if (nanosOf(held) > MAX_QUEUED_NANOS) {
-                stopped.add(this);
+                throttledFlows.add(this);
                 pause();
             }
             pump();
@@ -239,7 +239,7 @@
         /** Drops what waits. */
         public void cancel() {
             flows.remove(this);
-            stopped.remove(this);
+            throttledFlows.remove(this);
             onEnd = null;
             for (ByteBuf part : waiting) {
                 held -= part.readableBytes();
@@ -259,7 +259,7 @@
             wire.write(part);
             if (waiting.isEmpty()) {
                 flows.remove(this);
-                stopped.remove(this);
+                throttledFlows.remove(this);
                 endOrResume();
             }
             return bytes;
