--- a/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
@@ -35,7 +35,7 @@
 
     private final LinkLoad unloadedLink;
     private final Clock clock;
-    private final Set<Flow> flows = new LinkedHashSet<>();
+    private final Set<Flow> queuedFlows = new LinkedHashSet<>();
     /** Flows that are not read until less is held. */
     private final Set<Flow> throttledFlows = new LinkedHashSet<>();
 
@@ -89,7 +89,7 @@
 
     /** How many answers wait. */
     public int waitingFlows() {
-        return flows.size();
+        return queuedFlows.size();
     }
 
     /** Counts a small write. */
@@ -120,7 +120,7 @@
             freeAt = Math.max(now, freeAt) + nanosOf(bytes);
             resumeReading();
         }
-        if (!planned && !flows.isEmpty()) {
+        if (!planned && !queuedFlows.isEmpty()) {
             planned = true;
             clock.at(freeAt - SEND_AHEAD_NANOS / 2, () -> {
                 planned = false;
@@ -140,7 +140,7 @@
 
     private Flow next(long now) {
         Flow best = null;
-        for (Flow flow : flows) {
+        for (Flow flow : queuedFlows) {
             if (flow.wire.isWritable() && (best == null || flow.goesBefore(best, now))) {
                 best = flow;
             }
@@ -203,7 +203,7 @@
             }
             waiting.add(part);
             held += bytes;
-            flows.add(this);
+            queuedFlows.add(this);
             if (nanosOf(held) > MAX_QUEUED_NANOS) {
                 throttledFlows.add(this);
                 pause();
@@ -238,7 +238,7 @@
 
         /** Drops what waits. */
         public void cancel() {
-            flows.remove(this);
+            queuedFlows.remove(this);
             throttledFlows.remove(this);
             onEnd = null;
             for (ByteBuf part : waiting) {
@@ -258,7 +258,7 @@
             sent += bytes;
             wire.write(part);
             if (waiting.isEmpty()) {
-                flows.remove(this);
+                queuedFlows.remove(this);
                 throttledFlows.remove(this);
                 endOrResume();
             }
