--- a/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
@@ -39,7 +39,7 @@
     /** Flows that are not read until less is held. */
     private final Set<Flow> throttledFlows = new LinkedHashSet<>();
 
-    private long held;
+    private long queuedBytes;
     private long expected;
     private long freeAt;
     private boolean planned;
@@ -79,7 +79,7 @@
 
     /** Time until all large answers that wait here, or are announced, have left. */
     public long busyNanos() {
-        return Math.max(0, freeAt - clock.now()) + nanosOf(held + expected);
+        return Math.max(0, freeAt - clock.now()) + nanosOf(queuedBytes + expected);
     }
 
     /** Announces so many bytes of large answers; a negative number withdraws some, or tells that they were read. */
@@ -130,7 +130,7 @@
     }
 
     private void resumeReading() {
-        if (throttledFlows.isEmpty() || nanosOf(held) > MAX_QUEUED_NANOS / 2) {
+        if (throttledFlows.isEmpty() || nanosOf(queuedBytes) > MAX_QUEUED_NANOS / 2) {
             return;
         }
         List<Flow> waiting = List.copyOf(throttledFlows);
@@ -202,9 +202,9 @@
                 return;
             }
             waiting.add(part);
-            held += bytes;
+            queuedBytes += bytes;
             queuedFlows.add(this);
-            if (nanosOf(held) > MAX_QUEUED_NANOS) {
+            if (nanosOf(queuedBytes) > MAX_QUEUED_NANOS) {
                 throttledFlows.add(this);
                 pause();
             }
@@ -242,7 +242,7 @@
             throttledFlows.remove(this);
             onEnd = null;
             for (ByteBuf part : waiting) {
-                held -= part.readableBytes();
+                queuedBytes -= part.readableBytes();
                 part.release();
             }
             waiting.clear();
@@ -254,7 +254,7 @@
             ByteBuf first = waiting.peek();
             int bytes = Math.min(PART_BYTES, first.readableBytes());
             ByteBuf part = bytes == first.readableBytes() ? waiting.poll() : first.readRetainedSlice(bytes);
-            held -= bytes;
+            queuedBytes -= bytes;
             sent += bytes;
             wire.write(part);
             if (waiting.isEmpty()) {
