--- a/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
@@ -40,7 +40,7 @@
     private final Set<Flow> throttledFlows = new LinkedHashSet<>();
 
     private long queuedBytes;
-    private long expected;
+    private long expectedBytes;
     private long freeAt;
     private boolean planned;
 
@@ -79,12 +79,12 @@
 
     /** Time until all large answers that wait here, or are announced, have left. */
     public long busyNanos() {
-        return Math.max(0, freeAt - clock.now()) + nanosOf(queuedBytes + expected);
+        return Math.max(0, freeAt - clock.now()) + nanosOf(queuedBytes + expectedBytes);
     }
 
     /** Announces so many bytes of large answers; a negative number withdraws some, or tells that they were read. */
     public void onExpected(long bytes) {
-        expected += bytes;
+        expectedBytes += bytes;
     }
 
     /** How many answers wait. */
