--- a/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
@@ -41,7 +41,7 @@
 
     private long queuedBytes;
     private long expectedBytes;
-    private long freeAt;
+    private long linkFreeAt;
     private boolean planned;
 
     /** Where the bytes of one answer go; called on the event loop. */
@@ -79,7 +79,7 @@
 
     /** Time until all large answers that wait here, or are announced, have left. */
     public long busyNanos() {
-        return Math.max(0, freeAt - clock.now()) + nanosOf(queuedBytes + expectedBytes);
+        return Math.max(0, linkFreeAt - clock.now()) + nanosOf(queuedBytes + expectedBytes);
     }
 
     /** Announces so many bytes of large answers; a negative number withdraws some, or tells that they were read. */
@@ -95,8 +95,8 @@
     /** Counts a small write. */
     public void onSent(int bytes) {
         long now = clock.now();
-        long after = Math.max(now, freeAt) + nanosOf(bytes);
-        freeAt = Math.max(freeAt, Math.min(now + MAX_SMALL_WRITE_DELAY_NANOS, after));
+        long after = Math.max(now, linkFreeAt) + nanosOf(bytes);
+        linkFreeAt = Math.max(linkFreeAt, Math.min(now + MAX_SMALL_WRITE_DELAY_NANOS, after));
     }
 
     /**
@@ -111,18 +111,18 @@
 
     private void pump() {
         long now = clock.now();
-        while (freeAt - now < SEND_AHEAD_NANOS) {
+        while (linkFreeAt - now < SEND_AHEAD_NANOS) {
             Flow next = next(now);
             if (next == null) {
                 return;
             }
             int bytes = next.sendPart();
-            freeAt = Math.max(now, freeAt) + nanosOf(bytes);
+            linkFreeAt = Math.max(now, linkFreeAt) + nanosOf(bytes);
             resumeReading();
         }
         if (!planned && !queuedFlows.isEmpty()) {
             planned = true;
-            clock.at(freeAt - SEND_AHEAD_NANOS / 2, () -> {
+            clock.at(linkFreeAt - SEND_AHEAD_NANOS / 2, () -> {
                 planned = false;
                 pump();
             });
