--- a/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
@@ -42,7 +42,7 @@
     private long queuedBytes;
     private long expectedBytes;
     private long linkFreeAt;
-    private boolean planned;
+    private boolean sendScheduled;
 
     /** Where the bytes of one answer go; called on the event loop. */
     public interface Wire {
@@ -120,10 +120,10 @@
             linkFreeAt = Math.max(now, linkFreeAt) + nanosOf(bytes);
             resumeReading();
         }
-        if (!planned && !queuedFlows.isEmpty()) {
-            planned = true;
+        if (!sendScheduled && !queuedFlows.isEmpty()) {
+            sendScheduled = true;
             clock.at(linkFreeAt - SEND_AHEAD_NANOS / 2, () -> {
-                planned = false;
+                sendScheduled = false;
                 pump();
             });
         }
