--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedWire.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedWire.java
@@ -5,7 +5,7 @@
 import org.berylwick.node.transport.OutgoingLink;
 
 /** A connection that carries an answer. */
-class EmulatedWire implements OutgoingLink.Wire {
+class EmulatedWire implements OutgoingLink.Sink {
     /** What the system and the connection's own buffer take before it has to wait. */
     private static final int MOST_WAITING_BYTES = 65_536;
 
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -31,7 +31,7 @@
 import org.berylwick.node.version.VersionKeeper;
 
 /** A connection of another node: its requests for the backend server here, or for the version; on the event loop. */
-final class PeerHandler extends ChannelInboundHandlerAdapter implements AttemptListener, OutgoingLink.Wire {
+final class PeerHandler extends ChannelInboundHandlerAdapter implements AttemptListener, OutgoingLink.Sink {
     private static final int MOST_PARTS = 1024;
     /** Versions are wanted soon, and before answers whose objective is further off. */
     private static final long VERSION_DUE_NANOS = 200_000_000L;
--- a/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
@@ -45,7 +45,7 @@
     private boolean sendScheduled;
 
     /** Where the bytes of one answer go; called on the event loop. */
-    public interface Wire {
+    public interface Sink {
         /** Sends some bytes; releases them. */
         void write(ByteBuf part);
 
@@ -105,7 +105,7 @@
      * @param wire where it goes
      * @param dueAt its latency objective, {@link System#nanoTime} terms
      */
-    public Flow open(Wire wire, long dueAt) {
+    public Flow open(Sink wire, long dueAt) {
         return new Flow(wire, dueAt);
     }
 
@@ -150,14 +150,14 @@
 
     /** The bytes of one answer, in order. */
     public final class Flow {
-        private final Wire wire;
+        private final Sink wire;
         private final long dueAt;
         private final ArrayDeque<ByteBuf> waiting = new ArrayDeque<>();
         private long sent;
         private boolean paused;
         private Runnable onEnd;
 
-        private Flow(Wire wire, long dueAt) {
+        private Flow(Sink wire, long dueAt) {
             this.wire = wire;
             this.dueAt = dueAt;
         }
--- a/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
@@ -25,7 +25,7 @@
     private final OutgoingLink link = new OutgoingLink(NARROW_MBPS, clock);
 
     /** A connection that notes what it was given, and when. */
-    private final class NotingWire implements OutgoingLink.Wire {
+    private final class NotingWire implements OutgoingLink.Sink {
         private final List<Long> times = new ArrayList<>();
         private int bytes;
         private boolean writable = true;
@@ -249,7 +249,7 @@
             int[] bytes = new int[1];
             got.add(bytes);
             OutgoingLink.Flow flow = any.open(
-                    new OutgoingLink.Wire() {
+                    new OutgoingLink.Sink() {
                         @Override
                         public void write(ByteBuf part) {
                             bytes[0] += part.readableBytes();
