--- a/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
@@ -141,7 +141,7 @@
     private Flow next(long now) {
         Flow best = null;
         for (Flow flow : queuedFlows) {
-            if (flow.wire.isWritable() && (best == null || flow.goesBefore(best, now))) {
+            if (flow.sink.isWritable() && (best == null || flow.goesBefore(best, now))) {
                 best = flow;
             }
         }
@@ -150,7 +150,7 @@
 
     /** The bytes of one answer, in order. */
     public final class Flow {
-        private final Sink wire;
+        private final Sink sink;
         private final long dueAt;
         private final ArrayDeque<ByteBuf> waiting = new ArrayDeque<>();
         private long sent;
@@ -158,7 +158,7 @@
         private Runnable onEnd;
 
         private Flow(Sink wire, long dueAt) {
-            this.wire = wire;
+            this.sink = wire;
             this.dueAt = dueAt;
         }
 
@@ -195,8 +195,8 @@
             if (waiting.isEmpty() && !isLarge(sent + bytes)) {
                 sent += bytes;
                 onSent(bytes);
-                wire.write(part);
-                if (!wire.isWritable()) {
+                sink.write(part);
+                if (!sink.isWritable()) {
                     pause();
                 }
                 return;
@@ -231,7 +231,7 @@
 
         /** Reads its source on, unless its connection takes nothing; one that has nothing to send holds no memory. */
         private void resumeIfWritable() {
-            if (wire.isWritable()) {
+            if (sink.isWritable()) {
                 resume();
             }
         }
@@ -256,7 +256,7 @@
             ByteBuf part = bytes == first.readableBytes() ? waiting.poll() : first.readRetainedSlice(bytes);
             queuedBytes -= bytes;
             sent += bytes;
-            wire.write(part);
+            sink.write(part);
             if (waiting.isEmpty()) {
                 queuedFlows.remove(this);
                 throttledFlows.remove(this);
@@ -278,14 +278,14 @@
         private void pause() {
             if (!paused) {
                 paused = true;
-                wire.readOn(false);
+                sink.readOn(false);
             }
         }
 
         private void resume() {
             if (paused) {
                 paused = false;
-                wire.readOn(true);
+                sink.readOn(true);
             }
         }
     }
