--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedAttempt.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedAttempt.java
@@ -165,7 +165,7 @@
         }
 
         @Override
-        public void readOn(boolean on) {
+        public void setSourceReading(boolean on) {
             attempt.ifPresent(a -> a.readOn(on));
         }
     }
--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedWire.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedWire.java
@@ -37,5 +37,5 @@
     }
 
     @Override
-    public void readOn(boolean on) {}
+    public void setSourceReading(boolean on) {}
 }
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -224,7 +224,7 @@
     }
 
     @Override
-    public void readOn(boolean on) {
+    public void setSourceReading(boolean on) {
         if (attempt != null) {
             attempt.readOn(on);
         }
--- a/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
@@ -53,7 +53,7 @@
         boolean isWritable();
 
         /** Stops or resumes reading the answer from its source. */
-        void readOn(boolean on);
+        void setSourceReading(boolean on);
     }
 
     /**
@@ -278,14 +278,14 @@
         private void pause() {
             if (!paused) {
                 paused = true;
-                sink.readOn(false);
+                sink.setSourceReading(false);
             }
         }
 
         private void resume() {
             if (paused) {
                 paused = false;
-                sink.readOn(true);
+                sink.setSourceReading(true);
             }
         }
     }
--- a/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
@@ -45,7 +45,7 @@
         }
 
         @Override
-        public void readOn(boolean on) {
+        public void setSourceReading(boolean on) {
             reading = on;
         }
     }
@@ -262,7 +262,7 @@
                         }
 
                         @Override
-                        public void readOn(boolean on) {}
+                        public void setSourceReading(boolean on) {}
                     },
                     time.now() + random.nextInt(1_000) * MS);
             int parts = 1 + random.nextInt(4);
