--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -68,7 +68,7 @@
         this.queuedAt = clock.now();
         this.number = owner.nextNumber();
         if (owner.outgoing().isLarge(call.answerBytes())) {
-            this.answerNanos = owner.outgoing().nanosOf(call.answerBytes());
+            this.answerNanos = owner.outgoing().transferNanos(call.answerBytes());
         }
     }
 
@@ -97,7 +97,7 @@
         if (answerNanos == 0) {
             return 0;
         }
-        long others = owner.outgoing().busyNanos() - owner.outgoing().nanosOf(expectedBytes);
+        long others = owner.outgoing().busyNanos() - owner.outgoing().transferNanos(expectedBytes);
         return Math.max(0, others - medianNanos);
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
@@ -68,7 +68,7 @@
     }
 
     /** How long so many bytes take; 0 on a wide link. */
-    public long nanosOf(double bytes) {
+    public long transferNanos(double bytes) {
         return unloadedLink.nanosOf(bytes);
     }
 
@@ -79,7 +79,7 @@
 
     /** Time until all large answers that wait here, or are announced, have left. */
     public long busyNanos() {
-        return Math.max(0, linkFreeAt - clock.now()) + nanosOf(queuedBytes + expectedBytes);
+        return Math.max(0, linkFreeAt - clock.now()) + transferNanos(queuedBytes + expectedBytes);
     }
 
     /** Announces so many bytes of large answers; a negative number withdraws some, or tells that they were read. */
@@ -95,7 +95,7 @@
     /** Counts a small write. */
     public void onSent(int bytes) {
         long now = clock.now();
-        long after = Math.max(now, linkFreeAt) + nanosOf(bytes);
+        long after = Math.max(now, linkFreeAt) + transferNanos(bytes);
         linkFreeAt = Math.max(linkFreeAt, Math.min(now + MAX_SMALL_WRITE_DELAY_NANOS, after));
     }
 
@@ -117,7 +117,7 @@
                 return;
             }
             int bytes = next.sendPart();
-            linkFreeAt = Math.max(now, linkFreeAt) + nanosOf(bytes);
+            linkFreeAt = Math.max(now, linkFreeAt) + transferNanos(bytes);
             resumeReading();
         }
         if (!sendScheduled && !queuedFlows.isEmpty()) {
@@ -130,7 +130,7 @@
     }
 
     private void resumeReading() {
-        if (throttledFlows.isEmpty() || nanosOf(queuedBytes) > MAX_QUEUED_NANOS / 2) {
+        if (throttledFlows.isEmpty() || transferNanos(queuedBytes) > MAX_QUEUED_NANOS / 2) {
             return;
         }
         List<Flow> waiting = List.copyOf(throttledFlows);
@@ -204,7 +204,7 @@
             waiting.add(part);
             queuedBytes += bytes;
             queuedFlows.add(this);
-            if (nanosOf(queuedBytes) > MAX_QUEUED_NANOS) {
+            if (transferNanos(queuedBytes) > MAX_QUEUED_NANOS) {
                 throttledFlows.add(this);
                 pause();
             }
