--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -104,13 +104,13 @@
     /** It is taken: others have its answer before them. */
     void announceAnswer() {
         expectedBytes = answerNanos == 0 ? 0 : call.answerBytes();
-        owner.outgoing().onExpected(expectedBytes);
+        owner.outgoing().adjustExpectedBytes(expectedBytes);
     }
 
     /** So many bytes of the answer are still to be read. */
     private void correctAnswer(long bytes) {
         long announced = answerNanos == 0 ? 0 : bytes;
-        owner.outgoing().onExpected(announced - expectedBytes);
+        owner.outgoing().adjustExpectedBytes(announced - expectedBytes);
         expectedBytes = announced;
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
@@ -83,7 +83,7 @@
     }
 
     /** Announces so many bytes of large answers; a negative number withdraws some, or tells that they were read. */
-    public void onExpected(long bytes) {
+    public void adjustExpectedBytes(long bytes) {
         expectedBytes += bytes;
     }
 
--- a/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
@@ -223,10 +223,10 @@
     /** What is being made counts until it begins, what waits until it has left. */
     @Test
     void busyTimeTellsWhatIsMadeAndWhatWaits() {
-        link.onExpected(LARGE);
+        link.adjustExpectedBytes(LARGE);
         long one = link.busyNanos();
         assertTrue(one > 100 * MS && one < 120 * MS, "busy for " + one);
-        link.onExpected(-LARGE);
+        link.adjustExpectedBytes(-LARGE);
         assertEquals(0, link.busyNanos());
         send(new NotingWire(), LARGE, 100 * MS);
         assertTrue(Math.abs(link.busyNanos() - one) < 12 * MS, "busy for " + link.busyNanos());
