--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -292,7 +292,7 @@
                         "linkBusyMs",
                         link.outgoing().busyNanos() / 1_000_000,
                         "flows",
-                        link.outgoing().waitingFlows());
+                        link.outgoing().queuedFlowCount());
     }
 
     private void cancelExpiry() {
--- a/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
@@ -88,7 +88,7 @@
     }
 
     /** How many answers wait. */
-    public int waitingFlows() {
+    public int queuedFlowCount() {
         return queuedFlows.size();
     }
 
