--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedAttempt.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedAttempt.java
@@ -126,7 +126,7 @@
             wire.tell(flowBack);
             answer = Optional.of(flowBack);
         } else {
-            to.link().outgoing().onSent(withHead);
+            to.link().outgoing().recordSmallWrite(withHead);
         }
         count(withHead);
         later(withHead, () -> {
--- a/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
@@ -93,7 +93,7 @@
     }
 
     /** Counts a small write. */
-    public void onSent(int bytes) {
+    public void recordSmallWrite(int bytes) {
         long now = clock.now();
         long after = Math.max(now, linkFreeAt) + transferNanos(bytes);
         linkFreeAt = Math.max(linkFreeAt, Math.min(now + MAX_SMALL_WRITE_DELAY_NANOS, after));
@@ -194,7 +194,7 @@
             int bytes = part.readableBytes();
             if (waiting.isEmpty() && !isLarge(sent + bytes)) {
                 sent += bytes;
-                onSent(bytes);
+                recordSmallWrite(bytes);
                 sink.write(part);
                 if (!sink.isWritable()) {
                     pause();
