--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedAttempt.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedAttempt.java
@@ -122,7 +122,7 @@
         int withHead = HEADER_BYTES + (large ? 0 : answerBytes);
         if (large) {
             BackWire wire = new BackWire();
-            OutgoingLink.Flow flowBack = to.link().outgoing().open(wire, dueAt);
+            OutgoingLink.Flow flowBack = to.link().outgoing().openFlow(wire, dueAt);
             wire.tell(flowBack);
             answer = Optional.of(flowBack);
         } else {
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -162,7 +162,7 @@
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, version.length);
         channel.write(response);
-        answer = Optional.of(link.outgoing().open(this, dueAt));
+        answer = Optional.of(link.outgoing().openFlow(this, dueAt));
         answer.get().write(Unpooled.wrappedBuffer(version));
         onEnd();
     }
@@ -199,7 +199,7 @@
             return;
         }
         answerAt = System.nanoTime();
-        answer = Optional.of(link.outgoing().open(this, dueAt));
+        answer = Optional.of(link.outgoing().openFlow(this, dueAt));
         channel.write(response);
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
@@ -105,7 +105,7 @@
      * @param wire where it goes
      * @param dueAt its latency objective, {@link System#nanoTime} terms
      */
-    public Flow open(Sink wire, long dueAt) {
+    public Flow openFlow(Sink wire, long dueAt) {
         return new Flow(wire, dueAt);
     }
 
--- a/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
@@ -51,7 +51,7 @@
     }
 
     private OutgoingLink.Flow send(NotingWire wire, int bytes, long dueAt) {
-        OutgoingLink.Flow flow = link.open(wire, dueAt);
+        OutgoingLink.Flow flow = link.openFlow(wire, dueAt);
         flow.write(Unpooled.wrappedBuffer(new byte[bytes]));
         flow.end(() -> wire.ended = true);
         return flow;
@@ -152,7 +152,7 @@
         NotingWire first = new NotingWire();
         send(first, 2_000_000, 1_000 * MS);
         NotingWire second = new NotingWire();
-        OutgoingLink.Flow flow = link.open(second, 2_000 * MS);
+        OutgoingLink.Flow flow = link.openFlow(second, 2_000 * MS);
         flow.write(Unpooled.wrappedBuffer(new byte[LARGE]));
         assertTrue(!second.reading);
         clock.runUntil(4_000 * MS);
@@ -168,7 +168,7 @@
         stuck.writable = false;
         OutgoingLink.Flow first = send(stuck, 2_000_000, 1_000 * MS);
         NotingWire second = new NotingWire();
-        OutgoingLink.Flow flow = link.open(second, 500 * MS);
+        OutgoingLink.Flow flow = link.openFlow(second, 500 * MS);
         flow.write(Unpooled.wrappedBuffer(new byte[LARGE]));
         assertTrue(!second.reading);
         first.cancel();
@@ -181,7 +181,7 @@
     void sourceIsReadAgainWhenItsOwnBytesHaveLeft() {
         send(new NotingWire(), 2_000_000, 2_000 * MS);
         NotingWire urgent = new NotingWire();
-        OutgoingLink.Flow flow = link.open(urgent, 500 * MS);
+        OutgoingLink.Flow flow = link.openFlow(urgent, 500 * MS);
         flow.write(Unpooled.wrappedBuffer(new byte[LARGE]));
         assertTrue(!urgent.reading);
         clock.runUntil(200 * MS);
@@ -193,7 +193,7 @@
     void sourceIsReadAgainWhenItsConnectionWasStuckFirst() {
         NotingWire wire = new NotingWire();
         wire.writable = false;
-        OutgoingLink.Flow flow = link.open(wire, 1_000 * MS);
+        OutgoingLink.Flow flow = link.openFlow(wire, 1_000 * MS);
         flow.write(Unpooled.wrappedBuffer(new byte[SMALL]));
         assertTrue(!wire.reading);
         flow.write(Unpooled.wrappedBuffer(new byte[LARGE]));
@@ -208,7 +208,7 @@
     void wideLinkSendsAtOnce() {
         OutgoingLink wide = new OutgoingLink(1_000, clock);
         NotingWire wire = new NotingWire();
-        OutgoingLink.Flow flow = wide.open(wire, 100 * MS);
+        OutgoingLink.Flow flow = wide.openFlow(wire, 100 * MS);
         flow.write(Unpooled.wrappedBuffer(new byte[1_000_000]));
         assertEquals(1_000_000, wire.bytes);
         assertEquals(0, wide.busyNanos());
@@ -248,7 +248,7 @@
             int number = i;
             int[] bytes = new int[1];
             got.add(bytes);
-            OutgoingLink.Flow flow = any.open(
+            OutgoingLink.Flow flow = any.openFlow(
                     new OutgoingLink.Sink() {
                         @Override
                         public void write(ByteBuf part) {
