--- a/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
@@ -109,7 +109,7 @@
         return new Flow(wire, dueAt);
     }
 
-    private void pump() {
+    private void sendQueued() {
         long now = clock.now();
         while (linkFreeAt - now < SEND_AHEAD_NANOS) {
             Flow next = next(now);
@@ -124,7 +124,7 @@
             sendScheduled = true;
             clock.at(linkFreeAt - SEND_AHEAD_NANOS / 2, () -> {
                 sendScheduled = false;
-                pump();
+                sendQueued();
             });
         }
     }
@@ -208,7 +208,7 @@
                 throttledFlows.add(this);
                 pause();
             }
-            pump();
+            sendQueued();
         }
 
         /** Runs a task when all has been handed on. */
@@ -225,7 +225,7 @@
             if (waiting.isEmpty()) {
                 resume();
             } else {
-                pump();
+                sendQueued();
             }
         }
 
@@ -247,7 +247,7 @@
             }
             waiting.clear();
             resumeReading();
-            pump();
+            sendQueued();
         }
 
         private int sendPart() {
