--- a/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
@@ -118,7 +118,7 @@
             }
             int bytes = next.sendPart();
             linkFreeAt = Math.max(now, linkFreeAt) + transferNanos(bytes);
-            resumeReading();
+            resumeThrottledFlows();
         }
         if (!sendScheduled && !queuedFlows.isEmpty()) {
             sendScheduled = true;
@@ -129,7 +129,7 @@
         }
     }
 
-    private void resumeReading() {
+    private void resumeThrottledFlows() {
         if (throttledFlows.isEmpty() || transferNanos(queuedBytes) > MAX_QUEUED_NANOS / 2) {
             return;
         }
@@ -246,7 +246,7 @@
                 part.release();
             }
             waiting.clear();
-            resumeReading();
+            resumeThrottledFlows();
             sendQueued();
         }
 
