--- a/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
@@ -112,7 +112,7 @@
     private void sendQueued() {
         long now = clock.now();
         while (linkFreeAt - now < SEND_AHEAD_NANOS) {
-            Flow next = next(now);
+            Flow next = nextFlow(now);
             if (next == null) {
                 return;
             }
@@ -138,7 +138,7 @@
         waiting.forEach(Flow::resume);
     }
 
-    private Flow next(long now) {
+    private Flow nextFlow(long now) {
         Flow best = null;
         for (Flow flow : queuedFlows) {
             if (flow.sink.isWritable() && (best == null || flow.goesBefore(best, now))) {
