--- a/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
@@ -152,7 +152,7 @@
     public final class Flow {
         private final Sink sink;
         private final long dueAt;
-        private final ArrayDeque<ByteBuf> waiting = new ArrayDeque<>();
+        private final ArrayDeque<ByteBuf> queuedParts = new ArrayDeque<>();
         private long sent;
         private boolean paused;
         private Runnable onEnd;
@@ -170,7 +170,7 @@
         /** Bytes that wait here. */
         public long waitingBytes() {
             long bytes = 0;
-            for (ByteBuf part : waiting) {
+            for (ByteBuf part : queuedParts) {
                 bytes += part.readableBytes();
             }
             return bytes;
@@ -192,7 +192,7 @@
         /** Sends some bytes when it is their turn; releases them. */
         public void write(ByteBuf part) {
             int bytes = part.readableBytes();
-            if (waiting.isEmpty() && !isLarge(sent + bytes)) {
+            if (queuedParts.isEmpty() && !isLarge(sent + bytes)) {
                 sent += bytes;
                 recordSmallWrite(bytes);
                 sink.write(part);
@@ -201,7 +201,7 @@
                 }
                 return;
             }
-            waiting.add(part);
+            queuedParts.add(part);
             queuedBytes += bytes;
             queuedFlows.add(this);
             if (transferNanos(queuedBytes) > MAX_QUEUED_NANOS) {
@@ -213,7 +213,7 @@
 
         /** Runs a task when all has been handed on. */
         public void end(Runnable task) {
-            if (waiting.isEmpty()) {
+            if (queuedParts.isEmpty()) {
                 task.run();
                 return;
             }
@@ -222,7 +222,7 @@
 
         /** Its connection takes more again. */
         public void onWritable() {
-            if (waiting.isEmpty()) {
+            if (queuedParts.isEmpty()) {
                 resume();
             } else {
                 sendQueued();
@@ -241,23 +241,23 @@
             queuedFlows.remove(this);
             throttledFlows.remove(this);
             onEnd = null;
-            for (ByteBuf part : waiting) {
+            for (ByteBuf part : queuedParts) {
                 queuedBytes -= part.readableBytes();
                 part.release();
             }
-            waiting.clear();
+            queuedParts.clear();
             resumeThrottledFlows();
             sendQueued();
         }
 
         private int sendPart() {
-            ByteBuf first = waiting.peek();
+            ByteBuf first = queuedParts.peek();
             int bytes = Math.min(PART_BYTES, first.readableBytes());
-            ByteBuf part = bytes == first.readableBytes() ? waiting.poll() : first.readRetainedSlice(bytes);
+            ByteBuf part = bytes == first.readableBytes() ? queuedParts.poll() : first.readRetainedSlice(bytes);
             queuedBytes -= bytes;
             sent += bytes;
             sink.write(part);
-            if (waiting.isEmpty()) {
+            if (queuedParts.isEmpty()) {
                 queuedFlows.remove(this);
                 throttledFlows.remove(this);
                 endOrResume();
