--- a/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
@@ -153,7 +153,7 @@
         private final Sink sink;
         private final long dueAt;
         private final ArrayDeque<ByteBuf> queuedParts = new ArrayDeque<>();
-        private long sent;
+        private long sentBytes;
         private boolean paused;
         private Runnable onEnd;
 
@@ -164,7 +164,7 @@
 
         /** Bytes handed on so far. */
         public long sentBytes() {
-            return sent;
+            return sentBytes;
         }
 
         /** Bytes that wait here. */
@@ -192,8 +192,8 @@
         /** Sends some bytes when it is their turn; releases them. */
         public void write(ByteBuf part) {
             int bytes = part.readableBytes();
-            if (queuedParts.isEmpty() && !isLarge(sent + bytes)) {
-                sent += bytes;
+            if (queuedParts.isEmpty() && !isLarge(sentBytes + bytes)) {
+                sentBytes += bytes;
                 recordSmallWrite(bytes);
                 sink.write(part);
                 if (!sink.isWritable()) {
@@ -255,7 +255,7 @@
             int bytes = Math.min(PART_BYTES, first.readableBytes());
             ByteBuf part = bytes == first.readableBytes() ? queuedParts.poll() : first.readRetainedSlice(bytes);
             queuedBytes -= bytes;
-            sent += bytes;
+            sentBytes += bytes;
             sink.write(part);
             if (queuedParts.isEmpty()) {
                 queuedFlows.remove(this);
