--- a/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
@@ -155,7 +155,7 @@
         private final ArrayDeque<ByteBuf> queuedParts = new ArrayDeque<>();
         private long sentBytes;
         private boolean paused;
-        private Runnable onEnd;
+        private Runnable onFinished;
 
         private Flow(Sink wire, long dueAt) {
             this.sink = wire;
@@ -217,7 +217,7 @@
                 task.run();
                 return;
             }
-            onEnd = task;
+            onFinished = task;
         }
 
         /** Its connection takes more again. */
@@ -240,7 +240,7 @@
         public void cancel() {
             queuedFlows.remove(this);
             throttledFlows.remove(this);
-            onEnd = null;
+            onFinished = null;
             for (ByteBuf part : queuedParts) {
                 queuedBytes -= part.readableBytes();
                 part.release();
@@ -266,12 +266,12 @@
         }
 
         private void endOrResume() {
-            if (onEnd == null) {
+            if (onFinished == null) {
                 resumeIfWritable();
                 return;
             }
-            Runnable task = onEnd;
-            onEnd = null;
+            Runnable task = onFinished;
+            onFinished = null;
             task.run();
         }
 
