--- a/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
@@ -141,7 +141,7 @@
     private Flow nextFlow(long now) {
         Flow best = null;
         for (Flow flow : queuedFlows) {
-            if (flow.sink.isWritable() && (best == null || flow.goesBefore(best, now))) {
+            if (flow.sink.isWritable() && (best == null || flow.precedes(best, now))) {
                 best = flow;
             }
         }
@@ -181,7 +181,7 @@
             return paused;
         }
 
-        private boolean goesBefore(Flow other, long now) {
+        private boolean precedes(Flow other, long now) {
             return turnAt(now) < other.turnAt(now);
         }
 
