--- a/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
@@ -182,10 +182,10 @@
         }
 
         private boolean precedes(Flow other, long now) {
-            return turnAt(now) < other.turnAt(now);
+            return effectiveDueAt(now) < other.effectiveDueAt(now);
         }
 
-        private long turnAt(long now) {
+        private long effectiveDueAt(long now) {
             return now < dueAt ? dueAt : dueAt + LATE_PENALTY_NANOS;
         }
 
