--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedAttempt.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedAttempt.java
@@ -174,7 +174,7 @@
     public void onEnd() {
         ended = true;
         if (answer.isPresent()) {
-            answer.get().end(() -> stream.send(END_BYTES, this::endLater));
+            answer.get().finish(() -> stream.send(END_BYTES, this::endLater));
         } else {
             later(END_BYTES, this::endNow);
         }
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -252,7 +252,7 @@
     @Override
     public void onEnd() {
         over();
-        answer.ifPresent(a -> a.end(() -> {
+        answer.ifPresent(a -> a.finish(() -> {
             logIfLate(a, true);
             answer = Optional.empty();
             cancelExpiry();
--- a/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
@@ -212,7 +212,7 @@
         }
 
         /** Runs a task when all has been handed on. */
-        public void end(Runnable task) {
+        public void finish(Runnable task) {
             if (queuedParts.isEmpty()) {
                 task.run();
                 return;
--- a/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
@@ -53,7 +53,7 @@
     private OutgoingLink.Flow send(NotingWire wire, int bytes, long dueAt) {
         OutgoingLink.Flow flow = link.openFlow(wire, dueAt);
         flow.write(Unpooled.wrappedBuffer(new byte[bytes]));
-        flow.end(() -> wire.ended = true);
+        flow.finish(() -> wire.ended = true);
         return flow;
     }
 
@@ -157,7 +157,7 @@
         assertTrue(!second.reading);
         clock.runUntil(4_000 * MS);
         assertTrue(second.reading);
-        flow.end(() -> second.ended = true);
+        flow.finish(() -> second.ended = true);
         assertTrue(second.ended);
     }
 
@@ -276,7 +276,7 @@
             if (cancelled[i]) {
                 flow.cancel();
             } else {
-                flow.end(() -> ended[number] = true);
+                flow.finish(() -> ended[number] = true);
             }
         }
         time.runUntil(time.now() + 120_000 * MS);
