--- a/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
@@ -260,12 +260,12 @@
             if (queuedParts.isEmpty()) {
                 queuedFlows.remove(this);
                 throttledFlows.remove(this);
-                endOrResume();
+                finishOrResume();
             }
             return bytes;
         }
 
-        private void endOrResume() {
+        private void finishOrResume() {
             if (onFinished == null) {
                 resumeIfWritable();
                 return;
