--- a/org.berylwick.node/src/org/berylwick/node/transport/ReceiveWindow.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ReceiveWindow.java
@@ -14,7 +14,7 @@
     /** What a sender may have on its way, in time over the link; many times what the way there and back takes. */
     private static final long WINDOW_NANOS = 25_000_000L;
 
-    private static final int LEAST_BYTES = 16_384;
+    private static final int MIN_BYTES = 16_384;
     /** From here on the system's own choice is as good. */
     private static final int MOST_BYTES = 131_072;
 
@@ -29,7 +29,7 @@
     public static OptionalInt bytes(IncomingLink link) {
         long bytes = link.bytesWithin(WINDOW_NANOS);
         return bytes > 0 && bytes < MOST_BYTES
-                ? OptionalInt.of((int) Math.max(LEAST_BYTES, bytes))
+                ? OptionalInt.of((int) Math.max(MIN_BYTES, bytes))
                 : OptionalInt.empty();
     }
 }
