--- a/org.berylwick.node/src/org/berylwick/node/transport/ReceiveWindow.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ReceiveWindow.java
@@ -16,7 +16,7 @@
 
     private static final int MIN_BYTES = 16_384;
     /** From here on the system's own choice is as good. */
-    private static final int MOST_BYTES = 131_072;
+    private static final int MAX_BYTES = 131_072;
 
     private ReceiveWindow() {}
 
@@ -28,7 +28,7 @@
     /** Its bytes, empty if the system's own choice is as good. */
     public static OptionalInt bytes(IncomingLink link) {
         long bytes = link.bytesWithin(WINDOW_NANOS);
-        return bytes > 0 && bytes < MOST_BYTES
+        return bytes > 0 && bytes < MAX_BYTES
                 ? OptionalInt.of((int) Math.max(MIN_BYTES, bytes))
                 : OptionalInt.empty();
     }
