--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedLink.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedLink.java
@@ -18,7 +18,7 @@
 
     EmulatedLink(double mbps) {
         this.nanosPerByte = NANOS_PER_BYTE_AT_ONE_MBPS / mbps;
-        this.windowBytes = ReceiveWindow.bytes(new IncomingLink(mbps)).orElse(MOST_WINDOW_BYTES);
+        this.windowBytes = ReceiveWindow.sizeBytes(new IncomingLink(mbps)).orElse(MOST_WINDOW_BYTES);
     }
 
     /** What one sender may have on its way to a VM with this link. */
--- a/org.berylwick.node/src/org/berylwick/node/transport/ReceiveWindow.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ReceiveWindow.java
@@ -22,11 +22,11 @@
 
     /** Sets it for the connections that a port takes, if the link is narrow. */
     public static void limit(ServerBootstrap server, IncomingLink link) {
-        bytes(link).ifPresent(bytes -> server.option(ChannelOption.SO_RCVBUF, bytes));
+        sizeBytes(link).ifPresent(bytes -> server.option(ChannelOption.SO_RCVBUF, bytes));
     }
 
     /** Its bytes, empty if the system's own choice is as good. */
-    public static OptionalInt bytes(IncomingLink link) {
+    public static OptionalInt sizeBytes(IncomingLink link) {
         long bytes = link.bytesWithin(WINDOW_NANOS);
         return bytes > 0 && bytes < MAX_BYTES
                 ? OptionalInt.of((int) Math.max(MIN_BYTES, bytes))
