--- a/org.berylwick.node/src/org/berylwick/node/call/EntryServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryServer.java
@@ -55,7 +55,7 @@
                         channel.pipeline().addLast(new EntryHandler(EntryServer.this, services));
                     }
                 });
-        ReceiveWindow.limit(server, services.link());
+        ReceiveWindow.limitReceiveBuffer(server, services.link());
         listener = server.bind(address).syncUninterruptibly().channel();
         loop.schedule(this::sweep, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
     }
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerServer.java
@@ -68,7 +68,7 @@
                         channel.closeFuture().addListener(f -> connections.remove(channel));
                     }
                 });
-        ReceiveWindow.limit(server, link.incoming());
+        ReceiveWindow.limitReceiveBuffer(server, link.incoming());
         listener = server.bind(address).syncUninterruptibly().channel();
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/transport/ReceiveWindow.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ReceiveWindow.java
@@ -21,7 +21,7 @@
     private ReceiveWindow() {}
 
     /** Sets it for the connections that a port takes, if the link is narrow. */
-    public static void limit(ServerBootstrap server, IncomingLink link) {
+    public static void limitReceiveBuffer(ServerBootstrap server, IncomingLink link) {
         sizeBytes(link).ifPresent(bytes -> server.option(ChannelOption.SO_RCVBUF, bytes));
     }
 
