--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedAttempt.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedAttempt.java
@@ -58,7 +58,7 @@
                 call.body().length(),
                 call.answerBytes(),
                 emulation.clock().now());
-        boolean streamed = call.body().length() >= RequestBody.LEAST_STREAMED;
+        boolean streamed = call.body().length() >= RequestBody.MIN_STREAMED_BYTES;
         int withHead = HEADER_BYTES + (streamed ? 0 : call.body().length());
         boolean asked = member.link(emulation.clock().now()).isLarge(call.body().length());
         count(HEADER_BYTES + (asked ? 0 : call.body().length()));
--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedCaller.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedCaller.java
@@ -52,7 +52,7 @@
         EmulatedWay back = new EmulatedWay(emulation, Optional.of(node.out()), Optional.empty(), nanos);
         EmulatedWay local = new EmulatedWay(emulation, Optional.empty(), Optional.empty(), nanos);
         int bytes = kind.bytes().body();
-        boolean streamed = bytes >= RequestBody.LEAST_STREAMED;
+        boolean streamed = bytes >= RequestBody.MIN_STREAMED_BYTES;
         there.send(HEADER_BYTES + (streamed ? 0 : bytes), () -> {
             if (over) {
                 return;
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -134,7 +134,7 @@
             channel.writeAndFlush(new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
         }
-        if (length >= RequestBody.LEAST_STREAMED) {
+        if (length >= RequestBody.MIN_STREAMED_BYTES) {
             body = RequestBody.coming((int) length, services.link());
             startCall(body);
             return;
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -86,7 +86,7 @@
         head = request;
         dropping = false;
         long length = HttpUtil.getContentLength(request, 0L);
-        if (length >= RequestBody.LEAST_STREAMED && length <= Integer.MAX_VALUE) {
+        if (length >= RequestBody.MIN_STREAMED_BYTES && length <= Integer.MAX_VALUE) {
             body = HttpUtil.is100ContinueExpected(request)
                     ? RequestBody.keptBack((int) length, link.incoming(), this::askForBody)
                     : RequestBody.coming((int) length, link.incoming());
--- a/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
@@ -16,7 +16,7 @@
  */
 public final class RequestBody {
     /** A shorter one mostly comes with its head, or within some milliseconds. */
-    public static final int LEAST_STREAMED = 16_384;
+    public static final int MIN_STREAMED_BYTES = 16_384;
 
     private static final int MOST_PARTS = 1024;
 
