--- a/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
@@ -18,7 +18,7 @@
     /** A shorter one mostly comes with its head, or within some milliseconds. */
     public static final int MIN_STREAMED_BYTES = 16_384;
 
-    private static final int MOST_PARTS = 1024;
+    private static final int MAX_PARTS = 1024;
 
     private final ByteBuf kept;
     private final int length;
@@ -52,7 +52,7 @@
      */
     public static RequestBody coming(int length, IncomingLink link) {
         link.onBodyAnnounced(length);
-        return new RequestBody(Unpooled.compositeBuffer(MOST_PARTS), length, link, false);
+        return new RequestBody(Unpooled.compositeBuffer(MAX_PARTS), length, link, false);
     }
 
     /**
