--- a/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
@@ -20,7 +20,7 @@
 
     private static final int MAX_PARTS = 1024;
 
-    private final ByteBuf kept;
+    private final ByteBuf receivedBytes;
     private final int length;
     private final IncomingLink link;
     private final List<Follower> followers = new ArrayList<>(1);
@@ -38,7 +38,7 @@
     }
 
     private RequestBody(ByteBuf kept, int length, IncomingLink link, boolean whole) {
-        this.kept = kept;
+        this.receivedBytes = kept;
         this.length = length;
         this.link = link;
         this.whole = whole;
@@ -80,7 +80,7 @@
 
     /** Bytes that have not come yet. */
     public int missing() {
-        return length - kept.readableBytes();
+        return length - receivedBytes.readableBytes();
     }
 
     /** Whether its sender waits to be asked for it. */
@@ -107,7 +107,7 @@
             return;
         }
         link.onBytesReceived(part.readableBytes());
-        ((CompositeByteBuf) kept).addComponent(true, part);
+        ((CompositeByteBuf) receivedBytes).addComponent(true, part);
         for (Follower follower : List.copyOf(followers)) {
             follower.onPart(part.retainedDuplicate());
         }
@@ -127,8 +127,8 @@
     /** Tells what is there now, and then the rest until {@link #unfollow}. */
     public void follow(Follower follower) {
         followers.add(follower);
-        if (kept.isReadable()) {
-            follower.onPart(kept.retainedDuplicate());
+        if (receivedBytes.isReadable()) {
+            follower.onPart(receivedBytes.retainedDuplicate());
         }
         if (whole) {
             follower.onWhole();
@@ -148,6 +148,6 @@
         released = true;
         followers.clear();
         link.onBytesReceived(missing());
-        kept.release();
+        receivedBytes.release();
     }
 }
