--- a/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
@@ -23,7 +23,7 @@
     private final ByteBuf receivedBytes;
     private final int length;
     private final IncomingLink link;
-    private final List<Follower> followers = new ArrayList<>(1);
+    private final List<Follower> subscribers = new ArrayList<>(1);
     private Optional<Runnable> asker = Optional.empty();
     private boolean whole;
     private boolean released;
@@ -108,7 +108,7 @@
         }
         link.onBytesReceived(part.readableBytes());
         ((CompositeByteBuf) receivedBytes).addComponent(true, part);
-        for (Follower follower : List.copyOf(followers)) {
+        for (Follower follower : List.copyOf(subscribers)) {
             follower.onPart(part.retainedDuplicate());
         }
     }
@@ -119,14 +119,14 @@
             return;
         }
         whole = true;
-        for (Follower follower : List.copyOf(followers)) {
+        for (Follower follower : List.copyOf(subscribers)) {
             follower.onWhole();
         }
     }
 
     /** Tells what is there now, and then the rest until {@link #unfollow}. */
     public void follow(Follower follower) {
-        followers.add(follower);
+        subscribers.add(follower);
         if (receivedBytes.isReadable()) {
             follower.onPart(receivedBytes.retainedDuplicate());
         }
@@ -137,7 +137,7 @@
 
     /** Tells a follower nothing more. */
     public void unfollow(Follower follower) {
-        followers.remove(follower);
+        subscribers.remove(follower);
     }
 
     /** Lets go of it; nothing more is told, and parts that still come are dropped. */
@@ -146,7 +146,7 @@
             return;
         }
         released = true;
-        followers.clear();
+        subscribers.clear();
         link.onBytesReceived(missing());
         receivedBytes.release();
     }
