--- a/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
@@ -24,7 +24,7 @@
     private final int length;
     private final IncomingLink link;
     private final List<Follower> subscribers = new ArrayList<>(1);
-    private Optional<Runnable> asker = Optional.empty();
+    private Optional<Runnable> sendRequester = Optional.empty();
     private boolean whole;
     private boolean released;
 
@@ -64,7 +64,7 @@
      */
     public static RequestBody keptBack(int length, IncomingLink link, Runnable asker) {
         RequestBody body = coming(length, link);
-        body.asker = Optional.of(asker);
+        body.sendRequester = Optional.of(asker);
         return body;
     }
 
@@ -85,13 +85,13 @@
 
     /** Whether its sender waits to be asked for it. */
     public boolean isKeptBack() {
-        return asker.isPresent();
+        return sendRequester.isPresent();
     }
 
     /** Asks the sender for it, if that waits to be asked. */
     public void ask() {
-        Optional<Runnable> once = asker;
-        asker = Optional.empty();
+        Optional<Runnable> once = sendRequester;
+        sendRequester = Optional.empty();
         once.ifPresent(Runnable::run);
     }
 
