--- a/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
@@ -25,7 +25,7 @@
     private final IncomingLink link;
     private final List<Follower> subscribers = new ArrayList<>(1);
     private Optional<Runnable> sendRequester = Optional.empty();
-    private boolean whole;
+    private boolean complete;
     private boolean released;
 
     /** Takes parts as they come. */
@@ -41,7 +41,7 @@
         this.receivedBytes = kept;
         this.length = length;
         this.link = link;
-        this.whole = whole;
+        this.complete = whole;
     }
 
     /**
@@ -97,12 +97,12 @@
 
     /** Whether all of it is there. */
     public boolean isWhole() {
-        return whole;
+        return complete;
     }
 
     /** A part has come; it is released with the body. */
     public void add(ByteBuf part) {
-        if (released || whole || part.readableBytes() > missing()) {
+        if (released || complete || part.readableBytes() > missing()) {
             part.release();
             return;
         }
@@ -115,10 +115,10 @@
 
     /** All parts have come. */
     public void end() {
-        if (released || whole) {
+        if (released || complete) {
             return;
         }
-        whole = true;
+        complete = true;
         for (Follower follower : List.copyOf(subscribers)) {
             follower.onWhole();
         }
@@ -130,7 +130,7 @@
         if (receivedBytes.isReadable()) {
             follower.onPart(receivedBytes.retainedDuplicate());
         }
-        if (whole) {
+        if (complete) {
             follower.onWhole();
         }
     }
