--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedWay.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedWay.java
@@ -109,7 +109,7 @@
     private record Piece(int bytes, Runnable arrived) {}
 
     /** A body on its way. */
-    final class BodyFlow implements RequestBody.Follower {
+    final class BodyFlow implements RequestBody.Subscriber {
         private final RequestBody from;
         private final RequestBody to;
         private final Stream stream = open();
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -19,7 +19,7 @@
 import org.berylwick.node.transport.ServerConnection;
 
 /** One request at its owner, waiting or running; confined to the event loop. */
-final class OwnerRun implements Attempt, HttpResponseHandler, RequestBody.Follower {
+final class OwnerRun implements Attempt, HttpResponseHandler, RequestBody.Subscriber {
     /** A reused connection that breaks within this had been dropped by the server while it was idle. */
     private static final long DROPPED_NANOS = 50_000_000L;
     /** What the answer needs from the backend server to the entry. */
--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -94,7 +94,7 @@
     }
 
     /** Writes a request's body as it comes. */
-    private final class BodyWriter implements RequestBody.Follower {
+    private final class BodyWriter implements RequestBody.Subscriber {
         @Override
         public void onPart(ByteBuf part) {
             if (pendingBody.isWhole()) {
--- a/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
@@ -23,13 +23,13 @@
     private final ByteBuf receivedBytes;
     private final int length;
     private final IncomingLink link;
-    private final List<Follower> subscribers = new ArrayList<>(1);
+    private final List<Subscriber> subscribers = new ArrayList<>(1);
     private Optional<Runnable> sendRequester = Optional.empty();
     private boolean complete;
     private boolean released;
 
     /** Takes parts as they come. */
-    public interface Follower {
+    public interface Subscriber {
         /** A part; the callee releases it. */
         void onPart(ByteBuf part);
 
@@ -108,7 +108,7 @@
         }
         link.onBytesReceived(part.readableBytes());
         ((CompositeByteBuf) receivedBytes).addComponent(true, part);
-        for (Follower follower : List.copyOf(subscribers)) {
+        for (Subscriber follower : List.copyOf(subscribers)) {
             follower.onPart(part.retainedDuplicate());
         }
     }
@@ -119,13 +119,13 @@
             return;
         }
         complete = true;
-        for (Follower follower : List.copyOf(subscribers)) {
+        for (Subscriber follower : List.copyOf(subscribers)) {
             follower.onWhole();
         }
     }
 
     /** Tells what is there now, and then the rest until {@link #unfollow}. */
-    public void follow(Follower follower) {
+    public void follow(Subscriber follower) {
         subscribers.add(follower);
         if (receivedBytes.isReadable()) {
             follower.onPart(receivedBytes.retainedDuplicate());
@@ -136,7 +136,7 @@
     }
 
     /** Tells a follower nothing more. */
-    public void unfollow(Follower follower) {
+    public void unfollow(Subscriber follower) {
         subscribers.remove(follower);
     }
 
