--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedWay.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedWay.java
@@ -122,7 +122,7 @@
         }
 
         @Override
-        public void onPart(ByteBuf part) {
+        public void onRequestBodyPart(ByteBuf part) {
             int bytes = part.readableBytes();
             part.release();
             offer(bytes);
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -155,7 +155,7 @@
     }
 
     @Override
-    public void onPart(ByteBuf part) {
+    public void onRequestBodyPart(ByteBuf part) {
         part.release();
         owner.onPart();
     }
--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -96,7 +96,7 @@
     /** Writes a request's body as it comes. */
     private final class BodyWriter implements RequestBody.Subscriber {
         @Override
-        public void onPart(ByteBuf part) {
+        public void onRequestBodyPart(ByteBuf part) {
             if (pendingBody.isWhole()) {
                 channel.write(new DefaultHttpContent(part));
             } else {
--- a/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
@@ -31,7 +31,7 @@
     /** Takes parts as they come. */
     public interface Subscriber {
         /** A part; the callee releases it. */
-        void onPart(ByteBuf part);
+        void onRequestBodyPart(ByteBuf part);
 
         /** All parts have come. */
         void onWhole();
@@ -109,7 +109,7 @@
         link.onBytesReceived(part.readableBytes());
         ((CompositeByteBuf) receivedBytes).addComponent(true, part);
         for (Subscriber follower : List.copyOf(subscribers)) {
-            follower.onPart(part.retainedDuplicate());
+            follower.onRequestBodyPart(part.retainedDuplicate());
         }
     }
 
@@ -128,7 +128,7 @@
     public void follow(Subscriber follower) {
         subscribers.add(follower);
         if (receivedBytes.isReadable()) {
-            follower.onPart(receivedBytes.retainedDuplicate());
+            follower.onRequestBodyPart(receivedBytes.retainedDuplicate());
         }
         if (complete) {
             follower.onWhole();
