--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedWay.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedWay.java
@@ -129,7 +129,7 @@
         }
 
         @Override
-        public void onWhole() {
+        public void onRequestBodyComplete() {
             // The last part says so too.
         }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -161,7 +161,7 @@
     }
 
     @Override
-    public void onWhole() {
+    public void onRequestBodyComplete() {
         if (over) {
             return;
         }
--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -105,7 +105,7 @@
         }
 
         @Override
-        public void onWhole() {
+        public void onRequestBodyComplete() {
             lastWrite = channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
             stopWritingBody();
         }
--- a/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
@@ -34,7 +34,7 @@
         void onRequestBodyPart(ByteBuf part);
 
         /** All parts have come. */
-        void onWhole();
+        void onRequestBodyComplete();
     }
 
     private RequestBody(ByteBuf kept, int length, IncomingLink link, boolean whole) {
@@ -120,7 +120,7 @@
         }
         complete = true;
         for (Subscriber follower : List.copyOf(subscribers)) {
-            follower.onWhole();
+            follower.onRequestBodyComplete();
         }
     }
 
@@ -131,7 +131,7 @@
             follower.onRequestBodyPart(receivedBytes.retainedDuplicate());
         }
         if (complete) {
-            follower.onWhole();
+            follower.onRequestBodyComplete();
         }
     }
 
