--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedAttempt.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedAttempt.java
@@ -78,7 +78,7 @@
 
     private RequestBody arriving(RequestBody from, boolean asked) {
         if (!asked) {
-            return RequestBody.coming(from.length(), to.link().incoming());
+            return RequestBody.incoming(from.length(), to.link().incoming());
         }
         return RequestBody.keptBack(
                 from.length(),
--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedCaller.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedCaller.java
@@ -68,7 +68,7 @@
             });
             sink = Optional.of(next);
             RequestBody body = streamed
-                    ? RequestBody.coming(bytes, node.link().incoming())
+                    ? RequestBody.incoming(bytes, node.link().incoming())
                     : RequestBody.of(Unpooled.wrappedBuffer(new byte[bytes]));
             flow.ifPresent(EmulatedWay.BodyFlow::stop);
             flow = streamed ? Optional.of(there.flow(body)) : Optional.empty();
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -135,7 +135,7 @@
                     HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
         }
         if (length >= RequestBody.MIN_STREAMED_BYTES) {
-            body = RequestBody.coming((int) length, services.link());
+            body = RequestBody.incoming((int) length, services.link());
             startCall(body);
             return;
         }
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -89,7 +89,7 @@
         if (length >= RequestBody.MIN_STREAMED_BYTES && length <= Integer.MAX_VALUE) {
             body = HttpUtil.is100ContinueExpected(request)
                     ? RequestBody.keptBack((int) length, link.incoming(), this::askForBody)
-                    : RequestBody.coming((int) length, link.incoming());
+                    : RequestBody.incoming((int) length, link.incoming());
             serve();
             return;
         }
--- a/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
@@ -50,7 +50,7 @@
      * @param length in bytes, as its head tells
      * @param link that it comes over
      */
-    public static RequestBody coming(int length, IncomingLink link) {
+    public static RequestBody incoming(int length, IncomingLink link) {
         link.onBodyAnnounced(length);
         return new RequestBody(Unpooled.compositeBuffer(MAX_PARTS), length, link, false);
     }
@@ -63,7 +63,7 @@
      * @param asker asks the sender for it
      */
     public static RequestBody keptBack(int length, IncomingLink link, Runnable asker) {
-        RequestBody body = coming(length, link);
+        RequestBody body = incoming(length, link);
         body.sendRequester = Optional.of(asker);
         return body;
     }
