--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedAttempt.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedAttempt.java
@@ -80,7 +80,7 @@
         if (!asked) {
             return RequestBody.incoming(from.length(), to.link().incoming());
         }
-        return RequestBody.keptBack(
+        return RequestBody.deferred(
                 from.length(),
                 to.link().incoming(),
                 () -> later(ASK_BYTES, () -> {
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -88,7 +88,7 @@
         long length = HttpUtil.getContentLength(request, 0L);
         if (length >= RequestBody.MIN_STREAMED_BYTES && length <= Integer.MAX_VALUE) {
             body = HttpUtil.is100ContinueExpected(request)
-                    ? RequestBody.keptBack((int) length, link.incoming(), this::askForBody)
+                    ? RequestBody.deferred((int) length, link.incoming(), this::askForBody)
                     : RequestBody.incoming((int) length, link.incoming());
             serve();
             return;
--- a/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
@@ -62,7 +62,7 @@
      * @param link that it comes over
      * @param asker asks the sender for it
      */
-    public static RequestBody keptBack(int length, IncomingLink link, Runnable asker) {
+    public static RequestBody deferred(int length, IncomingLink link, Runnable asker) {
         RequestBody body = incoming(length, link);
         body.sendRequester = Optional.of(asker);
         return body;
