--- a/org.berylwick.node/src/org/berylwick/node/call/BodyGate.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/BodyGate.java
@@ -36,12 +36,12 @@
 
     /** How long what was taken before a body still takes over the link. */
     long aheadNanos(RequestBody body) {
-        return Math.max(0, link.busyNanos() - link.transferNanos(body.missing()));
+        return Math.max(0, link.busyNanos() - link.transferNanos(body.missingBytes()));
     }
 
     /** How long a body itself takes over the link from when it is asked for. */
     long comingNanos(RequestBody body) {
-        return link.transferNanos(body.missing());
+        return link.transferNanos(body.missingBytes());
     }
 
     /** Takes a request whose body is still to come. */
@@ -73,7 +73,7 @@
     private long comingNanos() {
         long nanos = 0;
         for (OwnerRun run : coming) {
-            nanos += link.transferNanos(run.call().body().missing());
+            nanos += link.transferNanos(run.call().body().missingBytes());
         }
         return nanos;
     }
--- a/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
@@ -79,7 +79,7 @@
     }
 
     /** Bytes that have not come yet. */
-    public int missing() {
+    public int missingBytes() {
         return length - receivedBytes.readableBytes();
     }
 
@@ -102,7 +102,7 @@
 
     /** A part has come; it is released with the body. */
     public void add(ByteBuf part) {
-        if (released || complete || part.readableBytes() > missing()) {
+        if (released || complete || part.readableBytes() > missingBytes()) {
             part.release();
             return;
         }
@@ -147,7 +147,7 @@
         }
         released = true;
         subscribers.clear();
-        link.onBytesReceived(missing());
+        link.onBytesReceived(missingBytes());
         receivedBytes.release();
     }
 }
