--- a/org.berylwick.node/src/org/berylwick/node/call/BodyGate.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/BodyGate.java
@@ -46,7 +46,7 @@
 
     /** Takes a request whose body is still to come. */
     void add(OwnerRun run, boolean timely, long now) {
-        if (!run.call().body().isKeptBack()) {
+        if (!run.call().body().isDeferred()) {
             coming.add(run);
             return;
         }
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -138,7 +138,7 @@
 
     /** Waits until its body is whole; if that is kept back, no longer for its turn than its entry said. */
     void awaitBody() {
-        boolean keptBack = call.body().isKeptBack();
+        boolean keptBack = call.body().isDeferred();
         expiry = clock.at(keptBack ? longestWait() : call.deadlineAt(), this::onWaitedEnough);
         call.body().follow(this);
     }
--- a/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
@@ -84,7 +84,7 @@
     }
 
     /** Whether its sender waits to be asked for it. */
-    public boolean isKeptBack() {
+    public boolean isDeferred() {
         return sendRequester.isPresent();
     }
 
