--- a/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
@@ -89,7 +89,7 @@
     }
 
     /** Asks the sender for it, if that waits to be asked. */
-    public void ask() {
+    public void requestSending() {
         Optional<Runnable> once = sendRequester;
         sendRequester = Optional.empty();
         once.ifPresent(Runnable::run);
