--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -383,7 +383,7 @@
         trace.onGivenUp(why);
         live.ifPresent(a -> {
             // A backend server is sent nothing of a request before all of it is at its owner.
-            mayHaveRun += spec.body().isWhole() ? 1 : 0;
+            mayHaveRun += spec.body().isComplete() ? 1 : 0;
             trace.onOutcome(a, "PENDING");
         });
         unheard.ifPresent(a -> trace.onOutcome(a, "PENDING"));
--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -281,7 +281,7 @@
             return run;
         }
         run.announceAnswer();
-        if (call.body().isWhole()) {
+        if (call.body().isComplete()) {
             enqueue(run);
         } else {
             run.awaitBody();
@@ -327,7 +327,7 @@
             return Optional.of(Refusal.Reason.EXPIRED);
         }
         long linkWait = run.waitForLink();
-        if (running.size() < b.slots() && call.body().isWhole() && linkWait == 0) {
+        if (running.size() < b.slots() && call.body().isComplete() && linkWait == 0) {
             return Optional.empty();
         }
         long wait = Math.max(Math.max(waitFor(run, b), linkWait), gate.aheadNanos(call.body()));
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -329,7 +329,7 @@
     private void releaseBody() {
         if (body != null) {
             // What is still to come of a request that was answered early belongs to nothing.
-            dropping = !body.isWhole();
+            dropping = !body.isComplete();
             body.release();
             body = null;
         }
--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -97,7 +97,7 @@
     private final class BodyWriter implements RequestBody.Subscriber {
         @Override
         public void onRequestBodyPart(ByteBuf part) {
-            if (pendingBody.isWhole()) {
+            if (pendingBody.isComplete()) {
                 channel.write(new DefaultHttpContent(part));
             } else {
                 channel.writeAndFlush(new DefaultHttpContent(part));
--- a/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
@@ -96,7 +96,7 @@
     }
 
     /** Whether all of it is there. */
-    public boolean isWhole() {
+    public boolean isComplete() {
         return complete;
     }
 
