--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedWay.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedWay.java
@@ -145,7 +145,7 @@
             if (over) {
                 return;
             }
-            to.add(ZEROS.retainedSlice(0, bytes));
+            to.addPart(ZEROS.retainedSlice(0, bytes));
             if (arrived == to.length()) {
                 to.end();
             }
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -196,7 +196,7 @@
 
     private void takePart(HttpContent content) {
         quietSince = System.nanoTime();
-        body.add(content.content());
+        body.addPart(content.content());
         if (!(content instanceof LastHttpContent)) {
             return;
         }
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -126,7 +126,7 @@
 
     private void takePart(HttpContent content, boolean last) {
         RequestBody coming = body;
-        coming.add(content.content());
+        coming.addPart(content.content());
         if (last) {
             coming.end();
         }
--- a/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
@@ -101,7 +101,7 @@
     }
 
     /** A part has come; it is released with the body. */
-    public void add(ByteBuf part) {
+    public void addPart(ByteBuf part) {
         if (released || complete || part.readableBytes() > missingBytes()) {
             part.release();
             return;
