--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedWay.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedWay.java
@@ -147,7 +147,7 @@
             }
             to.addPart(ZEROS.retainedSlice(0, bytes));
             if (arrived == to.length()) {
-                to.end();
+                to.markComplete();
             }
         }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -202,7 +202,7 @@
         }
         RequestBody came = body;
         body = null;
-        came.end();
+        came.markComplete();
         // It may have been answered before its body was in.
         takeAhead();
     }
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -128,7 +128,7 @@
         RequestBody coming = body;
         coming.addPart(content.content());
         if (last) {
-            coming.end();
+            coming.markComplete();
         }
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
@@ -114,7 +114,7 @@
     }
 
     /** All parts have come. */
-    public void end() {
+    public void markComplete() {
         if (released || complete) {
             return;
         }
