--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedWay.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedWay.java
@@ -44,7 +44,7 @@
     /** Sends a body as it comes, to one that comes at the other end. */
     BodyFlow flow(RequestBody from, RequestBody to) {
         BodyFlow flow = new BodyFlow(from, to);
-        from.follow(flow);
+        from.subscribe(flow);
         return flow;
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -140,7 +140,7 @@
     void awaitBody() {
         boolean keptBack = call.body().isDeferred();
         expiry = clock.at(keptBack ? longestWait() : call.deadlineAt(), this::onWaitedEnough);
-        call.body().follow(this);
+        call.body().subscribe(this);
     }
 
     private long longestWait() {
--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -88,7 +88,7 @@
         pendingBody = requestBody;
         bodyRequested = !HttpUtil.is100ContinueExpected(request);
         if (bodyRequested) {
-            pendingBody.follow(bodyWriter);
+            pendingBody.subscribe(bodyWriter);
         }
         channel.flush();
     }
@@ -161,7 +161,7 @@
             discarding = true;
             if (status == HttpResponseStatus.CONTINUE.code() && !bodyRequested) {
                 bodyRequested = true;
-                pendingBody.follow(bodyWriter);
+                pendingBody.subscribe(bodyWriter);
             }
             return;
         }
--- a/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
@@ -125,7 +125,7 @@
     }
 
     /** Tells what is there now, and then the rest until {@link #unfollow}. */
-    public void follow(Subscriber follower) {
+    public void subscribe(Subscriber follower) {
         subscribers.add(follower);
         if (receivedBytes.isReadable()) {
             follower.onRequestBodyPart(receivedBytes.retainedDuplicate());
