--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedWay.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedWay.java
@@ -155,7 +155,7 @@
         void stop() {
             over = true;
             stream.stop();
-            from.unfollow(this);
+            from.unsubscribe(this);
         }
     }
 }
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -342,7 +342,7 @@
         if (expiry != null) {
             expiry.cancel();
         }
-        call.body().unfollow(this);
+        call.body().unsubscribe(this);
         owner.onOver(this);
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -113,7 +113,7 @@
 
     private void stopWritingBody() {
         if (pendingBody != null) {
-            pendingBody.unfollow(bodyWriter);
+            pendingBody.unsubscribe(bodyWriter);
             pendingBody = null;
         }
     }
--- a/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
@@ -124,7 +124,7 @@
         }
     }
 
-    /** Tells what is there now, and then the rest until {@link #unfollow}. */
+    /** Tells what is there now, and then the rest until {@link #unsubscribe}. */
     public void subscribe(Subscriber follower) {
         subscribers.add(follower);
         if (receivedBytes.isReadable()) {
@@ -136,7 +136,7 @@
     }
 
     /** Tells a follower nothing more. */
-    public void unfollow(Subscriber follower) {
+    public void unsubscribe(Subscriber follower) {
         subscribers.remove(follower);
     }
 
