--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedServer.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedServer.java
@@ -198,7 +198,7 @@
         }
 
         @Override
-        public boolean isSentWhole() {
+        public boolean isRequestFullySent() {
             return true;
         }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
@@ -71,7 +71,7 @@
         if (over || connection == null) {
             return;
         }
-        if (connection.isSentWhole()) {
+        if (connection.isRequestFullySent()) {
             listener.onUnheard();
             return;
         }
@@ -118,7 +118,7 @@
 
     @Override
     public void onFailure(String cause) {
-        boolean sentWhole = connection == null || connection.isSentWhole();
+        boolean sentWhole = connection == null || connection.isRequestFullySent();
         connection = null;
         if (over) {
             return;
--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -119,7 +119,7 @@
     }
 
     @Override
-    public boolean isSentWhole() {
+    public boolean isRequestFullySent() {
         return lastWrite != null;
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/transport/ServerConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ServerConnection.java
@@ -14,7 +14,7 @@
     void send(HttpRequest request, RequestBody body, HttpResponseHandler waiter);
 
     /** Whether all of the request that was sent last was handed to the connection; before that nobody has it whole. */
-    boolean isSentWhole();
+    boolean isRequestFullySent();
 
     /** Gives it back without having used it. */
     void giveBack();
--- a/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
@@ -71,7 +71,7 @@
         }
 
         @Override
-        public boolean isSentWhole() {
+        public boolean isRequestFullySent() {
             return true;
         }
 
