--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedServer.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedServer.java
@@ -203,7 +203,7 @@
         }
 
         @Override
-        public void giveBack() {}
+        public void returnUnused() {}
 
         @Override
         public void readOn(boolean on) {
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -216,13 +216,13 @@
 
     private void send(ServerConnection to) {
         if (over) {
-            to.giveBack();
+            to.returnUnused();
             return;
         }
         long now = clock.now();
         long left = (call.deadlineAt() - RETURN_NANOS - now) / 1_000_000;
         if (left <= 0) {
-            to.giveBack();
+            to.returnUnused();
             refuse(Refusal.Reason.EXPIRED, false);
             return;
         }
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
@@ -51,7 +51,7 @@
 
     private void send(ServerConnection to) {
         if (over) {
-            to.giveBack();
+            to.returnUnused();
             return;
         }
         connection = to;
--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -72,7 +72,7 @@
     }
 
     @Override
-    public void giveBack() {
+    public void returnUnused() {
         onIdle.accept(this);
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/transport/ServerConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ServerConnection.java
@@ -17,7 +17,7 @@
     boolean isRequestFullySent();
 
     /** Gives it back without having used it. */
-    void giveBack();
+    void returnUnused();
 
     /** Stops or resumes reading, so that a slow receiver holds back the server. */
     void readOn(boolean on);
--- a/org.berylwick.node/src/org/berylwick/node/transport/SmallHttpCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/SmallHttpCall.java
@@ -63,7 +63,7 @@
 
     private void send(ServerConnection to) {
         if (over) {
-            to.giveBack();
+            to.returnUnused();
             return;
         }
         connection = to;
--- a/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
@@ -91,7 +91,7 @@
         }
 
         @Override
-        public void giveBack() {
+        public void returnUnused() {
             // There is one for all.
         }
 
