--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedServer.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedServer.java
@@ -206,7 +206,7 @@
         public void returnUnused() {}
 
         @Override
-        public void readOn(boolean on) {
+        public void setAutoRead(boolean on) {
             boolean resumes = on && !reading;
             reading = on;
             if (resumes && unwritten > 0) {
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -369,7 +369,7 @@
     @Override
     public void readOn(boolean on) {
         if (connection != null) {
-            connection.readOn(on);
+            connection.setAutoRead(on);
         }
     }
 }
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
@@ -155,7 +155,7 @@
     @Override
     public void readOn(boolean on) {
         if (connection != null) {
-            connection.readOn(on);
+            connection.setAutoRead(on);
         }
     }
 }
--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -124,7 +124,7 @@
     }
 
     @Override
-    public void readOn(boolean on) {
+    public void setAutoRead(boolean on) {
         channel.config().setAutoRead(on);
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/transport/ServerConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ServerConnection.java
@@ -20,7 +20,7 @@
     void returnUnused();
 
     /** Stops or resumes reading, so that a slow receiver holds back the server. */
-    void readOn(boolean on);
+    void setAutoRead(boolean on);
 
     /** Closes it; an exchange that waits on it hears nothing more. */
     void abandon();
--- a/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
@@ -96,7 +96,7 @@
         }
 
         @Override
-        public void readOn(boolean on) {
+        public void setAutoRead(boolean on) {
             // Answers are short.
         }
 
