--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedServer.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedServer.java
@@ -215,7 +215,7 @@
         }
 
         @Override
-        public void abandon() {
+        public void abort() {
             waiter = Optional.empty();
             end.ifPresent(Clock.Alarm::cancel);
             abandonCall.ifPresent(Runnable::run);
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -348,7 +348,7 @@
 
     private void closeConnection() {
         if (connection != null) {
-            connection.abandon();
+            connection.abort();
             connection = null;
         }
     }
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
@@ -76,7 +76,7 @@
             return;
         }
         // An owner sends nothing on that it does not have whole, and will not get it now.
-        connection.abandon();
+        connection.abort();
         onFailure("silent");
     }
 
@@ -147,7 +147,7 @@
         }
         finish();
         if (connection != null) {
-            connection.abandon();
+            connection.abort();
             connection = null;
         }
     }
--- a/org.berylwick.node/src/org/berylwick/node/transport/ConnectionPool.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ConnectionPool.java
@@ -99,7 +99,7 @@
             if (connection.isIdle() && now - connection.idleSince() <= usableIdleNanos(connection, maxIdleNanos)) {
                 return null;
             }
-            idleConnections.pollFirst().abandon();
+            idleConnections.pollFirst().abort();
         }
         return null;
     }
@@ -134,7 +134,7 @@
             HttpConnection connection = connecting.channel().pipeline().get(HttpConnection.class);
             openConnections.add(connection);
             if (closed) {
-                connection.abandon();
+                connection.abort();
                 onFailure.accept("pool is closed");
                 return;
             }
@@ -154,7 +154,7 @@
 
     private void returnToPool(HttpConnection connection) {
         if (closed) {
-            connection.abandon();
+            connection.abort();
             return;
         }
         idleConnections.addFirst(connection);
@@ -173,7 +173,7 @@
             if (now - oldest.idleSince() <= usableIdleNanos(oldest, maxIdleNanos)) {
                 return;
             }
-            idleConnections.pollLast().abandon();
+            idleConnections.pollLast().abort();
         }
     }
 
@@ -181,7 +181,7 @@
     public void close() {
         closed = true;
         while (!idleConnections.isEmpty()) {
-            idleConnections.pollFirst().abandon();
+            idleConnections.pollFirst().abort();
         }
     }
 }
--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -129,7 +129,7 @@
     }
 
     @Override
-    public void abandon() {
+    public void abort() {
         stopWritingBody();
         responseHandler = null;
         channel.close();
--- a/org.berylwick.node/src/org/berylwick/node/transport/ServerConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ServerConnection.java
@@ -23,7 +23,7 @@
     void setAutoRead(boolean on);
 
     /** Closes it; an exchange that waits on it hears nothing more. */
-    void abandon();
+    void abort();
 
     /** Requests answered on it. */
     int served();
--- a/org.berylwick.node/src/org/berylwick/node/transport/SmallHttpCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/SmallHttpCall.java
@@ -106,7 +106,7 @@
             return;
         }
         if (connection != null) {
-            connection.abandon();
+            connection.abort();
         }
         fail("no answer in time");
     }
--- a/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
@@ -101,7 +101,7 @@
         }
 
         @Override
-        public void abandon() {
+        public void abort() {
             // Answers always come.
         }
 
