--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedServer.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedServer.java
@@ -223,7 +223,7 @@
         }
 
         @Override
-        public int served() {
+        public int servedRequests() {
             return 0;
         }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -228,7 +228,7 @@
         }
         connection = to;
         sentAt = now;
-        idleNanos = to.served() == 0 ? 0 : now - to.idleSince();
+        idleNanos = to.servedRequests() == 0 ? 0 : now - to.idleSince();
         HttpHeaders headers = Headers.copy(call.headers());
         headers.set(names.deadline(), left);
         headers.set(names.target(), backend.incarnation());
--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -62,7 +62,7 @@
     }
 
     @Override
-    public int served() {
+    public int servedRequests() {
         return servedRequests;
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/transport/ServerConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ServerConnection.java
@@ -26,7 +26,7 @@
     void abort();
 
     /** Requests answered on it. */
-    int served();
+    int servedRequests();
 
     /** When the last answer ended, in {@link System#nanoTime} terms. */
     long idleSince();
--- a/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
@@ -106,7 +106,7 @@
         }
 
         @Override
-        public int served() {
+        public int servedRequests() {
             return 1;
         }
 
