--- a/org.berylwick.node/src/org/berylwick/node/transport/SmallHttpCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/SmallHttpCall.java
@@ -17,7 +17,7 @@
     private final HttpRequest request;
     private final byte[] body;
     private final Consumer<Result> onResult;
-    private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream responseBody = new ByteArrayOutputStream();
     private ServerConnection connection;
     private int status;
     private HttpHeaders headers = EmptyHttpHeaders.INSTANCE;
@@ -82,13 +82,13 @@
         byte[] copy = new byte[part.readableBytes()];
         part.readBytes(copy);
         part.release();
-        bytes.writeBytes(copy);
+        responseBody.writeBytes(copy);
     }
 
     @Override
     public void onEnd() {
         connection = null;
-        finish(new Result.Answered(status, headers, bytes.toByteArray()));
+        finish(new Result.Answered(status, headers, responseBody.toByteArray()));
     }
 
     @Override
