--- a/org.berylwick.node/src/org/berylwick/node/transport/SmallHttpCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/SmallHttpCall.java
@@ -21,7 +21,7 @@
     private ServerConnection connection;
     private int status;
     private HttpHeaders headers = EmptyHttpHeaders.INSTANCE;
-    private boolean over;
+    private boolean finished;
 
     /** What became of a call. */
     public sealed interface Result {
@@ -62,7 +62,7 @@
     }
 
     private void send(ServerConnection to) {
-        if (over) {
+        if (finished) {
             to.returnUnused();
             return;
         }
@@ -102,7 +102,7 @@
     }
 
     private void onTimeout() {
-        if (over) {
+        if (finished) {
             return;
         }
         if (connection != null) {
@@ -112,10 +112,10 @@
     }
 
     private void finish(Result result) {
-        if (over) {
+        if (finished) {
             return;
         }
-        over = true;
+        finished = true;
         onResult.accept(result);
     }
 }
