--- a/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
@@ -95,7 +95,7 @@
                 "incarnation",
                 found.map(BackendReport::incarnation).orElse(""),
                 "answer",
-                result instanceof SmallHttpCall.Result.Answered a ? a.status() : 0);
+                result instanceof SmallHttpCall.Result.Completed a ? a.status() : 0);
         if (found.isPresent() && owner.backend().isEmpty()) {
             owner.onReport(found.get());
             return;
@@ -104,7 +104,7 @@
     }
 
     private Optional<BackendReport> read(SmallHttpCall.Result result) {
-        if (!(result instanceof SmallHttpCall.Result.Answered answered) || answered.status() != 200) {
+        if (!(result instanceof SmallHttpCall.Result.Completed answered) || answered.status() != 200) {
             return Optional.empty();
         }
         String incarnation = answered.headers().get(names.instance(), "");
--- a/org.berylwick.node/src/org/berylwick/node/transport/SmallHttpCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/SmallHttpCall.java
@@ -26,7 +26,7 @@
     /** What became of a call. */
     public sealed interface Result {
         /** The whole answer. */
-        record Answered(int status, HttpHeaders headers, byte[] body) implements Result {}
+        record Completed(int status, HttpHeaders headers, byte[] body) implements Result {}
 
         /** There was none. */
         record Failed(String cause) implements Result {}
@@ -88,7 +88,7 @@
     @Override
     public void onEnd() {
         connection = null;
-        finish(new Result.Answered(status, headers, responseBody.toByteArray()));
+        finish(new Result.Completed(status, headers, responseBody.toByteArray()));
     }
 
     @Override
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionFetcher.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionFetcher.java
@@ -126,7 +126,7 @@
 
     private void onResult(Member from, SmallHttpCall.Result result) {
         fetching = false;
-        if (!(result instanceof SmallHttpCall.Result.Answered answered) || answered.status() != 200) {
+        if (!(result instanceof SmallHttpCall.Result.Completed answered) || answered.status() != 200) {
             // Its link may be full of this very version: that says nothing of the requests it runs.
             instruments.counters().increment(NodeMetricNames.VERSIONS_FETCH_FAILURES);
             fetchAgain();
