--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -33,7 +33,7 @@
 import org.berylwick.node.member.NodeState;
 import org.berylwick.node.transport.ConnectionPool;
 import org.berylwick.node.transport.EventLoopClock;
-import org.berylwick.node.transport.SmallHttpServer;
+import org.berylwick.node.transport.BufferedHttpServer;
 import org.berylwick.node.transport.VmLink;
 import org.berylwick.node.version.VersionKeeper;
 
@@ -164,17 +164,17 @@
     /** Opens the ports and starts. */
     public void start() {
         registerGauges();
-        SmallHttpServer.open(loop, settings.heartbeats(), this::handleHeartbeat);
+        BufferedHttpServer.open(loop, settings.heartbeats(), this::handleHeartbeat);
         gossip.start();
         peerServer.start();
         entryServer.start();
-        SmallHttpServer.open(loop, settings.readiness(), q -> handleReadinessRequest());
+        BufferedHttpServer.open(loop, settings.readiness(), q -> handleReadinessRequest());
         if (settings.metricsPort() > 0) {
             InetSocketAddress address = new InetSocketAddress(settings.ip(), settings.metricsPort());
-            SmallHttpServer.open(
+            BufferedHttpServer.open(
                     loop,
                     address,
-                    q -> SmallHttpServer.Answer.of("text/plain", counters.render().getBytes(StandardCharsets.UTF_8)));
+                    q -> BufferedHttpServer.Answer.of("text/plain", counters.render().getBytes(StandardCharsets.UTF_8)));
         }
         loop.execute(this::startBackgroundTasks);
         log.write(
@@ -250,12 +250,12 @@
         return !memberTable.all().isEmpty() || System.nanoTime() - startedAt > READY_WITHOUT_PEERS_AFTER_NANOS;
     }
 
-    private SmallHttpServer.Answer handleReadinessRequest() {
+    private BufferedHttpServer.Answer handleReadinessRequest() {
         if (isReady()) {
-            return SmallHttpServer.Answer.ofStatus(200);
+            return BufferedHttpServer.Answer.ofStatus(200);
         }
         shutdown.onReadinessProbeFailed();
-        return SmallHttpServer.Answer.ofStatus(503);
+        return BufferedHttpServer.Answer.ofStatus(503);
     }
 
     private boolean isStoreReader() {
@@ -356,18 +356,18 @@
                 (System.nanoTime() - member.heardAt()) / 1_000_000);
     }
 
-    private SmallHttpServer.Answer handleHeartbeat(SmallHttpServer.Question question) {
+    private BufferedHttpServer.Answer handleHeartbeat(BufferedHttpServer.Question question) {
         HeartbeatProtocol protocol = platform.heartbeatProtocol();
         switch (protocol.read(question.method(), question.uri(), question.body())) {
             case HeartbeatProtocol.Announcement.Report report -> owner.onReport(report.report());
             case HeartbeatProtocol.Announcement.Leave leave -> owner.onLeave(leave.incarnation());
             case HeartbeatProtocol.Announcement.Malformed malformed -> {
                 log.write(Event.BACKEND_REPORT_IGNORED, "incarnation", "", "why", malformed.why());
-                return SmallHttpServer.Answer.ofStatus(400);
+                return BufferedHttpServer.Answer.ofStatus(400);
             }
         }
         counters.increment(NodeMetricNames.HEARTBEATS_ACKNOWLEDGED);
-        return SmallHttpServer.Answer.of("application/json", protocol.acknowledgement());
+        return BufferedHttpServer.Answer.of("application/json", protocol.acknowledgement());
     }
 
     /** Reads the settings again, without a pause for callers. */
--- a/org.berylwick.node/src/org/berylwick/node/transport/SmallHttpServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/BufferedHttpServer.java
@@ -24,7 +24,7 @@
 import java.util.function.Function;
 
 /** A port for short questions: readiness, heartbeats, counters. */
-public final class SmallHttpServer implements AutoCloseable {
+public final class BufferedHttpServer implements AutoCloseable {
     private static final int MAX_BODY_BYTES = 65_536;
 
     private final Channel listener;
@@ -58,7 +58,7 @@
         }
     }
 
-    private SmallHttpServer(Channel listener) {
+    private BufferedHttpServer(Channel listener) {
         this.listener = listener;
     }
 
@@ -69,7 +69,7 @@
      * @param address to listen on
      * @param answers makes them
      */
-    public static SmallHttpServer open(EventLoop loop, InetSocketAddress address, Function<Question, Answer> answers) {
+    public static BufferedHttpServer open(EventLoop loop, InetSocketAddress address, Function<Question, Answer> answers) {
         Channel listener = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
@@ -84,7 +84,7 @@
                 .bind(address)
                 .syncUninterruptibly()
                 .channel();
-        return new SmallHttpServer(listener);
+        return new BufferedHttpServer(listener);
     }
 
     /** The port that was opened. */
--- a/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
@@ -18,7 +18,7 @@
 import org.berylwick.node.lib.BackendState;
 import org.berylwick.node.lib.OwnerLoad;
 import org.berylwick.node.member.NodeState;
-import org.berylwick.node.transport.SmallHttpServer;
+import org.berylwick.node.transport.BufferedHttpServer;
 import org.berylwick.node.version.VersionDeltaCodec;
 import org.berylwick.node.version.VersionKeeper;
 import org.berylwick.testing.Await;
@@ -109,9 +109,9 @@
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try (NodeRig rig = new NodeRig();
                 DatagramSocket socket = new DatagramSocket(rig.gossip(9))) {
-            SmallHttpServer.open((EventLoop) group.next(), rig.peers(9), q -> {
+            BufferedHttpServer.open((EventLoop) group.next(), rig.peers(9), q -> {
                 asked.add(q.uri().substring(q.uri().indexOf('=') + 1));
-                return SmallHttpServer.Answer.of("", asked.size() == 1 ? delivery(5, changed) : delivery(0, whole));
+                return BufferedHttpServer.Answer.of("", asked.size() == 1 ? delivery(5, changed) : delivery(0, whole));
             });
             rig.configuration.accept(NodeRig.version(5));
             rig.configuration.keep(NodeRig.version(6));
--- a/org.berylwick.test/tst/org/berylwick/platform/ForeignEntriesTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/ForeignEntriesTest.java
@@ -26,7 +26,7 @@
 import org.berylwick.node.lib.BackendState;
 import org.berylwick.node.member.HeartbeatProtocol.Announcement;
 import org.berylwick.node.member.NodeDirectory.Answer;
-import org.berylwick.node.transport.SmallHttpServer;
+import org.berylwick.node.transport.BufferedHttpServer;
 import org.berylwick.node.version.ConfigurationSource;
 import org.junit.jupiter.api.Test;
 
@@ -117,14 +117,14 @@
         List<String> asked = new ArrayList<>();
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = (EventLoop) group.next();
-        try (SmallHttpServer server = SmallHttpServer.open(loop, new InetSocketAddress("127.0.0.1", 0), q -> {
+        try (BufferedHttpServer server = BufferedHttpServer.open(loop, new InetSocketAddress("127.0.0.1", 0), q -> {
             asked.add(q.uri());
             Matcher after = Pattern.compile("after=(\\w+)").matcher(q.uri());
             String page = !after.find()
                     ? entry("a", "\"10.0.0.1\"") + "," + entry("b", "7") + ",{\"spec\":{\"ip\":\"10.0.0.3\"}}"
                     : after.group(1).equals("b") ? entry("c", "\"\"") + "," + entry("d", "\"10.0.0.4\"") : "";
             boolean more = !page.isEmpty();
-            return SmallHttpServer.Answer.of(
+            return BufferedHttpServer.Answer.of(
                     "application/json",
                     ("{\"items\":[" + page + "],\"more\":" + more + "}").getBytes(StandardCharsets.UTF_8));
         })) {
--- a/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import org.berylwick.node.transport.SmallHttpServer;
+import org.berylwick.node.transport.BufferedHttpServer;
 import org.berylwick.node.version.ConfigurationSource.Answer;
 import org.berylwick.node.version.ConfigurationSource.Freshness;
 import org.junit.jupiter.api.AfterEach;
@@ -34,10 +34,10 @@
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = (EventLoop) group.next();
     private final List<String> asked = new CopyOnWriteArrayList<>();
-    private SmallHttpServer server;
+    private BufferedHttpServer server;
     private StoredConfiguration configuration;
 
-    private SmallHttpServer.Answer answer(SmallHttpServer.Question question) {
+    private BufferedHttpServer.Answer answer(BufferedHttpServer.Question question) {
         asked.add(question.uri());
         int at = question.uri().indexOf("watch=");
         if (at < 0) {
@@ -46,18 +46,18 @@
         int from =
                 Integer.parseInt(question.uri().substring(at + 6, question.uri().indexOf('&')));
         if (from < OLDEST_KEPT) {
-            return SmallHttpServer.Answer.ofStatus(410);
+            return BufferedHttpServer.Answer.ofStatus(410);
         }
         return json("{\"events\":[],\"asOf\":" + (REVISION + 1) + "}");
     }
 
-    private static SmallHttpServer.Answer json(String text) {
-        return SmallHttpServer.Answer.of("application/json", text.getBytes(StandardCharsets.UTF_8));
+    private static BufferedHttpServer.Answer json(String text) {
+        return BufferedHttpServer.Answer.of("application/json", text.getBytes(StandardCharsets.UTF_8));
     }
 
     @BeforeEach
     void open() {
-        server = SmallHttpServer.open(loop, new InetSocketAddress("127.0.0.1", 0), this::answer);
+        server = BufferedHttpServer.open(loop, new InetSocketAddress("127.0.0.1", 0), this::answer);
         configuration =
                 new StoredConfiguration(new ObjectStore(loop, new InetSocketAddress("127.0.0.1", server.port())));
     }
