--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -356,7 +356,7 @@
                 (System.nanoTime() - member.heardAt()) / 1_000_000);
     }
 
-    private BufferedHttpServer.Answer handleHeartbeat(BufferedHttpServer.Question question) {
+    private BufferedHttpServer.Answer handleHeartbeat(BufferedHttpServer.Request question) {
         HeartbeatProtocol protocol = platform.heartbeatProtocol();
         switch (protocol.read(question.method(), question.uri(), question.body())) {
             case HeartbeatProtocol.Announcement.Report report -> owner.onReport(report.report());
--- a/org.berylwick.node/src/org/berylwick/node/transport/BufferedHttpServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/BufferedHttpServer.java
@@ -37,7 +37,7 @@
      * @param headers of it, by lower-case name
      * @param body whole
      */
-    public record Question(String method, String uri, Map<String, String> headers, byte[] body) {}
+    public record Request(String method, String uri, Map<String, String> headers, byte[] body) {}
 
     /**
      * An answer.
@@ -69,7 +69,7 @@
      * @param address to listen on
      * @param answers makes them
      */
-    public static BufferedHttpServer open(EventLoop loop, InetSocketAddress address, Function<Question, Answer> answers) {
+    public static BufferedHttpServer open(EventLoop loop, InetSocketAddress address, Function<Request, Answer> answers) {
         Channel listener = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
@@ -98,9 +98,9 @@
     }
 
     private static final class Handler extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private final Function<Question, Answer> answers;
+        private final Function<Request, Answer> answers;
 
-        Handler(Function<Question, Answer> answers) {
+        Handler(Function<Request, Answer> answers) {
             this.answers = answers;
         }
 
@@ -110,7 +110,7 @@
             request.content().readBytes(body);
             Map<String, String> headers = new HashMap<>();
             request.headers().forEach(h -> headers.put(h.getKey().toLowerCase(Locale.ROOT), h.getValue()));
-            Answer answer = answers.apply(new Question(request.method().name(), request.uri(), headers, body));
+            Answer answer = answers.apply(new Request(request.method().name(), request.uri(), headers, body));
             FullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1,
                     HttpResponseStatus.valueOf(answer.status()),
--- a/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
@@ -37,7 +37,7 @@
     private BufferedHttpServer server;
     private StoredConfiguration configuration;
 
-    private BufferedHttpServer.Answer answer(BufferedHttpServer.Question question) {
+    private BufferedHttpServer.Answer answer(BufferedHttpServer.Request question) {
         asked.add(question.uri());
         int at = question.uri().indexOf("watch=");
         if (at < 0) {
