--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -174,7 +174,7 @@
             BufferedHttpServer.open(
                     loop,
                     address,
-                    q -> BufferedHttpServer.Answer.of("text/plain", counters.render().getBytes(StandardCharsets.UTF_8)));
+                    q -> BufferedHttpServer.Response.of("text/plain", counters.render().getBytes(StandardCharsets.UTF_8)));
         }
         loop.execute(this::startBackgroundTasks);
         log.write(
@@ -250,12 +250,12 @@
         return !memberTable.all().isEmpty() || System.nanoTime() - startedAt > READY_WITHOUT_PEERS_AFTER_NANOS;
     }
 
-    private BufferedHttpServer.Answer handleReadinessRequest() {
+    private BufferedHttpServer.Response handleReadinessRequest() {
         if (isReady()) {
-            return BufferedHttpServer.Answer.ofStatus(200);
+            return BufferedHttpServer.Response.ofStatus(200);
         }
         shutdown.onReadinessProbeFailed();
-        return BufferedHttpServer.Answer.ofStatus(503);
+        return BufferedHttpServer.Response.ofStatus(503);
     }
 
     private boolean isStoreReader() {
@@ -356,18 +356,18 @@
                 (System.nanoTime() - member.heardAt()) / 1_000_000);
     }
 
-    private BufferedHttpServer.Answer handleHeartbeat(BufferedHttpServer.Request question) {
+    private BufferedHttpServer.Response handleHeartbeat(BufferedHttpServer.Request question) {
         HeartbeatProtocol protocol = platform.heartbeatProtocol();
         switch (protocol.read(question.method(), question.uri(), question.body())) {
             case HeartbeatProtocol.Announcement.Report report -> owner.onReport(report.report());
             case HeartbeatProtocol.Announcement.Leave leave -> owner.onLeave(leave.incarnation());
             case HeartbeatProtocol.Announcement.Malformed malformed -> {
                 log.write(Event.BACKEND_REPORT_IGNORED, "incarnation", "", "why", malformed.why());
-                return BufferedHttpServer.Answer.ofStatus(400);
+                return BufferedHttpServer.Response.ofStatus(400);
             }
         }
         counters.increment(NodeMetricNames.HEARTBEATS_ACKNOWLEDGED);
-        return BufferedHttpServer.Answer.of("application/json", protocol.acknowledgement());
+        return BufferedHttpServer.Response.of("application/json", protocol.acknowledgement());
     }
 
     /** Reads the settings again, without a pause for callers. */
--- a/org.berylwick.node/src/org/berylwick/node/transport/BufferedHttpServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/BufferedHttpServer.java
@@ -46,15 +46,15 @@
      * @param headers of it
      * @param body whole
      */
-    public record Answer(int status, Map<String, String> headers, byte[] body) {
+    public record Response(int status, Map<String, String> headers, byte[] body) {
         /** An answer without a body. */
-        public static Answer ofStatus(int status) {
-            return new Answer(status, Map.of(), new byte[0]);
+        public static Response ofStatus(int status) {
+            return new Response(status, Map.of(), new byte[0]);
         }
 
         /** A good answer with a body of a media type. */
-        public static Answer of(String type, byte[] body) {
-            return new Answer(200, Map.of("Content-Type", type), body);
+        public static Response of(String type, byte[] body) {
+            return new Response(200, Map.of("Content-Type", type), body);
         }
     }
 
@@ -69,7 +69,7 @@
      * @param address to listen on
      * @param answers makes them
      */
-    public static BufferedHttpServer open(EventLoop loop, InetSocketAddress address, Function<Request, Answer> answers) {
+    public static BufferedHttpServer open(EventLoop loop, InetSocketAddress address, Function<Request, Response> answers) {
         Channel listener = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
@@ -98,9 +98,9 @@
     }
 
     private static final class Handler extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private final Function<Request, Answer> answers;
+        private final Function<Request, Response> answers;
 
-        Handler(Function<Request, Answer> answers) {
+        Handler(Function<Request, Response> answers) {
             this.answers = answers;
         }
 
@@ -110,7 +110,7 @@
             request.content().readBytes(body);
             Map<String, String> headers = new HashMap<>();
             request.headers().forEach(h -> headers.put(h.getKey().toLowerCase(Locale.ROOT), h.getValue()));
-            Answer answer = answers.apply(new Request(request.method().name(), request.uri(), headers, body));
+            Response answer = answers.apply(new Request(request.method().name(), request.uri(), headers, body));
             FullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1,
                     HttpResponseStatus.valueOf(answer.status()),
--- a/org.berylwick.test/tst/org/berylwick/platform/ForeignEntriesTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/ForeignEntriesTest.java
@@ -124,7 +124,7 @@
                     ? entry("a", "\"10.0.0.1\"") + "," + entry("b", "7") + ",{\"spec\":{\"ip\":\"10.0.0.3\"}}"
                     : after.group(1).equals("b") ? entry("c", "\"\"") + "," + entry("d", "\"10.0.0.4\"") : "";
             boolean more = !page.isEmpty();
-            return BufferedHttpServer.Answer.of(
+            return BufferedHttpServer.Response.of(
                     "application/json",
                     ("{\"items\":[" + page + "],\"more\":" + more + "}").getBytes(StandardCharsets.UTF_8));
         })) {
--- a/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
@@ -37,7 +37,7 @@
     private BufferedHttpServer server;
     private StoredConfiguration configuration;
 
-    private BufferedHttpServer.Answer answer(BufferedHttpServer.Request question) {
+    private BufferedHttpServer.Response answer(BufferedHttpServer.Request question) {
         asked.add(question.uri());
         int at = question.uri().indexOf("watch=");
         if (at < 0) {
@@ -46,13 +46,13 @@
         int from =
                 Integer.parseInt(question.uri().substring(at + 6, question.uri().indexOf('&')));
         if (from < OLDEST_KEPT) {
-            return BufferedHttpServer.Answer.ofStatus(410);
+            return BufferedHttpServer.Response.ofStatus(410);
         }
         return json("{\"events\":[],\"asOf\":" + (REVISION + 1) + "}");
     }
 
-    private static BufferedHttpServer.Answer json(String text) {
-        return BufferedHttpServer.Answer.of("application/json", text.getBytes(StandardCharsets.UTF_8));
+    private static BufferedHttpServer.Response json(String text) {
+        return BufferedHttpServer.Response.of("application/json", text.getBytes(StandardCharsets.UTF_8));
     }
 
     @BeforeEach
