--- a/org.berylwick.node/src/org/berylwick/node/transport/BufferedHttpServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/BufferedHttpServer.java
@@ -98,10 +98,10 @@
     }
 
     private static final class Handler extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private final Function<Request, Response> answers;
+        private final Function<Request, Response> requestHandler;
 
         Handler(Function<Request, Response> answers) {
-            this.answers = answers;
+            this.requestHandler = answers;
         }
 
         @Override
@@ -110,7 +110,7 @@
             request.content().readBytes(body);
             Map<String, String> headers = new HashMap<>();
             request.headers().forEach(h -> headers.put(h.getKey().toLowerCase(Locale.ROOT), h.getValue()));
-            Response answer = answers.apply(new Request(request.method().name(), request.uri(), headers, body));
+            Response answer = requestHandler.apply(new Request(request.method().name(), request.uri(), headers, body));
             FullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1,
                     HttpResponseStatus.valueOf(answer.status()),
