--- a/org.berylwick.node/src/org/berylwick/node/transport/BufferedHttpServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/BufferedHttpServer.java
@@ -78,7 +78,7 @@
                     protected void initChannel(Channel channel) {
                         channel.pipeline().addLast(new HttpServerCodec());
                         channel.pipeline().addLast(new HttpObjectAggregator(MAX_BODY_BYTES));
-                        channel.pipeline().addLast(new Handler(answers));
+                        channel.pipeline().addLast(new ChannelHandler(answers));
                     }
                 })
                 .bind(address)
@@ -97,10 +97,10 @@
         listener.close();
     }
 
-    private static final class Handler extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private static final class ChannelHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final Function<Request, Response> requestHandler;
 
-        Handler(Function<Request, Response> answers) {
+        ChannelHandler(Function<Request, Response> answers) {
             this.requestHandler = answers;
         }
 
