--- a/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
@@ -16,7 +16,7 @@
 
 /** The order in which answers leave over a narrow link. */
 class OutgoingLinkTest {
-    private static final long MS = 1_000_000L;
+    private static final long NANOS_PER_MS = 1_000_000L;
     private static final double NARROW_MBPS = 7;
     private static final int LARGE = 90_000;
     private static final int SMALL = 2_000;
@@ -62,24 +62,24 @@
     void smallAnswersLeaveAtOnce() {
         NotingWire large = new NotingWire();
         for (int i = 0; i < 3; i++) {
-            send(large, LARGE, 1_000 * MS);
+            send(large, LARGE, 1_000 * NANOS_PER_MS);
         }
-        clock.runUntil(50 * MS);
+        clock.runUntil(50 * NANOS_PER_MS);
         NotingWire small = new NotingWire();
-        send(small, SMALL, 300 * MS);
+        send(small, SMALL, 300 * NANOS_PER_MS);
         assertTrue(small.ended);
-        assertEquals(List.of(50 * MS), small.times);
+        assertEquals(List.of(50 * NANOS_PER_MS), small.times);
     }
 
     /** What was handed to the system ahead is all that stands before a small answer there. */
     @Test
     void littleIsHandedOnAheadOfTime() {
         NotingWire large = new NotingWire();
-        send(large, LARGE, 1_000 * MS);
-        for (long at = 0; at < 60 * MS; at += MS) {
+        send(large, LARGE, 1_000 * NANOS_PER_MS);
+        for (long at = 0; at < 60 * NANOS_PER_MS; at += NANOS_PER_MS) {
             clock.runUntil(at);
             double mayHaveLeft = at * NARROW_MBPS / 8_000;
-            assertTrue(large.bytes - mayHaveLeft <= 28_000, large.bytes + " bytes after " + at / MS + " ms");
+            assertTrue(large.bytes - mayHaveLeft <= 28_000, large.bytes + " bytes after " + at / NANOS_PER_MS + " ms");
         }
     }
 
@@ -88,28 +88,28 @@
     void theOneThatIsDueFirstLeavesFirst() {
         NotingWire later = new NotingWire();
         NotingWire sooner = new NotingWire();
-        send(later, LARGE, 1_000 * MS);
-        send(sooner, LARGE, 500 * MS);
-        clock.runUntil(130 * MS);
+        send(later, LARGE, 1_000 * NANOS_PER_MS);
+        send(sooner, LARGE, 500 * NANOS_PER_MS);
+        clock.runUntil(130 * NANOS_PER_MS);
         assertTrue(sooner.ended);
         assertTrue(!later.ended);
-        clock.runUntil(240 * MS);
+        clock.runUntil(240 * NANOS_PER_MS);
         assertTrue(later.ended);
-        assertTrue(later.times.getLast() > 170 * MS, "faster than the link");
+        assertTrue(later.times.getLast() > 170 * NANOS_PER_MS, "faster than the link");
     }
 
     /** One that is late already gives way to one that can be in time, and is sent all the same. */
     @Test
     void lateAnswerGivesWayAndIsSent() {
-        clock.runUntil(100 * MS);
+        clock.runUntil(100 * NANOS_PER_MS);
         NotingWire late = new NotingWire();
         NotingWire timely = new NotingWire();
-        send(late, LARGE, 50 * MS);
-        send(timely, LARGE, 400 * MS);
-        clock.runUntil(250 * MS);
+        send(late, LARGE, 50 * NANOS_PER_MS);
+        send(timely, LARGE, 400 * NANOS_PER_MS);
+        clock.runUntil(250 * NANOS_PER_MS);
         assertTrue(timely.ended);
         assertTrue(!late.ended);
-        clock.runUntil(400 * MS);
+        clock.runUntil(400 * NANOS_PER_MS);
         assertTrue(late.ended);
         assertEquals(LARGE, late.bytes);
     }
@@ -117,16 +117,16 @@
     /** Guards against a late answer that never leaves while answers that can be in time keep coming. */
     @Test
     void lateAnswerLeavesUnderSteadyLoad() {
-        clock.runUntil(100 * MS);
+        clock.runUntil(100 * NANOS_PER_MS);
         NotingWire late = new NotingWire();
-        send(late, LARGE, 50 * MS);
+        send(late, LARGE, 50 * NANOS_PER_MS);
         // As much as the link carries, so that there is always one that can be in time.
         for (int i = 0; i < 40; i++) {
-            send(new NotingWire(), LARGE, clock.now() + 1_000 * MS);
-            clock.runUntil(clock.now() + 110 * MS);
+            send(new NotingWire(), LARGE, clock.now() + 1_000 * NANOS_PER_MS);
+            clock.runUntil(clock.now() + 110 * NANOS_PER_MS);
         }
         assertTrue(late.ended, late.bytes + " of " + LARGE + " bytes have left");
-        assertTrue(late.times.getLast() < 1_500 * MS, "left after " + late.times.getLast() / MS + " ms");
+        assertTrue(late.times.getLast() < 1_500 * NANOS_PER_MS, "left after " + late.times.getLast() / NANOS_PER_MS + " ms");
     }
 
     /** A connection whose other end does not read holds up its own answer alone. */
@@ -134,15 +134,15 @@
     void stuckConnectionHoldsUpNoOther() {
         NotingWire stuck = new NotingWire();
         stuck.writable = false;
-        OutgoingLink.Flow first = send(stuck, LARGE, 100 * MS);
+        OutgoingLink.Flow first = send(stuck, LARGE, 100 * NANOS_PER_MS);
         NotingWire other = new NotingWire();
-        send(other, LARGE, 1_000 * MS);
-        clock.runUntil(150 * MS);
+        send(other, LARGE, 1_000 * NANOS_PER_MS);
+        clock.runUntil(150 * NANOS_PER_MS);
         assertTrue(other.ended);
         assertEquals(0, stuck.bytes);
         stuck.writable = true;
         first.onWritable();
-        clock.runUntil(300 * MS);
+        clock.runUntil(300 * NANOS_PER_MS);
         assertTrue(stuck.ended);
     }
 
@@ -150,12 +150,12 @@
     @Test
     void makersWaitWhenTooMuchIsHeld() {
         NotingWire first = new NotingWire();
-        send(first, 2_000_000, 1_000 * MS);
+        send(first, 2_000_000, 1_000 * NANOS_PER_MS);
         NotingWire second = new NotingWire();
-        OutgoingLink.Flow flow = link.openFlow(second, 2_000 * MS);
+        OutgoingLink.Flow flow = link.openFlow(second, 2_000 * NANOS_PER_MS);
         flow.write(Unpooled.wrappedBuffer(new byte[LARGE]));
         assertTrue(!second.reading);
-        clock.runUntil(4_000 * MS);
+        clock.runUntil(4_000 * NANOS_PER_MS);
         assertTrue(second.reading);
         flow.finish(() -> second.ended = true);
         assertTrue(second.ended);
@@ -166,25 +166,25 @@
     void sourceIsReadAgainWhenWhatWaitsIsCancelled() {
         NotingWire stuck = new NotingWire();
         stuck.writable = false;
-        OutgoingLink.Flow first = send(stuck, 2_000_000, 1_000 * MS);
+        OutgoingLink.Flow first = send(stuck, 2_000_000, 1_000 * NANOS_PER_MS);
         NotingWire second = new NotingWire();
-        OutgoingLink.Flow flow = link.openFlow(second, 500 * MS);
+        OutgoingLink.Flow flow = link.openFlow(second, 500 * NANOS_PER_MS);
         flow.write(Unpooled.wrappedBuffer(new byte[LARGE]));
         assertTrue(!second.reading);
         first.cancel();
-        clock.runUntil(300 * MS);
+        clock.runUntil(300 * NANOS_PER_MS);
         assertTrue(second.reading);
     }
 
     /** Guards against the most urgent answer waiting for its source while less urgent ones fill the memory. */
     @Test
     void sourceIsReadAgainWhenItsOwnBytesHaveLeft() {
-        send(new NotingWire(), 2_000_000, 2_000 * MS);
+        send(new NotingWire(), 2_000_000, 2_000 * NANOS_PER_MS);
         NotingWire urgent = new NotingWire();
-        OutgoingLink.Flow flow = link.openFlow(urgent, 500 * MS);
+        OutgoingLink.Flow flow = link.openFlow(urgent, 500 * NANOS_PER_MS);
         flow.write(Unpooled.wrappedBuffer(new byte[LARGE]));
         assertTrue(!urgent.reading);
-        clock.runUntil(200 * MS);
+        clock.runUntil(200 * NANOS_PER_MS);
         assertTrue(urgent.reading);
     }
 
@@ -193,13 +193,13 @@
     void sourceIsReadAgainWhenItsConnectionWasStuckFirst() {
         NotingWire wire = new NotingWire();
         wire.writable = false;
-        OutgoingLink.Flow flow = link.openFlow(wire, 1_000 * MS);
+        OutgoingLink.Flow flow = link.openFlow(wire, 1_000 * NANOS_PER_MS);
         flow.write(Unpooled.wrappedBuffer(new byte[SMALL]));
         assertTrue(!wire.reading);
         flow.write(Unpooled.wrappedBuffer(new byte[LARGE]));
         wire.writable = true;
         flow.onWritable();
-        clock.runUntil(300 * MS);
+        clock.runUntil(300 * NANOS_PER_MS);
         assertTrue(wire.reading);
     }
 
@@ -208,7 +208,7 @@
     void wideLinkSendsAtOnce() {
         OutgoingLink wide = new OutgoingLink(1_000, clock);
         NotingWire wire = new NotingWire();
-        OutgoingLink.Flow flow = wide.openFlow(wire, 100 * MS);
+        OutgoingLink.Flow flow = wide.openFlow(wire, 100 * NANOS_PER_MS);
         flow.write(Unpooled.wrappedBuffer(new byte[1_000_000]));
         assertEquals(1_000_000, wire.bytes);
         assertEquals(0, wide.busyNanos());
@@ -225,12 +225,12 @@
     void busyTimeTellsWhatIsMadeAndWhatWaits() {
         link.adjustExpectedBytes(LARGE);
         long one = link.busyNanos();
-        assertTrue(one > 100 * MS && one < 120 * MS, "busy for " + one);
+        assertTrue(one > 100 * NANOS_PER_MS && one < 120 * NANOS_PER_MS, "busy for " + one);
         link.adjustExpectedBytes(-LARGE);
         assertEquals(0, link.busyNanos());
-        send(new NotingWire(), LARGE, 100 * MS);
-        assertTrue(Math.abs(link.busyNanos() - one) < 12 * MS, "busy for " + link.busyNanos());
-        clock.runUntil(200 * MS);
+        send(new NotingWire(), LARGE, 100 * NANOS_PER_MS);
+        assertTrue(Math.abs(link.busyNanos() - one) < 12 * NANOS_PER_MS, "busy for " + link.busyNanos());
+        clock.runUntil(200 * NANOS_PER_MS);
         assertEquals(0, link.busyNanos());
     }
 
@@ -264,13 +264,13 @@
                         @Override
                         public void setSourceReading(boolean on) {}
                     },
-                    time.now() + random.nextInt(1_000) * MS);
+                    time.now() + random.nextInt(1_000) * NANOS_PER_MS);
             int parts = 1 + random.nextInt(4);
             for (int p = 0; p < parts; p++) {
                 int size = random.nextInt(100_000);
                 sizes[i] += size;
                 flow.write(Unpooled.wrappedBuffer(new byte[size]));
-                time.runUntil(time.now() + random.nextInt(40) * MS);
+                time.runUntil(time.now() + random.nextInt(40) * NANOS_PER_MS);
             }
             cancelled[i] = random.nextInt(5) == 0;
             if (cancelled[i]) {
@@ -279,7 +279,7 @@
                 flow.finish(() -> ended[number] = true);
             }
         }
-        time.runUntil(time.now() + 120_000 * MS);
+        time.runUntil(time.now() + 120_000 * NANOS_PER_MS);
         assertEquals(0, any.busyNanos());
         for (int i = 0; i < count; i++) {
             assertEquals(!cancelled[i], ended[i]);
