--- a/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
@@ -18,7 +18,7 @@
 class OutgoingLinkTest {
     private static final long NANOS_PER_MS = 1_000_000L;
     private static final double NARROW_MBPS = 7;
-    private static final int LARGE = 90_000;
+    private static final int LARGE_BYTES = 90_000;
     private static final int SMALL = 2_000;
 
     private final VirtualClock clock = new VirtualClock();
@@ -62,7 +62,7 @@
     void smallAnswersLeaveAtOnce() {
         NotingWire large = new NotingWire();
         for (int i = 0; i < 3; i++) {
-            send(large, LARGE, 1_000 * NANOS_PER_MS);
+            send(large, LARGE_BYTES, 1_000 * NANOS_PER_MS);
         }
         clock.runUntil(50 * NANOS_PER_MS);
         NotingWire small = new NotingWire();
@@ -75,7 +75,7 @@
     @Test
     void littleIsHandedOnAheadOfTime() {
         NotingWire large = new NotingWire();
-        send(large, LARGE, 1_000 * NANOS_PER_MS);
+        send(large, LARGE_BYTES, 1_000 * NANOS_PER_MS);
         for (long at = 0; at < 60 * NANOS_PER_MS; at += NANOS_PER_MS) {
             clock.runUntil(at);
             double mayHaveLeft = at * NARROW_MBPS / 8_000;
@@ -88,8 +88,8 @@
     void theOneThatIsDueFirstLeavesFirst() {
         NotingWire later = new NotingWire();
         NotingWire sooner = new NotingWire();
-        send(later, LARGE, 1_000 * NANOS_PER_MS);
-        send(sooner, LARGE, 500 * NANOS_PER_MS);
+        send(later, LARGE_BYTES, 1_000 * NANOS_PER_MS);
+        send(sooner, LARGE_BYTES, 500 * NANOS_PER_MS);
         clock.runUntil(130 * NANOS_PER_MS);
         assertTrue(sooner.ended);
         assertTrue(!later.ended);
@@ -104,14 +104,14 @@
         clock.runUntil(100 * NANOS_PER_MS);
         NotingWire late = new NotingWire();
         NotingWire timely = new NotingWire();
-        send(late, LARGE, 50 * NANOS_PER_MS);
-        send(timely, LARGE, 400 * NANOS_PER_MS);
+        send(late, LARGE_BYTES, 50 * NANOS_PER_MS);
+        send(timely, LARGE_BYTES, 400 * NANOS_PER_MS);
         clock.runUntil(250 * NANOS_PER_MS);
         assertTrue(timely.ended);
         assertTrue(!late.ended);
         clock.runUntil(400 * NANOS_PER_MS);
         assertTrue(late.ended);
-        assertEquals(LARGE, late.bytes);
+        assertEquals(LARGE_BYTES, late.bytes);
     }
 
     /** Guards against a late answer that never leaves while answers that can be in time keep coming. */
@@ -119,13 +119,13 @@
     void lateAnswerLeavesUnderSteadyLoad() {
         clock.runUntil(100 * NANOS_PER_MS);
         NotingWire late = new NotingWire();
-        send(late, LARGE, 50 * NANOS_PER_MS);
+        send(late, LARGE_BYTES, 50 * NANOS_PER_MS);
         // As much as the link carries, so that there is always one that can be in time.
         for (int i = 0; i < 40; i++) {
-            send(new NotingWire(), LARGE, clock.now() + 1_000 * NANOS_PER_MS);
+            send(new NotingWire(), LARGE_BYTES, clock.now() + 1_000 * NANOS_PER_MS);
             clock.runUntil(clock.now() + 110 * NANOS_PER_MS);
         }
-        assertTrue(late.ended, late.bytes + " of " + LARGE + " bytes have left");
+        assertTrue(late.ended, late.bytes + " of " + LARGE_BYTES + " bytes have left");
         assertTrue(late.times.getLast() < 1_500 * NANOS_PER_MS, "left after " + late.times.getLast() / NANOS_PER_MS + " ms");
     }
 
@@ -134,9 +134,9 @@
     void stuckConnectionHoldsUpNoOther() {
         NotingWire stuck = new NotingWire();
         stuck.writable = false;
-        OutgoingLink.Flow first = send(stuck, LARGE, 100 * NANOS_PER_MS);
+        OutgoingLink.Flow first = send(stuck, LARGE_BYTES, 100 * NANOS_PER_MS);
         NotingWire other = new NotingWire();
-        send(other, LARGE, 1_000 * NANOS_PER_MS);
+        send(other, LARGE_BYTES, 1_000 * NANOS_PER_MS);
         clock.runUntil(150 * NANOS_PER_MS);
         assertTrue(other.ended);
         assertEquals(0, stuck.bytes);
@@ -153,7 +153,7 @@
         send(first, 2_000_000, 1_000 * NANOS_PER_MS);
         NotingWire second = new NotingWire();
         OutgoingLink.Flow flow = link.openFlow(second, 2_000 * NANOS_PER_MS);
-        flow.write(Unpooled.wrappedBuffer(new byte[LARGE]));
+        flow.write(Unpooled.wrappedBuffer(new byte[LARGE_BYTES]));
         assertTrue(!second.reading);
         clock.runUntil(4_000 * NANOS_PER_MS);
         assertTrue(second.reading);
@@ -169,7 +169,7 @@
         OutgoingLink.Flow first = send(stuck, 2_000_000, 1_000 * NANOS_PER_MS);
         NotingWire second = new NotingWire();
         OutgoingLink.Flow flow = link.openFlow(second, 500 * NANOS_PER_MS);
-        flow.write(Unpooled.wrappedBuffer(new byte[LARGE]));
+        flow.write(Unpooled.wrappedBuffer(new byte[LARGE_BYTES]));
         assertTrue(!second.reading);
         first.cancel();
         clock.runUntil(300 * NANOS_PER_MS);
@@ -182,7 +182,7 @@
         send(new NotingWire(), 2_000_000, 2_000 * NANOS_PER_MS);
         NotingWire urgent = new NotingWire();
         OutgoingLink.Flow flow = link.openFlow(urgent, 500 * NANOS_PER_MS);
-        flow.write(Unpooled.wrappedBuffer(new byte[LARGE]));
+        flow.write(Unpooled.wrappedBuffer(new byte[LARGE_BYTES]));
         assertTrue(!urgent.reading);
         clock.runUntil(200 * NANOS_PER_MS);
         assertTrue(urgent.reading);
@@ -196,7 +196,7 @@
         OutgoingLink.Flow flow = link.openFlow(wire, 1_000 * NANOS_PER_MS);
         flow.write(Unpooled.wrappedBuffer(new byte[SMALL]));
         assertTrue(!wire.reading);
-        flow.write(Unpooled.wrappedBuffer(new byte[LARGE]));
+        flow.write(Unpooled.wrappedBuffer(new byte[LARGE_BYTES]));
         wire.writable = true;
         flow.onWritable();
         clock.runUntil(300 * NANOS_PER_MS);
@@ -223,12 +223,12 @@
     /** What is being made counts until it begins, what waits until it has left. */
     @Test
     void busyTimeTellsWhatIsMadeAndWhatWaits() {
-        link.adjustExpectedBytes(LARGE);
+        link.adjustExpectedBytes(LARGE_BYTES);
         long one = link.busyNanos();
         assertTrue(one > 100 * NANOS_PER_MS && one < 120 * NANOS_PER_MS, "busy for " + one);
-        link.adjustExpectedBytes(-LARGE);
+        link.adjustExpectedBytes(-LARGE_BYTES);
         assertEquals(0, link.busyNanos());
-        send(new NotingWire(), LARGE, 100 * NANOS_PER_MS);
+        send(new NotingWire(), LARGE_BYTES, 100 * NANOS_PER_MS);
         assertTrue(Math.abs(link.busyNanos() - one) < 12 * NANOS_PER_MS, "busy for " + link.busyNanos());
         clock.runUntil(200 * NANOS_PER_MS);
         assertEquals(0, link.busyNanos());
