--- a/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
@@ -19,7 +19,7 @@
     private static final long NANOS_PER_MS = 1_000_000L;
     private static final double NARROW_MBPS = 7;
     private static final int LARGE_BYTES = 90_000;
-    private static final int SMALL = 2_000;
+    private static final int SMALL_BYTES = 2_000;
 
     private final VirtualClock clock = new VirtualClock();
     private final OutgoingLink link = new OutgoingLink(NARROW_MBPS, clock);
@@ -66,7 +66,7 @@
         }
         clock.runUntil(50 * NANOS_PER_MS);
         NotingWire small = new NotingWire();
-        send(small, SMALL, 300 * NANOS_PER_MS);
+        send(small, SMALL_BYTES, 300 * NANOS_PER_MS);
         assertTrue(small.ended);
         assertEquals(List.of(50 * NANOS_PER_MS), small.times);
     }
@@ -194,7 +194,7 @@
         NotingWire wire = new NotingWire();
         wire.writable = false;
         OutgoingLink.Flow flow = link.openFlow(wire, 1_000 * NANOS_PER_MS);
-        flow.write(Unpooled.wrappedBuffer(new byte[SMALL]));
+        flow.write(Unpooled.wrappedBuffer(new byte[SMALL_BYTES]));
         assertTrue(!wire.reading);
         flow.write(Unpooled.wrappedBuffer(new byte[LARGE_BYTES]));
         wire.writable = true;
