--- a/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
@@ -25,7 +25,7 @@
     private final OutgoingLink link = new OutgoingLink(NARROW_MBPS, clock);
 
     /** A connection that notes what it was given, and when. */
-    private final class NotingWire implements OutgoingLink.Sink {
+    private final class RecordingSink implements OutgoingLink.Sink {
         private final List<Long> times = new ArrayList<>();
         private int bytes;
         private boolean writable = true;
@@ -50,7 +50,7 @@
         }
     }
 
-    private OutgoingLink.Flow send(NotingWire wire, int bytes, long dueAt) {
+    private OutgoingLink.Flow send(RecordingSink wire, int bytes, long dueAt) {
         OutgoingLink.Flow flow = link.openFlow(wire, dueAt);
         flow.write(Unpooled.wrappedBuffer(new byte[bytes]));
         flow.finish(() -> wire.ended = true);
@@ -60,12 +60,12 @@
     /** A call's answer of 2 KB comes while three of 90 KB wait: it leaves at once. */
     @Test
     void smallAnswersLeaveAtOnce() {
-        NotingWire large = new NotingWire();
+        RecordingSink large = new RecordingSink();
         for (int i = 0; i < 3; i++) {
             send(large, LARGE_BYTES, 1_000 * NANOS_PER_MS);
         }
         clock.runUntil(50 * NANOS_PER_MS);
-        NotingWire small = new NotingWire();
+        RecordingSink small = new RecordingSink();
         send(small, SMALL_BYTES, 300 * NANOS_PER_MS);
         assertTrue(small.ended);
         assertEquals(List.of(50 * NANOS_PER_MS), small.times);
@@ -74,7 +74,7 @@
     /** What was handed to the system ahead is all that stands before a small answer there. */
     @Test
     void littleIsHandedOnAheadOfTime() {
-        NotingWire large = new NotingWire();
+        RecordingSink large = new RecordingSink();
         send(large, LARGE_BYTES, 1_000 * NANOS_PER_MS);
         for (long at = 0; at < 60 * NANOS_PER_MS; at += NANOS_PER_MS) {
             clock.runUntil(at);
@@ -86,8 +86,8 @@
     /** Two answers wait for the link: the one that is due first leaves first, and both at the link's pace. */
     @Test
     void theOneThatIsDueFirstLeavesFirst() {
-        NotingWire later = new NotingWire();
-        NotingWire sooner = new NotingWire();
+        RecordingSink later = new RecordingSink();
+        RecordingSink sooner = new RecordingSink();
         send(later, LARGE_BYTES, 1_000 * NANOS_PER_MS);
         send(sooner, LARGE_BYTES, 500 * NANOS_PER_MS);
         clock.runUntil(130 * NANOS_PER_MS);
@@ -102,8 +102,8 @@
     @Test
     void lateAnswerGivesWayAndIsSent() {
         clock.runUntil(100 * NANOS_PER_MS);
-        NotingWire late = new NotingWire();
-        NotingWire timely = new NotingWire();
+        RecordingSink late = new RecordingSink();
+        RecordingSink timely = new RecordingSink();
         send(late, LARGE_BYTES, 50 * NANOS_PER_MS);
         send(timely, LARGE_BYTES, 400 * NANOS_PER_MS);
         clock.runUntil(250 * NANOS_PER_MS);
@@ -118,11 +118,11 @@
     @Test
     void lateAnswerLeavesUnderSteadyLoad() {
         clock.runUntil(100 * NANOS_PER_MS);
-        NotingWire late = new NotingWire();
+        RecordingSink late = new RecordingSink();
         send(late, LARGE_BYTES, 50 * NANOS_PER_MS);
         // As much as the link carries, so that there is always one that can be in time.
         for (int i = 0; i < 40; i++) {
-            send(new NotingWire(), LARGE_BYTES, clock.now() + 1_000 * NANOS_PER_MS);
+            send(new RecordingSink(), LARGE_BYTES, clock.now() + 1_000 * NANOS_PER_MS);
             clock.runUntil(clock.now() + 110 * NANOS_PER_MS);
         }
         assertTrue(late.ended, late.bytes + " of " + LARGE_BYTES + " bytes have left");
@@ -132,10 +132,10 @@
     /** A connection whose other end does not read holds up its own answer alone. */
     @Test
     void stuckConnectionHoldsUpNoOther() {
-        NotingWire stuck = new NotingWire();
+        RecordingSink stuck = new RecordingSink();
         stuck.writable = false;
         OutgoingLink.Flow first = send(stuck, LARGE_BYTES, 100 * NANOS_PER_MS);
-        NotingWire other = new NotingWire();
+        RecordingSink other = new RecordingSink();
         send(other, LARGE_BYTES, 1_000 * NANOS_PER_MS);
         clock.runUntil(150 * NANOS_PER_MS);
         assertTrue(other.ended);
@@ -149,9 +149,9 @@
     /** Whatever waits is bounded: the maker of an answer that no longer fits is told to wait, and to go on later. */
     @Test
     void makersWaitWhenTooMuchIsHeld() {
-        NotingWire first = new NotingWire();
+        RecordingSink first = new RecordingSink();
         send(first, 2_000_000, 1_000 * NANOS_PER_MS);
-        NotingWire second = new NotingWire();
+        RecordingSink second = new RecordingSink();
         OutgoingLink.Flow flow = link.openFlow(second, 2_000 * NANOS_PER_MS);
         flow.write(Unpooled.wrappedBuffer(new byte[LARGE_BYTES]));
         assertTrue(!second.reading);
@@ -164,10 +164,10 @@
     /** Guards against an answer that is never read on because those before it were cancelled. */
     @Test
     void sourceIsReadAgainWhenWhatWaitsIsCancelled() {
-        NotingWire stuck = new NotingWire();
+        RecordingSink stuck = new RecordingSink();
         stuck.writable = false;
         OutgoingLink.Flow first = send(stuck, 2_000_000, 1_000 * NANOS_PER_MS);
-        NotingWire second = new NotingWire();
+        RecordingSink second = new RecordingSink();
         OutgoingLink.Flow flow = link.openFlow(second, 500 * NANOS_PER_MS);
         flow.write(Unpooled.wrappedBuffer(new byte[LARGE_BYTES]));
         assertTrue(!second.reading);
@@ -179,8 +179,8 @@
     /** Guards against the most urgent answer waiting for its source while less urgent ones fill the memory. */
     @Test
     void sourceIsReadAgainWhenItsOwnBytesHaveLeft() {
-        send(new NotingWire(), 2_000_000, 2_000 * NANOS_PER_MS);
-        NotingWire urgent = new NotingWire();
+        send(new RecordingSink(), 2_000_000, 2_000 * NANOS_PER_MS);
+        RecordingSink urgent = new RecordingSink();
         OutgoingLink.Flow flow = link.openFlow(urgent, 500 * NANOS_PER_MS);
         flow.write(Unpooled.wrappedBuffer(new byte[LARGE_BYTES]));
         assertTrue(!urgent.reading);
@@ -191,7 +191,7 @@
     /** Guards against a source that stays unread after its connection was not writable for a moment. */
     @Test
     void sourceIsReadAgainWhenItsConnectionWasStuckFirst() {
-        NotingWire wire = new NotingWire();
+        RecordingSink wire = new RecordingSink();
         wire.writable = false;
         OutgoingLink.Flow flow = link.openFlow(wire, 1_000 * NANOS_PER_MS);
         flow.write(Unpooled.wrappedBuffer(new byte[SMALL_BYTES]));
@@ -207,7 +207,7 @@
     @Test
     void wideLinkSendsAtOnce() {
         OutgoingLink wide = new OutgoingLink(1_000, clock);
-        NotingWire wire = new NotingWire();
+        RecordingSink wire = new RecordingSink();
         OutgoingLink.Flow flow = wide.openFlow(wire, 100 * NANOS_PER_MS);
         flow.write(Unpooled.wrappedBuffer(new byte[1_000_000]));
         assertEquals(1_000_000, wire.bytes);
@@ -228,7 +228,7 @@
         assertTrue(one > 100 * NANOS_PER_MS && one < 120 * NANOS_PER_MS, "busy for " + one);
         link.adjustExpectedBytes(-LARGE_BYTES);
         assertEquals(0, link.busyNanos());
-        send(new NotingWire(), LARGE_BYTES, 100 * NANOS_PER_MS);
+        send(new RecordingSink(), LARGE_BYTES, 100 * NANOS_PER_MS);
         assertTrue(Math.abs(link.busyNanos() - one) < 12 * NANOS_PER_MS, "busy for " + link.busyNanos());
         clock.runUntil(200 * NANOS_PER_MS);
         assertEquals(0, link.busyNanos());
