--- a/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
@@ -26,7 +26,7 @@
 
     /** A connection that notes what it was given, and when. */
     private final class RecordingSink implements OutgoingLink.Sink {
-        private final List<Long> times = new ArrayList<>();
+        private final List<Long> writeTimes = new ArrayList<>();
         private int bytes;
         private boolean writable = true;
         private boolean reading = true;
@@ -35,7 +35,7 @@
         @Override
         public void write(ByteBuf part) {
             bytes += part.readableBytes();
-            times.add(clock.now());
+            writeTimes.add(clock.now());
             part.release();
         }
 
@@ -68,7 +68,7 @@
         RecordingSink small = new RecordingSink();
         send(small, SMALL_BYTES, 300 * NANOS_PER_MS);
         assertTrue(small.ended);
-        assertEquals(List.of(50 * NANOS_PER_MS), small.times);
+        assertEquals(List.of(50 * NANOS_PER_MS), small.writeTimes);
     }
 
     /** What was handed to the system ahead is all that stands before a small answer there. */
@@ -95,7 +95,7 @@
         assertTrue(!later.ended);
         clock.runUntil(240 * NANOS_PER_MS);
         assertTrue(later.ended);
-        assertTrue(later.times.getLast() > 170 * NANOS_PER_MS, "faster than the link");
+        assertTrue(later.writeTimes.getLast() > 170 * NANOS_PER_MS, "faster than the link");
     }
 
     /** One that is late already gives way to one that can be in time, and is sent all the same. */
@@ -126,7 +126,7 @@
             clock.runUntil(clock.now() + 110 * NANOS_PER_MS);
         }
         assertTrue(late.ended, late.bytes + " of " + LARGE_BYTES + " bytes have left");
-        assertTrue(late.times.getLast() < 1_500 * NANOS_PER_MS, "left after " + late.times.getLast() / NANOS_PER_MS + " ms");
+        assertTrue(late.writeTimes.getLast() < 1_500 * NANOS_PER_MS, "left after " + late.writeTimes.getLast() / NANOS_PER_MS + " ms");
     }
 
     /** A connection whose other end does not read holds up its own answer alone. */
