--- a/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
@@ -30,7 +30,7 @@
         private int bytes;
         private boolean writable = true;
         private boolean reading = true;
-        private boolean ended;
+        private boolean finished;
 
         @Override
         public void write(ByteBuf part) {
@@ -53,7 +53,7 @@
     private OutgoingLink.Flow send(RecordingSink wire, int bytes, long dueAt) {
         OutgoingLink.Flow flow = link.openFlow(wire, dueAt);
         flow.write(Unpooled.wrappedBuffer(new byte[bytes]));
-        flow.finish(() -> wire.ended = true);
+        flow.finish(() -> wire.finished = true);
         return flow;
     }
 
@@ -67,7 +67,7 @@
         clock.runUntil(50 * NANOS_PER_MS);
         RecordingSink small = new RecordingSink();
         send(small, SMALL_BYTES, 300 * NANOS_PER_MS);
-        assertTrue(small.ended);
+        assertTrue(small.finished);
         assertEquals(List.of(50 * NANOS_PER_MS), small.writeTimes);
     }
 
@@ -91,10 +91,10 @@
         send(later, LARGE_BYTES, 1_000 * NANOS_PER_MS);
         send(sooner, LARGE_BYTES, 500 * NANOS_PER_MS);
         clock.runUntil(130 * NANOS_PER_MS);
-        assertTrue(sooner.ended);
-        assertTrue(!later.ended);
+        assertTrue(sooner.finished);
+        assertTrue(!later.finished);
         clock.runUntil(240 * NANOS_PER_MS);
-        assertTrue(later.ended);
+        assertTrue(later.finished);
         assertTrue(later.writeTimes.getLast() > 170 * NANOS_PER_MS, "faster than the link");
     }
 
@@ -107,10 +107,10 @@
         send(late, LARGE_BYTES, 50 * NANOS_PER_MS);
         send(timely, LARGE_BYTES, 400 * NANOS_PER_MS);
         clock.runUntil(250 * NANOS_PER_MS);
-        assertTrue(timely.ended);
-        assertTrue(!late.ended);
+        assertTrue(timely.finished);
+        assertTrue(!late.finished);
         clock.runUntil(400 * NANOS_PER_MS);
-        assertTrue(late.ended);
+        assertTrue(late.finished);
         assertEquals(LARGE_BYTES, late.bytes);
     }
 
@@ -125,7 +125,7 @@
             send(new RecordingSink(), LARGE_BYTES, clock.now() + 1_000 * NANOS_PER_MS);
             clock.runUntil(clock.now() + 110 * NANOS_PER_MS);
         }
-        assertTrue(late.ended, late.bytes + " of " + LARGE_BYTES + " bytes have left");
+        assertTrue(late.finished, late.bytes + " of " + LARGE_BYTES + " bytes have left");
         assertTrue(late.writeTimes.getLast() < 1_500 * NANOS_PER_MS, "left after " + late.writeTimes.getLast() / NANOS_PER_MS + " ms");
     }
 
@@ -138,12 +138,12 @@
         RecordingSink other = new RecordingSink();
         send(other, LARGE_BYTES, 1_000 * NANOS_PER_MS);
         clock.runUntil(150 * NANOS_PER_MS);
-        assertTrue(other.ended);
+        assertTrue(other.finished);
         assertEquals(0, stuck.bytes);
         stuck.writable = true;
         first.onWritable();
         clock.runUntil(300 * NANOS_PER_MS);
-        assertTrue(stuck.ended);
+        assertTrue(stuck.finished);
     }
 
     /** Whatever waits is bounded: the maker of an answer that no longer fits is told to wait, and to go on later. */
@@ -157,8 +157,8 @@
         assertTrue(!second.reading);
         clock.runUntil(4_000 * NANOS_PER_MS);
         assertTrue(second.reading);
-        flow.finish(() -> second.ended = true);
-        assertTrue(second.ended);
+        flow.finish(() -> second.finished = true);
+        assertTrue(second.finished);
     }
 
     /** Guards against an answer that is never read on because those before it were cancelled. */
