--- a/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
@@ -59,7 +59,7 @@
 
     /** A call's answer of 2 KB comes while three of 90 KB wait: it leaves at once. */
     @Test
-    void smallAnswersLeaveAtOnce() {
+    void smallResponsesAreSentImmediately() {
         RecordingSink large = new RecordingSink();
         for (int i = 0; i < 3; i++) {
             send(large, LARGE_BYTES, 1_000 * NANOS_PER_MS);
