--- a/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
@@ -73,7 +73,7 @@
 
     /** What was handed to the system ahead is all that stands before a small answer there. */
     @Test
-    void littleIsHandedOnAheadOfTime() {
+    void sendAheadIsBounded() {
         RecordingSink large = new RecordingSink();
         send(large, LARGE_BYTES, 1_000 * NANOS_PER_MS);
         for (long at = 0; at < 60 * NANOS_PER_MS; at += NANOS_PER_MS) {
