--- a/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
@@ -85,7 +85,7 @@
 
     /** Two answers wait for the link: the one that is due first leaves first, and both at the link's pace. */
     @Test
-    void theOneThatIsDueFirstLeavesFirst() {
+    void earliestDueResponseIsSentFirst() {
         RecordingSink later = new RecordingSink();
         RecordingSink sooner = new RecordingSink();
         send(later, LARGE_BYTES, 1_000 * NANOS_PER_MS);
