--- a/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
@@ -100,7 +100,7 @@
 
     /** One that is late already gives way to one that can be in time, and is sent all the same. */
     @Test
-    void lateAnswerGivesWayAndIsSent() {
+    void lateResponseYieldsAndIsStillSent() {
         clock.runUntil(100 * NANOS_PER_MS);
         RecordingSink late = new RecordingSink();
         RecordingSink timely = new RecordingSink();
