--- a/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
@@ -116,7 +116,7 @@
 
     /** Guards against a late answer that never leaves while answers that can be in time keep coming. */
     @Test
-    void lateAnswerLeavesUnderSteadyLoad() {
+    void lateResponseIsSentUnderSteadyLoad() {
         clock.runUntil(100 * NANOS_PER_MS);
         RecordingSink late = new RecordingSink();
         send(late, LARGE_BYTES, 50 * NANOS_PER_MS);
