--- a/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
@@ -131,7 +131,7 @@
 
     /** A connection whose other end does not read holds up its own answer alone. */
     @Test
-    void stuckConnectionHoldsUpNoOther() {
+    void blockedConnectionDelaysNoOther() {
         RecordingSink stuck = new RecordingSink();
         stuck.writable = false;
         OutgoingLink.Flow first = send(stuck, LARGE_BYTES, 100 * NANOS_PER_MS);
