--- a/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
@@ -148,7 +148,7 @@
 
     /** Whatever waits is bounded: the maker of an answer that no longer fits is told to wait, and to go on later. */
     @Test
-    void makersWaitWhenTooMuchIsHeld() {
+    void sourceIsPausedWhenQueueIsFull() {
         RecordingSink first = new RecordingSink();
         send(first, 2_000_000, 1_000 * NANOS_PER_MS);
         RecordingSink second = new RecordingSink();
