--- a/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
@@ -163,7 +163,7 @@
 
     /** Guards against an answer that is never read on because those before it were cancelled. */
     @Test
-    void sourceIsReadAgainWhenWhatWaitsIsCancelled() {
+    void sourceResumesWhenQueuedResponseIsCancelled() {
         RecordingSink stuck = new RecordingSink();
         stuck.writable = false;
         OutgoingLink.Flow first = send(stuck, 2_000_000, 1_000 * NANOS_PER_MS);
