--- a/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
@@ -178,7 +178,7 @@
 
     /** Guards against the most urgent answer waiting for its source while less urgent ones fill the memory. */
     @Test
-    void sourceIsReadAgainWhenItsOwnBytesHaveLeft() {
+    void sourceResumesWhenItsOwnQueueIsEmpty() {
         send(new RecordingSink(), 2_000_000, 2_000 * NANOS_PER_MS);
         RecordingSink urgent = new RecordingSink();
         OutgoingLink.Flow flow = link.openFlow(urgent, 500 * NANOS_PER_MS);
