--- a/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
@@ -190,7 +190,7 @@
 
     /** Guards against a source that stays unread after its connection was not writable for a moment. */
     @Test
-    void sourceIsReadAgainWhenItsConnectionWasStuckFirst() {
+    void sourceResumesAfterItsConnectionWasBlocked() {
         RecordingSink wire = new RecordingSink();
         wire.writable = false;
         OutgoingLink.Flow flow = link.openFlow(wire, 1_000 * NANOS_PER_MS);
