--- a/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
@@ -205,7 +205,7 @@
 
     /** On a wide link nothing waits, but for a connection whose other end does not read. */
     @Test
-    void wideLinkSendsAtOnce() {
+    void wideLinkSendsImmediately() {
         OutgoingLink wide = new OutgoingLink(1_000, clock);
         RecordingSink wire = new RecordingSink();
         OutgoingLink.Flow flow = wide.openFlow(wire, 100 * NANOS_PER_MS);
