--- a/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
@@ -222,7 +222,7 @@
 
     /** What is being made counts until it begins, what waits until it has left. */
     @Test
-    void busyTimeTellsWhatIsMadeAndWhatWaits() {
+    void busyTimeCountsExpectedAndQueuedBytes() {
         link.adjustExpectedBytes(LARGE_BYTES);
         long one = link.busyNanos();
         assertTrue(one > 100 * NANOS_PER_MS && one < 120 * NANOS_PER_MS, "busy for " + one);
