--- a/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
@@ -236,7 +236,7 @@
 
     /** Any answers, in any parts, some left midway: each that goes on is whole, and nothing is held in the end. */
     @Property(tries = 200)
-    void allThatIsNotCancelledLeavesWhole(@ForAll @IntRange(min = 1, max = 30) int count, @ForAll long seed) {
+    void everyResponseNotCancelledIsSentInFull(@ForAll @IntRange(min = 1, max = 30) int count, @ForAll long seed) {
         Random random = new Random(seed);
         VirtualClock time = new VirtualClock();
         OutgoingLink any = new OutgoingLink(1 + random.nextInt(39), time);
