--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -79,12 +79,12 @@
     private boolean wasReady;
 
     /**
-     * @param ports of the platform
+     * @param platform of the platform
      * @param log takes events
      */
-    public Node(NodePlatform ports, EventLog log) {
-        this.platform = ports;
-        this.settings = ports.settings();
+    public Node(NodePlatform platform, EventLog log) {
+        this.platform = platform;
+        this.settings = platform.settings();
         this.service = settings.service();
         this.log = log;
         this.eventLoopGroup =
@@ -94,19 +94,19 @@
         this.link = VmLink.of(settings.linkMbps(), new EventLoopClock(loop));
         this.owner = new Owner(
                 new EventLoopClock(loop),
-                address -> new ConnectionPool(loop, address, BACKEND_CONNECT_TIMEOUT_MILLIS, BACKEND_MAX_IDLE_NANOS),
-                ports.headerNames(),
+                backendAddress -> new ConnectionPool(loop, backendAddress, BACKEND_CONNECT_TIMEOUT_MILLIS, BACKEND_MAX_IDLE_NANOS),
+                platform.headerNames(),
                 link,
                 settings.heartbeatNanos(),
                 counters,
                 log,
                 this::onBackendChange);
-        this.backendProbe = new BackendProbe(loop, settings, ports.headerNames(), owner, log);
+        this.backendProbe = new BackendProbe(loop, settings, platform.headerNames(), owner, log);
         this.gossip = new Gossip(
                 loop, settings.ip(), settings.gossipPort(), memberTable, this::localState, counters, log, this::onMemberState);
         this.versionKeeper = new VersionKeeper(
                 loop,
-                ports.configurationSource(loop),
+                platform.configurationSource(loop),
                 memberTable,
                 settings.zone(),
                 this::isStoreReader,
@@ -114,13 +114,13 @@
                 counters,
                 log);
         this.directory =
-                new Directory(loop, ports.directory(loop), gossip, counters, log, settings.name(), settings.ip());
+                new Directory(loop, platform.directory(loop), gossip, counters, log, settings.name(), settings.ip());
         RetryBudget budget =
                 new RetryBudget(settings.bounds(), this::nodeCount, directory::isListed, System.nanoTime());
         this.entryServer = CallPath.entry(
                 loop,
                 settings,
-                new CallPath.Callers(ports.headerNames(), versionKeeper::version, () -> service),
+                new CallPath.Callers(platform.headerNames(), versionKeeper::version, () -> service),
                 owner,
                 link,
                 createCandidates(),
@@ -168,13 +168,13 @@
         gossip.start();
         peerServer.start();
         entryServer.start();
-        BufferedHttpServer.open(loop, settings.readiness(), q -> handleReadinessRequest());
+        BufferedHttpServer.open(loop, settings.readiness(), request -> handleReadinessRequest());
         if (settings.metricsPort() > 0) {
-            InetSocketAddress address = new InetSocketAddress(settings.ip(), settings.metricsPort());
+            InetSocketAddress metricsAddress = new InetSocketAddress(settings.ip(), settings.metricsPort());
             BufferedHttpServer.open(
                     loop,
-                    address,
-                    q -> BufferedHttpServer.Response.of("text/plain", counters.render().getBytes(StandardCharsets.UTF_8)));
+                    metricsAddress,
+                    request -> BufferedHttpServer.Response.of("text/plain", counters.render().getBytes(StandardCharsets.UTF_8)));
         }
         loop.execute(this::startBackgroundTasks);
         log.write(
@@ -260,25 +260,25 @@
 
     private boolean isStoreReader() {
         long now = System.nanoTime();
-        long silent = gossip.silentNanos();
-        int before = 0;
+        long silenceThreshold = gossip.silentNanos();
+        int precedingReaders = 0;
         for (Member member : memberTable.all()) {
             NodeState state = member.state();
-            boolean able = state.zone().equals(settings.zone())
+            boolean eligible = state.zone().equals(settings.zone())
                     && state.storeReached()
                     && !state.leaving()
-                    && now - member.heardAt() < silent;
-            if (able && precedesAsReader(member)) {
-                before++;
+                    && now - member.heardAt() < silenceThreshold;
+            if (eligible && precedesAsReader(member)) {
+                precedingReaders++;
             }
         }
-        return before < READERS_PER_ZONE;
+        return precedingReaders < READERS_PER_ZONE;
     }
 
     /** A wide link first, as a reader takes every version whole and hands it on; then by address. */
     private boolean precedesAsReader(Member member) {
-        int order = Integer.compare(member.state().linkMbps(), linkMbps());
-        return order > 0 || order == 0 && member.ip().compareTo(settings.ip()) < 0;
+        int linkComparison = Integer.compare(member.state().linkMbps(), linkMbps());
+        return linkComparison > 0 || linkComparison == 0 && member.ip().compareTo(settings.ip()) < 0;
     }
 
     private int linkMbps() {
@@ -356,9 +356,9 @@
                 (System.nanoTime() - member.heardAt()) / 1_000_000);
     }
 
-    private BufferedHttpServer.Response handleHeartbeat(BufferedHttpServer.Request question) {
+    private BufferedHttpServer.Response handleHeartbeat(BufferedHttpServer.Request request) {
         HeartbeatProtocol protocol = platform.heartbeatProtocol();
-        switch (protocol.read(question.method(), question.uri(), question.body())) {
+        switch (protocol.read(request.method(), request.uri(), request.body())) {
             case HeartbeatProtocol.Announcement.Report report -> owner.onReport(report.report());
             case HeartbeatProtocol.Announcement.Leave leave -> owner.onLeave(leave.incarnation());
             case HeartbeatProtocol.Announcement.Malformed malformed -> {
@@ -372,14 +372,14 @@
 
     /** Reads the settings again, without a pause for callers. */
     public void reload() {
-        Optional<NodeSettings> fresh = platform.reloadSettings();
-        if (fresh.isEmpty()) {
+        Optional<NodeSettings> reloaded = platform.reloadSettings();
+        if (reloaded.isEmpty()) {
             log.write(Event.SETTINGS_REFUSED, "follows", "the former settings stay in force");
             return;
         }
-        service = fresh.get().service();
+        service = reloaded.get().service();
         loop.execute(() -> {
-            for (InetSocketAddress seed : fresh.get().seeds()) {
+            for (InetSocketAddress seed : reloaded.get().seeds()) {
                 gossip.addContact(seed.getAddress().getHostAddress());
             }
         });
@@ -388,7 +388,7 @@
                 "service",
                 service,
                 "seeds",
-                fresh.get().seeds().size());
+                reloaded.get().seeds().size());
     }
 
     /**
@@ -426,9 +426,9 @@
     }
 
     /** Runs a node until the process is told to stop. */
-    public static void run(NodePlatform ports) {
-        EventLog log = new EventLog(ports.settings().name(), new java.io.FileOutputStream(java.io.FileDescriptor.out));
-        Node node = new Node(ports, log);
+    public static void run(NodePlatform platform) {
+        EventLog log = new EventLog(platform.settings().name(), new java.io.FileOutputStream(java.io.FileDescriptor.out));
+        Node node = new Node(platform, log);
         Signals.handle("HUP", node::reload);
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
