--- a/org.berylwick.node/src/org/berylwick/node/NodePlatform.java
+++ b/org.berylwick.node/src/org/berylwick/node/NodePlatform.java
@@ -27,8 +27,8 @@
     HeartbeatProtocol heartbeatProtocol();
 
     /** Opens the place where accepted versions are kept. */
-    ConfigurationSource configurationSource(EventLoop loop);
+    ConfigurationSource configurationSource(EventLoop eventLoop);
 
     /** Opens the list of nodes that lasts. */
-    NodeDirectory directory(EventLoop loop);
+    NodeDirectory directory(EventLoop eventLoop);
 }
