--- a/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
+++ b/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
@@ -55,26 +55,26 @@
      * @param loop all runs on it
      * @param graceNanos from the signal to the kill
      * @param owner of the backend server
-     * @param entry for callers
-     * @param peers for other nodes
-     * @param onOwnerStops has others told that the owner will stop in a moment
-     * @param onDone hears that nothing is under way any more
+     * @param entryServer for callers
+     * @param peerServer for other nodes
+     * @param announceLeaving has others told that the owner will stop in a moment
+     * @param onComplete hears that nothing is under way any more
      */
     GracefulShutdown(
             EventLoop loop,
             long graceNanos,
             Owner owner,
-            EntryServer entry,
-            PeerServer peers,
-            Runnable onOwnerStops,
-            Runnable onDone) {
+            EntryServer entryServer,
+            PeerServer peerServer,
+            Runnable announceLeaving,
+            Runnable onComplete) {
         this.loop = loop;
         this.graceNanos = graceNanos;
         this.owner = owner;
-        this.entryServer = entry;
-        this.peerServer = peers;
-        this.announceLeaving = onOwnerStops;
-        this.onComplete = onDone;
+        this.entryServer = entryServer;
+        this.peerServer = peerServer;
+        this.announceLeaving = announceLeaving;
+        this.onComplete = onComplete;
     }
 
     void start() {
@@ -113,16 +113,16 @@
 
     private void checkProgress() {
         long now = System.nanoTime();
-        boolean late = now >= endAt;
+        boolean graceExpired = now >= endAt;
         if (now >= endAt - REFUSE_REQUESTS_MILLIS * 1_000_000) {
             entryServer.refuseNew();
         }
-        if (listening && (owner.pending() == 0 || late)) {
+        if (listening && (owner.pending() == 0 || graceExpired)) {
             listening = false;
             entryServer.stopListening();
         }
         idleChecks = isIdle() ? idleChecks + 1 : 0;
-        if (idleChecks >= REQUIRED_IDLE_CHECKS || late) {
+        if (idleChecks >= REQUIRED_IDLE_CHECKS || graceExpired) {
             onComplete.run();
             return;
         }
