--- a/org.berylwick.node/src/org/berylwick/node/Signals.java
+++ b/org.berylwick.node/src/org/berylwick/node/Signals.java
@@ -16,16 +16,16 @@
     static boolean handle(String name, Runnable task) {
         try {
             // The JVM's only way to handle a signal has no public name, and the compiler refuses it.
-            Class<?> signal = Class.forName("sun.misc.Signal");
-            Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object proxy = Proxy.newProxyInstance(handler.getClassLoader(), new Class<?>[] {handler}, (p, m, args) -> {
-                if ("handle".equals(m.getName())) {
+            Class<?> signalType = Class.forName("sun.misc.Signal");
+            Class<?> handlerType = Class.forName("sun.misc.SignalHandler");
+            Object handlerProxy = Proxy.newProxyInstance(handlerType.getClassLoader(), new Class<?>[] {handlerType}, (self, method, args) -> {
+                if ("handle".equals(method.getName())) {
                     task.run();
                 }
                 return null;
             });
-            Object instance = signal.getConstructor(String.class).newInstance(name);
-            signal.getMethod("handle", signal, handler).invoke(null, instance, proxy);
+            Object signalInstance = signalType.getConstructor(String.class).newInstance(name);
+            signalType.getMethod("handle", signalType, handlerType).invoke(null, signalInstance, handlerProxy);
             return true;
         } catch (ReflectiveOperationException | IllegalArgumentException e) {
             return false;
