--- a/org.berylwick.node/src/org/berylwick/node/log/Counters.java
+++ b/org.berylwick.node/src/org/berylwick/node/log/Counters.java
@@ -16,13 +16,13 @@
 
     /** Adds some. */
     public void add(String name, long amount) {
-        counts.computeIfAbsent(name, n -> new long[1])[0] += amount;
+        counts.computeIfAbsent(name, counterName -> new long[1])[0] += amount;
     }
 
     /** What was counted under a name. */
     public long count(String name) {
-        long[] count = counts.get(name);
-        return count == null ? 0 : count[0];
+        long[] counter = counts.get(name);
+        return counter == null ? 0 : counter[0];
     }
 
     /** Registers a value that is read when asked for. */
@@ -33,9 +33,9 @@
     /** All values, one "name value" a line. */
     public String render() {
         StringBuilder text = new StringBuilder();
-        counts.forEach((n, c) -> text.append(n).append(' ').append(c[0]).append('\n'));
+        counts.forEach((counterName, counter) -> text.append(counterName).append(' ').append(counter[0]).append('\n'));
         gauges.forEach(
-                (n, g) -> text.append(n).append(' ').append(g.getAsLong()).append('\n'));
+                (gaugeName, gauge) -> text.append(gaugeName).append(' ').append(gauge.getAsLong()).append('\n'));
         return text.toString();
     }
 }
