--- a/org.berylwick.node/src/org/berylwick/node/log/Event.java
+++ b/org.berylwick.node/src/org/berylwick/node/log/Event.java
@@ -67,9 +67,9 @@
     private final int number;
     private final int maxLinesPerSecond;
 
-    Event(int number, int linesPerSecond) {
+    Event(int number, int maxLinesPerSecond) {
         this.number = number;
-        this.maxLinesPerSecond = linesPerSecond;
+        this.maxLinesPerSecond = maxLinesPerSecond;
     }
 
     /** The number that stands in the log; never used again for something else. */
