--- a/org.berylwick.node/src/org/berylwick/node/log/EventLog.java
+++ b/org.berylwick.node/src/org/berylwick/node/log/EventLog.java
@@ -30,11 +30,11 @@
     private volatile boolean closed;
 
     /**
-     * @param node name that stands in each line
+     * @param nodeName name that stands in each line
      * @param out takes the lines
      */
-    public EventLog(String node, OutputStream out) {
-        this.nodeName = node;
+    public EventLog(String nodeName, OutputStream out) {
+        this.nodeName = nodeName;
         this.out = out;
         for (Event event : Event.values()) {
             rateLimiters[event.ordinal()] = new LineRateLimiter(event.maxLinesPerSecond());
@@ -51,11 +51,11 @@
      * @param fields names and values by turns; ids and numbers, never bodies or secrets
      */
     public void write(Event event, Object... fields) {
-        int leftOut = rateLimiters[event.ordinal()].admit(System.nanoTime());
-        if (leftOut < 0) {
+        int suppressedLines = rateLimiters[event.ordinal()].admit(System.nanoTime());
+        if (suppressedLines < 0) {
             return;
         }
-        if (!queue.offer(formatLine(event, fields, leftOut))) {
+        if (!queue.offer(formatLine(event, fields, suppressedLines))) {
             droppedLines.increment();
         }
     }
@@ -65,40 +65,40 @@
         return droppedLines.sum();
     }
 
-    private String formatLine(Event event, Object[] fields, int leftOut) {
-        StringBuilder text = new StringBuilder(256);
-        text.append("{\"t\":").append(System.currentTimeMillis());
-        text.append(",\"node\":\"").append(nodeName);
-        text.append("\",\"event\":").append(event.number());
-        text.append(",\"name\":\"").append(event.name()).append('"');
+    private String formatLine(Event event, Object[] fields, int suppressedLines) {
+        StringBuilder line = new StringBuilder(256);
+        line.append("{\"t\":").append(System.currentTimeMillis());
+        line.append(",\"node\":\"").append(nodeName);
+        line.append("\",\"event\":").append(event.number());
+        line.append(",\"name\":\"").append(event.name()).append('"');
         for (int i = 0; i + 1 < fields.length; i += 2) {
-            text.append(",\"").append(fields[i]).append("\":");
-            appendValue(text, fields[i + 1]);
+            line.append(",\"").append(fields[i]).append("\":");
+            appendValue(line, fields[i + 1]);
         }
-        if (leftOut > 0) {
-            text.append(",\"leftOut\":").append(leftOut);
+        if (suppressedLines > 0) {
+            line.append(",\"leftOut\":").append(suppressedLines);
         }
-        return text.append("}\n").toString();
+        return line.append("}\n").toString();
     }
 
-    private static void appendValue(StringBuilder text, Object value) {
+    private static void appendValue(StringBuilder line, Object value) {
         if (value instanceof Number || value instanceof Boolean) {
-            text.append(value);
+            line.append(value);
             return;
         }
-        text.append('"');
-        String plain = String.valueOf(value);
-        for (int i = 0; i < plain.length(); i++) {
-            char c = plain.charAt(i);
+        line.append('"');
+        String string = String.valueOf(value);
+        for (int i = 0; i < string.length(); i++) {
+            char c = string.charAt(i);
             if (c == '"' || c == '\\') {
-                text.append('\\').append(c);
+                line.append('\\').append(c);
             } else if (c < ' ') {
-                text.append(' ');
+                line.append(' ');
             } else {
-                text.append(c);
+                line.append(c);
             }
         }
-        text.append('"');
+        line.append('"');
     }
 
     private void writeQueuedLines() {
