--- a/org.berylwick.node/src/org/berylwick/node/log/LineRateLimiter.java
+++ b/org.berylwick.node/src/org/berylwick/node/log/LineRateLimiter.java
@@ -9,8 +9,8 @@
     private int admitted;
     private int suppressed;
 
-    LineRateLimiter(int most) {
-        this.maxLinesPerSecond = most;
+    LineRateLimiter(int maxLinesPerSecond) {
+        this.maxLinesPerSecond = maxLinesPerSecond;
     }
 
     /** How many lines were left out before this one, or -1 if this one is left out too. */
@@ -24,8 +24,8 @@
             return -1;
         }
         admitted++;
-        int told = suppressed;
+        int suppressedBefore = suppressed;
         suppressed = 0;
-        return told;
+        return suppressedBefore;
     }
 }
