--- a/org.berylwick.node/src/org/berylwick/node/transport/ConnectionPool.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ConnectionPool.java
@@ -40,17 +40,17 @@
     /**
      * @param loop all connections run on it
      * @param target the server
-     * @param connectMillis after which a connection that was not taken counts as failed
+     * @param connectTimeoutMillis after which a connection that was not taken counts as failed
      * @param maxIdleNanos after which a connection is not used again
      */
-    public ConnectionPool(EventLoop loop, InetSocketAddress target, int connectMillis, long maxIdleNanos) {
+    public ConnectionPool(EventLoop loop, InetSocketAddress target, int connectTimeoutMillis, long maxIdleNanos) {
         this.target = target;
         this.maxIdleNanos = maxIdleNanos;
         this.bootstrap = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMillis)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMillis)
                 .option(ChannelOption.SO_KEEPALIVE, true)
                 .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPIDLE), KEEPALIVE_IDLE_S)
                 .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPINTERVAL), KEEPALIVE_INTERVAL_S)
@@ -86,14 +86,14 @@
     /**
      * Takes an idle connection, or null.
      *
-     * @param freshestNanos takes none that has been idle for longer
+     * @param idleLimitNanos takes none that has been idle for longer
      */
-    public HttpConnection pollIdle(long freshestNanos) {
+    public HttpConnection pollIdle(long idleLimitNanos) {
         long now = System.nanoTime();
-        long most = Math.min(freshestNanos, maxIdleNanos);
+        long effectiveLimitNanos = Math.min(idleLimitNanos, maxIdleNanos);
         while (!idleConnections.isEmpty()) {
             HttpConnection connection = idleConnections.peekFirst();
-            if (connection.isIdle() && now - connection.idleSince() <= usableIdleNanos(connection, most)) {
+            if (connection.isIdle() && now - connection.idleSince() <= usableIdleNanos(connection, effectiveLimitNanos)) {
                 return idleConnections.pollFirst();
             }
             if (connection.isIdle() && now - connection.idleSince() <= usableIdleNanos(connection, maxIdleNanos)) {
@@ -104,13 +104,13 @@
         return null;
     }
 
-    private static long usableIdleNanos(HttpConnection connection, long most) {
+    private static long usableIdleNanos(HttpConnection connection, long limitNanos) {
         if (connection.keepAliveNanos() == 0) {
-            return most;
+            return limitNanos;
         }
         // A server that closes as a request is on its way leaves open whether it ran: stay a second and a third below.
         return Math.min(
-                most, Math.min(connection.keepAliveNanos() - 1_000_000_000L, connection.keepAliveNanos() * 2 / 3));
+                limitNanos, Math.min(connection.keepAliveNanos() - 1_000_000_000L, connection.keepAliveNanos() * 2 / 3));
     }
 
     /**
@@ -126,9 +126,9 @@
         }
         openedCount++;
         ChannelFuture connecting = bootstrap.connect(target);
-        connecting.addListener(f -> {
-            if (!f.isSuccess()) {
-                onFailure.accept("cannot connect: " + f.cause().getClass().getSimpleName());
+        connecting.addListener(result -> {
+            if (!result.isSuccess()) {
+                onFailure.accept("cannot connect: " + result.cause().getClass().getSimpleName());
                 return;
             }
             HttpConnection connection = connecting.channel().pipeline().get(HttpConnection.class);
@@ -143,13 +143,13 @@
     }
 
     @Override
-    public void acquire(long freshestNanos, Consumer<ServerConnection> onOpen, Consumer<String> onFailure) {
-        HttpConnection connection = pollIdle(freshestNanos);
+    public void acquire(long idleLimitNanos, Consumer<ServerConnection> onConnection, Consumer<String> onFailure) {
+        HttpConnection connection = pollIdle(idleLimitNanos);
         if (connection != null) {
-            onOpen.accept(connection);
+            onConnection.accept(connection);
             return;
         }
-        open(onOpen, onFailure);
+        open(onConnection, onFailure);
     }
 
     private void returnToPool(HttpConnection connection) {
