--- a/org.berylwick.node/src/org/berylwick/node/transport/ServerConnectionPool.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ServerConnectionPool.java
@@ -7,11 +7,11 @@
     /**
      * Takes an idle connection or opens one.
      *
-     * @param freshestNanos takes none that has been idle for longer
-     * @param onOpen takes it
+     * @param idleLimitNanos takes none that has been idle for longer
+     * @param onConnection takes it
      * @param onFailure hears why there is none; nothing was sent then
      */
-    void acquire(long freshestNanos, Consumer<ServerConnection> onOpen, Consumer<String> onFailure);
+    void acquire(long idleLimitNanos, Consumer<ServerConnection> onConnection, Consumer<String> onFailure);
 
     /** Connections opened since the start. */
     long openedCount();
