--- a/org.berylwick.node/src/org/berylwick/node/transport/EventLoopClock.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/EventLoopClock.java
@@ -14,8 +14,8 @@
 
     @Override
     public Alarm at(long at, Runnable task) {
-        ScheduledFuture<?> planned = loop.schedule(task, Math.max(0, at - System.nanoTime()), TimeUnit.NANOSECONDS);
-        return () -> planned.cancel(false);
+        ScheduledFuture<?> future = loop.schedule(task, Math.max(0, at - System.nanoTime()), TimeUnit.NANOSECONDS);
+        return () -> future.cancel(false);
     }
 
     @Override
