--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -77,8 +77,8 @@
     }
 
     @Override
-    public void send(HttpRequest request, RequestBody requestBody, HttpResponseHandler waiter) {
-        responseHandler = waiter;
+    public void send(HttpRequest request, RequestBody requestBody, HttpResponseHandler handler) {
+        responseHandler = handler;
         responseHead = null;
         discarding = false;
         reusable = true;
@@ -124,8 +124,8 @@
     }
 
     @Override
-    public void setAutoRead(boolean on) {
-        channel.config().setAutoRead(on);
+    public void setAutoRead(boolean enabled) {
+        channel.config().setAutoRead(enabled);
     }
 
     @Override
@@ -184,42 +184,42 @@
         if (value == null) {
             return;
         }
-        int at = value.indexOf(KEEP_ALIVE_TIMEOUT_PARAMETER);
-        if (at < 0) {
+        int parameterIndex = value.indexOf(KEEP_ALIVE_TIMEOUT_PARAMETER);
+        if (parameterIndex < 0) {
             return;
         }
-        int from = at + KEEP_ALIVE_TIMEOUT_PARAMETER.length();
-        int to = from;
-        while (to < value.length() && Character.isDigit(value.charAt(to))) {
-            to++;
+        int start = parameterIndex + KEEP_ALIVE_TIMEOUT_PARAMETER.length();
+        int end = start;
+        while (end < value.length() && Character.isDigit(value.charAt(end))) {
+            end++;
         }
-        if (to > from && to - from < 6) {
-            keepAliveNanos = Integer.parseInt(value.substring(from, to)) * 1_000_000_000L;
+        if (end > start && end - start < 6) {
+            keepAliveNanos = Integer.parseInt(value.substring(start, end)) * 1_000_000_000L;
         }
     }
 
     private void handleContent(HttpContent content) {
-        boolean last = content instanceof LastHttpContent;
+        boolean isLast = content instanceof LastHttpContent;
         if (discarding) {
             content.release();
-            discarding = !last;
+            discarding = !isLast;
             return;
         }
         if (responseHead == null) {
             content.release();
             return;
         }
-        if (last && closeDelimited && connectionFailed) {
+        if (isLast && closeDelimited && connectionFailed) {
             content.release();
             return;
         }
-        HttpResponseHandler waiter = responseHandler;
+        HttpResponseHandler handler = responseHandler;
         if (content.content().isReadable()) {
-            waiter.onBody(content.content());
+            handler.onBody(content.content());
         } else {
             content.release();
         }
-        if (!last || responseHandler != waiter) {
+        if (!isLast || responseHandler != handler) {
             return;
         }
         responseHandler = null;
@@ -227,7 +227,7 @@
         servedRequests++;
         stopWritingBody();
         reusable &= lastWrite != null && lastWrite.isSuccess();
-        waiter.onEnd();
+        handler.onEnd();
     }
 
     @Override
@@ -259,12 +259,12 @@
     }
 
     private void fail(String cause) {
-        HttpResponseHandler waiter = responseHandler;
+        HttpResponseHandler handler = responseHandler;
         responseHandler = null;
         stopWritingBody();
         channel.close();
-        if (waiter != null) {
-            waiter.onFailure(cause);
+        if (handler != null) {
+            handler.onFailure(cause);
         }
     }
 
