--- a/org.berylwick.node/src/org/berylwick/node/transport/IncomingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/IncomingLink.java
@@ -37,8 +37,8 @@
 
     /** How many bytes come in within a span, 0 if the link's width is not known. */
     long bytesWithin(long nanos) {
-        long perByte = unloadedLink.nanosOf(SAMPLE_BYTES);
-        return perByte == 0 ? 0 : nanos * SAMPLE_BYTES / perByte;
+        long sampleNanos = unloadedLink.nanosOf(SAMPLE_BYTES);
+        return sampleNanos == 0 ? 0 : nanos * SAMPLE_BYTES / sampleNanos;
     }
 
     /** How long so many bytes take to come in. */
