--- a/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
@@ -53,7 +53,7 @@
         boolean isWritable();
 
         /** Stops or resumes reading the answer from its source. */
-        void setSourceReading(boolean on);
+        void setSourceReading(boolean enabled);
     }
 
     /**
@@ -95,28 +95,28 @@
     /** Counts a small write. */
     public void recordSmallWrite(int bytes) {
         long now = clock.now();
-        long after = Math.max(now, linkFreeAt) + transferNanos(bytes);
-        linkFreeAt = Math.max(linkFreeAt, Math.min(now + MAX_SMALL_WRITE_DELAY_NANOS, after));
+        long newFreeAt = Math.max(now, linkFreeAt) + transferNanos(bytes);
+        linkFreeAt = Math.max(linkFreeAt, Math.min(now + MAX_SMALL_WRITE_DELAY_NANOS, newFreeAt));
     }
 
     /**
      * Opens an answer.
      *
-     * @param wire where it goes
+     * @param sink where it goes
      * @param dueAt its latency objective, {@link System#nanoTime} terms
      */
-    public Flow openFlow(Sink wire, long dueAt) {
-        return new Flow(wire, dueAt);
+    public Flow openFlow(Sink sink, long dueAt) {
+        return new Flow(sink, dueAt);
     }
 
     private void sendQueued() {
         long now = clock.now();
         while (linkFreeAt - now < SEND_AHEAD_NANOS) {
-            Flow next = nextFlow(now);
-            if (next == null) {
+            Flow nextFlow = nextFlow(now);
+            if (nextFlow == null) {
                 return;
             }
-            int bytes = next.sendPart();
+            int bytes = nextFlow.sendPart();
             linkFreeAt = Math.max(now, linkFreeAt) + transferNanos(bytes);
             resumeThrottledFlows();
         }
@@ -133,9 +133,9 @@
         if (throttledFlows.isEmpty() || transferNanos(queuedBytes) > MAX_QUEUED_NANOS / 2) {
             return;
         }
-        List<Flow> waiting = List.copyOf(throttledFlows);
+        List<Flow> flowsToResume = List.copyOf(throttledFlows);
         throttledFlows.clear();
-        waiting.forEach(Flow::resume);
+        flowsToResume.forEach(Flow::resume);
     }
 
     private Flow nextFlow(long now) {
@@ -157,8 +157,8 @@
         private boolean paused;
         private Runnable onFinished;
 
-        private Flow(Sink wire, long dueAt) {
-            this.sink = wire;
+        private Flow(Sink sink, long dueAt) {
+            this.sink = sink;
             this.dueAt = dueAt;
         }
 
