--- a/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
@@ -37,11 +37,11 @@
         void onRequestBodyComplete();
     }
 
-    private RequestBody(ByteBuf kept, int length, IncomingLink link, boolean whole) {
-        this.receivedBytes = kept;
+    private RequestBody(ByteBuf receivedBytes, int length, IncomingLink link, boolean complete) {
+        this.receivedBytes = receivedBytes;
         this.length = length;
         this.link = link;
-        this.complete = whole;
+        this.complete = complete;
     }
 
     /**
@@ -60,17 +60,17 @@
      *
      * @param length in bytes, as its head tells
      * @param link that it comes over
-     * @param asker asks the sender for it
+     * @param sendRequester asks the sender for it
      */
-    public static RequestBody deferred(int length, IncomingLink link, Runnable asker) {
+    public static RequestBody deferred(int length, IncomingLink link, Runnable sendRequester) {
         RequestBody body = incoming(length, link);
-        body.sendRequester = Optional.of(asker);
+        body.sendRequester = Optional.of(sendRequester);
         return body;
     }
 
     /** A body that is there. */
-    public static RequestBody of(ByteBuf whole) {
-        return new RequestBody(whole, whole.readableBytes(), IncomingLink.NONE, true);
+    public static RequestBody of(ByteBuf content) {
+        return new RequestBody(content, content.readableBytes(), IncomingLink.NONE, true);
     }
 
     /** Its length in bytes, also before it has come. */
@@ -90,9 +90,9 @@
 
     /** Asks the sender for it, if that waits to be asked. */
     public void requestSending() {
-        Optional<Runnable> once = sendRequester;
+        Optional<Runnable> pendingRequester = sendRequester;
         sendRequester = Optional.empty();
-        once.ifPresent(Runnable::run);
+        pendingRequester.ifPresent(Runnable::run);
     }
 
     /** Whether all of it is there. */
@@ -108,8 +108,8 @@
         }
         link.onBytesReceived(part.readableBytes());
         ((CompositeByteBuf) receivedBytes).addComponent(true, part);
-        for (Subscriber follower : List.copyOf(subscribers)) {
-            follower.onRequestBodyPart(part.retainedDuplicate());
+        for (Subscriber subscriber : List.copyOf(subscribers)) {
+            subscriber.onRequestBodyPart(part.retainedDuplicate());
         }
     }
 
@@ -119,25 +119,25 @@
             return;
         }
         complete = true;
-        for (Subscriber follower : List.copyOf(subscribers)) {
-            follower.onRequestBodyComplete();
+        for (Subscriber subscriber : List.copyOf(subscribers)) {
+            subscriber.onRequestBodyComplete();
         }
     }
 
     /** Tells what is there now, and then the rest until {@link #unsubscribe}. */
-    public void subscribe(Subscriber follower) {
-        subscribers.add(follower);
+    public void subscribe(Subscriber subscriber) {
+        subscribers.add(subscriber);
         if (receivedBytes.isReadable()) {
-            follower.onRequestBodyPart(receivedBytes.retainedDuplicate());
+            subscriber.onRequestBodyPart(receivedBytes.retainedDuplicate());
         }
         if (complete) {
-            follower.onRequestBodyComplete();
+            subscriber.onRequestBodyComplete();
         }
     }
 
     /** Tells a follower nothing more. */
-    public void unsubscribe(Subscriber follower) {
-        subscribers.remove(follower);
+    public void unsubscribe(Subscriber subscriber) {
+        subscribers.remove(subscriber);
     }
 
     /** Lets go of it; nothing more is told, and parts that still come are dropped. */
