--- a/org.berylwick.node/src/org/berylwick/node/transport/ServerConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ServerConnection.java
@@ -9,9 +9,9 @@
      *
      * @param request its head, with the length of the body; one that expects 100 (Continue) keeps the body back for it
      * @param body is written as it comes; whoever sends it releases it
-     * @param waiter gets the answer
+     * @param handler gets the answer
      */
-    void send(HttpRequest request, RequestBody body, HttpResponseHandler waiter);
+    void send(HttpRequest request, RequestBody body, HttpResponseHandler handler);
 
     /** Whether all of the request that was sent last was handed to the connection; before that nobody has it whole. */
     boolean isRequestFullySent();
@@ -20,7 +20,7 @@
     void returnUnused();
 
     /** Stops or resumes reading, so that a slow receiver holds back the server. */
-    void setAutoRead(boolean on);
+    void setAutoRead(boolean enabled);
 
     /** Closes it; an exchange that waits on it hears nothing more. */
     void abort();
