--- a/org.berylwick.node/src/org/berylwick/node/transport/SmallHttpCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/SmallHttpCall.java
@@ -61,14 +61,14 @@
         pool.acquire(Long.MAX_VALUE, call::send, call::fail);
     }
 
-    private void send(ServerConnection to) {
+    private void send(ServerConnection serverConnection) {
         if (finished) {
-            to.returnUnused();
+            serverConnection.returnUnused();
             return;
         }
-        connection = to;
+        connection = serverConnection;
         HttpConnection.setContentLength(request, body.length);
-        to.send(request, RequestBody.of(Unpooled.wrappedBuffer(body)), this);
+        serverConnection.send(request, RequestBody.of(Unpooled.wrappedBuffer(body)), this);
     }
 
     @Override
@@ -79,10 +79,10 @@
 
     @Override
     public void onBody(ByteBuf part) {
-        byte[] copy = new byte[part.readableBytes()];
-        part.readBytes(copy);
+        byte[] bytes = new byte[part.readableBytes()];
+        part.readBytes(bytes);
         part.release();
-        responseBody.writeBytes(copy);
+        responseBody.writeBytes(bytes);
     }
 
     @Override
