--- a/org.berylwick.node/src/org/berylwick/node/transport/BufferedHttpServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/BufferedHttpServer.java
@@ -53,8 +53,8 @@
         }
 
         /** A good answer with a body of a media type. */
-        public static Response of(String type, byte[] body) {
-            return new Response(200, Map.of("Content-Type", type), body);
+        public static Response of(String contentType, byte[] body) {
+            return new Response(200, Map.of("Content-Type", contentType), body);
         }
     }
 
@@ -67,9 +67,9 @@
      *
      * @param loop answers are made on it
      * @param address to listen on
-     * @param answers makes them
+     * @param requestHandler makes them
      */
-    public static BufferedHttpServer open(EventLoop loop, InetSocketAddress address, Function<Request, Response> answers) {
+    public static BufferedHttpServer open(EventLoop loop, InetSocketAddress address, Function<Request, Response> requestHandler) {
         Channel listener = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
@@ -78,7 +78,7 @@
                     protected void initChannel(Channel channel) {
                         channel.pipeline().addLast(new HttpServerCodec());
                         channel.pipeline().addLast(new HttpObjectAggregator(MAX_BODY_BYTES));
-                        channel.pipeline().addLast(new ChannelHandler(answers));
+                        channel.pipeline().addLast(new ChannelHandler(requestHandler));
                     }
                 })
                 .bind(address)
@@ -100,27 +100,27 @@
     private static final class ChannelHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final Function<Request, Response> requestHandler;
 
-        ChannelHandler(Function<Request, Response> answers) {
-            this.requestHandler = answers;
+        ChannelHandler(Function<Request, Response> requestHandler) {
+            this.requestHandler = requestHandler;
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            byte[] body = new byte[request.content().readableBytes()];
-            request.content().readBytes(body);
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest httpRequest) {
+            byte[] body = new byte[httpRequest.content().readableBytes()];
+            httpRequest.content().readBytes(body);
             Map<String, String> headers = new HashMap<>();
-            request.headers().forEach(h -> headers.put(h.getKey().toLowerCase(Locale.ROOT), h.getValue()));
-            Response answer = requestHandler.apply(new Request(request.method().name(), request.uri(), headers, body));
-            FullHttpResponse response = new DefaultFullHttpResponse(
+            httpRequest.headers().forEach(header -> headers.put(header.getKey().toLowerCase(Locale.ROOT), header.getValue()));
+            Response response = requestHandler.apply(new Request(httpRequest.method().name(), httpRequest.uri(), headers, body));
+            FullHttpResponse httpResponse = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1,
-                    HttpResponseStatus.valueOf(answer.status()),
-                    Unpooled.wrappedBuffer(answer.body()));
-            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.body().length);
-            answer.headers().forEach(response.headers()::set);
-            boolean keep = HttpUtil.isKeepAlive(request);
-            HttpUtil.setKeepAlive(response, keep);
-            ctx.writeAndFlush(response).addListener(f -> {
-                if (!keep) {
+                    HttpResponseStatus.valueOf(response.status()),
+                    Unpooled.wrappedBuffer(response.body()));
+            httpResponse.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.body().length);
+            response.headers().forEach(httpResponse.headers()::set);
+            boolean keepAlive = HttpUtil.isKeepAlive(httpRequest);
+            HttpUtil.setKeepAlive(httpResponse, keepAlive);
+            ctx.writeAndFlush(httpResponse).addListener(result -> {
+                if (!keepAlive) {
                     ctx.close();
                 }
             });
