--- a/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
@@ -45,15 +45,15 @@
         }
 
         @Override
-        public void setSourceReading(boolean on) {
-            reading = on;
+        public void setSourceReading(boolean enabled) {
+            reading = enabled;
         }
     }
 
-    private OutgoingLink.Flow send(RecordingSink wire, int bytes, long dueAt) {
-        OutgoingLink.Flow flow = link.openFlow(wire, dueAt);
+    private OutgoingLink.Flow send(RecordingSink sink, int bytes, long dueAt) {
+        OutgoingLink.Flow flow = link.openFlow(sink, dueAt);
         flow.write(Unpooled.wrappedBuffer(new byte[bytes]));
-        flow.finish(() -> wire.finished = true);
+        flow.finish(() -> sink.finished = true);
         return flow;
     }
 
@@ -76,26 +76,26 @@
     void sendAheadIsBounded() {
         RecordingSink large = new RecordingSink();
         send(large, LARGE_BYTES, 1_000 * NANOS_PER_MS);
-        for (long at = 0; at < 60 * NANOS_PER_MS; at += NANOS_PER_MS) {
-            clock.runUntil(at);
-            double mayHaveLeft = at * NARROW_MBPS / 8_000;
-            assertTrue(large.bytes - mayHaveLeft <= 28_000, large.bytes + " bytes after " + at / NANOS_PER_MS + " ms");
+        for (long time = 0; time < 60 * NANOS_PER_MS; time += NANOS_PER_MS) {
+            clock.runUntil(time);
+            double maxTransmittedBytes = time * NARROW_MBPS / 8_000;
+            assertTrue(large.bytes - maxTransmittedBytes <= 28_000, large.bytes + " bytes after " + time / NANOS_PER_MS + " ms");
         }
     }
 
     /** Two answers wait for the link: the one that is due first leaves first, and both at the link's pace. */
     @Test
     void earliestDueResponseIsSentFirst() {
-        RecordingSink later = new RecordingSink();
-        RecordingSink sooner = new RecordingSink();
-        send(later, LARGE_BYTES, 1_000 * NANOS_PER_MS);
-        send(sooner, LARGE_BYTES, 500 * NANOS_PER_MS);
+        RecordingSink dueLater = new RecordingSink();
+        RecordingSink dueFirst = new RecordingSink();
+        send(dueLater, LARGE_BYTES, 1_000 * NANOS_PER_MS);
+        send(dueFirst, LARGE_BYTES, 500 * NANOS_PER_MS);
         clock.runUntil(130 * NANOS_PER_MS);
-        assertTrue(sooner.finished);
-        assertTrue(!later.finished);
+        assertTrue(dueFirst.finished);
+        assertTrue(!dueLater.finished);
         clock.runUntil(240 * NANOS_PER_MS);
-        assertTrue(later.finished);
-        assertTrue(later.writeTimes.getLast() > 170 * NANOS_PER_MS, "faster than the link");
+        assertTrue(dueLater.finished);
+        assertTrue(dueLater.writeTimes.getLast() > 170 * NANOS_PER_MS, "faster than the link");
     }
 
     /** One that is late already gives way to one that can be in time, and is sent all the same. */
@@ -103,11 +103,11 @@
     void lateResponseYieldsAndIsStillSent() {
         clock.runUntil(100 * NANOS_PER_MS);
         RecordingSink late = new RecordingSink();
-        RecordingSink timely = new RecordingSink();
+        RecordingSink onTime = new RecordingSink();
         send(late, LARGE_BYTES, 50 * NANOS_PER_MS);
-        send(timely, LARGE_BYTES, 400 * NANOS_PER_MS);
+        send(onTime, LARGE_BYTES, 400 * NANOS_PER_MS);
         clock.runUntil(250 * NANOS_PER_MS);
-        assertTrue(timely.finished);
+        assertTrue(onTime.finished);
         assertTrue(!late.finished);
         clock.runUntil(400 * NANOS_PER_MS);
         assertTrue(late.finished);
@@ -132,18 +132,18 @@
     /** A connection whose other end does not read holds up its own answer alone. */
     @Test
     void blockedConnectionDelaysNoOther() {
-        RecordingSink stuck = new RecordingSink();
-        stuck.writable = false;
-        OutgoingLink.Flow first = send(stuck, LARGE_BYTES, 100 * NANOS_PER_MS);
+        RecordingSink blocked = new RecordingSink();
+        blocked.writable = false;
+        OutgoingLink.Flow blockedFlow = send(blocked, LARGE_BYTES, 100 * NANOS_PER_MS);
         RecordingSink other = new RecordingSink();
         send(other, LARGE_BYTES, 1_000 * NANOS_PER_MS);
         clock.runUntil(150 * NANOS_PER_MS);
         assertTrue(other.finished);
-        assertEquals(0, stuck.bytes);
-        stuck.writable = true;
-        first.onWritable();
+        assertEquals(0, blocked.bytes);
+        blocked.writable = true;
+        blockedFlow.onWritable();
         clock.runUntil(300 * NANOS_PER_MS);
-        assertTrue(stuck.finished);
+        assertTrue(blocked.finished);
     }
 
     /** Whatever waits is bounded: the maker of an answer that no longer fits is told to wait, and to go on later. */
@@ -164,14 +164,14 @@
     /** Guards against an answer that is never read on because those before it were cancelled. */
     @Test
     void sourceResumesWhenQueuedResponseIsCancelled() {
-        RecordingSink stuck = new RecordingSink();
-        stuck.writable = false;
-        OutgoingLink.Flow first = send(stuck, 2_000_000, 1_000 * NANOS_PER_MS);
+        RecordingSink blocked = new RecordingSink();
+        blocked.writable = false;
+        OutgoingLink.Flow blockedFlow = send(blocked, 2_000_000, 1_000 * NANOS_PER_MS);
         RecordingSink second = new RecordingSink();
         OutgoingLink.Flow flow = link.openFlow(second, 500 * NANOS_PER_MS);
         flow.write(Unpooled.wrappedBuffer(new byte[LARGE_BYTES]));
         assertTrue(!second.reading);
-        first.cancel();
+        blockedFlow.cancel();
         clock.runUntil(300 * NANOS_PER_MS);
         assertTrue(second.reading);
     }
@@ -191,45 +191,45 @@
     /** Guards against a source that stays unread after its connection was not writable for a moment. */
     @Test
     void sourceResumesAfterItsConnectionWasBlocked() {
-        RecordingSink wire = new RecordingSink();
-        wire.writable = false;
-        OutgoingLink.Flow flow = link.openFlow(wire, 1_000 * NANOS_PER_MS);
+        RecordingSink sink = new RecordingSink();
+        sink.writable = false;
+        OutgoingLink.Flow flow = link.openFlow(sink, 1_000 * NANOS_PER_MS);
         flow.write(Unpooled.wrappedBuffer(new byte[SMALL_BYTES]));
-        assertTrue(!wire.reading);
+        assertTrue(!sink.reading);
         flow.write(Unpooled.wrappedBuffer(new byte[LARGE_BYTES]));
-        wire.writable = true;
+        sink.writable = true;
         flow.onWritable();
         clock.runUntil(300 * NANOS_PER_MS);
-        assertTrue(wire.reading);
+        assertTrue(sink.reading);
     }
 
     /** On a wide link nothing waits, but for a connection whose other end does not read. */
     @Test
     void wideLinkSendsImmediately() {
         OutgoingLink wide = new OutgoingLink(1_000, clock);
-        RecordingSink wire = new RecordingSink();
-        OutgoingLink.Flow flow = wide.openFlow(wire, 100 * NANOS_PER_MS);
+        RecordingSink sink = new RecordingSink();
+        OutgoingLink.Flow flow = wide.openFlow(sink, 100 * NANOS_PER_MS);
         flow.write(Unpooled.wrappedBuffer(new byte[1_000_000]));
-        assertEquals(1_000_000, wire.bytes);
+        assertEquals(1_000_000, sink.bytes);
         assertEquals(0, wide.busyNanos());
-        wire.writable = false;
+        sink.writable = false;
         flow.write(Unpooled.wrappedBuffer(new byte[10]));
-        assertTrue(!wire.reading);
-        wire.writable = true;
+        assertTrue(!sink.reading);
+        sink.writable = true;
         flow.onWritable();
-        assertTrue(wire.reading);
+        assertTrue(sink.reading);
     }
 
     /** What is being made counts until it begins, what waits until it has left. */
     @Test
     void busyTimeCountsExpectedAndQueuedBytes() {
         link.adjustExpectedBytes(LARGE_BYTES);
-        long one = link.busyNanos();
-        assertTrue(one > 100 * NANOS_PER_MS && one < 120 * NANOS_PER_MS, "busy for " + one);
+        long expectedNanos = link.busyNanos();
+        assertTrue(expectedNanos > 100 * NANOS_PER_MS && expectedNanos < 120 * NANOS_PER_MS, "busy for " + expectedNanos);
         link.adjustExpectedBytes(-LARGE_BYTES);
         assertEquals(0, link.busyNanos());
         send(new RecordingSink(), LARGE_BYTES, 100 * NANOS_PER_MS);
-        assertTrue(Math.abs(link.busyNanos() - one) < 12 * NANOS_PER_MS, "busy for " + link.busyNanos());
+        assertTrue(Math.abs(link.busyNanos() - expectedNanos) < 12 * NANOS_PER_MS, "busy for " + link.busyNanos());
         clock.runUntil(200 * NANOS_PER_MS);
         assertEquals(0, link.busyNanos());
     }
@@ -238,17 +238,17 @@
     @Property(tries = 200)
     void everyResponseNotCancelledIsSentInFull(@ForAll @IntRange(min = 1, max = 30) int count, @ForAll long seed) {
         Random random = new Random(seed);
-        VirtualClock time = new VirtualClock();
-        OutgoingLink any = new OutgoingLink(1 + random.nextInt(39), time);
+        VirtualClock virtualClock = new VirtualClock();
+        OutgoingLink randomLink = new OutgoingLink(1 + random.nextInt(39), virtualClock);
         int[] sizes = new int[count];
-        List<int[]> got = new ArrayList<>();
+        List<int[]> received = new ArrayList<>();
         boolean[] cancelled = new boolean[count];
-        boolean[] ended = new boolean[count];
+        boolean[] finished = new boolean[count];
         for (int i = 0; i < count; i++) {
-            int number = i;
+            int index = i;
             int[] bytes = new int[1];
-            got.add(bytes);
-            OutgoingLink.Flow flow = any.openFlow(
+            received.add(bytes);
+            OutgoingLink.Flow flow = randomLink.openFlow(
                     new OutgoingLink.Sink() {
                         @Override
                         public void write(ByteBuf part) {
@@ -262,28 +262,28 @@
                         }
 
                         @Override
-                        public void setSourceReading(boolean on) {}
+                        public void setSourceReading(boolean enabled) {}
                     },
-                    time.now() + random.nextInt(1_000) * NANOS_PER_MS);
+                    virtualClock.now() + random.nextInt(1_000) * NANOS_PER_MS);
             int parts = 1 + random.nextInt(4);
             for (int p = 0; p < parts; p++) {
                 int size = random.nextInt(100_000);
                 sizes[i] += size;
                 flow.write(Unpooled.wrappedBuffer(new byte[size]));
-                time.runUntil(time.now() + random.nextInt(40) * NANOS_PER_MS);
+                virtualClock.runUntil(virtualClock.now() + random.nextInt(40) * NANOS_PER_MS);
             }
             cancelled[i] = random.nextInt(5) == 0;
             if (cancelled[i]) {
                 flow.cancel();
             } else {
-                flow.finish(() -> ended[number] = true);
+                flow.finish(() -> finished[index] = true);
             }
         }
-        time.runUntil(time.now() + 120_000 * NANOS_PER_MS);
-        assertEquals(0, any.busyNanos());
+        virtualClock.runUntil(virtualClock.now() + 120_000 * NANOS_PER_MS);
+        assertEquals(0, randomLink.busyNanos());
         for (int i = 0; i < count; i++) {
-            assertEquals(!cancelled[i], ended[i]);
-            assertTrue(cancelled[i] || sizes[i] == got.get(i)[0]);
+            assertEquals(!cancelled[i], finished[i]);
+            assertTrue(cancelled[i] || sizes[i] == received.get(i)[0]);
         }
     }
 }
