--- a/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
@@ -16,7 +16,7 @@
 import org.berylwick.node.log.Event;
 import org.berylwick.node.log.EventLog;
 import org.berylwick.node.transport.ConnectionPool;
-import org.berylwick.node.transport.SmallHttpCall;
+import org.berylwick.node.transport.BufferedHttpCall;
 
 /**
  * Asks the backend server itself who it is and how many slots it has, after a start of this node; confined to the event
@@ -80,13 +80,13 @@
         HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path);
         head.headers().set(HttpHeaderNames.HOST, settings.backend().getHostString());
         ConnectionPool pool = new ConnectionPool(loop, settings.backend(), CONNECT_MILLIS, IDLE_NANOS);
-        SmallHttpCall.start(loop, pool, head, NO_BODY, TIMEOUT_MILLIS, result -> {
+        BufferedHttpCall.start(loop, pool, head, NO_BODY, TIMEOUT_MILLIS, result -> {
             pool.close();
             onResult(path, result);
         });
     }
 
-    private void onResult(String path, SmallHttpCall.Result result) {
+    private void onResult(String path, BufferedHttpCall.Result result) {
         Optional<BackendReport> found = read(result);
         log.write(
                 Event.BACKEND_PROBED,
@@ -95,7 +95,7 @@
                 "incarnation",
                 found.map(BackendReport::incarnation).orElse(""),
                 "answer",
-                result instanceof SmallHttpCall.Result.Completed a ? a.status() : 0);
+                result instanceof BufferedHttpCall.Result.Completed a ? a.status() : 0);
         if (found.isPresent() && owner.backend().isEmpty()) {
             owner.onReport(found.get());
             return;
@@ -103,8 +103,8 @@
         loop.schedule(() -> ask(path), RETRY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private Optional<BackendReport> read(SmallHttpCall.Result result) {
-        if (!(result instanceof SmallHttpCall.Result.Completed answered) || answered.status() != 200) {
+    private Optional<BackendReport> read(BufferedHttpCall.Result result) {
+        if (!(result instanceof BufferedHttpCall.Result.Completed answered) || answered.status() != 200) {
             return Optional.empty();
         }
         String incarnation = answered.headers().get(names.instance(), "");
--- a/org.berylwick.node/src/org/berylwick/node/transport/SmallHttpCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/BufferedHttpCall.java
@@ -12,7 +12,7 @@
 import java.util.function.Consumer;
 
 /** A call whose answer is gathered whole, and which ends after a time; confined to the event loop. */
-public final class SmallHttpCall implements HttpResponseHandler {
+public final class BufferedHttpCall implements HttpResponseHandler {
     private final ConnectionPool pool;
     private final HttpRequest request;
     private final byte[] body;
@@ -32,7 +32,7 @@
         record Failed(String cause) implements Result {}
     }
 
-    private SmallHttpCall(ConnectionPool pool, HttpRequest request, byte[] body, Consumer<Result> onResult) {
+    private BufferedHttpCall(ConnectionPool pool, HttpRequest request, byte[] body, Consumer<Result> onResult) {
         this.pool = pool;
         this.request = request;
         this.body = body;
@@ -56,7 +56,7 @@
             byte[] body,
             long timeoutMillis,
             Consumer<Result> onResult) {
-        SmallHttpCall call = new SmallHttpCall(pool, request, body, onResult);
+        BufferedHttpCall call = new BufferedHttpCall(pool, request, body, onResult);
         loop.schedule(call::onTimeout, timeoutMillis, TimeUnit.MILLISECONDS);
         pool.acquire(Long.MAX_VALUE, call::send, call::fail);
     }
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionFetcher.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionFetcher.java
@@ -16,7 +16,7 @@
 import org.berylwick.node.log.NodeMetricNames;
 import org.berylwick.node.member.Member;
 import org.berylwick.node.member.MemberTable;
-import org.berylwick.node.transport.SmallHttpCall;
+import org.berylwick.node.transport.BufferedHttpCall;
 
 /** Gets a version that another node has, from the nearest one that has it; confined to the event loop. */
 final class VersionFetcher {
@@ -92,7 +92,7 @@
         fetching = true;
         Member member = from.get();
         long base = wholeWanted ? 0 : number.getAsLong();
-        SmallHttpCall.start(
+        BufferedHttpCall.start(
                 loop,
                 member.pool(),
                 new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, VersionKeeper.VERSION_PATH + base),
@@ -124,9 +124,9 @@
         return Optional.of(from.get(ThreadLocalRandom.current().nextInt(from.size())));
     }
 
-    private void onResult(Member from, SmallHttpCall.Result result) {
+    private void onResult(Member from, BufferedHttpCall.Result result) {
         fetching = false;
-        if (!(result instanceof SmallHttpCall.Result.Completed answered) || answered.status() != 200) {
+        if (!(result instanceof BufferedHttpCall.Result.Completed answered) || answered.status() != 200) {
             // Its link may be full of this very version: that says nothing of the requests it runs.
             instruments.counters().increment(NodeMetricNames.VERSIONS_FETCH_FAILURES);
             fetchAgain();
