--- a/org.berylwick.node/src/org/berylwick/node/transport/BufferedHttpServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/BufferedHttpServer.java
@@ -78,7 +78,7 @@
                     protected void initChannel(Channel channel) {
                         channel.pipeline().addLast(new HttpServerCodec());
                         channel.pipeline().addLast(new HttpObjectAggregator(MAX_BODY_BYTES));
-                        channel.pipeline().addLast(new ChannelHandler(requestHandler));
+                        channel.pipeline().addLast(new RequestChannelHandler(requestHandler));
                     }
                 })
                 .bind(address)
@@ -97,10 +97,10 @@
         listener.close();
     }
 
-    private static final class ChannelHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private static final class RequestChannelHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final Function<Request, Response> requestHandler;
 
-        ChannelHandler(Function<Request, Response> requestHandler) {
+        RequestChannelHandler(Function<Request, Response> requestHandler) {
             this.requestHandler = requestHandler;
         }
 
