--- a/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
@@ -24,7 +24,7 @@
     private final int length;
     private final IncomingLink link;
     private final List<Subscriber> subscribers = new ArrayList<>(1);
-    private Optional<Runnable> sendRequester = Optional.empty();
+    private Optional<Runnable> bodyRequester = Optional.empty();
     private boolean complete;
     private boolean released;
 
@@ -64,7 +64,7 @@
      */
     public static RequestBody deferred(int length, IncomingLink link, Runnable sendRequester) {
         RequestBody body = incoming(length, link);
-        body.sendRequester = Optional.of(sendRequester);
+        body.bodyRequester = Optional.of(sendRequester);
         return body;
     }
 
@@ -85,13 +85,13 @@
 
     /** Whether its sender waits to be asked for it. */
     public boolean isDeferred() {
-        return sendRequester.isPresent();
+        return bodyRequester.isPresent();
     }
 
     /** Asks the sender for it, if that waits to be asked. */
     public void requestSending() {
-        Optional<Runnable> pendingRequester = sendRequester;
-        sendRequester = Optional.empty();
+        Optional<Runnable> pendingRequester = bodyRequester;
+        bodyRequester = Optional.empty();
         pendingRequester.ifPresent(Runnable::run);
     }
 
