--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -151,7 +151,7 @@
     void askForBody() {
         expiry.cancel();
         expiry = clock.at(call.deadlineAt(), this::onWaitedEnough);
-        call.body().requestSending();
+        call.body().requestFromSender();
     }
 
     @Override
--- a/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
@@ -89,7 +89,7 @@
     }
 
     /** Asks the sender for it, if that waits to be asked. */
-    public void requestSending() {
+    public void requestFromSender() {
         Optional<Runnable> pendingRequester = bodyRequester;
         bodyRequester = Optional.empty();
         pendingRequester.ifPresent(Runnable::run);
