--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -266,7 +266,7 @@
 
     private void logIfLate(OutgoingLink.Flow flow, boolean left) {
         long now = System.nanoTime();
-        long waiting = flow.flowQueuedBytes();
+        long waiting = flow.queuedBytes();
         if (left && now <= dueAt || !link.outgoing().isLarge(flow.sentBytes() + waiting)) {
             return;
         }
--- a/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
@@ -168,7 +168,7 @@
         }
 
         /** Bytes that wait here. */
-        public long flowQueuedBytes() {
+        public long queuedBytes() {
             long bytes = 0;
             for (ByteBuf part : queuedParts) {
                 bytes += part.readableBytes();
