--- a/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
@@ -60,11 +60,11 @@
      *
      * @param length in bytes, as its head tells
      * @param link that it comes over
-     * @param sendRequester asks the sender for it
+     * @param bodyRequester asks the sender for it
      */
-    public static RequestBody deferred(int length, IncomingLink link, Runnable sendRequester) {
+    public static RequestBody deferred(int length, IncomingLink link, Runnable bodyRequester) {
         RequestBody body = incoming(length, link);
-        body.bodyRequester = Optional.of(sendRequester);
+        body.bodyRequester = Optional.of(bodyRequester);
         return body;
     }
 
