--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -31,9 +31,9 @@
 import org.berylwick.node.member.Member;
 import org.berylwick.node.member.MemberTable;
 import org.berylwick.node.member.NodeState;
+import org.berylwick.node.transport.BufferedHttpServer;
 import org.berylwick.node.transport.ConnectionPool;
 import org.berylwick.node.transport.EventLoopClock;
-import org.berylwick.node.transport.BufferedHttpServer;
 import org.berylwick.node.transport.VmLink;
 import org.berylwick.node.version.VersionKeeper;
 
@@ -94,7 +94,8 @@
         this.link = VmLink.of(settings.linkMbps(), new EventLoopClock(loop));
         this.owner = new Owner(
                 new EventLoopClock(loop),
-                backendAddress -> new ConnectionPool(loop, backendAddress, BACKEND_CONNECT_TIMEOUT_MILLIS, BACKEND_MAX_IDLE_NANOS),
+                backendAddress -> new ConnectionPool(
+                        loop, backendAddress, BACKEND_CONNECT_TIMEOUT_MILLIS, BACKEND_MAX_IDLE_NANOS),
                 platform.headerNames(),
                 link,
                 settings.heartbeatNanos(),
@@ -103,7 +104,14 @@
                 this::onBackendChange);
         this.backendProbe = new BackendProbe(loop, settings, platform.headerNames(), owner, log);
         this.gossip = new Gossip(
-                loop, settings.ip(), settings.gossipPort(), memberTable, this::localState, counters, log, this::onMemberState);
+                loop,
+                settings.ip(),
+                settings.gossipPort(),
+                memberTable,
+                this::localState,
+                counters,
+                log,
+                this::onMemberState);
         this.versionKeeper = new VersionKeeper(
                 loop,
                 platform.configurationSource(loop),
@@ -174,7 +182,8 @@
             BufferedHttpServer.open(
                     loop,
                     metricsAddress,
-                    request -> BufferedHttpServer.Response.of("text/plain", counters.render().getBytes(StandardCharsets.UTF_8)));
+                    request -> BufferedHttpServer.Response.of(
+                            "text/plain", counters.render().getBytes(StandardCharsets.UTF_8)));
         }
         loop.execute(this::startBackgroundTasks);
         log.write(
@@ -213,7 +222,8 @@
                 NodeMetricNames.VERSION_IN_FORCE,
                 () -> versionKeeper.version().map(v -> v.number()).orElse(0L));
         counters.registerGauge(
-                NodeMetricNames.MEMBERS_HEARD, () -> memberTable.countHeardWithin(gossip.silentNanos(), System.nanoTime()));
+                NodeMetricNames.MEMBERS_HEARD,
+                () -> memberTable.countHeardWithin(gossip.silentNanos(), System.nanoTime()));
         counters.registerGauge(
                 NodeMetricNames.OWNER_CONNECTIONS_OPENED,
                 () -> owner.backend().map(Backend::connectionsOpened).orElse(0L));
@@ -427,7 +437,8 @@
 
     /** Runs a node until the process is told to stop. */
     public static void run(NodePlatform platform) {
-        EventLog log = new EventLog(platform.settings().name(), new java.io.FileOutputStream(java.io.FileDescriptor.out));
+        EventLog log =
+                new EventLog(platform.settings().name(), new java.io.FileOutputStream(java.io.FileDescriptor.out));
         Node node = new Node(platform, log);
         Signals.handle("HUP", node::reload);
         Runtime.getRuntime()
--- a/org.berylwick.node/src/org/berylwick/node/Signals.java
+++ b/org.berylwick.node/src/org/berylwick/node/Signals.java
@@ -18,12 +18,13 @@
             // The JVM's only way to handle a signal has no public name, and the compiler refuses it.
             Class<?> signalType = Class.forName("sun.misc.Signal");
             Class<?> handlerType = Class.forName("sun.misc.SignalHandler");
-            Object handlerProxy = Proxy.newProxyInstance(handlerType.getClassLoader(), new Class<?>[] {handlerType}, (self, method, args) -> {
-                if ("handle".equals(method.getName())) {
-                    task.run();
-                }
-                return null;
-            });
+            Object handlerProxy = Proxy.newProxyInstance(
+                    handlerType.getClassLoader(), new Class<?>[] {handlerType}, (self, method, args) -> {
+                        if ("handle".equals(method.getName())) {
+                            task.run();
+                        }
+                        return null;
+                    });
             Object signalInstance = signalType.getConstructor(String.class).newInstance(name);
             signalType.getMethod("handle", signalType, handlerType).invoke(null, signalInstance, handlerProxy);
             return true;
--- a/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
@@ -15,8 +15,8 @@
 import org.berylwick.node.lib.NodeSettings;
 import org.berylwick.node.log.Event;
 import org.berylwick.node.log.EventLog;
-import org.berylwick.node.transport.ConnectionPool;
 import org.berylwick.node.transport.BufferedHttpCall;
+import org.berylwick.node.transport.ConnectionPool;
 
 /**
  * Asks the backend server itself who it is and how many slots it has, after a start of this node; confined to the event
--- a/org.berylwick.node/src/org/berylwick/node/log/Counters.java
+++ b/org.berylwick.node/src/org/berylwick/node/log/Counters.java
@@ -33,9 +33,10 @@
     /** All values, one "name value" a line. */
     public String render() {
         StringBuilder text = new StringBuilder();
-        counts.forEach((counterName, counter) -> text.append(counterName).append(' ').append(counter[0]).append('\n'));
-        gauges.forEach(
-                (gaugeName, gauge) -> text.append(gaugeName).append(' ').append(gauge.getAsLong()).append('\n'));
+        counts.forEach((counterName, counter) ->
+                text.append(counterName).append(' ').append(counter[0]).append('\n'));
+        gauges.forEach((gaugeName, gauge) ->
+                text.append(gaugeName).append(' ').append(gauge.getAsLong()).append('\n'));
         return text.toString();
     }
 }
--- a/org.berylwick.node/src/org/berylwick/node/transport/BufferedHttpServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/BufferedHttpServer.java
@@ -69,7 +69,8 @@
      * @param address to listen on
      * @param requestHandler makes them
      */
-    public static BufferedHttpServer open(EventLoop loop, InetSocketAddress address, Function<Request, Response> requestHandler) {
+    public static BufferedHttpServer open(
+            EventLoop loop, InetSocketAddress address, Function<Request, Response> requestHandler) {
         Channel listener = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
@@ -109,8 +110,11 @@
             byte[] body = new byte[httpRequest.content().readableBytes()];
             httpRequest.content().readBytes(body);
             Map<String, String> headers = new HashMap<>();
-            httpRequest.headers().forEach(header -> headers.put(header.getKey().toLowerCase(Locale.ROOT), header.getValue()));
-            Response response = requestHandler.apply(new Request(httpRequest.method().name(), httpRequest.uri(), headers, body));
+            httpRequest
+                    .headers()
+                    .forEach(header -> headers.put(header.getKey().toLowerCase(Locale.ROOT), header.getValue()));
+            Response response =
+                    requestHandler.apply(new Request(httpRequest.method().name(), httpRequest.uri(), headers, body));
             FullHttpResponse httpResponse = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1,
                     HttpResponseStatus.valueOf(response.status()),
--- a/org.berylwick.node/src/org/berylwick/node/transport/ConnectionPool.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ConnectionPool.java
@@ -93,7 +93,8 @@
         long effectiveLimitNanos = Math.min(idleLimitNanos, maxIdleNanos);
         while (!idleConnections.isEmpty()) {
             HttpConnection connection = idleConnections.peekFirst();
-            if (connection.isIdle() && now - connection.idleSince() <= usableIdleNanos(connection, effectiveLimitNanos)) {
+            if (connection.isIdle()
+                    && now - connection.idleSince() <= usableIdleNanos(connection, effectiveLimitNanos)) {
                 return idleConnections.pollFirst();
             }
             if (connection.isIdle() && now - connection.idleSince() <= usableIdleNanos(connection, maxIdleNanos)) {
@@ -110,7 +111,8 @@
         }
         // A server that closes as a request is on its way leaves open whether it ran: stay a second and a third below.
         return Math.min(
-                limitNanos, Math.min(connection.keepAliveNanos() - 1_000_000_000L, connection.keepAliveNanos() * 2 / 3));
+                limitNanos,
+                Math.min(connection.keepAliveNanos() - 1_000_000_000L, connection.keepAliveNanos() * 2 / 3));
     }
 
     /**
--- a/org.berylwick.node/src/org/berylwick/node/transport/ReceiveWindow.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ReceiveWindow.java
@@ -28,8 +28,6 @@
     /** Its bytes, empty if the system's own choice is as good. */
     public static OptionalInt sizeBytes(IncomingLink link) {
         long bytes = link.bytesWithin(WINDOW_NANOS);
-        return bytes > 0 && bytes < MAX_BYTES
-                ? OptionalInt.of((int) Math.max(MIN_BYTES, bytes))
-                : OptionalInt.empty();
+        return bytes > 0 && bytes < MAX_BYTES ? OptionalInt.of((int) Math.max(MIN_BYTES, bytes)) : OptionalInt.empty();
     }
 }
