--- a/org.berylwick.node/src/org/berylwick/node/transport/IncomingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/IncomingLink.java
@@ -3,13 +3,14 @@
 import org.berylwick.node.lib.LinkLoad;
 
 /**
- * What bodies that were announced to this VM still have to come over its link; confined to the event loop.
+ * Counts the bytes of request bodies that were announced to this VM and have not arrived yet; confined to the event
+ * loop.
  *
- * <p>A backend server whose link is full of bodies gets nothing to do and looks idle, and would be sent more the fuller
- * its link is; so what is on its way is told with its load.
+ * <p>A backend server whose link is saturated with request bodies receives no requests to run and looks idle, so that
+ * it would be sent even more requests. Therefore the time that the outstanding bytes need is reported with its load.
  */
 public final class IncomingLink {
-    /** For bodies that are there already. */
+    /** Used for bodies that have arrived already. */
     static final IncomingLink NONE = new IncomingLink(0);
 
     private static final int SAMPLE_BYTES = 1_000;
@@ -17,7 +18,11 @@
     private final LinkLoad unloadedLink;
     private long outstandingBytes;
 
-    /** @param mbps width of the link, in Mbit/s */
+    /**
+     * Creates a link without outstanding bytes.
+     *
+     * @param mbps bandwidth of the link in Mbit/s, 0 if unknown
+     */
     public IncomingLink(double mbps) {
         this.unloadedLink = new LinkLoad(0, 0, mbps);
     }
@@ -30,18 +35,18 @@
         outstandingBytes -= bytes;
     }
 
-    /** How long what is on its way takes to come in. */
+    /** Returns how long the link needs to receive the outstanding bytes; 0 if its bandwidth is unknown. */
     public long busyNanos() {
         return unloadedLink.nanosOf(outstandingBytes);
     }
 
-    /** How many bytes come in within a span, 0 if the link's width is not known. */
+    /** Returns how many bytes the link receives within a time span; 0 if its bandwidth is unknown. */
     long bytesWithin(long nanos) {
         long sampleNanos = unloadedLink.nanosOf(SAMPLE_BYTES);
         return sampleNanos == 0 ? 0 : nanos * SAMPLE_BYTES / sampleNanos;
     }
 
-    /** How long so many bytes take to come in. */
+    /** Returns how long the link needs to receive a number of bytes; 0 if its bandwidth is unknown. */
     public long transferNanos(int bytes) {
         return unloadedLink.nanosOf(bytes);
     }
--- a/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
@@ -9,34 +9,35 @@
 import org.berylwick.node.lib.LinkLoad;
 
 /**
- * Paces large answers at the width of this VM's outgoing link; confined to the event loop.
+ * Paces large responses to the bandwidth of this VM's outgoing link; confined to the event loop.
  *
- * <p>Written as they come, large answers fill the link's queue, so that small answers, new connections and datagrams
- * wait behind them or are dropped, and runs keep their slots until the last byte has left. Here small answers are
- * written at once; large ones wait in bounded memory and are written at the link's pace, earliest objective first. One
- * that is late gives way for a bounded time, so that no steady load keeps it here until its deadline.
+ * <p>Without pacing, large responses fill the send queue of the link. Small responses, new connections and datagrams
+ * then wait behind them or are dropped, and requests keep their slots until the last byte has been sent. Here small
+ * responses are written immediately. Large ones are queued in bounded memory and written at the rate of the link,
+ * earliest latency objective first. A response that has missed its objective yields to others for a bounded time only;
+ * otherwise a steady load would hold it back until its deadline.
  */
 public final class OutgoingLink {
-    /** Bytes are written this much ahead, so that the link does not run dry before the next turn. */
+    /** Bytes are written this far ahead of the link, so that it does not run idle before the next write. */
     private static final long SEND_AHEAD_NANOS = 20_000_000L;
-    /** Small answers delay large ones by no more than this. */
+    /** Small responses delay large ones by no more than this. */
     private static final long MAX_SMALL_WRITE_DELAY_NANOS = 100_000_000L;
-    /** Bytes that wait here, as time over the link; beyond that backend servers are not read any further. */
+    /** Limit of the queued bytes, as transfer time over the link; above it, reading from backend servers is paused. */
     private static final long MAX_QUEUED_NANOS = 2_000_000_000L;
 
-    /** An answer past its objective gives way to those that are due within this after it, and to no others. */
+    /** A response past its objective yields only to responses that are due less than this long after it. */
     private static final long LATE_PENALTY_NANOS = 500_000_000L;
 
     private static final int PART_BYTES = 8_192;
-    /** The rest of the width is for packet headers and datagrams. */
+    /** Share of the bandwidth that responses may use; the rest is for packet headers and datagrams. */
     private static final double PAYLOAD_SHARE = 0.93;
-    /** A wider link is not paced. */
+    /** Links with this bandwidth or more are not paced. */
     private static final double MIN_UNPACED_MBPS = 40;
 
     private final LinkLoad unloadedLink;
     private final Clock clock;
     private final Set<Flow> queuedFlows = new LinkedHashSet<>();
-    /** Flows that are not read until less is held. */
+    /** Flows whose sources stay paused until the queue has shrunk. */
     private final Set<Flow> throttledFlows = new LinkedHashSet<>();
 
     private long queuedBytes;
@@ -44,55 +45,59 @@
     private long linkFreeAt;
     private boolean sendScheduled;
 
-    /** Where the bytes of one answer go; called on the event loop. */
+    /** The connection to which one response is written; called on the event loop. */
     public interface Sink {
-        /** Sends some bytes; releases them. */
+        /** Writes a part of the response and releases it. */
         void write(ByteBuf part);
 
-        /** Whether this connection takes more, or waits for its other end. */
+        /** Returns whether the connection accepts more bytes now; if not, its receiver has to read first. */
         boolean isWritable();
 
-        /** Stops or resumes reading the answer from its source. */
+        /** Pauses or resumes reading the response from its source. */
         void setSourceReading(boolean enabled);
     }
 
     /**
-     * A link without load.
+     * Creates an idle link.
      *
-     * @param mbps width of the link in Mbit/s, 0 if it is not known
-     * @param clock all runs where its tasks do
+     * @param mbps bandwidth of the link in Mbit/s, 0 if unknown
+     * @param clock schedules the writes; all methods have to be called where its tasks run
      */
     public OutgoingLink(double mbps, Clock clock) {
         this.unloadedLink = new LinkLoad(0, 0, mbps < MIN_UNPACED_MBPS ? mbps * PAYLOAD_SHARE : 0);
         this.clock = clock;
     }
 
-    /** How long so many bytes take; 0 on a wide link. */
+    /** Returns how long the link needs to send a number of bytes; 0 if the link is not paced. */
     public long transferNanos(double bytes) {
         return unloadedLink.nanosOf(bytes);
     }
 
-    /** Whether so many bytes have to wait for their turn. */
+    /** Returns whether a response of this size is paced instead of being written immediately. */
     public boolean isLarge(double bytes) {
         return unloadedLink.isLarge(bytes);
     }
 
-    /** Time until all large answers that wait here, or are announced, have left. */
+    /** Returns the time until all queued and all expected bytes of large responses have been sent. */
     public long busyNanos() {
         return Math.max(0, linkFreeAt - clock.now()) + transferNanos(queuedBytes + expectedBytes);
     }
 
-    /** Announces so many bytes of large answers; a negative number withdraws some, or tells that they were read. */
+    /**
+     * Changes the number of bytes of large responses that are expected from backend servers.
+     *
+     * @param bytes number of bytes to add; negative if a response has been withdrawn or its bytes have been read
+     */
     public void adjustExpectedBytes(long bytes) {
         expectedBytes += bytes;
     }
 
-    /** How many answers wait. */
+    /** Returns the number of responses with queued bytes. */
     public int queuedFlowCount() {
         return queuedFlows.size();
     }
 
-    /** Counts a small write. */
+    /** Accounts for bytes that were written without being queued. */
     public void recordSmallWrite(int bytes) {
         long now = clock.now();
         long newFreeAt = Math.max(now, linkFreeAt) + transferNanos(bytes);
@@ -100,10 +105,10 @@
     }
 
     /**
-     * Opens an answer.
+     * Starts to send a response.
      *
-     * @param sink where it goes
-     * @param dueAt its latency objective, {@link System#nanoTime} terms
+     * @param sink connection to which the response is written
+     * @param dueAt time at which its latency objective ends, on the clock of this link
      */
     public Flow openFlow(Sink sink, long dueAt) {
         return new Flow(sink, dueAt);
@@ -148,7 +153,7 @@
         return best;
     }
 
-    /** The bytes of one answer, in order. */
+    /** The bytes of one response, sent in order. */
     public final class Flow {
         private final Sink sink;
         private final long dueAt;
@@ -162,12 +167,12 @@
             this.dueAt = dueAt;
         }
 
-        /** Bytes handed on so far. */
+        /** Returns the number of bytes written to the connection so far. */
         public long sentBytes() {
             return sentBytes;
         }
 
-        /** Bytes that wait here. */
+        /** Returns the number of bytes of this response that are queued. */
         public long queuedBytes() {
             long bytes = 0;
             for (ByteBuf part : queuedParts) {
@@ -176,7 +181,7 @@
             return bytes;
         }
 
-        /** Whether its source is read no further. */
+        /** Returns whether reading from the source of this response is paused. */
         public boolean isPaused() {
             return paused;
         }
@@ -189,7 +194,7 @@
             return now < dueAt ? dueAt : dueAt + LATE_PENALTY_NANOS;
         }
 
-        /** Sends some bytes when it is their turn; releases them. */
+        /** Writes a part of the response, now or when its turn comes, and releases it. */
         public void write(ByteBuf part) {
             int bytes = part.readableBytes();
             if (queuedParts.isEmpty() && !isLarge(sentBytes + bytes)) {
@@ -211,7 +216,7 @@
             sendQueued();
         }
 
-        /** Runs a task when all has been handed on. */
+        /** Marks the end of the response; the task runs once all bytes have been written to the connection. */
         public void finish(Runnable task) {
             if (queuedParts.isEmpty()) {
                 task.run();
@@ -220,7 +225,7 @@
             onFinished = task;
         }
 
-        /** Its connection takes more again. */
+        /** Called when the connection accepts bytes again. */
         public void onWritable() {
             if (queuedParts.isEmpty()) {
                 resume();
@@ -229,14 +234,17 @@
             }
         }
 
-        /** Reads its source on, unless its connection takes nothing; one that has nothing to send holds no memory. */
+        /**
+         * Resumes reading from the source unless the connection accepts no bytes. This does not wait for the queue of
+         * the link to shrink, since a flow without queued bytes occupies no memory.
+         */
         private void resumeIfWritable() {
             if (sink.isWritable()) {
                 resume();
             }
         }
 
-        /** Drops what waits. */
+        /** Discards the queued bytes. */
         public void cancel() {
             queuedFlows.remove(this);
             throttledFlows.remove(this);
--- a/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
@@ -8,14 +8,17 @@
 import java.util.Optional;
 
 /**
- * The body of a request while it comes in, and after; confined to the event loop.
+ * The body of a request, during and after its arrival; confined to the event loop.
  *
- * <p>It is kept whole until it is released, so that it can be sent to another node after one that refused it. Whoever
- * follows it gets what is there at once and the rest as it comes, so that a narrow link delays it once, not at each
- * hop.
+ * <p>All received bytes are kept until the body is released, so that it can be sent to another node after one node has
+ * refused the request. Subscribers get the bytes received so far immediately and the rest as it arrives, so that a
+ * narrow link delays the body once and not again at each hop.
  */
 public final class RequestBody {
-    /** A shorter one mostly comes with its head, or within some milliseconds. */
+    /**
+     * Length from which a body is forwarded while it arrives. A shorter body usually arrives with its request head, or
+     * within a few milliseconds.
+     */
     public static final int MIN_STREAMED_BYTES = 16_384;
 
     private static final int MAX_PARTS = 1024;
@@ -28,12 +31,12 @@
     private boolean complete;
     private boolean released;
 
-    /** Takes parts as they come. */
+    /** Receives the parts of a body. */
     public interface Subscriber {
-        /** A part; the callee releases it. */
+        /** Called with each part; the callee releases it. */
         void onRequestBodyPart(ByteBuf part);
 
-        /** All parts have come. */
+        /** Called when all parts have been passed on. */
         void onRequestBodyComplete();
     }
 
@@ -45,10 +48,10 @@
     }
 
     /**
-     * A body of which nothing has come yet.
+     * Creates a body of which nothing has arrived yet.
      *
-     * @param length in bytes, as its head tells
-     * @param link that it comes over
+     * @param length length in bytes as announced in the request head
+     * @param link link over which it arrives
      */
     public static RequestBody incoming(int length, IncomingLink link) {
         link.onBodyAnnounced(length);
@@ -56,11 +59,11 @@
     }
 
     /**
-     * A body that its sender keeps back until it is asked for.
+     * Creates a body that its sender holds back until it is requested.
      *
-     * @param length in bytes, as its head tells
-     * @param link that it comes over
-     * @param bodyRequester asks the sender for it
+     * @param length length in bytes as announced in the request head
+     * @param link link over which it arrives
+     * @param bodyRequester requests the body from its sender
      */
     public static RequestBody deferred(int length, IncomingLink link, Runnable bodyRequester) {
         RequestBody body = incoming(length, link);
@@ -68,39 +71,39 @@
         return body;
     }
 
-    /** A body that is there. */
+    /** Creates a body that has arrived completely. */
     public static RequestBody of(ByteBuf content) {
         return new RequestBody(content, content.readableBytes(), IncomingLink.NONE, true);
     }
 
-    /** Its length in bytes, also before it has come. */
+    /** Returns the length in bytes, including bytes that have not arrived yet. */
     public int length() {
         return length;
     }
 
-    /** Bytes that have not come yet. */
+    /** Returns the number of bytes that have not arrived yet. */
     public int missingBytes() {
         return length - receivedBytes.readableBytes();
     }
 
-    /** Whether its sender waits to be asked for it. */
+    /** Returns whether the sender holds the body back until it is requested. */
     public boolean isDeferred() {
         return bodyRequester.isPresent();
     }
 
-    /** Asks the sender for it, if that waits to be asked. */
+    /** Requests the body from its sender if the sender is holding it back. */
     public void requestFromSender() {
         Optional<Runnable> pendingRequester = bodyRequester;
         bodyRequester = Optional.empty();
         pendingRequester.ifPresent(Runnable::run);
     }
 
-    /** Whether all of it is there. */
+    /** Returns whether the body has arrived completely. */
     public boolean isComplete() {
         return complete;
     }
 
-    /** A part has come; it is released with the body. */
+    /** Adds a part that has arrived. It is released with the body, or at once if the body does not accept it. */
     public void addPart(ByteBuf part) {
         if (released || complete || part.readableBytes() > missingBytes()) {
             part.release();
@@ -113,7 +116,7 @@
         }
     }
 
-    /** All parts have come. */
+    /** Marks the body as completely arrived. */
     public void markComplete() {
         if (released || complete) {
             return;
@@ -124,7 +127,7 @@
         }
     }
 
-    /** Tells what is there now, and then the rest until {@link #unsubscribe}. */
+    /** Passes on the bytes received so far, and each further part until {@link #unsubscribe}. */
     public void subscribe(Subscriber subscriber) {
         subscribers.add(subscriber);
         if (receivedBytes.isReadable()) {
@@ -135,12 +138,12 @@
         }
     }
 
-    /** Tells a follower nothing more. */
+    /** Stops passing parts on to a subscriber. */
     public void unsubscribe(Subscriber subscriber) {
         subscribers.remove(subscriber);
     }
 
-    /** Lets go of it; nothing more is told, and parts that still come are dropped. */
+    /** Releases the received bytes. Subscribers are not called any more, and parts that still arrive are discarded. */
     public void release() {
         if (released) {
             return;
--- a/org.berylwick.node/src/org/berylwick/node/transport/VmLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/VmLink.java
@@ -3,17 +3,17 @@
 import org.berylwick.node.lib.Clock;
 
 /**
- * The link of this VM, both ways.
+ * The network link of this VM, in both directions.
  *
- * @param incoming what comes over it
- * @param outgoing what leaves over it
+ * @param incoming request bodies that arrive over it
+ * @param outgoing responses that leave over it
  */
 public record VmLink(IncomingLink incoming, OutgoingLink outgoing) {
     /**
-     * A link.
+     * Creates an idle link.
      *
-     * @param mbps width each way in Mbit/s, 0 if it is not known
-     * @param clock all runs where its tasks do
+     * @param mbps bandwidth in each direction in Mbit/s, 0 if unknown
+     * @param clock schedules the writes of the outgoing link
      */
     public static VmLink of(double mbps, Clock clock) {
         return new VmLink(new IncomingLink(mbps), new OutgoingLink(mbps, clock));
