--- a/org.berylwick.node/src/org/berylwick/node/transport/BufferedHttpCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/BufferedHttpCall.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** A call whose answer is gathered whole, and which ends after a time; confined to the event loop. */
+/** An HTTP call with a timeout whose response is buffered completely; confined to the event loop. */
 public final class BufferedHttpCall implements HttpResponseHandler {
     private final ConnectionPool pool;
     private final HttpRequest request;
@@ -23,12 +23,12 @@
     private HttpHeaders headers = EmptyHttpHeaders.INSTANCE;
     private boolean finished;
 
-    /** What became of a call. */
+    /** The result of a call. */
     public sealed interface Result {
-        /** The whole answer. */
+        /** The complete response. */
         record Completed(int status, HttpHeaders headers, byte[] body) implements Result {}
 
-        /** There was none. */
+        /** No complete response arrived; the server may still have executed the request. */
         record Failed(String cause) implements Result {}
     }
 
@@ -40,14 +40,14 @@
     }
 
     /**
-     * Makes a call.
+     * Starts a call.
      *
-     * @param loop all runs on it
-     * @param pool of connections to the server
-     * @param request head of the call, without a length
-     * @param body empty for none
-     * @param timeoutMillis after which it has failed
-     * @param onResult hears what became of it, once
+     * @param loop event loop on which the pool and the call run
+     * @param pool pool of connections to the server
+     * @param request head of the request, without Content-Length
+     * @param body body of the request, empty for none
+     * @param timeoutMillis time after which the call fails
+     * @param onResult receives the result, once
      */
     public static void start(
             EventLoop loop,
@@ -108,7 +108,7 @@
         if (connection != null) {
             connection.abort();
         }
-        fail("no answer in time");
+        fail("no response before the timeout");
     }
 
     private void finish(Result result) {
--- a/org.berylwick.node/src/org/berylwick/node/transport/BufferedHttpServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/BufferedHttpServer.java
@@ -23,36 +23,36 @@
 import java.util.Map;
 import java.util.function.Function;
 
-/** A port for short questions: readiness, heartbeats, counters. */
+/** An HTTP server for small requests, which are buffered completely: readiness, heartbeats, metrics. */
 public final class BufferedHttpServer implements AutoCloseable {
     private static final int MAX_BODY_BYTES = 65_536;
 
     private final Channel listener;
 
     /**
-     * A question.
+     * A request.
      *
-     * @param method of it
-     * @param uri of it
-     * @param headers of it, by lower-case name
-     * @param body whole
+     * @param method HTTP method
+     * @param uri request target
+     * @param headers headers by lower-case name
+     * @param body complete body
      */
     public record Request(String method, String uri, Map<String, String> headers, byte[] body) {}
 
     /**
-     * An answer.
+     * A response.
      *
-     * @param status of it
-     * @param headers of it
-     * @param body whole
+     * @param status HTTP status code
+     * @param headers headers without Content-Length and Connection
+     * @param body complete body
      */
     public record Response(int status, Map<String, String> headers, byte[] body) {
-        /** An answer without a body. */
+        /** Returns a response without a body. */
         public static Response ofStatus(int status) {
             return new Response(status, Map.of(), new byte[0]);
         }
 
-        /** A good answer with a body of a media type. */
+        /** Returns a response with status 200 and a body of the given media type. */
         public static Response of(String contentType, byte[] body) {
             return new Response(200, Map.of("Content-Type", contentType), body);
         }
@@ -65,9 +65,9 @@
     /**
      * Opens a port.
      *
-     * @param loop answers are made on it
-     * @param address to listen on
-     * @param requestHandler makes them
+     * @param loop event loop on which requests are handled
+     * @param address address to listen on
+     * @param requestHandler produces the response to a request
      */
     public static BufferedHttpServer open(
             EventLoop loop, InetSocketAddress address, Function<Request, Response> requestHandler) {
@@ -88,7 +88,7 @@
         return new BufferedHttpServer(listener);
     }
 
-    /** The port that was opened. */
+    /** Returns the port on which this server listens. */
     public int port() {
         return ((InetSocketAddress) listener.localAddress()).getPort();
     }
--- a/org.berylwick.node/src/org/berylwick/node/transport/ConnectionPool.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ConnectionPool.java
@@ -16,13 +16,18 @@
 import java.util.function.Consumer;
 import jdk.net.ExtendedSocketOptions;
 
-/** Connections to one server, the latest used first; confined to the event loop. */
+/**
+ * A pool of HTTP connections to one server; confined to the event loop.
+ *
+ * <p>The most recently used idle connection is handed out first.
+ */
 public final class ConnectionPool implements ServerConnectionPool {
     private static final int MAX_HEADER_BYTES = 65_536;
     private static final int MAX_CHUNK_BYTES = 65_536;
     /**
-     * A connection may go silent for good without a reset, while new ones work; the system's own probes end it within 5
-     * s. Shorter ones would cost bytes between zones on every idle connection.
+     * A connection can go silent for good without a reset while new connections to the same server work. With these
+     * settings TCP keepalive closes it within 5 s. Shorter intervals would cost traffic between availability zones on
+     * every idle connection.
      */
     private static final int KEEPALIVE_IDLE_S = 3;
 
@@ -38,10 +43,12 @@
     private boolean closed;
 
     /**
-     * @param loop all connections run on it
-     * @param target the server
-     * @param connectTimeoutMillis after which a connection that was not taken counts as failed
-     * @param maxIdleNanos after which a connection is not used again
+     * Creates an empty pool.
+     *
+     * @param loop event loop on which all connections run
+     * @param target address of the server
+     * @param connectTimeoutMillis time after which an attempt to connect fails
+     * @param maxIdleNanos idle time after which a connection is not reused
      */
     public ConnectionPool(EventLoop loop, InetSocketAddress target, int connectTimeoutMillis, long maxIdleNanos) {
         this.target = target;
@@ -73,20 +80,21 @@
         return openedCount;
     }
 
-    /** Connections that are open now. */
+    /** Returns the number of open connections, idle or in use. */
     public int size() {
         return openConnections.size();
     }
 
-    /** The server that this pool leads to. */
+    /** Returns the address of the server that this pool connects to. */
     public InetSocketAddress target() {
         return target;
     }
 
     /**
-     * Takes an idle connection, or null.
+     * Takes an idle connection out of the pool.
      *
-     * @param idleLimitNanos takes none that has been idle for longer
+     * @param idleLimitNanos maximum idle time of the connection
+     * @return the connection, or null if there is none
      */
     public HttpConnection pollIdle(long idleLimitNanos) {
         long now = System.nanoTime();
@@ -109,21 +117,22 @@
         if (connection.keepAliveNanos() == 0) {
             return limitNanos;
         }
-        // A server that closes as a request is on its way leaves open whether it ran: stay a second and a third below.
+        // If the server closes the connection while a request is in transit, it is unknown whether the request ran. So
+        // the idle time has to stay one second and one third below the server's keep-alive time, whichever is more.
         return Math.min(
                 limitNanos,
                 Math.min(connection.keepAliveNanos() - 1_000_000_000L, connection.keepAliveNanos() * 2 / 3));
     }
 
     /**
-     * Opens a connection.
+     * Opens a new connection.
      *
-     * @param onOpen takes it
-     * @param onFailure hears why there is none; nothing was sent then
+     * @param onOpen receives the connection
+     * @param onFailure receives the cause if no connection could be opened; nothing has been sent in that case
      */
     public void open(Consumer<ServerConnection> onOpen, Consumer<String> onFailure) {
         if (closed) {
-            onFailure.accept("pool is closed");
+            onFailure.accept("connection pool is closed");
             return;
         }
         openedCount++;
@@ -137,7 +146,7 @@
             openConnections.add(connection);
             if (closed) {
                 connection.abort();
-                onFailure.accept("pool is closed");
+                onFailure.accept("connection pool is closed");
                 return;
             }
             onOpen.accept(connection);
--- a/org.berylwick.node/src/org/berylwick/node/transport/EventLoopClock.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/EventLoopClock.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import org.berylwick.node.lib.Clock;
 
-/** The clock of an event loop; its tasks run on that. */
+/** A clock whose tasks run on an event loop. */
 public record EventLoopClock(EventLoop loop) implements Clock {
     @Override
     public long now() {
--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -18,10 +18,10 @@
 import java.util.function.Consumer;
 
 /**
- * A connection to a server that carries one request at a time; confined to the event loop.
+ * An HTTP/1.1 connection to a server that carries one request at a time; confined to the event loop.
  *
- * <p>It goes back to its pool only after the loop has read all that came with the end of an answer: bytes behind a
- * complete answer belong to no request, and the connection that brought them is closed.
+ * <p>It returns to its pool only after the event loop has processed everything that was read together with the end of a
+ * response. Bytes after a complete response belong to no request, and a connection that receives such bytes is closed.
  */
 public final class HttpConnection extends ChannelInboundHandlerAdapter implements ServerConnection {
     private static final String KEEP_ALIVE_TIMEOUT_PARAMETER = "timeout=";
@@ -56,7 +56,7 @@
         return idleSince;
     }
 
-    /** How long the server keeps the connection idle, 0 if it did not say. */
+    /** Returns how long the server keeps an idle connection open, 0 if it did not announce a time. */
     public long keepAliveNanos() {
         return keepAliveNanos;
     }
@@ -66,7 +66,7 @@
         return servedRequests;
     }
 
-    /** Whether it is open and waits for a request. */
+    /** Returns whether the connection is open and carries no request. */
     public boolean isIdle() {
         return responseHandler == null && !responseComplete && channel.isActive();
     }
@@ -93,7 +93,7 @@
         channel.flush();
     }
 
-    /** Writes a request's body as it comes. */
+    /** Writes the body of a request as it arrives. */
     private final class BodyWriter implements RequestBody.Subscriber {
         @Override
         public void onRequestBodyPart(ByteBuf part) {
@@ -139,7 +139,7 @@
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         if (!(message instanceof HttpObject object) || object.decoderResult().isFailure()) {
             ReferenceCountUtil.release(message);
-            fail("unreadable answer");
+            fail("malformed HTTP response");
             return;
         }
         if (responseHandler == null) {
@@ -166,7 +166,7 @@
             return;
         }
         if (!responseHandler.matches(response)) {
-            // An extra answer to an earlier request stands where this one's is expected; this one's follows it.
+            // This is a second response to an earlier request; the response to the current request follows it.
             discarding = true;
             reusable = false;
             return;
@@ -247,14 +247,15 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        // The decoder takes any end of a connection for the end of an unframed answer; one that was reset is not whole.
+        // The decoder takes any close of the connection for the end of a close-delimited response. After a reset the
+        // response is truncated, so the end that the decoder then reports must not count as its end.
         connectionFailed = true;
-        fail("connection broke: " + cause.getMessage());
+        fail("connection failed: " + cause.getMessage());
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        fail(responseHead == null ? "closed before an answer" : "closed within an answer");
+        fail(responseHead == null ? "connection closed before the response" : "connection closed during the response");
         onClosed.accept(this);
     }
 
@@ -268,7 +269,7 @@
         }
     }
 
-    /** Names the request's length, which every request here carries. */
+    /** Sets the Content-Length header. Only a GET request without a body goes without one. */
     public static void setContentLength(HttpRequest request, int bytes) {
         if (bytes > 0 || !"GET".equals(request.method().name())) {
             request.headers().set(HttpHeaderNames.CONTENT_LENGTH, bytes);
--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpResponseHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpResponseHandler.java
@@ -3,26 +3,26 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpResponse;
 
-/** Who waits for the answer to one request on an {@link HttpConnection}; called on the event loop. */
+/** Receives the response to one request on an {@link HttpConnection}; called on the event loop. */
 public interface HttpResponseHandler {
     /**
-     * Whether a response head belongs to this exchange. One that does not is read to its end and dropped.
+     * Returns whether a response belongs to this request. A response that does not is read to its end and discarded.
      *
-     * @param head of a response
+     * @param head head of the response
      */
     default boolean matches(HttpResponse head) {
         return true;
     }
 
-    /** The head of the answer. */
+    /** Called with the head of the response. */
     void onHead(HttpResponse head);
 
-    /** A part of the body; the callee releases it. */
+    /** Called with each part of the body; the callee releases it. */
     void onBody(ByteBuf part);
 
-    /** The answer is whole. */
+    /** Called when the response is complete. */
     void onEnd();
 
-    /** No whole answer will come; the request may have been run. */
+    /** Called when no complete response will arrive; the server may have executed the request. */
     void onFailure(String cause);
 }
--- a/org.berylwick.node/src/org/berylwick/node/transport/ServerConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ServerConnection.java
@@ -2,32 +2,44 @@
 
 import io.netty.handler.codec.http.HttpRequest;
 
-/** A connection to a server that carries one request at a time, in the hands of whoever took it. */
+/**
+ * A connection to a server that carries one request at a time.
+ *
+ * <p>Whoever acquired it from its {@link ServerConnectionPool} has exclusive use of it until the response is complete,
+ * or until {@link #returnUnused} or {@link #abort}.
+ */
 public interface ServerConnection {
     /**
-     * Sends a request; the connection is free again by itself when the answer is whole.
+     * Sends a request. When the response is complete, the connection returns to its pool or closes by itself.
      *
-     * @param request its head, with the length of the body; one that expects 100 (Continue) keeps the body back for it
-     * @param body is written as it comes; whoever sends it releases it
-     * @param handler gets the answer
+     * @param request head of the request, with the length of the body; if it expects 100 (Continue), the body is held
+     *     back until that status arrives
+     * @param body written as it arrives; the caller of this method releases it
+     * @param handler receives the response
      */
     void send(HttpRequest request, RequestBody body, HttpResponseHandler handler);
 
-    /** Whether all of the request that was sent last was handed to the connection; before that nobody has it whole. */
+    /**
+     * Returns whether the last request has been written to the connection completely. Until then the server cannot have
+     * received all of it.
+     */
     boolean isRequestFullySent();
 
-    /** Gives it back without having used it. */
+    /** Returns the connection to its pool without having used it. */
     void returnUnused();
 
-    /** Stops or resumes reading, so that a slow receiver holds back the server. */
+    /** Pauses or resumes reading, so that a slow receiver exerts back pressure on the server. */
     void setAutoRead(boolean enabled);
 
-    /** Closes it; an exchange that waits on it hears nothing more. */
+    /** Closes the connection; the response handler is not called any more. */
     void abort();
 
-    /** Requests answered on it. */
+    /** Returns the number of requests that were answered on this connection. */
     int servedRequests();
 
-    /** When the last answer ended, in {@link System#nanoTime} terms. */
+    /**
+     * Returns when the last response ended, or else when the connection was opened, on the clock of
+     * {@link System#nanoTime}.
+     */
     long idleSince();
 }
--- a/org.berylwick.node/src/org/berylwick/node/transport/ServerConnectionPool.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ServerConnectionPool.java
@@ -2,24 +2,24 @@
 
 import java.util.function.Consumer;
 
-/** Connections to one server. */
+/** A pool of connections to one server. */
 public interface ServerConnectionPool extends AutoCloseable {
     /**
-     * Takes an idle connection or opens one.
+     * Takes an idle connection or opens a new one.
      *
-     * @param idleLimitNanos takes none that has been idle for longer
-     * @param onConnection takes it
-     * @param onFailure hears why there is none; nothing was sent then
+     * @param idleLimitNanos maximum idle time of a connection that is reused
+     * @param onConnection receives the connection
+     * @param onFailure receives the cause if there is no connection; nothing has been sent in that case
      */
     void acquire(long idleLimitNanos, Consumer<ServerConnection> onConnection, Consumer<String> onFailure);
 
-    /** Connections opened since the start. */
+    /** Returns how many connections this pool has tried to open so far. */
     long openedCount();
 
-    /** Closes connections that have been idle for too long. */
+    /** Closes connections that have been idle for too long to be reused. */
     void evictIdle();
 
-    /** Closes idle connections now, and busy ones as they become idle. */
+    /** Closes idle connections now, and connections in use as they become idle. */
     @Override
     void close();
 }
