--- a/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
+++ b/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
@@ -7,33 +7,42 @@
 import org.berylwick.node.call.PeerServer;
 
 /**
- * The order of a planned stop; confined to the event loop.
+ * Shuts a node down in stages; confined to the event loop.
  *
- * <p>The backend server beside this node runs on, and is out of reach from the owner's stop until the node is back. So
- * the owner works on while callers are sent elsewhere, and stops last. Its runs make calls of their own through the
- * port for callers, so that closes only after them. The stop ends when the last answer has been written.
+ * <p>The backend server beside this node keeps running, but it cannot be reached from the time the owner stops until
+ * the node is back. So the owner keeps accepting requests while callers are routed to other nodes, and stops last. The
+ * requests that it runs make calls of their own through the port for callers, so that port is closed only after they
+ * have ended. The shutdown is complete when the last response has been written.
  */
 final class GracefulShutdown {
-    /** Callers are sent elsewhere after this many questions for readiness without a yes. */
+    /** Callers are routed to other nodes after this many failed readiness probes. */
     private static final int FAILED_PROBES_UNTIL_DRAINED = 2;
-    /** The platform asks once a second; whoever else asks in between tells nothing of callers. */
+    /**
+     * The platform probes once a second. A probe that follows another one sooner than this comes from someone else and
+     * does not show that callers have been routed to other nodes.
+     */
     private static final long MIN_PROBE_SPACING_NANOS = 500_000_000L;
-    /** Callers may have begun a request before they were sent elsewhere. */
+    /** Time after the last of these probes for requests that callers began before they were routed to other nodes. */
     private static final long LAST_CALLER_REQUESTS_MILLIS = 100;
-    /** As long as the platform takes for so many questions; if it asks none, callers are taken to have gone by then. */
+    /**
+     * Time in which the platform makes that many probes. If it makes none, callers are assumed to have been routed to
+     * other nodes after this time.
+     */
     private static final long CALLER_DRAIN_TIMEOUT_MILLIS = 2_600;
-    /** Other nodes hear of the stop within this, and send nothing more to the backend server here. */
+    /** Time in which other nodes learn by gossip that this node is leaving, and stop sending it requests to run. */
     private static final long LEAVE_PROPAGATION_MILLIS = 100;
-    /** Kept back from the grace, for the process to end. */
+    /** Part of the grace period that is reserved for the end of the process. */
     private static final long PROCESS_EXIT_MARGIN_MILLIS = 300;
-    /** Calls have their final answer this much before the end, so that it leaves. */
+    /** Calls get their final response this long before the shutdown ends, so that it can still be sent. */
     private static final long RESPONSE_FLUSH_MILLIS = 150;
 
-    /** A request that comes this much before the end may outlast the process, so it is refused. */
+    /**
+     * Requests that arrive within this time before the shutdown ends are refused, as they might outlast the process.
+     */
     private static final long REFUSE_REQUESTS_MILLIS = 1_500;
 
     private static final long CHECK_INTERVAL_MILLIS = 50;
-    /** Quiet checks in a row before the end: an answer may still be on its way out. */
+    /** Consecutive checks without pending requests until the shutdown ends, as a response may still be in transit. */
     private static final int REQUIRED_IDLE_CHECKS = 3;
 
     private final EventLoop loop;
@@ -52,13 +61,15 @@
     private int idleChecks;
 
     /**
-     * @param loop all runs on it
-     * @param graceNanos from the signal to the kill
-     * @param owner of the backend server
-     * @param entryServer for callers
-     * @param peerServer for other nodes
-     * @param announceLeaving has others told that the owner will stop in a moment
-     * @param onComplete hears that nothing is under way any more
+     * Creates a shutdown that has not started.
+     *
+     * @param loop event loop on which everything runs
+     * @param graceNanos grace period from the signal until the process is killed
+     * @param owner owner of the backend server
+     * @param entryServer server for callers
+     * @param peerServer server for other nodes
+     * @param announceLeaving announces to other nodes that the owner is about to stop
+     * @param onComplete called when nothing is pending any more, or when the time is up
      */
     GracefulShutdown(
             EventLoop loop,
@@ -84,7 +95,7 @@
         loop.schedule(this::onCallersDrained, CALLER_DRAIN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Somebody asked whether this node is ready, and was told no. */
+    /** Called when a readiness probe was answered with "not ready". */
     void onReadinessProbeFailed() {
         long now = System.nanoTime();
         if (!started || failedProbes > 0 && now - lastFailedProbeAt < MIN_PROBE_SPACING_NANOS) {
--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -37,9 +37,11 @@
 import org.berylwick.node.transport.VmLink;
 import org.berylwick.node.version.VersionKeeper;
 
-/** One node: opens its ports, joins the parts, and stops in order. All state lives on one event loop. */
+/**
+ * A node: assembles its components, opens its ports and shuts down gracefully. All state is confined to one event loop.
+ */
 public final class Node implements AutoCloseable {
-    /** Nodes of each availability zone that watch the store; the second stands in while the first is lost. */
+    /** Number of nodes in each availability zone that watch the store; the second covers for the loss of the first. */
     private static final int READERS_PER_ZONE = 2;
 
     private static final int PEER_CONNECT_TIMEOUT_MILLIS = 400;
@@ -47,7 +49,7 @@
     private static final int BACKEND_CONNECT_TIMEOUT_MILLIS = 1_000;
     private static final long BACKEND_MAX_IDLE_NANOS = 30_000_000_000L;
     private static final long TICK_INTERVAL_MILLIS = 1_000;
-    /** A fresh node is not ready before it heard others, or this long after its start if there are none. */
+    /** A node that has not heard from any other node becomes ready only after this time, counted from its start. */
     private static final long READY_WITHOUT_PEERS_AFTER_NANOS = 1_500_000_000L;
 
     private final NodePlatform platform;
@@ -71,16 +73,18 @@
     private final CountDownLatch shutdownComplete = new CountDownLatch(1);
     private volatile String service;
     private long stateSequence;
-    /** Told to stop: not ready for callers. */
+    /** The node was asked to stop and reports to callers that it is not ready. */
     private boolean shuttingDown;
-    /** Others are to send nothing more to the backend server here. */
+    /** Other nodes are told to send no more requests to the backend server of this node. */
     private boolean leaving;
 
     private boolean wasReady;
 
     /**
-     * @param platform of the platform
-     * @param log takes events
+     * Creates a node that is not started.
+     *
+     * @param platform platform on which the node runs
+     * @param log receives the events of the node
      */
     public Node(NodePlatform platform, EventLog log) {
         this.platform = platform;
@@ -159,7 +163,7 @@
                 () -> ThreadLocalRandom.current().nextDouble());
     }
 
-    /** How many nodes there are, with this one: those that were heard, or those that are listed if these are more. */
+    /** Returns the number of nodes including this one: the larger of those heard from and those listed. */
     private int nodeCount() {
         return Math.max(memberTable.all().size(), gossip.contactCount()) + 1;
     }
@@ -169,7 +173,7 @@
         return new ConnectionPool(loop, target, PEER_CONNECT_TIMEOUT_MILLIS, PEER_MAX_IDLE_NANOS);
     }
 
-    /** Opens the ports and starts. */
+    /** Opens the ports and starts all components. */
     public void start() {
         registerGauges();
         BufferedHttpServer.open(loop, settings.heartbeats(), this::handleHeartbeat);
@@ -285,7 +289,10 @@
         return precedingReaders < READERS_PER_ZONE;
     }
 
-    /** A wide link first, as a reader takes every version whole and hands it on; then by address. */
+    /**
+     * Orders the candidates for store readers: by link bandwidth first, as a reader downloads every version completely
+     * and passes it on, then by address.
+     */
     private boolean precedesAsReader(Member member) {
         int linkComparison = Integer.compare(member.state().linkMbps(), linkMbps());
         return linkComparison > 0 || linkComparison == 0 && member.ip().compareTo(settings.ip()) < 0;
@@ -318,7 +325,8 @@
     }
 
     private void onInstalled(VersionKeeper.Origin origin) {
-        // Those that read it themselves tell all; one that got it from far away saves its neighbours the way.
+        // A node that read the version from the store announces it to all nodes. One that fetched it from another
+        // availability zone announces it to its own zone, so that the nodes there need not fetch it from afar.
         switch (origin) {
             case STORE -> gossip.tellNow();
             case FAR -> gossip.tellZoneNow(settings.zone());
@@ -380,11 +388,11 @@
         return BufferedHttpServer.Response.of("application/json", protocol.acknowledgement());
     }
 
-    /** Reads the settings again, without a pause for callers. */
+    /** Reloads the settings without interrupting calls. */
     public void reload() {
         Optional<NodeSettings> reloaded = platform.reloadSettings();
         if (reloaded.isEmpty()) {
-            log.write(Event.SETTINGS_REFUSED, "follows", "the former settings stay in force");
+            log.write(Event.SETTINGS_REFUSED, "follows", "the previous settings remain in force");
             return;
         }
         service = reloaded.get().service();
@@ -402,7 +410,8 @@
     }
 
     /**
-     * Finishes what is under way and takes nothing new; returns when that is done, or when the grace is nearly over.
+     * Stops gracefully: routes callers to other nodes, then completes the pending requests and accepts no new ones.
+     * Returns when that is done, or when the grace period is nearly over.
      */
     public void stop() {
         log.write(Event.STOPPING, "graceMs", settings.bounds().graceNanos() / 1_000_000);
@@ -419,23 +428,23 @@
         log.write(Event.STOPPED, "pending", owner.pending() + entryServer.pending());
     }
 
-    /** The event loop of all parts. */
+    /** Returns the event loop on which all components run. */
     public EventLoop loop() {
         return loop;
     }
 
-    /** What was counted. */
+    /** Returns the metrics of this node. */
     public Counters counters() {
         return counters;
     }
 
-    /** Ends all at once; {@link #shutdown} comes first where calls are under way. */
+    /** Closes everything immediately; call {@link #stop} first if calls may be pending. */
     @Override
     public void close() {
         eventLoopGroup.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
     }
 
-    /** Runs a node until the process is told to stop. */
+    /** Starts a node that runs until the process is asked to stop. */
     public static void run(NodePlatform platform) {
         EventLog log =
                 new EventLog(platform.settings().name(), new java.io.FileOutputStream(java.io.FileDescriptor.out));
--- a/org.berylwick.node/src/org/berylwick/node/NodePlatform.java
+++ b/org.berylwick.node/src/org/berylwick/node/NodePlatform.java
@@ -9,26 +9,26 @@
 import org.berylwick.node.member.NodeDirectory;
 import org.berylwick.node.version.ConfigurationSource;
 
-/** What a node needs of the platform that it runs on. */
+/** The services that a node requires from the platform on which it runs. */
 public interface NodePlatform {
-    /** This node's settings as they were read at its start. */
+    /** Returns the settings of this node as read at its start. */
     NodeSettings settings();
 
-    /** Regions by availability zone. */
+    /** Returns the region of each availability zone. */
     Map<String, String> regionOfZone();
 
-    /** Reads the settings again; empty if they cannot be read now. */
+    /** Reads the settings again. Returns empty if they cannot be read now. */
     Optional<NodeSettings> reloadSettings();
 
-    /** Headers that callers and backend servers know. */
+    /** Returns the names of the headers that callers and backend servers use. */
     HeaderNames headerNames();
 
-    /** How backend servers announce themselves. */
+    /** Returns the protocol with which backend servers announce themselves. */
     HeartbeatProtocol heartbeatProtocol();
 
-    /** Opens the place where accepted versions are kept. */
+    /** Opens the source from which accepted configuration versions are read. */
     ConfigurationSource configurationSource(EventLoop eventLoop);
 
-    /** Opens the list of nodes that lasts. */
+    /** Opens the persistent list of nodes. */
     NodeDirectory directory(EventLoop eventLoop);
 }
--- a/org.berylwick.node/src/org/berylwick/node/Signals.java
+++ b/org.berylwick.node/src/org/berylwick/node/Signals.java
@@ -2,20 +2,22 @@
 
 import java.lang.reflect.Proxy;
 
-/** Runs a task when the process is sent a signal. */
+/** Runs tasks when the process receives a signal. */
 final class Signals {
     private Signals() {}
 
     /**
-     * Handles a signal; the JVM would end at it otherwise.
+     * Handles a signal that would otherwise terminate the JVM.
      *
-     * @param name without SIG
-     * @param task runs on a thread of the JVM
-     * @return false if this JVM does not let signals be handled
+     * @param name name of the signal, without the prefix SIG
+     * @param task task to run on a thread of the JVM when the signal arrives
+     * @return false if this JVM does not allow the signal to be handled
      */
     static boolean handle(String name, Runnable task) {
         try {
-            // The JVM's only way to handle a signal has no public name, and the compiler refuses it.
+            // The only way to handle signals in the JVM is this internal class, which the compiler does not accept. So
+            // it is
+            // used by reflection.
             Class<?> signalType = Class.forName("sun.misc.Signal");
             Class<?> handlerType = Class.forName("sun.misc.SignalHandler");
             Object handlerProxy = Proxy.newProxyInstance(
--- a/org.berylwick.node/src/org/berylwick/node/package-info.java
+++ b/org.berylwick.node/src/org/berylwick/node/package-info.java
@@ -1,2 +1,4 @@
-/** The daemon beside a backend server, small enough for the slot that its VM leaves it. */
+/**
+ * The node: a daemon beside each backend server, small enough for the resources that the backend server's VM can spare.
+ */
 package org.berylwick.node;
