--- a/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
@@ -14,7 +14,7 @@
 import org.berylwick.bench.emulate.VirtualClock;
 import org.junit.jupiter.api.Test;
 
-/** The order in which answers leave over a narrow link. */
+/** Tests the order and the pace in which responses are sent over a narrow link. */
 class OutgoingLinkTest {
     private static final long NANOS_PER_MS = 1_000_000L;
     private static final double NARROW_MBPS = 7;
@@ -24,7 +24,7 @@
     private final VirtualClock clock = new VirtualClock();
     private final OutgoingLink link = new OutgoingLink(NARROW_MBPS, clock);
 
-    /** A connection that notes what it was given, and when. */
+    /** A connection that records the number of bytes written to it and the time of each write. */
     private final class RecordingSink implements OutgoingLink.Sink {
         private final List<Long> writeTimes = new ArrayList<>();
         private int bytes;
@@ -57,7 +57,7 @@
         return flow;
     }
 
-    /** A call's answer of 2 KB comes while three of 90 KB wait: it leaves at once. */
+    /** A response of 2 KB is sent immediately although three responses of 90 KB are queued. */
     @Test
     void smallResponsesAreSentImmediately() {
         RecordingSink large = new RecordingSink();
@@ -71,7 +71,7 @@
         assertEquals(List.of(50 * NANOS_PER_MS), small.writeTimes);
     }
 
-    /** What was handed to the system ahead is all that stands before a small answer there. */
+    /** Only the bytes that are sent ahead of the link can delay a small response in the operating system, so they are few. */
     @Test
     void sendAheadIsBounded() {
         RecordingSink large = new RecordingSink();
@@ -83,7 +83,7 @@
         }
     }
 
-    /** Two answers wait for the link: the one that is due first leaves first, and both at the link's pace. */
+    /** Of two queued responses, the one that is due first is sent first, and both are sent at the rate of the link. */
     @Test
     void earliestDueResponseIsSentFirst() {
         RecordingSink dueLater = new RecordingSink();
@@ -95,10 +95,10 @@
         assertTrue(!dueLater.finished);
         clock.runUntil(240 * NANOS_PER_MS);
         assertTrue(dueLater.finished);
-        assertTrue(dueLater.writeTimes.getLast() > 170 * NANOS_PER_MS, "faster than the link");
+        assertTrue(dueLater.writeTimes.getLast() > 170 * NANOS_PER_MS, "sent faster than the link allows");
     }
 
-    /** One that is late already gives way to one that can be in time, and is sent all the same. */
+    /** A response that is late already yields to one that can still be in time, and is sent after it. */
     @Test
     void lateResponseYieldsAndIsStillSent() {
         clock.runUntil(100 * NANOS_PER_MS);
@@ -114,22 +114,22 @@
         assertEquals(LARGE_BYTES, late.bytes);
     }
 
-    /** Guards against a late answer that never leaves while answers that can be in time keep coming. */
+    /** Guards against a late response that is never sent while responses that can be in time keep arriving. */
     @Test
     void lateResponseIsSentUnderSteadyLoad() {
         clock.runUntil(100 * NANOS_PER_MS);
         RecordingSink late = new RecordingSink();
         send(late, LARGE_BYTES, 50 * NANOS_PER_MS);
-        // As much as the link carries, so that there is always one that can be in time.
+        // As much as the link can carry, so that there is always a response that can be in time.
         for (int i = 0; i < 40; i++) {
             send(new RecordingSink(), LARGE_BYTES, clock.now() + 1_000 * NANOS_PER_MS);
             clock.runUntil(clock.now() + 110 * NANOS_PER_MS);
         }
-        assertTrue(late.finished, late.bytes + " of " + LARGE_BYTES + " bytes have left");
-        assertTrue(late.writeTimes.getLast() < 1_500 * NANOS_PER_MS, "left after " + late.writeTimes.getLast() / NANOS_PER_MS + " ms");
+        assertTrue(late.finished, late.bytes + " of " + LARGE_BYTES + " bytes have been sent");
+        assertTrue(late.writeTimes.getLast() < 1_500 * NANOS_PER_MS, "sent after " + late.writeTimes.getLast() / NANOS_PER_MS + " ms");
     }
 
-    /** A connection whose other end does not read holds up its own answer alone. */
+    /** A connection whose receiver does not read delays only its own response. */
     @Test
     void blockedConnectionDelaysNoOther() {
         RecordingSink blocked = new RecordingSink();
@@ -146,7 +146,7 @@
         assertTrue(blocked.finished);
     }
 
-    /** Whatever waits is bounded: the maker of an answer that no longer fits is told to wait, and to go on later. */
+    /** The queue is bounded: the source of a response that exceeds the limit is paused, and resumed later. */
     @Test
     void sourceIsPausedWhenQueueIsFull() {
         RecordingSink first = new RecordingSink();
@@ -161,7 +161,7 @@
         assertTrue(second.finished);
     }
 
-    /** Guards against an answer that is never read on because those before it were cancelled. */
+    /** Guards against a source that stays paused because the responses queued before its own were cancelled. */
     @Test
     void sourceResumesWhenQueuedResponseIsCancelled() {
         RecordingSink blocked = new RecordingSink();
@@ -176,7 +176,7 @@
         assertTrue(second.reading);
     }
 
-    /** Guards against the most urgent answer waiting for its source while less urgent ones fill the memory. */
+    /** Guards against the most urgent response waiting for its paused source while less urgent ones fill the queue. */
     @Test
     void sourceResumesWhenItsOwnQueueIsEmpty() {
         send(new RecordingSink(), 2_000_000, 2_000 * NANOS_PER_MS);
@@ -188,7 +188,7 @@
         assertTrue(urgent.reading);
     }
 
-    /** Guards against a source that stays unread after its connection was not writable for a moment. */
+    /** Guards against a source that stays paused after its connection was not writable for a moment. */
     @Test
     void sourceResumesAfterItsConnectionWasBlocked() {
         RecordingSink sink = new RecordingSink();
@@ -203,7 +203,7 @@
         assertTrue(sink.reading);
     }
 
-    /** On a wide link nothing waits, but for a connection whose other end does not read. */
+    /** On a wide link nothing is queued; a source is paused only while the receiver of its response does not read. */
     @Test
     void wideLinkSendsImmediately() {
         OutgoingLink wide = new OutgoingLink(1_000, clock);
@@ -220,7 +220,7 @@
         assertTrue(sink.reading);
     }
 
-    /** What is being made counts until it begins, what waits until it has left. */
+    /** Expected bytes count as busy time until they are withdrawn, queued bytes until they have been sent. */
     @Test
     void busyTimeCountsExpectedAndQueuedBytes() {
         link.adjustExpectedBytes(LARGE_BYTES);
@@ -234,7 +234,7 @@
         assertEquals(0, link.busyNanos());
     }
 
-    /** Any answers, in any parts, some left midway: each that goes on is whole, and nothing is held in the end. */
+    /** For random responses in random parts, some of them cancelled: the others are sent in full, and none stays queued. */
     @Property(tries = 200)
     void everyResponseNotCancelledIsSentInFull(@ForAll @IntRange(min = 1, max = 30) int count, @ForAll long seed) {
         Random random = new Random(seed);
--- a/org.berylwick.test/tst/org/berylwick/node/transport/package-info.java
+++ b/org.berylwick.test/tst/org/berylwick/node/transport/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of connections and of the link. */
+/** Tests of HTTP connections and of the pacing of the link. */
 package org.berylwick.node.transport;
