--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -60,7 +60,7 @@
     private final EventLog log;
     private final MultiThreadIoEventLoopGroup eventLoopGroup;
     private final EventLoop loop;
-    private final MemberTable memberTable;
+    private final MemberTable members;
     private final Owner owner;
     private final VmLink link;
     private final Gossip gossip;
@@ -94,7 +94,7 @@
         this.eventLoopGroup =
                 new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("loop", false), NioIoHandler.newFactory());
         this.loop = (EventLoop) eventLoopGroup.next();
-        this.memberTable = new MemberTable(this::createPeerPool, this::onSuspected);
+        this.members = new MemberTable(this::createPeerPool, this::onSuspected);
         this.link = VmLink.of(settings.linkMbps(), new EventLoopClock(loop));
         this.owner = new Owner(
                 new EventLoopClock(loop),
@@ -111,7 +111,7 @@
                 loop,
                 settings.ip(),
                 settings.gossipPort(),
-                memberTable,
+                members,
                 this::localState,
                 counters,
                 log,
@@ -119,7 +119,7 @@
         this.versionKeeper = new VersionKeeper(
                 loop,
                 platform.configurationSource(loop),
-                memberTable,
+                members,
                 settings.zone(),
                 this::isStoreReader,
                 this::onInstalled,
@@ -157,7 +157,7 @@
                 settings.zone(),
                 settings.region(),
                 platform.regionOfZone(),
-                memberTable,
+                members,
                 gossip::silentNanos,
                 owner,
                 () -> ThreadLocalRandom.current().nextDouble());
@@ -165,7 +165,7 @@
 
     /** Returns the number of nodes including this one: the larger of those heard from and those listed. */
     private int nodeCount() {
-        return Math.max(memberTable.all().size(), gossip.contactCount()) + 1;
+        return Math.max(members.all().size(), gossip.contactCount()) + 1;
     }
 
     private ConnectionPool createPeerPool(String ip) {
@@ -227,7 +227,7 @@
                 () -> versionKeeper.version().map(v -> v.number()).orElse(0L));
         counters.registerGauge(
                 NodeMetricNames.MEMBERS_HEARD,
-                () -> memberTable.countHeardWithin(gossip.silentNanos(), System.nanoTime()));
+                () -> members.countHeardWithin(gossip.silentNanos(), System.nanoTime()));
         counters.registerGauge(
                 NodeMetricNames.OWNER_CONNECTIONS_OPENED,
                 () -> owner.backend().map(Backend::connectionsOpened).orElse(0L));
@@ -251,7 +251,7 @@
                     "version",
                     versionKeeper.version().map(v -> v.number()).orElse(0L),
                     "members",
-                    memberTable.all().size(),
+                    members.all().size(),
                     "leaving",
                     shuttingDown);
         }
@@ -261,7 +261,7 @@
         if (shuttingDown || versionKeeper.version().isEmpty()) {
             return false;
         }
-        return !memberTable.all().isEmpty() || System.nanoTime() - startedAt > READY_WITHOUT_PEERS_AFTER_NANOS;
+        return !members.all().isEmpty() || System.nanoTime() - startedAt > READY_WITHOUT_PEERS_AFTER_NANOS;
     }
 
     private BufferedHttpServer.Response handleReadinessRequest() {
@@ -276,7 +276,7 @@
         long now = System.nanoTime();
         long silenceThreshold = gossip.silentNanos();
         int precedingReaders = 0;
-        for (Member member : memberTable.all()) {
+        for (Member member : members.all()) {
             NodeState state = member.state();
             boolean eligible = state.zone().equals(settings.zone())
                     && state.storeReached()
