--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -115,7 +115,7 @@
                 this::localState,
                 counters,
                 log,
-                this::onMemberState);
+                this::onGossip);
         this.versionKeeper = new VersionKeeper(
                 loop,
                 platform.configurationSource(loop),
@@ -336,7 +336,7 @@
         logReadinessChange();
     }
 
-    private void onMemberState(Member member, MemberTable.Hearing hearing) {
+    private void onGossip(Member member, MemberTable.Hearing hearing) {
         versionKeeper.onHeard(member);
         if (hearing == MemberTable.Hearing.SAME) {
             return;
