--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -108,14 +108,7 @@
                 this::onBackendChange);
         this.backendProbe = new BackendProbe(loop, settings, platform.headerNames(), owner, log);
         this.gossip = new Gossip(
-                loop,
-                settings.ip(),
-                settings.gossipPort(),
-                members,
-                this::localState,
-                counters,
-                log,
-                this::onGossip);
+                loop, settings.ip(), settings.gossipPort(), members, this::localState, counters, log, this::onGossip);
         this.versionKeeper = new VersionKeeper(
                 loop,
                 platform.configurationSource(loop),
@@ -226,8 +219,7 @@
                 NodeMetricNames.VERSION_IN_FORCE,
                 () -> versionKeeper.version().map(v -> v.number()).orElse(0L));
         counters.registerGauge(
-                NodeMetricNames.MEMBERS_HEARD,
-                () -> members.countHeardWithin(gossip.silentNanos(), System.nanoTime()));
+                NodeMetricNames.MEMBERS_HEARD, () -> members.countHeardWithin(gossip.silentNanos(), System.nanoTime()));
         counters.registerGauge(
                 NodeMetricNames.OWNER_CONNECTIONS_OPENED,
                 () -> owner.backend().map(Backend::connectionsOpened).orElse(0L));
--- a/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
@@ -111,7 +111,8 @@
                 DatagramSocket socket = new DatagramSocket(rig.gossip(9))) {
             BufferedHttpServer.open((EventLoop) group.next(), rig.peers(9), q -> {
                 asked.add(q.uri().substring(q.uri().indexOf('=') + 1));
-                return BufferedHttpServer.Response.of("", asked.size() == 1 ? delivery(5, changed) : delivery(0, whole));
+                return BufferedHttpServer.Response.of(
+                        "", asked.size() == 1 ? delivery(5, changed) : delivery(0, whole));
             });
             rig.configuration.accept(NodeRig.version(5));
             rig.configuration.keep(NodeRig.version(6));
--- a/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
@@ -71,7 +71,10 @@
         assertEquals(List.of(50 * NANOS_PER_MS), small.writeTimes);
     }
 
-    /** Only the bytes that are sent ahead of the link can delay a small response in the operating system, so they are few. */
+    /**
+     * Only the bytes that are sent ahead of the link can delay a small response in the operating system, so they are
+     * few.
+     */
     @Test
     void sendAheadIsBounded() {
         RecordingSink large = new RecordingSink();
@@ -79,7 +82,9 @@
         for (long time = 0; time < 60 * NANOS_PER_MS; time += NANOS_PER_MS) {
             clock.runUntil(time);
             double maxTransmittedBytes = time * NARROW_MBPS / 8_000;
-            assertTrue(large.bytes - maxTransmittedBytes <= 28_000, large.bytes + " bytes after " + time / NANOS_PER_MS + " ms");
+            assertTrue(
+                    large.bytes - maxTransmittedBytes <= 28_000,
+                    large.bytes + " bytes after " + time / NANOS_PER_MS + " ms");
         }
     }
 
@@ -126,7 +131,9 @@
             clock.runUntil(clock.now() + 110 * NANOS_PER_MS);
         }
         assertTrue(late.finished, late.bytes + " of " + LARGE_BYTES + " bytes have been sent");
-        assertTrue(late.writeTimes.getLast() < 1_500 * NANOS_PER_MS, "sent after " + late.writeTimes.getLast() / NANOS_PER_MS + " ms");
+        assertTrue(
+                late.writeTimes.getLast() < 1_500 * NANOS_PER_MS,
+                "sent after " + late.writeTimes.getLast() / NANOS_PER_MS + " ms");
     }
 
     /** A connection whose receiver does not read delays only its own response. */
@@ -225,7 +232,8 @@
     void busyTimeCountsExpectedAndQueuedBytes() {
         link.adjustExpectedBytes(LARGE_BYTES);
         long expectedNanos = link.busyNanos();
-        assertTrue(expectedNanos > 100 * NANOS_PER_MS && expectedNanos < 120 * NANOS_PER_MS, "busy for " + expectedNanos);
+        assertTrue(
+                expectedNanos > 100 * NANOS_PER_MS && expectedNanos < 120 * NANOS_PER_MS, "busy for " + expectedNanos);
         link.adjustExpectedBytes(-LARGE_BYTES);
         assertEquals(0, link.busyNanos());
         send(new RecordingSink(), LARGE_BYTES, 100 * NANOS_PER_MS);
@@ -234,7 +242,9 @@
         assertEquals(0, link.busyNanos());
     }
 
-    /** For random responses in random parts, some of them cancelled: the others are sent in full, and none stays queued. */
+    /**
+     * For random responses in random parts, some of them cancelled: the others are sent in full, and none stays queued.
+     */
     @Property(tries = 200)
     void everyResponseNotCancelledIsSentInFull(@ForAll @IntRange(min = 1, max = 30) int count, @ForAll long seed) {
         Random random = new Random(seed);
