--- a/org.berylwick.node/src/org/berylwick/node/transport/ConnectionPool.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ConnectionPool.java
@@ -118,7 +118,7 @@
             return limitNanos;
         }
         // If the server closes the connection while a request is in transit, it is unknown whether the request ran. So
-        // the idle time has to stay one second and one third below the server's keep-alive time, whichever is more.
+        // the idle time must stay at least one second, and at least one third, below the server's keep-alive time.
         return Math.min(
                 limitNanos,
                 Math.min(connection.keepAliveNanos() - 1_000_000_000L, connection.keepAliveNanos() * 2 / 3));
