--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedAttempt.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedAttempt.java
@@ -58,7 +58,7 @@
                 call.body().length(),
                 call.expectedResponseBytes(),
                 emulation.clock().now());
-        boolean streamed = call.body().length() >= RequestBody.LEAST_STREAMED;
+        boolean streamed = call.body().length() >= RequestBody.MIN_STREAMED_BYTES;
         int withHead = HEADER_BYTES + (streamed ? 0 : call.body().length());
         boolean asked =
                 member.linkLoad(emulation.clock().now()).isLarge(call.body().length());
@@ -79,9 +79,9 @@
 
     private RequestBody arriving(RequestBody from, boolean asked) {
         if (!asked) {
-            return RequestBody.coming(from.length(), to.link().incoming());
+            return RequestBody.incoming(from.length(), to.link().incoming());
         }
-        return RequestBody.keptBack(
+        return RequestBody.deferred(
                 from.length(),
                 to.link().incoming(),
                 () -> later(ASK_BYTES, () -> {
@@ -123,11 +123,11 @@
         int withHead = HEADER_BYTES + (large ? 0 : answerBytes);
         if (large) {
             BackWire wire = new BackWire();
-            OutgoingLink.Flow flowBack = to.link().outgoing().open(wire, dueAt);
+            OutgoingLink.Flow flowBack = to.link().outgoing().openFlow(wire, dueAt);
             wire.tell(flowBack);
             answer = Optional.of(flowBack);
         } else {
-            to.link().outgoing().onSent(withHead);
+            to.link().outgoing().recordSmallWrite(withHead);
         }
         count(withHead);
         later(withHead, () -> {
@@ -166,7 +166,7 @@
         }
 
         @Override
-        public void readOn(boolean on) {
+        public void setSourceReading(boolean on) {
             attempt.ifPresent(a -> a.setAutoRead(on));
         }
     }
@@ -175,7 +175,7 @@
     public void onEnd() {
         ended = true;
         if (answer.isPresent()) {
-            answer.get().end(() -> stream.send(END_BYTES, this::endLater));
+            answer.get().finish(() -> stream.send(END_BYTES, this::endLater));
         } else {
             later(END_BYTES, this::endNow);
         }
--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedCaller.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedCaller.java
@@ -52,7 +52,7 @@
         EmulatedWay back = new EmulatedWay(emulation, Optional.of(node.out()), Optional.empty(), nanos);
         EmulatedWay local = new EmulatedWay(emulation, Optional.empty(), Optional.empty(), nanos);
         int bytes = kind.bytes().body();
-        boolean streamed = bytes >= RequestBody.LEAST_STREAMED;
+        boolean streamed = bytes >= RequestBody.MIN_STREAMED_BYTES;
         there.send(HEADER_BYTES + (streamed ? 0 : bytes), () -> {
             if (over) {
                 return;
@@ -68,7 +68,7 @@
             });
             sink = Optional.of(next);
             RequestBody body = streamed
-                    ? RequestBody.coming(bytes, node.link().incoming())
+                    ? RequestBody.incoming(bytes, node.link().incoming())
                     : RequestBody.of(Unpooled.wrappedBuffer(new byte[bytes]));
             flow.ifPresent(EmulatedWay.BodyFlow::stop);
             flow = streamed ? Optional.of(there.flow(body)) : Optional.empty();
--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedServer.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedServer.java
@@ -13,13 +13,13 @@
 import java.util.Random;
 import java.util.function.Consumer;
 import org.berylwick.node.lib.Clock;
-import org.berylwick.node.transport.HttpExchange;
+import org.berylwick.node.transport.HttpResponseHandler;
 import org.berylwick.node.transport.RequestBody;
 import org.berylwick.node.transport.ServerConnection;
-import org.berylwick.node.transport.ServerConnections;
+import org.berylwick.node.transport.ServerConnectionPool;
 
 /** A backend server: runs what its owner sends, at its own speed, and makes the calls of its runs. */
-final class EmulatedServer implements ServerConnections {
+final class EmulatedServer implements ServerConnectionPool {
     private static final long SHED_NANOS = 1_000_000L;
     private static final ByteBuf ZEROS = Unpooled.wrappedBuffer(new byte[EmulatedLink.PART_BYTES]);
 
@@ -65,19 +65,19 @@
     }
 
     @Override
-    public long opened() {
+    public long openedCount() {
         return 0;
     }
 
     @Override
-    public void trim() {}
+    public void evictIdle() {}
 
     @Override
     public void close() {}
 
     /** Carries one request, which is enough here: what a connection costs is not emulated. */
     private final class Connection implements ServerConnection {
-        private Optional<HttpExchange> waiter = Optional.empty();
+        private Optional<HttpResponseHandler> waiter = Optional.empty();
         private Optional<Clock.Timer> end = Optional.empty();
         private Optional<Runnable> abandonCall = Optional.empty();
         private boolean busy;
@@ -85,7 +85,7 @@
         private int unwritten;
 
         @Override
-        public void send(HttpRequest request, RequestBody body, HttpExchange exchange) {
+        public void send(HttpRequest request, RequestBody body, HttpResponseHandler exchange) {
             waiter = Optional.of(exchange);
             String id = request.headers().get(Emulation.NAMES.requestId());
             if (random.nextDouble() < shedShare) {
@@ -156,7 +156,7 @@
                 free();
                 return;
             }
-            HttpExchange exchange = waiter.get();
+            HttpResponseHandler exchange = waiter.get();
             if (!notRun && random.nextDouble() < lostShare) {
                 free();
                 waiter = Optional.empty();
@@ -184,7 +184,7 @@
             }
             if (waiter.isPresent() && unwritten == 0) {
                 free();
-                HttpExchange exchange = waiter.get();
+                HttpResponseHandler exchange = waiter.get();
                 waiter = Optional.empty();
                 exchange.onEnd();
             }
@@ -198,15 +198,15 @@
         }
 
         @Override
-        public boolean isSentWhole() {
+        public boolean isRequestFullySent() {
             return true;
         }
 
         @Override
-        public void giveBack() {}
+        public void returnUnused() {}
 
         @Override
-        public void readOn(boolean on) {
+        public void setAutoRead(boolean on) {
             boolean resumes = on && !reading;
             reading = on;
             if (resumes && unwritten > 0) {
@@ -215,7 +215,7 @@
         }
 
         @Override
-        public void abandon() {
+        public void abort() {
             waiter = Optional.empty();
             end.ifPresent(Clock.Timer::cancel);
             abandonCall.ifPresent(Runnable::run);
@@ -223,7 +223,7 @@
         }
 
         @Override
-        public int served() {
+        public int servedRequests() {
             return 0;
         }
 
--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedWay.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedWay.java
@@ -44,7 +44,7 @@
     /** Sends a body as it comes, to one that comes at the other end. */
     BodyFlow flow(RequestBody from, RequestBody to) {
         BodyFlow flow = new BodyFlow(from, to);
-        from.follow(flow);
+        from.subscribe(flow);
         return flow;
     }
 
@@ -109,7 +109,7 @@
     private record Piece(int bytes, Runnable arrived) {}
 
     /** A body on its way. */
-    final class BodyFlow implements RequestBody.Follower {
+    final class BodyFlow implements RequestBody.Subscriber {
         private final RequestBody from;
         private final RequestBody to;
         private final Stream stream = open();
@@ -122,14 +122,14 @@
         }
 
         @Override
-        public void onPart(ByteBuf part) {
+        public void onRequestBodyPart(ByteBuf part) {
             int bytes = part.readableBytes();
             part.release();
             offer(bytes);
         }
 
         @Override
-        public void onWhole() {
+        public void onRequestBodyComplete() {
             // The last part says so too.
         }
 
@@ -145,9 +145,9 @@
             if (over) {
                 return;
             }
-            to.add(ZEROS.retainedSlice(0, bytes));
+            to.addPart(ZEROS.retainedSlice(0, bytes));
             if (arrived == to.length()) {
-                to.end();
+                to.markComplete();
             }
         }
 
@@ -155,7 +155,7 @@
         void stop() {
             over = true;
             stream.stop();
-            from.unfollow(this);
+            from.unsubscribe(this);
         }
     }
 }
--- /dev/null
+++ b/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
@@ -0,0 +1,143 @@
+package org.berylwick.node;
+
+import io.netty.channel.EventLoop;
+import java.util.concurrent.TimeUnit;
+import org.berylwick.node.call.EntryServer;
+import org.berylwick.node.call.Owner;
+import org.berylwick.node.call.PeerServer;
+
+/**
+ * Shuts a node down in stages; confined to the event loop.
+ *
+ * <p>The backend server beside this node keeps running, but it cannot be reached from the time the owner stops until
+ * the node is back. So the owner keeps accepting requests while callers are routed to other nodes, and stops last. The
+ * requests that it runs make calls of their own through the port for callers, so that port is closed only after they
+ * have ended. The shutdown is complete when the last response has been written.
+ */
+final class GracefulShutdown {
+    /** Callers are routed to other nodes after this many failed readiness probes. */
+    private static final int FAILED_PROBES_UNTIL_DRAINED = 2;
+    /**
+     * The platform probes once a second. A probe that follows another one sooner than this comes from someone else and
+     * does not show that callers have been routed to other nodes. */
+    private static final long MIN_PROBE_SPACING_NANOS = 500_000_000L;
+    /** Time after the last of these probes for requests that callers began before they were routed to other nodes. */
+    private static final long LAST_CALLER_REQUESTS_MILLIS = 100;
+    /**
+     * Time in which the platform makes that many probes. If it makes none, callers are assumed to have been routed to
+     * other nodes after this time. */
+    private static final long CALLER_DRAIN_TIMEOUT_MILLIS = 2_600;
+    /** Time in which other nodes learn by gossip that this node is leaving, and stop sending it requests to run. */
+    private static final long LEAVE_PROPAGATION_MILLIS = 100;
+    /** Part of the grace period that is reserved for the end of the process. */
+    private static final long PROCESS_EXIT_MARGIN_MILLIS = 300;
+    /** Calls get their final response this long before the shutdown ends, so that it can still be sent. */
+    private static final long RESPONSE_FLUSH_MILLIS = 150;
+
+    /**
+     * Requests that arrive within this time before the shutdown ends are refused, as they might outlast the process. */
+    private static final long REFUSE_REQUESTS_MILLIS = 1_500;
+
+    private static final long CHECK_INTERVAL_MILLIS = 50;
+    /** Consecutive checks without pending requests until the shutdown ends, as a response may still be in transit. */
+    private static final int REQUIRED_IDLE_CHECKS = 3;
+
+    private final EventLoop loop;
+    private final long graceNanos;
+    private final Owner owner;
+    private final EntryServer entryServer;
+    private final PeerServer peerServer;
+    private final Runnable announceLeaving;
+    private final Runnable onComplete;
+    private boolean started;
+    private boolean callersDrained;
+    private boolean listening = true;
+    private int failedProbes;
+    private long lastFailedProbeAt;
+    private long endAt;
+    private int idleChecks;
+
+    /**
+     * Creates a shutdown that has not started.
+     *
+     * @param loop event loop on which everything runs
+     * @param graceNanos grace period from the signal until the process is killed
+     * @param owner owner of the backend server
+     * @param entryServer server for callers
+     * @param peerServer server for other nodes
+     * @param announceLeaving announces to other nodes that the owner is about to stop
+     * @param onComplete called when nothing is pending any more, or when the time is up
+     */
+    GracefulShutdown(
+            EventLoop loop,
+            long graceNanos,
+            Owner owner,
+            EntryServer entryServer,
+            PeerServer peerServer,
+            Runnable announceLeaving,
+            Runnable onComplete) {
+        this.loop = loop;
+        this.graceNanos = graceNanos;
+        this.owner = owner;
+        this.entryServer = entryServer;
+        this.peerServer = peerServer;
+        this.announceLeaving = announceLeaving;
+        this.onComplete = onComplete;
+    }
+
+    void start() {
+        started = true;
+        endAt = System.nanoTime() + graceNanos - PROCESS_EXIT_MARGIN_MILLIS * 1_000_000;
+        entryServer.drain(endAt - RESPONSE_FLUSH_MILLIS * 1_000_000);
+        loop.schedule(this::onCallersDrained, CALLER_DRAIN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+    }
+
+    /** Called when a readiness probe was answered with "not ready". */
+    void onReadinessProbeFailed() {
+        long now = System.nanoTime();
+        if (!started || failedProbes > 0 && now - lastFailedProbeAt < MIN_PROBE_SPACING_NANOS) {
+            return;
+        }
+        lastFailedProbeAt = now;
+        failedProbes++;
+        if (failedProbes == FAILED_PROBES_UNTIL_DRAINED) {
+            loop.schedule(this::onCallersDrained, LAST_CALLER_REQUESTS_MILLIS, TimeUnit.MILLISECONDS);
+        }
+    }
+
+    private void onCallersDrained() {
+        if (callersDrained) {
+            return;
+        }
+        callersDrained = true;
+        announceLeaving.run();
+        loop.schedule(this::stopOwner, LEAVE_PROPAGATION_MILLIS, TimeUnit.MILLISECONDS);
+    }
+
+    private void stopOwner() {
+        owner.stop();
+        checkProgress();
+    }
+
+    private void checkProgress() {
+        long now = System.nanoTime();
+        boolean graceExpired = now >= endAt;
+        if (now >= endAt - REFUSE_REQUESTS_MILLIS * 1_000_000) {
+            entryServer.refuseNewRequests();
+        }
+        if (listening && (owner.pendingCount() == 0 || graceExpired)) {
+            listening = false;
+            entryServer.stopListening();
+        }
+        idleChecks = isIdle() ? idleChecks + 1 : 0;
+        if (idleChecks >= REQUIRED_IDLE_CHECKS || graceExpired) {
+            onComplete.run();
+            return;
+        }
+        loop.schedule(this::checkProgress, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+    }
+
+    private boolean isIdle() {
+        return owner.pendingCount() + entryServer.pendingRequests() == 0 && !peerServer.isSending();
+    }
+}
--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -31,152 +31,155 @@
 import org.berylwick.node.member.MemberTable;
 import org.berylwick.node.member.NodeDiscovery;
 import org.berylwick.node.member.NodeState;
+import org.berylwick.node.transport.BufferedHttpServer;
 import org.berylwick.node.transport.ConnectionPool;
 import org.berylwick.node.transport.EventLoopClock;
-import org.berylwick.node.transport.SmallHttpServer;
 import org.berylwick.node.transport.VmLink;
 import org.berylwick.node.version.VersionUpdater;
 
-/** One node: opens its ports, joins the parts, and stops in order. All state lives on one event loop. */
+/**
+ * A node: assembles its components, opens its ports and shuts down gracefully. All state is confined to one event loop. */
 public final class Node implements AutoCloseable {
-    /** Nodes of each availability zone that watch the store; the second stands in while the first is lost. */
+    /** Number of nodes in each availability zone that watch the store; the second covers for the loss of the first. */
     private static final int READERS_PER_ZONE = 2;
 
-    private static final int PEER_CONNECT_MILLIS = 400;
-    private static final long PEER_IDLE_NANOS = 20_000_000_000L;
-    private static final int BACKEND_CONNECT_MILLIS = 1_000;
-    private static final long BACKEND_IDLE_NANOS = 30_000_000_000L;
-    private static final long TICK_MILLIS = 1_000;
-    /** A fresh node is not ready before it heard others, or this long after its start if there are none. */
-    private static final long ALONE_NANOS = 1_500_000_000L;
+    private static final int PEER_CONNECT_TIMEOUT_MILLIS = 400;
+    private static final long PEER_MAX_IDLE_NANOS = 20_000_000_000L;
+    private static final int BACKEND_CONNECT_TIMEOUT_MILLIS = 1_000;
+    private static final long BACKEND_MAX_IDLE_NANOS = 30_000_000_000L;
+    private static final long TICK_INTERVAL_MILLIS = 1_000;
+    /** A node that has not heard from any other node becomes ready only after this time, counted from its start. */
+    private static final long READY_WITHOUT_PEERS_AFTER_NANOS = 1_500_000_000L;
 
-    private final NodePorts ports;
+    private final NodePlatform platform;
     private final NodeSettings settings;
     private final long startedAt = System.nanoTime();
-    private final long boot = ThreadLocalRandom.current().nextLong(Long.MAX_VALUE);
+    private final long bootId = ThreadLocalRandom.current().nextLong(Long.MAX_VALUE);
     private final Counters counters = new Counters();
     private final EventLog log;
-    private final MultiThreadIoEventLoopGroup group;
+    private final MultiThreadIoEventLoopGroup eventLoopGroup;
     private final EventLoop loop;
-    private final MemberTable table;
+    private final MemberTable members;
     private final Owner owner;
     private final VmLink link;
     private final Gossip gossip;
-    private final VersionUpdater versions;
+    private final VersionUpdater versionKeeper;
     private final NodeDiscovery directory;
-    private final EntryServer entry;
-    private final PeerServer peers;
-    private final NodeStop stop;
-    private final BackendProbe probe;
-    private final CountDownLatch stopped = new CountDownLatch(1);
+    private final EntryServer entryServer;
+    private final PeerServer peerServer;
+    private final GracefulShutdown shutdown;
+    private final BackendProbe backendProbe;
+    private final CountDownLatch shutdownComplete = new CountDownLatch(1);
     private volatile String service;
     private long stateSequence;
-    /** Told to stop: not ready for callers. */
-    private boolean stopping;
-    /** Others are to send nothing more to the backend server here. */
+    /** The node was asked to stop and reports to callers that it is not ready. */
+    private boolean shuttingDown;
+    /** Other nodes are told to send no more requests to the backend server of this node. */
     private boolean leaving;
 
     private boolean wasReady;
 
     /**
-     * @param ports of the platform
-     * @param log takes events
+     * Creates a node that is not started.
+     *
+     * @param platform platform on which the node runs
+     * @param log receives the events of the node
      */
-    public Node(NodePorts ports, EventLog log) {
-        this.ports = ports;
-        this.settings = ports.settings();
+    public Node(NodePlatform platform, EventLog log) {
+        this.platform = platform;
+        this.settings = platform.settings();
         this.service = settings.service();
         this.log = log;
-        this.group =
+        this.eventLoopGroup =
                 new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("loop", false), NioIoHandler.newFactory());
-        this.loop = (EventLoop) group.next();
-        this.table = new MemberTable(this::connect, this::onSuspected);
+        this.loop = (EventLoop) eventLoopGroup.next();
+        this.members = new MemberTable(this::createPeerPool, this::onSuspected);
         this.link = VmLink.of(settings.linkMbps(), new EventLoopClock(loop));
         this.owner = new Owner(
                 new EventLoopClock(loop),
-                address -> new ConnectionPool(loop, address, BACKEND_CONNECT_MILLIS, BACKEND_IDLE_NANOS),
-                ports.headerNames(),
+                backendAddress -> new ConnectionPool(loop, backendAddress, BACKEND_CONNECT_TIMEOUT_MILLIS, BACKEND_MAX_IDLE_NANOS),
+                platform.headerNames(),
                 link,
                 settings.heartbeatNanos(),
                 counters,
                 log,
                 this::onBackendChange);
-        this.probe = new BackendProbe(loop, settings, ports.headerNames(), owner, log);
+        this.backendProbe = new BackendProbe(loop, settings, platform.headerNames(), owner, log);
         this.gossip = new Gossip(
-                loop, settings.ip(), settings.gossipPort(), table, this::selfState, counters, log, this::onHeard);
-        this.versions = new VersionUpdater(
+                loop, settings.ip(), settings.gossipPort(), members, this::localState, counters, log, this::onGossip);
+        this.versionKeeper = new VersionUpdater(
                 loop,
-                ports.configurationSource(loop),
-                table,
+                platform.configurationSource(loop),
+                members,
                 settings.zone(),
-                this::isReader,
+                this::isStoreReader,
                 this::onInstalled,
                 counters,
                 log);
         this.directory =
-                new NodeDiscovery(loop, ports.directory(loop), gossip, counters, log, settings.vmName(), settings.ip());
+                new NodeDiscovery(loop, platform.directory(loop), gossip, counters, log, settings.vmName(), settings.ip());
         RetryBudget budget =
                 new RetryBudget(settings.bounds(), this::nodeCount, directory::isDirectoryRead, System.nanoTime());
-        this.entry = CallPath.createEntryServer(
+        this.entryServer = CallPath.createEntryServer(
                 loop,
                 settings,
-                new CallPath.Callers(ports.headerNames(), versions::version, () -> service),
+                new CallPath.Callers(platform.headerNames(), versionKeeper::version, () -> service),
                 owner,
                 link,
-                candidates(),
+                createCandidates(),
                 budget,
                 new Instruments(counters, log));
-        this.peers = new PeerServer(loop, settings.peerAddress(), owner, link, versions::encodeDeltaFrom);
-        this.stop = new NodeStop(
+        this.peerServer = new PeerServer(loop, settings.peerAddress(), owner, link, versionKeeper::encodeDeltaFrom);
+        this.shutdown = new GracefulShutdown(
                 loop,
                 settings.bounds().graceNanos(),
                 owner,
-                entry,
-                peers,
+                entryServer,
+                peerServer,
                 () -> {
                     leaving = true;
                     gossip.broadcastNow();
                 },
-                stopped::countDown);
+                shutdownComplete::countDown);
     }
 
-    private CandidateSampler candidates() {
+    private CandidateSampler createCandidates() {
         return new CandidateSampler(
                 settings.zone(),
                 settings.region(),
-                ports.regionOfZone(),
-                table,
+                platform.regionOfZone(),
+                members,
                 gossip::silenceTimeoutNanos,
                 owner,
                 () -> ThreadLocalRandom.current().nextDouble());
     }
 
-    /** How many nodes there are, with this one: those that were heard, or those that are listed if these are more. */
+    /** Returns the number of nodes including this one: the larger of those heard from and those listed. */
     private int nodeCount() {
-        return Math.max(table.all().size(), gossip.peerAddressCount()) + 1;
+        return Math.max(members.all().size(), gossip.peerAddressCount()) + 1;
     }
 
-    private ConnectionPool connect(String ip) {
+    private ConnectionPool createPeerPool(String ip) {
         InetSocketAddress target = new InetSocketAddress(ip, settings.peerAddress().getPort());
-        return new ConnectionPool(loop, target, PEER_CONNECT_MILLIS, PEER_IDLE_NANOS);
+        return new ConnectionPool(loop, target, PEER_CONNECT_TIMEOUT_MILLIS, PEER_MAX_IDLE_NANOS);
     }
 
-    /** Opens the ports and starts. */
+    /** Opens the ports and starts all components. */
     public void start() {
-        gauges();
-        SmallHttpServer.open(loop, settings.heartbeatAddress(), this::answerHeartbeat);
+        registerGauges();
+        BufferedHttpServer.open(loop, settings.heartbeatAddress(), this::handleHeartbeat);
         gossip.start();
-        peers.start();
-        entry.start();
-        SmallHttpServer.open(loop, settings.readinessAddress(), q -> answerReadiness());
+        peerServer.start();
+        entryServer.start();
+        BufferedHttpServer.open(loop, settings.readinessAddress(), request -> handleReadinessRequest());
         if (settings.metricsPort() > 0) {
-            InetSocketAddress address = new InetSocketAddress(settings.ip(), settings.metricsPort());
-            SmallHttpServer.open(
+            InetSocketAddress metricsAddress = new InetSocketAddress(settings.ip(), settings.metricsPort());
+            BufferedHttpServer.open(
                     loop,
-                    address,
-                    q -> SmallHttpServer.Answer.of("text/plain", counters.text().getBytes(StandardCharsets.UTF_8)));
+                    metricsAddress,
+                    request -> BufferedHttpServer.Response.of("text/plain", counters.render().getBytes(StandardCharsets.UTF_8)));
         }
-        loop.execute(this::startDuties);
+        loop.execute(this::startBackgroundTasks);
         log.write(
                 Event.STARTED,
                 "ip",
@@ -186,47 +189,47 @@
                 "service",
                 service,
                 "boot",
-                boot,
+                bootId,
                 "openAfterMs",
                 (System.nanoTime() - startedAt) / 1_000_000);
     }
 
-    private void startDuties() {
+    private void startBackgroundTasks() {
         for (InetSocketAddress seed : settings.seeds()) {
             gossip.addPeerAddress(seed.getAddress().getHostAddress());
         }
-        versions.start();
+        versionKeeper.start();
         directory.start();
-        loop.scheduleAtFixedRate(this::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(this::tick, TICK_INTERVAL_MILLIS, TICK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void gauges() {
-        counters.gauge(NodeMetricNames.OWNER_RUNNING, () -> owner.load().running());
-        counters.gauge(NodeMetricNames.OWNER_ANSWERING, owner::respondingCount);
-        counters.gauge(NodeMetricNames.PEERS_UNSENT_BYTES, peers::unsentBytes);
-        counters.gauge(
+    private void registerGauges() {
+        counters.registerGauge(NodeMetricNames.OWNER_RUNNING, () -> owner.load().running());
+        counters.registerGauge(NodeMetricNames.OWNER_ANSWERING, owner::respondingCount);
+        counters.registerGauge(NodeMetricNames.PEERS_UNSENT_BYTES, peerServer::unsentBytes);
+        counters.registerGauge(
                 NodeMetricNames.LINK_OUTGOING_BUSY_MS, () -> link.outgoing().busyNanos() / 1_000_000);
-        counters.gauge(NodeMetricNames.OWNER_QUEUED, () -> owner.load().queued());
-        counters.gauge(NodeMetricNames.OWNER_SLOTS, () -> owner.load().slots());
-        counters.gauge(NodeMetricNames.OWNER_MEAN_US, () -> owner.load().meanNanos() / 1_000);
-        counters.gauge(
+        counters.registerGauge(NodeMetricNames.OWNER_QUEUED, () -> owner.load().queued());
+        counters.registerGauge(NodeMetricNames.OWNER_SLOTS, () -> owner.load().slots());
+        counters.registerGauge(NodeMetricNames.OWNER_MEAN_US, () -> owner.load().meanNanos() / 1_000);
+        counters.registerGauge(
                 NodeMetricNames.VERSION_IN_FORCE,
-                () -> versions.version().map(v -> v.number()).orElse(0L));
-        counters.gauge(
-                NodeMetricNames.MEMBERS_HEARD, () -> table.countHeardWithin(gossip.silenceTimeoutNanos(), System.nanoTime()));
-        counters.gauge(
+                () -> versionKeeper.version().map(v -> v.number()).orElse(0L));
+        counters.registerGauge(
+                NodeMetricNames.MEMBERS_HEARD, () -> members.countHeardWithin(gossip.silenceTimeoutNanos(), System.nanoTime()));
+        counters.registerGauge(
                 NodeMetricNames.OWNER_CONNECTIONS_OPENED,
                 () -> owner.backend().map(Backend::connectionsOpened).orElse(0L));
-        counters.gauge(NodeMetricNames.LOG_LINES_DROPPED, log::dropped);
+        counters.registerGauge(NodeMetricNames.LOG_LINES_DROPPED, log::droppedLines);
     }
 
     private void tick() {
         owner.tick();
-        versions.tick();
-        tellReadiness();
+        versionKeeper.tick();
+        logReadinessChange();
     }
 
-    private void tellReadiness() {
+    private void logReadinessChange() {
         boolean ready = isReady();
         if (ready != wasReady) {
             wasReady = ready;
@@ -235,65 +238,67 @@
                     "ready",
                     ready,
                     "version",
-                    versions.version().map(v -> v.number()).orElse(0L),
+                    versionKeeper.version().map(v -> v.number()).orElse(0L),
                     "members",
-                    table.all().size(),
+                    members.all().size(),
                     "leaving",
-                    stopping);
+                    shuttingDown);
         }
     }
 
     private boolean isReady() {
-        if (stopping || versions.version().isEmpty()) {
+        if (shuttingDown || versionKeeper.version().isEmpty()) {
             return false;
         }
-        return !table.all().isEmpty() || System.nanoTime() - startedAt > ALONE_NANOS;
+        return !members.all().isEmpty() || System.nanoTime() - startedAt > READY_WITHOUT_PEERS_AFTER_NANOS;
     }
 
-    private SmallHttpServer.Answer answerReadiness() {
+    private BufferedHttpServer.Response handleReadinessRequest() {
         if (isReady()) {
-            return SmallHttpServer.Answer.ofStatus(200);
+            return BufferedHttpServer.Response.ofStatus(200);
         }
-        stop.onMissed();
-        return SmallHttpServer.Answer.ofStatus(503);
+        shutdown.onReadinessProbeFailed();
+        return BufferedHttpServer.Response.ofStatus(503);
     }
 
-    private boolean isReader() {
+    private boolean isStoreReader() {
         long now = System.nanoTime();
-        long silent = gossip.silenceTimeoutNanos();
-        int before = 0;
-        for (Member member : table.all()) {
+        long silenceThreshold = gossip.silenceTimeoutNanos();
+        int precedingReaders = 0;
+        for (Member member : members.all()) {
             NodeState state = member.state();
-            boolean able = state.zone().equals(settings.zone())
+            boolean eligible = state.zone().equals(settings.zone())
                     && state.storeReachable()
                     && !state.leaving()
-                    && now - member.lastHeardAt() < silent;
-            if (able && readsBefore(member)) {
-                before++;
+                    && now - member.lastHeardAt() < silenceThreshold;
+            if (eligible && precedesAsReader(member)) {
+                precedingReaders++;
             }
         }
-        return before < READERS_PER_ZONE;
+        return precedingReaders < READERS_PER_ZONE;
     }
 
-    /** A wide link first, as a reader takes every version whole and hands it on; then by address. */
-    private boolean readsBefore(Member member) {
-        int order = Integer.compare(member.state().linkMbps(), linkMbps());
-        return order > 0 || order == 0 && member.ip().compareTo(settings.ip()) < 0;
+    /**
+     * Orders the candidates for store readers: by link bandwidth first, as a reader downloads every version completely
+     * and passes it on, then by address. */
+    private boolean precedesAsReader(Member member) {
+        int linkComparison = Integer.compare(member.state().linkMbps(), linkMbps());
+        return linkComparison > 0 || linkComparison == 0 && member.ip().compareTo(settings.ip()) < 0;
     }
 
     private int linkMbps() {
         return (int) Math.max(1, Math.min(NodeState.MAX_LINK_MBPS, Math.round(settings.linkMbps())));
     }
 
-    private NodeState selfState() {
+    private NodeState localState() {
         Optional<Backend> backend = owner.backend();
         return new NodeState(
-                boot,
+                bootId,
                 ++stateSequence,
                 settings.zone(),
                 linkMbps(),
-                versions.version().map(v -> v.number()).orElse(0L),
-                versions.isStoreReachable(),
+                versionKeeper.version().map(v -> v.number()).orElse(0L),
+                versionKeeper.isStoreReachable(),
                 leaving,
                 backend.map(Backend::service).orElse(service),
                 backend.map(Backend::incarnation).orElse(""),
@@ -308,18 +313,19 @@
     }
 
     private void onInstalled(VersionUpdater.Origin origin) {
-        // Those that read it themselves tell all; one that got it from far away saves its neighbours the way.
+        // A node that read the version from the store announces it to all nodes. One that fetched it from another
+        // availability zone announces it to its own zone, so that the nodes there need not fetch it from afar.
         switch (origin) {
             case STORE -> gossip.broadcastNow();
             case FAR -> gossip.broadcastToZoneNow(settings.zone());
             case NEAR -> {}
         }
-        versions.version().ifPresent(probe::startOnce);
-        tellReadiness();
+        versionKeeper.version().ifPresent(backendProbe::startOnce);
+        logReadinessChange();
     }
 
-    private void onHeard(Member member, MemberTable.UpdateResult hearing) {
-        versions.onMemberUpdated(member);
+    private void onGossip(Member member, MemberTable.UpdateResult hearing) {
+        versionKeeper.onMemberUpdated(member);
         if (hearing == MemberTable.UpdateResult.SAME) {
             return;
         }
@@ -343,7 +349,7 @@
     }
 
     private void onSuspected(Member member, String cause) {
-        counters.add(NodeMetricNames.MEMBERS_SUSPECTED);
+        counters.increment(NodeMetricNames.MEMBERS_SUSPECTED);
         log.write(
                 Event.MEMBER_SUSPECTED,
                 "ip",
@@ -356,30 +362,30 @@
                 (System.nanoTime() - member.lastHeardAt()) / 1_000_000);
     }
 
-    private SmallHttpServer.Answer answerHeartbeat(SmallHttpServer.Question question) {
-        HeartbeatProtocol protocol = ports.heartbeats();
-        switch (protocol.read(question.method(), question.uri(), question.body())) {
+    private BufferedHttpServer.Response handleHeartbeat(BufferedHttpServer.Request request) {
+        HeartbeatProtocol protocol = platform.heartbeatProtocol();
+        switch (protocol.read(request.method(), request.uri(), request.body())) {
             case HeartbeatProtocol.Announcement.Report report -> owner.onReport(report.report());
             case HeartbeatProtocol.Announcement.Leave leave -> owner.onLeave(leave.incarnation());
             case HeartbeatProtocol.Announcement.Malformed malformed -> {
                 log.write(Event.BACKEND_REPORT_IGNORED, "incarnation", "", "why", malformed.reason());
-                return SmallHttpServer.Answer.ofStatus(400);
+                return BufferedHttpServer.Response.ofStatus(400);
             }
         }
-        counters.add(NodeMetricNames.HEARTBEATS_ACKNOWLEDGED);
-        return SmallHttpServer.Answer.of("application/json", protocol.acknowledgement());
+        counters.increment(NodeMetricNames.HEARTBEATS_ACKNOWLEDGED);
+        return BufferedHttpServer.Response.of("application/json", protocol.acknowledgement());
     }
 
-    /** Reads the settings again, without a pause for callers. */
+    /** Reloads the settings without interrupting calls. */
     public void reload() {
-        Optional<NodeSettings> fresh = ports.reread();
-        if (fresh.isEmpty()) {
-            log.write(Event.SETTINGS_REFUSED, "follows", "the former settings stay in force");
+        Optional<NodeSettings> reloaded = platform.reloadSettings();
+        if (reloaded.isEmpty()) {
+            log.write(Event.SETTINGS_REFUSED, "follows", "the previous settings remain in force");
             return;
         }
-        service = fresh.get().service();
+        service = reloaded.get().service();
         loop.execute(() -> {
-            for (InetSocketAddress seed : fresh.get().seeds()) {
+            for (InetSocketAddress seed : reloaded.get().seeds()) {
                 gossip.addPeerAddress(seed.getAddress().getHostAddress());
             }
         });
@@ -388,48 +394,49 @@
                 "service",
                 service,
                 "seeds",
-                fresh.get().seeds().size());
+                reloaded.get().seeds().size());
     }
 
     /**
-     * Finishes what is under way and takes nothing new; returns when that is done, or when the grace is nearly over.
+     * Stops gracefully: routes callers to other nodes, then completes the pending requests and accepts no new ones.
+     * Returns when that is done, or when the grace period is nearly over.
      */
     public void stop() {
         log.write(Event.STOPPING, "graceMs", settings.bounds().graceNanos() / 1_000_000);
         loop.execute(() -> {
-            stopping = true;
-            tellReadiness();
-            stop.begin();
+            shuttingDown = true;
+            logReadinessChange();
+            shutdown.start();
         });
         try {
-            stopped.await(settings.bounds().graceNanos(), TimeUnit.NANOSECONDS);
+            shutdownComplete.await(settings.bounds().graceNanos(), TimeUnit.NANOSECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        log.write(Event.STOPPED, "pending", owner.pendingCount() + entry.pendingRequests());
+        log.write(Event.STOPPED, "pending", owner.pendingCount() + entryServer.pendingRequests());
     }
 
-    /** The event loop of all parts. */
+    /** Returns the event loop on which all components run. */
     public EventLoop loop() {
         return loop;
     }
 
-    /** What was counted. */
+    /** Returns the metrics of this node. */
     public Counters counters() {
         return counters;
     }
 
-    /** Ends all at once; {@link #stop} comes first where calls are under way. */
+    /** Closes everything immediately; call {@link #stop} first if calls may be pending. */
     @Override
     public void close() {
-        group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
+        eventLoopGroup.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
     }
 
-    /** Runs a node until the process is told to stop. */
-    public static void run(NodePorts ports) {
-        EventLog log = new EventLog(ports.settings().vmName(), new java.io.FileOutputStream(java.io.FileDescriptor.out));
-        Node node = new Node(ports, log);
-        Signals.on("HUP", node::reload);
+    /** Starts a node that runs until the process is asked to stop. */
+    public static void run(NodePlatform platform) {
+        EventLog log = new EventLog(platform.settings().vmName(), new java.io.FileOutputStream(java.io.FileDescriptor.out));
+        Node node = new Node(platform, log);
+        Signals.handle("HUP", node::reload);
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
--- a/org.berylwick.node/src/org/berylwick/node/Signals.java
+++ b/org.berylwick.node/src/org/berylwick/node/Signals.java
@@ -2,30 +2,33 @@
 
 import java.lang.reflect.Proxy;
 
-/** Runs a task when the process is sent a signal. */
+/** Runs tasks when the process receives a signal. */
 final class Signals {
     private Signals() {}
 
     /**
-     * Handles a signal; the JVM would end at it otherwise.
+     * Handles a signal that would otherwise terminate the JVM.
      *
-     * @param name without SIG
-     * @param task runs on a thread of the JVM
-     * @return false if this JVM does not let signals be handled
+     * @param name name of the signal, without the prefix SIG
+     * @param task task to run on a thread of the JVM when the signal arrives
+     * @return false if this JVM does not allow the signal to be handled
      */
-    static boolean on(String name, Runnable task) {
+    static boolean handle(String name, Runnable task) {
         try {
-            // The JVM's only way to handle a signal has no public name, and the compiler refuses it.
-            Class<?> signal = Class.forName("sun.misc.Signal");
-            Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object proxy = Proxy.newProxyInstance(handler.getClassLoader(), new Class<?>[] {handler}, (p, m, args) -> {
-                if ("handle".equals(m.getName())) {
-                    task.run();
-                }
-                return null;
-            });
-            Object instance = signal.getConstructor(String.class).newInstance(name);
-            signal.getMethod("handle", signal, handler).invoke(null, instance, proxy);
+            // The only way to handle signals in the JVM is this internal class, which the compiler does not accept. So
+            // it is
+            // used by reflection.
+            Class<?> signalType = Class.forName("sun.misc.Signal");
+            Class<?> handlerType = Class.forName("sun.misc.SignalHandler");
+            Object handlerProxy = Proxy.newProxyInstance(
+                    handlerType.getClassLoader(), new Class<?>[] {handlerType}, (self, method, args) -> {
+                        if ("handle".equals(method.getName())) {
+                            task.run();
+                        }
+                        return null;
+                    });
+            Object signalInstance = signalType.getConstructor(String.class).newInstance(name);
+            signalType.getMethod("handle", signalType, handlerType).invoke(null, signalInstance, handlerProxy);
             return true;
         } catch (ReflectiveOperationException | IllegalArgumentException e) {
             return false;
--- a/org.berylwick.node/src/org/berylwick/node/call/Backend.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Backend.java
@@ -2,7 +2,7 @@
 
 import org.berylwick.node.lib.BackendReport;
 import org.berylwick.node.lib.BackendState;
-import org.berylwick.node.transport.ServerConnections;
+import org.berylwick.node.transport.ServerConnectionPool;
 
 /**
  * State of one incarnation of the backend server beside this node, as its owner knows it; confined to the event loop.
@@ -18,7 +18,7 @@
 
     private final String incarnation;
     private final String service;
-    private final ServerConnections pool;
+    private final ServerConnectionPool pool;
     private final ServiceTimeEstimator serviceTimes = new ServiceTimeEstimator();
     private final LossRate losses = new LossRate();
     private long maxIdleNanos = DEFAULT_MAX_IDLE_NANOS;
@@ -29,7 +29,7 @@
     private long lastReportAt;
     private long lastResponseAt;
 
-    Backend(BackendReport report, ServerConnections pool, long now) {
+    Backend(BackendReport report, ServerConnectionPool pool, long now) {
         this.incarnation = report.incarnation();
         this.service = report.service();
         this.pool = pool;
@@ -76,10 +76,10 @@
 
     /** Number of connections opened to this incarnation. */
     public long connectionsOpened() {
-        return pool.opened();
+        return pool.openedCount();
     }
 
-    ServerConnections pool() {
+    ServerConnectionPool pool() {
         return pool;
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
@@ -15,8 +15,8 @@
 import org.berylwick.node.lib.NodeSettings;
 import org.berylwick.node.log.Event;
 import org.berylwick.node.log.EventLog;
+import org.berylwick.node.transport.BufferedHttpCall;
 import org.berylwick.node.transport.ConnectionPool;
-import org.berylwick.node.transport.SmallHttpCall;
 
 /**
  * Queries the health path of the backend server for its incarnation and number of slots after a start of this node;
@@ -84,13 +84,13 @@
         HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path);
         head.headers().set(HttpHeaderNames.HOST, settings.backendAddress().getHostString());
         ConnectionPool pool = new ConnectionPool(loop, settings.backendAddress(), CONNECT_TIMEOUT_MILLIS, MAX_IDLE_NANOS);
-        SmallHttpCall.start(loop, pool, head, EMPTY_BODY, TIMEOUT_MILLIS, result -> {
+        BufferedHttpCall.start(loop, pool, head, EMPTY_BODY, TIMEOUT_MILLIS, result -> {
             pool.close();
             onResult(path, result);
         });
     }
 
-    private void onResult(String path, SmallHttpCall.Result result) {
+    private void onResult(String path, BufferedHttpCall.Result result) {
         Optional<BackendReport> report = parseReport(result);
         log.write(
                 Event.BACKEND_PROBED,
@@ -99,7 +99,7 @@
                 "incarnation",
                 report.map(BackendReport::incarnation).orElse(""),
                 "answer",
-                result instanceof SmallHttpCall.Result.Answered response ? response.status() : 0);
+                result instanceof BufferedHttpCall.Result.Completed response ? response.status() : 0);
         if (report.isPresent() && owner.backend().isEmpty()) {
             owner.onReport(report.get());
             return;
@@ -107,8 +107,8 @@
         loop.schedule(() -> sendProbe(path), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private Optional<BackendReport> parseReport(SmallHttpCall.Result result) {
-        if (!(result instanceof SmallHttpCall.Result.Answered response) || response.status() != 200) {
+    private Optional<BackendReport> parseReport(BufferedHttpCall.Result result) {
+        if (!(result instanceof BufferedHttpCall.Result.Completed response) || response.status() != 200) {
             return Optional.empty();
         }
         String incarnation = response.headers().get(names.instance(), "");
--- a/org.berylwick.node/src/org/berylwick/node/call/CallPath.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallPath.java
@@ -66,13 +66,13 @@
                 (long) settings.memoryMb() * (1 << 20) / BUFFER_MEMORY_DIVISOR,
                 instruments,
                 () -> ThreadLocalRandom.current().nextDouble());
-        counters.gauge(NodeMetricNames.ENTRY_GATHERED_BYTES, callFactory::bufferedBytes);
+        counters.registerGauge(NodeMetricNames.ENTRY_GATHERED_BYTES, callFactory::bufferedBytes);
         EntryServer server = new EntryServer(
                 new EntryServices(callers.version(), callFactory, link.incoming(), counters, instruments.log()),
                 eventLoop,
                 settings.callerAddress());
-        counters.gauge(NodeMetricNames.ENTRY_CONNECTIONS, server::connectionCount);
-        counters.gauge(NodeMetricNames.ENTRY_PENDING, server::pendingRequests);
+        counters.registerGauge(NodeMetricNames.ENTRY_CONNECTIONS, server::connectionCount);
+        counters.registerGauge(NodeMetricNames.ENTRY_PENDING, server::pendingRequests);
         return server;
     }
 }
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -167,7 +167,7 @@
             triedNodes.remove(attempt.candidate().key());
         }
         trace.recordDecisiveOutcome(attempt, refusal.reason().name());
-        context.counters().add(NodeMetricNames.ENTRY_REFUSALS_BY_REASON + refusal.reason());
+        context.counters().increment(NodeMetricNames.ENTRY_REFUSALS_BY_REASON + refusal.reason());
         if (refusal.load().slots() > 0) {
             long waitNanos = refusal.load().waitNanos()
                     + refusal.load().meanNanos() / Math.max(1, refusal.load().slots());
@@ -270,7 +270,7 @@
             retryGranted = true;
             return true;
         }
-        context.counters().add(NodeMetricNames.ENTRY_REPEATS_DENIED);
+        context.counters().increment(NodeMetricNames.ENTRY_REPEATS_DENIED);
         context.log().write(Event.RETRY_DENIED, "id", spec.id(), "service", spec.service());
         return false;
     }
@@ -331,7 +331,7 @@
         }
         finish();
         boolean success = status < 400;
-        context.counters().add(success ? NodeMetricNames.ENTRY_ANSWERED : NodeMetricNames.ENTRY_ANSWERED_ERRORS);
+        context.counters().increment(success ? NodeMetricNames.ENTRY_ANSWERED : NodeMetricNames.ENTRY_ANSWERED_ERRORS);
         log(
                 success ? Event.CALL_ANSWERED : Event.CALL_FAILED,
                 status,
@@ -357,7 +357,7 @@
 
     void onStreamingEnded(EntryAttempt attempt, boolean complete) {
         finish();
-        context.counters().add(complete ? NodeMetricNames.ENTRY_STREAMED : NodeMetricNames.ENTRY_STREAMS_BROKEN);
+        context.counters().increment(complete ? NodeMetricNames.ENTRY_STREAMED : NodeMetricNames.ENTRY_STREAMS_BROKEN);
         log(
                 complete ? Event.CALL_ANSWERED : Event.CALL_FAILED,
                 200,
@@ -398,7 +398,7 @@
         trace.recordAbort(reason);
         currentAttempt.ifPresent(a -> {
             // An owner sends a request to its backend server only once it has all of the body.
-            possibleRuns += spec.body().isWhole() ? 1 : 0;
+            possibleRuns += spec.body().isComplete() ? 1 : 0;
             trace.recordOutcome(a, "PENDING");
         });
         silentAttempt.ifPresent(a -> trace.recordOutcome(a, "PENDING"));
@@ -413,7 +413,7 @@
         double jitteredSeconds = waitSeconds * (0.75 + 0.5 * context.random().getAsDouble());
         double retryAfterSeconds = Math.max(MIN_RETRY_AFTER_S, Math.min(MAX_RETRY_AFTER_S, jitteredSeconds));
         context.callerRetryRates().onRefused(spec.requestClass());
-        context.counters().add(NodeMetricNames.ENTRY_REFUSED);
+        context.counters().increment(NodeMetricNames.ENTRY_REFUSED);
         log(Event.CALL_REFUSED, 503, "");
         sink.respond(503, retryAfterHeaders(retryAfterSeconds), Unpooled.EMPTY_BUFFER);
     }
@@ -427,7 +427,7 @@
         finish();
         boolean late = context.clock().now() >= spec.deadlineAt();
         int status = late ? 504 : 502;
-        context.counters().add(NodeMetricNames.ENTRY_FAILED);
+        context.counters().increment(NodeMetricNames.ENTRY_FAILED);
         log(Event.CALL_FAILED, status, "");
         sink.respond(status, Headers.empty(), Unpooled.EMPTY_BUFFER);
     }
@@ -438,7 +438,7 @@
             return;
         }
         finish();
-        context.counters().add(NodeMetricNames.ENTRY_ABANDONED);
+        context.counters().increment(NodeMetricNames.ENTRY_ABANDONED);
         log(Event.CALL_ABANDONED, 0, "");
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -135,8 +135,8 @@
             channel.writeAndFlush(new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
         }
-        if (length >= RequestBody.LEAST_STREAMED) {
-            streamedBody = RequestBody.coming((int) length, services.link());
+        if (length >= RequestBody.MIN_STREAMED_BYTES) {
+            streamedBody = RequestBody.incoming((int) length, services.link());
             startCall(streamedBody);
             return;
         }
@@ -162,7 +162,7 @@
 
     private void rejectAndClose(int status, String reason) {
         services.log().write(Event.CALLER_FAULT, "status", status, "why", reason);
-        services.counters().add(NodeMetricNames.ENTRY_CALLER_FAULTS);
+        services.counters().increment(NodeMetricNames.ENTRY_CALLER_FAULTS);
         abandonCall();
         releaseBody();
         keepAlive = false;
@@ -200,13 +200,13 @@
 
     private void processStreamedContent(HttpContent content) {
         lastActivityAt = System.nanoTime();
-        streamedBody.add(content.content());
+        streamedBody.addPart(content.content());
         if (!(content instanceof LastHttpContent)) {
             return;
         }
         RequestBody receivedBody = streamedBody;
         streamedBody = null;
-        receivedBody.end();
+        receivedBody.markComplete();
         // The response may have been sent before the body was complete.
         processPipelined();
     }
@@ -216,17 +216,17 @@
         HttpRequest request = head;
         head = null;
         responsePending = true;
-        services.counters().add(NodeMetricNames.ENTRY_REQUESTS);
+        services.counters().increment(NodeMetricNames.ENTRY_REQUESTS);
         if (server.isRefusingNew()) {
             requestBody.release();
-            services.counters().add(NodeMetricNames.ENTRY_REFUSED);
+            services.counters().increment(NodeMetricNames.ENTRY_REFUSED);
             respond(503, EntryCall.retryAfterHeaders(UNAVAILABLE_RETRY_AFTER_S), Unpooled.EMPTY_BUFFER);
             return;
         }
         Optional<ConfigurationVersion> version = services.version().get();
         if (version.isEmpty()) {
             requestBody.release();
-            services.counters().add(NodeMetricNames.ENTRY_REFUSED_NO_VERSION);
+            services.counters().increment(NodeMetricNames.ENTRY_REFUSED_NO_VERSION);
             respond(503, EntryCall.retryAfterHeaders(UNAVAILABLE_RETRY_AFTER_S), Unpooled.EMPTY_BUFFER);
             return;
         }
@@ -234,7 +234,7 @@
         Optional<Route> route = version.get().route(host, request.uri());
         if (route.isEmpty()) {
             requestBody.release();
-            services.counters().add(NodeMetricNames.ENTRY_NO_ROUTE);
+            services.counters().increment(NodeMetricNames.ENTRY_NO_ROUTE);
             respond(404, Headers.empty(), Unpooled.EMPTY_BUFFER);
             return;
         }
--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -20,7 +20,7 @@
 import org.berylwick.node.log.NodeMetricNames;
 import org.berylwick.node.transport.OutgoingLink;
 import org.berylwick.node.transport.RequestBody;
-import org.berylwick.node.transport.ServerConnections;
+import org.berylwick.node.transport.ServerConnectionPool;
 import org.berylwick.node.transport.VmLink;
 
 /**
@@ -53,7 +53,7 @@
     private static final int MIN_RUNNING_FOR_LOSS_RATE = 4;
 
     private final Clock clock;
-    private final Function<InetSocketAddress, ServerConnections> connector;
+    private final Function<InetSocketAddress, ServerConnectionPool> connector;
     private final HeaderNames headerNames;
     private final VmLink link;
     private final long heartbeatNanos;
@@ -89,7 +89,7 @@
      */
     public Owner(
             Clock clock,
-            Function<InetSocketAddress, ServerConnections> connector,
+            Function<InetSocketAddress, ServerConnectionPool> connector,
             HeaderNames headerNames,
             VmLink link,
             long heartbeatNanos,
@@ -234,7 +234,7 @@
      */
     public void tick() {
         long now = clock.now();
-        backend.ifPresent(server -> server.pool().trim());
+        backend.ifPresent(server -> server.pool().evictIdle());
         Backend current = backend.orElse(null);
         if (current == null || current.state() == BackendState.ABSENT) {
             return;
@@ -293,13 +293,13 @@
         OwnerRun run = new OwnerRun(this, call, listener, advanceNanos);
         Optional<Refusal.Reason> reason = refusalReason(run);
         if (reason.isPresent()) {
-            counters.add(NodeMetricNames.OWNER_REFUSED_BY_REASON + reason.get());
+            counters.increment(NodeMetricNames.OWNER_REFUSED_BY_REASON + reason.get());
             // Deferred, so that the caller holds the attempt before its listener is notified of the refusal.
             clock.defer(() -> run.refuse(reason.get(), false));
             return run;
         }
         run.announceResponse();
-        if (call.body().isWhole()) {
+        if (call.body().isComplete()) {
             enqueue(run);
         } else {
             run.awaitBody();
@@ -345,7 +345,7 @@
             return Optional.of(Refusal.Reason.EXPIRED);
         }
         long linkWaitNanos = run.linkWaitNanos();
-        if (running.size() < server.slots() && call.body().isWhole() && linkWaitNanos == 0) {
+        if (running.size() < server.slots() && call.body().isComplete() && linkWaitNanos == 0) {
             return Optional.empty();
         }
         long waitNanos = Math.max(
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -14,12 +14,12 @@
 import org.berylwick.node.log.Event;
 import org.berylwick.node.log.NodeMetricNames;
 import org.berylwick.node.transport.HttpConnection;
-import org.berylwick.node.transport.HttpExchange;
+import org.berylwick.node.transport.HttpResponseHandler;
 import org.berylwick.node.transport.RequestBody;
 import org.berylwick.node.transport.ServerConnection;
 
 /** A request that waits or runs at the owner of its backend server; confined to the event loop. */
-final class OwnerRun implements Attempt, HttpExchange, RequestBody.Follower {
+final class OwnerRun implements Attempt, HttpResponseHandler, RequestBody.Subscriber {
     /**
      * If a reused connection fails within this time after a request was sent, the server is taken to have closed it
      * while it was idle.
@@ -75,7 +75,7 @@
         this.queuedAt = clock.now();
         this.sequenceNumber = owner.nextSequenceNumber();
         if (owner.outgoingLink().isLarge(call.expectedResponseBytes())) {
-            this.responseTransferNanos = owner.outgoingLink().nanosOf(call.expectedResponseBytes());
+            this.responseTransferNanos = owner.outgoingLink().transferNanos(call.expectedResponseBytes());
         }
     }
 
@@ -111,20 +111,20 @@
             return 0;
         }
         long otherResponsesNanos =
-                owner.outgoingLink().busyNanos() - owner.outgoingLink().nanosOf(announcedBytes);
+                owner.outgoingLink().busyNanos() - owner.outgoingLink().transferNanos(announcedBytes);
         return Math.max(0, otherResponsesNanos - medianServiceNanos);
     }
 
     /** Announces the response of the admitted request to the outgoing link, which counts it as ahead of later ones. */
     void announceResponse() {
         announcedBytes = responseTransferNanos == 0 ? 0 : call.expectedResponseBytes();
-        owner.outgoingLink().onExpected(announcedBytes);
+        owner.outgoingLink().adjustExpectedBytes(announcedBytes);
     }
 
     /** Updates the announcement to the number of response bytes that are still to be read from the backend server. */
     private void updateAnnouncedBytes(long remainingBytes) {
         long bytesToAnnounce = responseTransferNanos == 0 ? 0 : remainingBytes;
-        owner.outgoingLink().onExpected(bytesToAnnounce - announcedBytes);
+        owner.outgoingLink().adjustExpectedBytes(bytesToAnnounce - announcedBytes);
         announcedBytes = bytesToAnnounce;
     }
 
@@ -155,9 +155,9 @@
      * limited to the maximum wait set by the entry node.
      */
     void awaitBody() {
-        boolean awaitsContinue = call.body().isKeptBack();
+        boolean awaitsContinue = call.body().isDeferred();
         timeout = clock.schedule(awaitsContinue ? maxWaitUntil() : call.deadlineAt(), this::onWaitTimeout);
-        call.body().follow(this);
+        call.body().subscribe(this);
     }
 
     private long maxWaitUntil() {
@@ -168,17 +168,17 @@
     void requestBodyTransfer() {
         timeout.cancel();
         timeout = clock.schedule(call.deadlineAt(), this::onWaitTimeout);
-        call.body().ask();
+        call.body().requestFromSender();
     }
 
     @Override
-    public void onPart(ByteBuf part) {
+    public void onRequestBodyPart(ByteBuf part) {
         part.release();
         owner.onBodyPart();
     }
 
     @Override
-    public void onWhole() {
+    public void onRequestBodyComplete() {
         if (finished) {
             return;
         }
@@ -236,35 +236,35 @@
 
     private void send(ServerConnection acquired) {
         if (finished) {
-            acquired.giveBack();
+            acquired.returnUnused();
             return;
         }
         long now = clock.now();
         long remainingMillis = (call.deadlineAt() - RESPONSE_RETURN_NANOS - now) / 1_000_000;
         if (remainingMillis <= 0) {
-            acquired.giveBack();
+            acquired.returnUnused();
             refuse(Refusal.Reason.EXPIRED, false);
             return;
         }
         connection = acquired;
         sentAt = now;
-        connectionIdleNanos = acquired.served() == 0 ? 0 : now - acquired.idleSince();
+        connectionIdleNanos = acquired.servedRequests() == 0 ? 0 : now - acquired.idleSince();
         HttpHeaders headers = Headers.copy(call.headers());
         headers.set(headerNames.deadline(), remainingMillis);
         headers.set(headerNames.targetInstance(), backend.incarnation());
         headers.set(headerNames.callerService(), call.callerService());
         HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, call.method(), call.uri(), headers);
-        HttpConnection.setLength(head, call.body().length());
+        HttpConnection.setContentLength(head, call.body().length());
         acquired.send(head, call.body(), this);
     }
 
     @Override
-    public boolean owns(HttpResponse head) {
+    public boolean matches(HttpResponse head) {
         String id = head.headers().get(headerNames.requestId());
         if (id == null || id.equals(call.id())) {
             return true;
         }
-        owner.counters().add(NodeMetricNames.OWNER_DISCARDED);
+        owner.counters().increment(NodeMetricNames.OWNER_DISCARDED);
         owner.log().write(Event.ANSWER_DISCARDED, "id", call.id(), "belongsTo", id);
         return false;
     }
@@ -312,7 +312,7 @@
         backend.onResponse(now);
         connection = null;
         finish();
-        owner.counters().add(NodeMetricNames.OWNER_ANSWERED);
+        owner.counters().increment(NodeMetricNames.OWNER_ANSWERED);
         listener.onEnd();
     }
 
@@ -346,7 +346,7 @@
         backend.losses().onLost(clock.now());
         closeConnection();
         finish();
-        owner.counters().add(NodeMetricNames.OWNER_LOST);
+        owner.counters().increment(NodeMetricNames.OWNER_LOST);
         owner.log()
                 .write(
                         Event.RUN_FAILED,
@@ -367,13 +367,13 @@
         if (timeout != null) {
             timeout.cancel();
         }
-        call.body().unfollow(this);
+        call.body().unsubscribe(this);
         owner.onFinished(this);
     }
 
     private void closeConnection() {
         if (connection != null) {
-            connection.abandon();
+            connection.abort();
             connection = null;
         }
     }
@@ -394,7 +394,7 @@
     @Override
     public void setAutoRead(boolean on) {
         if (connection != null) {
-            connection.readOn(on);
+            connection.setAutoRead(on);
         }
     }
 }
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
@@ -11,11 +11,11 @@
 import org.berylwick.node.lib.OwnerLoad;
 import org.berylwick.node.member.Member;
 import org.berylwick.node.transport.HttpConnection;
-import org.berylwick.node.transport.HttpExchange;
+import org.berylwick.node.transport.HttpResponseHandler;
 import org.berylwick.node.transport.ServerConnection;
 
 /** One attempt to run a request at the owner on another node; confined to the event loop. */
-final class PeerAttempt implements Attempt, HttpExchange, Member.PendingRequest {
+final class PeerAttempt implements Attempt, HttpResponseHandler, Member.PendingRequest {
     /**
      * Idle time after which a connection to another node is not reused. The entry node closes idle connections, not the
      * owner.
@@ -54,14 +54,14 @@
 
     private void send(ServerConnection acquired) {
         if (finished) {
-            acquired.giveBack();
+            acquired.returnUnused();
             return;
         }
         connection = acquired;
         HttpHeaders headers = Headers.copy(call.headers());
         headers.set(Headers.CALL, PeerCodec.encodeCall(call, System.nanoTime()));
         HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, call.method(), call.uri(), headers);
-        HttpConnection.setLength(head, call.body().length());
+        HttpConnection.setContentLength(head, call.body().length());
         // A large body is sent only when the owner asks for it: several at once would delay all small messages behind
         // them, and the body of a refused request would have occupied the link for nothing.
         boolean largeBody = member.linkLoad(System.nanoTime()).isLarge(call.body().length());
@@ -74,13 +74,13 @@
         if (finished || connection == null) {
             return;
         }
-        if (connection.isSentWhole()) {
+        if (connection.isRequestFullySent()) {
             listener.onNodeSilent();
             return;
         }
         // An owner forwards no incomplete request to its backend server, and the rest of this one is not sent any more:
         // the request was not run.
-        connection.abandon();
+        connection.abort();
         onFailure("silent");
     }
 
@@ -123,7 +123,7 @@
 
     @Override
     public void onFailure(String cause) {
-        boolean requestSent = connection == null || connection.isSentWhole();
+        boolean requestSent = connection == null || connection.isRequestFullySent();
         connection = null;
         if (finished) {
             return;
@@ -152,7 +152,7 @@
         }
         finish();
         if (connection != null) {
-            connection.abandon();
+            connection.abort();
             connection = null;
         }
     }
@@ -160,7 +160,7 @@
     @Override
     public void setAutoRead(boolean on) {
         if (connection != null) {
-            connection.readOn(on);
+            connection.setAutoRead(on);
         }
     }
 }
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -34,7 +34,7 @@
  * Serves a connection from another node: requests for the backend server of this node, and requests for the current
  * configuration version; confined to the event loop.
  */
-final class PeerHandler extends ChannelInboundHandlerAdapter implements AttemptListener, OutgoingLink.Wire {
+final class PeerHandler extends ChannelInboundHandlerAdapter implements AttemptListener, OutgoingLink.Sink {
     private static final int MAX_BODY_PARTS = 1024;
     /** Latency objective of sending a version; puts it before responses with a later objective. */
     private static final long VERSION_OBJECTIVE_NANOS = 200_000_000L;
@@ -90,10 +90,10 @@
         head = request;
         discardingBody = false;
         long length = HttpUtil.getContentLength(request, 0L);
-        if (length >= RequestBody.LEAST_STREAMED && length <= Integer.MAX_VALUE) {
+        if (length >= RequestBody.MIN_STREAMED_BYTES && length <= Integer.MAX_VALUE) {
             body = HttpUtil.is100ContinueExpected(request)
-                    ? RequestBody.keptBack((int) length, link.incoming(), this::sendContinue)
-                    : RequestBody.coming((int) length, link.incoming());
+                    ? RequestBody.deferred((int) length, link.incoming(), this::sendContinue)
+                    : RequestBody.incoming((int) length, link.incoming());
             handleRequest();
             return;
         }
@@ -130,9 +130,9 @@
 
     private void addBodyPart(HttpContent content, boolean last) {
         RequestBody streamedBody = body;
-        streamedBody.add(content.content());
+        streamedBody.addPart(content.content());
         if (last) {
-            streamedBody.end();
+            streamedBody.markComplete();
         }
     }
 
@@ -169,7 +169,7 @@
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, encodedUpdate.length);
         channel.write(response);
-        responseFlow = Optional.of(link.outgoing().open(this, objectiveAt));
+        responseFlow = Optional.of(link.outgoing().openFlow(this, objectiveAt));
         responseFlow.get().write(Unpooled.wrappedBuffer(encodedUpdate));
         onEnd();
     }
@@ -206,7 +206,7 @@
             return;
         }
         responseStartedAt = System.nanoTime();
-        responseFlow = Optional.of(link.outgoing().open(this, objectiveAt));
+        responseFlow = Optional.of(link.outgoing().openFlow(this, objectiveAt));
         channel.write(response);
     }
 
@@ -231,7 +231,7 @@
     }
 
     @Override
-    public void readOn(boolean on) {
+    public void setSourceReading(boolean on) {
         if (attempt != null) {
             attempt.setAutoRead(on);
         }
@@ -262,7 +262,7 @@
     @Override
     public void onEnd() {
         finishAttempt();
-        responseFlow.ifPresent(flow -> flow.end(() -> {
+        responseFlow.ifPresent(flow -> flow.finish(() -> {
             logIfLate(flow, true);
             responseFlow = Optional.empty();
             cancelExpiry();
@@ -277,7 +277,7 @@
 
     private void logIfLate(OutgoingLink.Flow flow, boolean complete) {
         long now = System.nanoTime();
-        long waitingBytes = flow.waitingBytes();
+        long waitingBytes = flow.queuedBytes();
         if (complete && now <= objectiveAt || !link.outgoing().isLarge(flow.sentBytes() + waitingBytes)) {
             return;
         }
@@ -303,7 +303,7 @@
                         "linkBusyMs",
                         link.outgoing().busyNanos() / 1_000_000,
                         "flows",
-                        link.outgoing().waitingFlows());
+                        link.outgoing().queuedFlowCount());
     }
 
     private void cancelExpiry() {
@@ -340,7 +340,7 @@
     private void releaseBody() {
         if (body != null) {
             // The rest of the body of a request that was answered early is discarded as it arrives.
-            discardingBody = !body.isWhole();
+            discardingBody = !body.isComplete();
             body.release();
             body = null;
         }
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerServer.java
@@ -69,7 +69,7 @@
                         channel.closeFuture().addListener(future -> handlers.remove(channel));
                     }
                 });
-        ReceiveWindow.limit(bootstrap, link.incoming());
+        ReceiveWindow.limitReceiveBuffer(bootstrap, link.incoming());
         listener = bootstrap.bind(address).syncUninterruptibly().channel();
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/RequestBodyScheduler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RequestBodyScheduler.java
@@ -38,12 +38,12 @@
 
     /** Time that the bodies accepted before this one still need on the link. */
     long transferNanosAhead(RequestBody body) {
-        return Math.max(0, link.busyNanos() - link.nanosOf(body.missing()));
+        return Math.max(0, link.busyNanos() - link.transferNanos(body.missingBytes()));
     }
 
     /** Time that the rest of a body needs on the link once the body has been requested. */
     long transferNanos(RequestBody body) {
-        return link.nanosOf(body.missing());
+        return link.transferNanos(body.missingBytes());
     }
 
     /**
@@ -53,7 +53,7 @@
      * @param canMeetObjective whether it can still meet its latency objective
      * @param now current time */
     void add(OwnerRun run, boolean canMeetObjective, long now) {
-        if (!run.call().body().isKeptBack()) {
+        if (!run.call().body().isDeferred()) {
             receiving.add(run);
             return;
         }
@@ -80,7 +80,7 @@
     private long receivingNanos() {
         long nanos = 0;
         for (OwnerRun run : receiving) {
-            nanos += link.nanosOf(run.call().body().missing());
+            nanos += link.transferNanos(run.call().body().missingBytes());
         }
         return nanos;
     }
--- a/org.berylwick.node/src/org/berylwick/node/log/EventLog.java
+++ b/org.berylwick.node/src/org/berylwick/node/log/EventLog.java
@@ -8,109 +8,111 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * Writes one JSON line an event, from a thread of its own.
+ * Writes one JSON line per event, from a thread of its own.
  *
- * <p>Lines pass a bounded ring. A full ring drops the line and counts it, since a reader that stalls must not hold up
- * calls; the count is a metric.
+ * <p>Lines pass through a bounded queue. If it is full, the line is dropped and counted, since a log reader that stalls
+ * must not delay calls. The number of dropped lines is a metric.
  */
 public final class EventLog implements AutoCloseable {
-    /** Lines waiting to be written; at 300 bytes a line this is 300 KB. */
-    private static final int RING_LINES = 1024;
+    /** Maximum number of lines waiting to be written; at 300 bytes per line this is 300 KB. */
+    private static final int QUEUE_CAPACITY = 1024;
 
-    private static final long CLOSE_MILLIS = 200;
-    /** Ends the writer's wait for a line. */
+    private static final long CLOSE_TIMEOUT_MILLIS = 200;
+    /** Queued to end the wait of the writer thread for the next line. */
     private static final String WAKE_UP = "";
 
-    private final ArrayBlockingQueue<String> ring = new ArrayBlockingQueue<>(RING_LINES);
-    private final LongAdder dropped = new LongAdder();
+    private final ArrayBlockingQueue<String> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
+    private final LongAdder droppedLines = new LongAdder();
     private final OutputStream out;
-    private final String node;
+    private final String nodeName;
     private final Thread writer;
-    private final LineLimit[] limits = new LineLimit[Event.values().length];
+    private final LineRateLimiter[] rateLimiters = new LineRateLimiter[Event.values().length];
     private volatile boolean closed;
 
     /**
-     * @param node name that stands in each line
-     * @param out takes the lines
+     * Starts the writer thread.
+     *
+     * @param nodeName name of this node, written in each line
+     * @param out stream to which the lines are written
      */
-    public EventLog(String node, OutputStream out) {
-        this.node = node;
+    public EventLog(String nodeName, OutputStream out) {
+        this.nodeName = nodeName;
         this.out = out;
         for (Event event : Event.values()) {
-            limits[event.ordinal()] = new LineLimit(event.linesPerSecond());
+            rateLimiters[event.ordinal()] = new LineRateLimiter(event.maxLinesPerSecond());
         }
-        this.writer = new Thread(this::drain, "log");
+        this.writer = new Thread(this::writeQueuedLines, "log");
         writer.setDaemon(true);
         writer.start();
     }
 
     /**
-     * Adds a line without waiting.
+     * Queues a line without blocking.
      *
-     * @param event what happened
-     * @param fields names and values by turns; ids and numbers, never bodies or secrets
+     * @param event event to log
+     * @param fields alternating names and values; identifiers and numbers, never bodies or secrets
      */
     public void write(Event event, Object... fields) {
-        int leftOut = limits[event.ordinal()].admit(System.nanoTime());
-        if (leftOut < 0) {
+        int suppressedLines = rateLimiters[event.ordinal()].admit(System.nanoTime());
+        if (suppressedLines < 0) {
             return;
         }
-        if (!ring.offer(line(event, fields, leftOut))) {
-            dropped.increment();
+        if (!queue.offer(formatLine(event, fields, suppressedLines))) {
+            droppedLines.increment();
         }
     }
 
-    /** Lines dropped so far because the ring was full. */
-    public long dropped() {
-        return dropped.sum();
+    /** Returns how many lines were lost so far because the queue was full, plus the number of failed writes. */
+    public long droppedLines() {
+        return droppedLines.sum();
     }
 
-    private String line(Event event, Object[] fields, int leftOut) {
-        StringBuilder text = new StringBuilder(256);
-        text.append("{\"t\":").append(System.currentTimeMillis());
-        text.append(",\"node\":\"").append(node);
-        text.append("\",\"event\":").append(event.number());
-        text.append(",\"name\":\"").append(event.name()).append('"');
+    private String formatLine(Event event, Object[] fields, int suppressedLines) {
+        StringBuilder line = new StringBuilder(256);
+        line.append("{\"t\":").append(System.currentTimeMillis());
+        line.append(",\"node\":\"").append(nodeName);
+        line.append("\",\"event\":").append(event.number());
+        line.append(",\"name\":\"").append(event.name()).append('"');
         for (int i = 0; i + 1 < fields.length; i += 2) {
-            text.append(",\"").append(fields[i]).append("\":");
-            appendValue(text, fields[i + 1]);
+            line.append(",\"").append(fields[i]).append("\":");
+            appendValue(line, fields[i + 1]);
         }
-        if (leftOut > 0) {
-            text.append(",\"leftOut\":").append(leftOut);
+        if (suppressedLines > 0) {
+            line.append(",\"leftOut\":").append(suppressedLines);
         }
-        return text.append("}\n").toString();
+        return line.append("}\n").toString();
     }
 
-    private static void appendValue(StringBuilder text, Object value) {
+    private static void appendValue(StringBuilder line, Object value) {
         if (value instanceof Number || value instanceof Boolean) {
-            text.append(value);
+            line.append(value);
             return;
         }
-        text.append('"');
-        String plain = String.valueOf(value);
-        for (int i = 0; i < plain.length(); i++) {
-            char c = plain.charAt(i);
+        line.append('"');
+        String string = String.valueOf(value);
+        for (int i = 0; i < string.length(); i++) {
+            char c = string.charAt(i);
             if (c == '"' || c == '\\') {
-                text.append('\\').append(c);
+                line.append('\\').append(c);
             } else if (c < ' ') {
-                text.append(' ');
+                line.append(' ');
             } else {
-                text.append(c);
+                line.append(c);
             }
         }
-        text.append('"');
+        line.append('"');
     }
 
-    private void drain() {
+    private void writeQueuedLines() {
         StringBuilder batch = new StringBuilder();
-        while (!closed || !ring.isEmpty()) {
+        while (!closed || !queue.isEmpty()) {
             try {
-                String first = ring.poll(500, TimeUnit.MILLISECONDS);
+                String first = queue.poll(500, TimeUnit.MILLISECONDS);
                 if (first == null) {
                     continue;
                 }
                 batch.append(first);
-                for (String next = ring.poll(); next != null; next = ring.poll()) {
+                for (String next = queue.poll(); next != null; next = queue.poll()) {
                     batch.append(next);
                 }
                 out.write(batch.toString().getBytes(StandardCharsets.UTF_8));
@@ -119,20 +121,20 @@
             } catch (InterruptedException e) {
                 return;
             } catch (IOException e) {
-                // Whoever read the lines is gone; the node serves on without a log and counts what it lost.
+                // The reader of the log has closed it. The node goes on without a log and counts the failed write.
                 batch.setLength(0);
-                dropped.increment();
+                droppedLines.increment();
             }
         }
     }
 
-    /** Writes what is left, for a moment at the most: a process that is told to stop has no more. */
+    /** Writes the queued lines for a short time only, since a process that was asked to stop has little time left. */
     @Override
     public void close() {
         closed = true;
-        ring.offer(WAKE_UP);
+        queue.offer(WAKE_UP);
         try {
-            writer.join(CLOSE_MILLIS);
+            writer.join(CLOSE_TIMEOUT_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -299,7 +299,7 @@
     private final class Receiver extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-            counters.add(NodeMetricNames.GOSSIP_RECEIVED_DATAGRAMS);
+            counters.increment(NodeMetricNames.GOSSIP_RECEIVED_DATAGRAMS);
             String from = packet.sender().getAddress().getHostAddress();
             NodeStateCodec.read(packet.content()).ifPresent(message -> receive(from, message));
         }
@@ -308,7 +308,7 @@
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             // Sending to a port without a listener is reported as an I/O error of the socket. It only means that the
             // other node is down, so it is counted but not logged.
-            counters.add(NodeMetricNames.GOSSIP_ERRORS);
+            counters.increment(NodeMetricNames.GOSSIP_ERRORS);
             if (!(cause instanceof java.io.IOException)) {
                 log.write(Event.INTERNAL_ERROR, "where", "gossip", "cause", cause);
             }
--- a/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
@@ -106,7 +106,7 @@
     public void removeExpired(long now) {
         List<Member> expired = new ArrayList<>();
         for (Member member : byIp.values()) {
-            member.pool().trim();
+            member.pool().evictIdle();
             if (now - member.lastHeardAt() > EXPIRY_NANOS) {
                 expired.add(member);
             }
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
@@ -72,7 +72,7 @@
     private void register() {
         directory.register(name, ip, registered -> {
             if (!registered) {
-                counters.add(NodeMetricNames.DIRECTORY_FAILURES);
+                counters.increment(NodeMetricNames.DIRECTORY_FAILURES);
                 loop.schedule(this::register, nextRetryDelayMillis(), TimeUnit.MILLISECONDS);
                 return;
             }
@@ -94,7 +94,7 @@
                 }
                 case NodeDirectory.ListResult.Failed failed -> {
                     log.write(Event.STORE_CALL_FAILED, "call", "list nodes", "cause", failed.cause());
-                    counters.add(NodeMetricNames.DIRECTORY_FAILURES);
+                    counters.increment(NodeMetricNames.DIRECTORY_FAILURES);
                     loop.schedule(this::refresh, nextRetryDelayMillis(), TimeUnit.MILLISECONDS);
                 }
             }
--- a/org.berylwick.node/src/org/berylwick/node/transport/SmallHttpCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/BufferedHttpCall.java
@@ -11,28 +11,28 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** A call whose answer is gathered whole, and which ends after a time; confined to the event loop. */
-public final class SmallHttpCall implements HttpExchange {
+/** An HTTP call with a timeout whose response is buffered completely; confined to the event loop. */
+public final class BufferedHttpCall implements HttpResponseHandler {
     private final ConnectionPool pool;
     private final HttpRequest request;
     private final byte[] body;
     private final Consumer<Result> onResult;
-    private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream responseBody = new ByteArrayOutputStream();
     private ServerConnection connection;
     private int status;
     private HttpHeaders headers = EmptyHttpHeaders.INSTANCE;
-    private boolean over;
+    private boolean finished;
 
-    /** What became of a call. */
+    /** The result of a call. */
     public sealed interface Result {
-        /** The whole answer. */
-        record Answered(int status, HttpHeaders headers, byte[] body) implements Result {}
+        /** The complete response. */
+        record Completed(int status, HttpHeaders headers, byte[] body) implements Result {}
 
-        /** There was none. */
+        /** No complete response arrived; the server may still have executed the request. */
         record Failed(String cause) implements Result {}
     }
 
-    private SmallHttpCall(ConnectionPool pool, HttpRequest request, byte[] body, Consumer<Result> onResult) {
+    private BufferedHttpCall(ConnectionPool pool, HttpRequest request, byte[] body, Consumer<Result> onResult) {
         this.pool = pool;
         this.request = request;
         this.body = body;
@@ -40,14 +40,14 @@
     }
 
     /**
-     * Makes a call.
+     * Starts a call.
      *
-     * @param loop all runs on it
-     * @param pool of connections to the server
-     * @param request head of the call, without a length
-     * @param body empty for none
-     * @param timeoutMillis after which it has failed
-     * @param onResult hears what became of it, once
+     * @param loop event loop on which the pool and the call run
+     * @param pool pool of connections to the server
+     * @param request head of the request, without Content-Length
+     * @param body body of the request, empty for none
+     * @param timeoutMillis time after which the call fails
+     * @param onResult receives the result, once
      */
     public static void start(
             EventLoop loop,
@@ -56,19 +56,19 @@
             byte[] body,
             long timeoutMillis,
             Consumer<Result> onResult) {
-        SmallHttpCall call = new SmallHttpCall(pool, request, body, onResult);
+        BufferedHttpCall call = new BufferedHttpCall(pool, request, body, onResult);
         loop.schedule(call::onTimeout, timeoutMillis, TimeUnit.MILLISECONDS);
         pool.acquire(Long.MAX_VALUE, call::send, call::fail);
     }
 
-    private void send(ServerConnection to) {
-        if (over) {
-            to.giveBack();
+    private void send(ServerConnection serverConnection) {
+        if (finished) {
+            serverConnection.returnUnused();
             return;
         }
-        connection = to;
-        HttpConnection.setLength(request, body.length);
-        to.send(request, RequestBody.of(Unpooled.wrappedBuffer(body)), this);
+        connection = serverConnection;
+        HttpConnection.setContentLength(request, body.length);
+        serverConnection.send(request, RequestBody.of(Unpooled.wrappedBuffer(body)), this);
     }
 
     @Override
@@ -79,16 +79,16 @@
 
     @Override
     public void onBody(ByteBuf part) {
-        byte[] copy = new byte[part.readableBytes()];
-        part.readBytes(copy);
+        byte[] bytes = new byte[part.readableBytes()];
+        part.readBytes(bytes);
         part.release();
-        bytes.writeBytes(copy);
+        responseBody.writeBytes(bytes);
     }
 
     @Override
     public void onEnd() {
         connection = null;
-        finish(new Result.Answered(status, headers, bytes.toByteArray()));
+        finish(new Result.Completed(status, headers, responseBody.toByteArray()));
     }
 
     @Override
@@ -102,20 +102,20 @@
     }
 
     private void onTimeout() {
-        if (over) {
+        if (finished) {
             return;
         }
         if (connection != null) {
-            connection.abandon();
+            connection.abort();
         }
-        fail("no answer in time");
+        fail("no response before the timeout");
     }
 
     private void finish(Result result) {
-        if (over) {
+        if (finished) {
             return;
         }
-        over = true;
+        finished = true;
         onResult.accept(result);
     }
 }
--- /dev/null
+++ b/org.berylwick.node/src/org/berylwick/node/transport/BufferedHttpServer.java
@@ -0,0 +1,138 @@
+package org.berylwick.node.transport;
+
+import io.netty.bootstrap.ServerBootstrap;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.ChannelInitializer;
+import io.netty.channel.EventLoop;
+import io.netty.channel.SimpleChannelInboundHandler;
+import io.netty.channel.socket.nio.NioServerSocketChannel;
+import io.netty.handler.codec.http.DefaultFullHttpResponse;
+import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.handler.codec.http.FullHttpResponse;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpObjectAggregator;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.HttpServerCodec;
+import io.netty.handler.codec.http.HttpUtil;
+import io.netty.handler.codec.http.HttpVersion;
+import java.net.InetSocketAddress;
+import java.util.HashMap;
+import java.util.Locale;
+import java.util.Map;
+import java.util.function.Function;
+
+/** An HTTP server for small requests, which are buffered completely: readiness, heartbeats, metrics. */
+public final class BufferedHttpServer implements AutoCloseable {
+    private static final int MAX_BODY_BYTES = 65_536;
+
+    private final Channel listener;
+
+    /**
+     * A request.
+     *
+     * @param method HTTP method
+     * @param uri request target
+     * @param headers headers by lower-case name
+     * @param body complete body
+     */
+    public record Request(String method, String uri, Map<String, String> headers, byte[] body) {}
+
+    /**
+     * A response.
+     *
+     * @param status HTTP status code
+     * @param headers headers without Content-Length and Connection
+     * @param body complete body
+     */
+    public record Response(int status, Map<String, String> headers, byte[] body) {
+        /** Returns a response without a body. */
+        public static Response ofStatus(int status) {
+            return new Response(status, Map.of(), new byte[0]);
+        }
+
+        /** Returns a response with status 200 and a body of the given media type. */
+        public static Response of(String contentType, byte[] body) {
+            return new Response(200, Map.of("Content-Type", contentType), body);
+        }
+    }
+
+    private BufferedHttpServer(Channel listener) {
+        this.listener = listener;
+    }
+
+    /**
+     * Opens a port.
+     *
+     * @param loop event loop on which requests are handled
+     * @param address address to listen on
+     * @param requestHandler produces the response to a request
+     */
+    public static BufferedHttpServer open(
+            EventLoop loop, InetSocketAddress address, Function<Request, Response> requestHandler) {
+        Channel listener = new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .childHandler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel channel) {
+                        channel.pipeline().addLast(new HttpServerCodec());
+                        channel.pipeline().addLast(new HttpObjectAggregator(MAX_BODY_BYTES));
+                        channel.pipeline().addLast(new RequestChannelHandler(requestHandler));
+                    }
+                })
+                .bind(address)
+                .syncUninterruptibly()
+                .channel();
+        return new BufferedHttpServer(listener);
+    }
+
+    /** Returns the port on which this server listens. */
+    public int port() {
+        return ((InetSocketAddress) listener.localAddress()).getPort();
+    }
+
+    @Override
+    public void close() {
+        listener.close();
+    }
+
+    private static final class RequestChannelHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+        private final Function<Request, Response> requestHandler;
+
+        RequestChannelHandler(Function<Request, Response> requestHandler) {
+            this.requestHandler = requestHandler;
+        }
+
+        @Override
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest httpRequest) {
+            byte[] body = new byte[httpRequest.content().readableBytes()];
+            httpRequest.content().readBytes(body);
+            Map<String, String> headers = new HashMap<>();
+            httpRequest
+                    .headers()
+                    .forEach(header -> headers.put(header.getKey().toLowerCase(Locale.ROOT), header.getValue()));
+            Response response =
+                    requestHandler.apply(new Request(httpRequest.method().name(), httpRequest.uri(), headers, body));
+            FullHttpResponse httpResponse = new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1,
+                    HttpResponseStatus.valueOf(response.status()),
+                    Unpooled.wrappedBuffer(response.body()));
+            httpResponse.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.body().length);
+            response.headers().forEach(httpResponse.headers()::set);
+            boolean keepAlive = HttpUtil.isKeepAlive(httpRequest);
+            HttpUtil.setKeepAlive(httpResponse, keepAlive);
+            ctx.writeAndFlush(httpResponse).addListener(result -> {
+                if (!keepAlive) {
+                    ctx.close();
+                }
+            });
+        }
+
+        @Override
+        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+            ctx.close();
+        }
+    }
+}
--- a/org.berylwick.node/src/org/berylwick/node/transport/ConnectionPool.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ConnectionPool.java
@@ -16,126 +16,137 @@
 import java.util.function.Consumer;
 import jdk.net.ExtendedSocketOptions;
 
-/** Connections to one server, the latest used first; confined to the event loop. */
-public final class ConnectionPool implements ServerConnections {
+/**
+ * A pool of HTTP connections to one server; confined to the event loop.
+ *
+ * <p>The most recently used idle connection is handed out first.
+ */
+public final class ConnectionPool implements ServerConnectionPool {
     private static final int MAX_HEADER_BYTES = 65_536;
     private static final int MAX_CHUNK_BYTES = 65_536;
     /**
-     * A connection may go silent for good without a reset, while new ones work; the system's own probes end it within 5
-     * s. Shorter ones would cost bytes between zones on every idle connection.
+     * A connection can go silent for good without a reset while new connections to the same server work. With these
+     * settings TCP keepalive closes it within 5 s. Shorter intervals would cost traffic between availability zones on
+     * every idle connection.
      */
-    private static final int PROBE_AFTER_S = 3;
+    private static final int KEEPALIVE_IDLE_S = 3;
 
-    private static final int PROBE_EVERY_S = 1;
-    private static final int PROBES = 2;
+    private static final int KEEPALIVE_INTERVAL_S = 1;
+    private static final int KEEPALIVE_PROBES = 2;
 
     private final Bootstrap bootstrap;
     private final InetSocketAddress target;
     private final long maxIdleNanos;
-    private final ArrayDeque<HttpConnection> idle = new ArrayDeque<>();
-    private final Set<HttpConnection> open = new HashSet<>();
-    private long opened;
+    private final ArrayDeque<HttpConnection> idleConnections = new ArrayDeque<>();
+    private final Set<HttpConnection> openConnections = new HashSet<>();
+    private long openedCount;
     private boolean closed;
 
     /**
-     * @param loop all connections run on it
-     * @param target the server
-     * @param connectMillis after which a connection that was not taken counts as failed
-     * @param maxIdleNanos after which a connection is not used again
+     * Creates an empty pool.
+     *
+     * @param loop event loop on which all connections run
+     * @param target address of the server
+     * @param connectTimeoutMillis time after which an attempt to connect fails
+     * @param maxIdleNanos idle time after which a connection is not reused
      */
-    public ConnectionPool(EventLoop loop, InetSocketAddress target, int connectMillis, long maxIdleNanos) {
+    public ConnectionPool(EventLoop loop, InetSocketAddress target, int connectTimeoutMillis, long maxIdleNanos) {
         this.target = target;
         this.maxIdleNanos = maxIdleNanos;
         this.bootstrap = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMillis)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMillis)
                 .option(ChannelOption.SO_KEEPALIVE, true)
-                .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPIDLE), PROBE_AFTER_S)
-                .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPINTERVAL), PROBE_EVERY_S)
-                .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPCOUNT), PROBES)
+                .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPIDLE), KEEPALIVE_IDLE_S)
+                .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPINTERVAL), KEEPALIVE_INTERVAL_S)
+                .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPCOUNT), KEEPALIVE_PROBES)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline().addLast(new HttpClientCodec(8192, MAX_HEADER_BYTES, MAX_CHUNK_BYTES));
-                        channel.pipeline().addLast(connectionOf(channel));
+                        channel.pipeline().addLast(createConnection(channel));
                     }
                 });
     }
 
-    private HttpConnection connectionOf(Channel channel) {
-        return new HttpConnection(channel, this::putBack, this::forget);
+    private HttpConnection createConnection(Channel channel) {
+        return new HttpConnection(channel, this::returnToPool, this::remove);
     }
 
     @Override
-    public long opened() {
-        return opened;
+    public long openedCount() {
+        return openedCount;
     }
 
-    /** Connections that are open now. */
+    /** Returns the number of open connections, idle or in use. */
     public int size() {
-        return open.size();
+        return openConnections.size();
     }
 
-    /** The server that this pool leads to. */
+    /** Returns the address of the server that this pool connects to. */
     public InetSocketAddress target() {
         return target;
     }
 
     /**
-     * Takes an idle connection, or null.
+     * Takes an idle connection out of the pool.
      *
-     * @param freshestNanos takes none that has been idle for longer
+     * @param idleLimitNanos maximum idle time of the connection
+     * @return the connection, or null if there is none
      */
-    public HttpConnection pollIdle(long freshestNanos) {
+    public HttpConnection pollIdle(long idleLimitNanos) {
         long now = System.nanoTime();
-        long most = Math.min(freshestNanos, maxIdleNanos);
-        while (!idle.isEmpty()) {
-            HttpConnection connection = idle.peekFirst();
-            if (connection.isIdle() && now - connection.idleSince() <= usableFor(connection, most)) {
-                return idle.pollFirst();
+        long effectiveLimitNanos = Math.min(idleLimitNanos, maxIdleNanos);
+        while (!idleConnections.isEmpty()) {
+            HttpConnection connection = idleConnections.peekFirst();
+            if (connection.isIdle()
+                    && now - connection.idleSince() <= usableIdleNanos(connection, effectiveLimitNanos)) {
+                return idleConnections.pollFirst();
             }
-            if (connection.isIdle() && now - connection.idleSince() <= usableFor(connection, maxIdleNanos)) {
+            if (connection.isIdle() && now - connection.idleSince() <= usableIdleNanos(connection, maxIdleNanos)) {
                 return null;
             }
-            idle.pollFirst().abandon();
+            idleConnections.pollFirst().abort();
         }
         return null;
     }
 
-    private static long usableFor(HttpConnection connection, long most) {
+    private static long usableIdleNanos(HttpConnection connection, long limitNanos) {
         if (connection.keepAliveNanos() == 0) {
-            return most;
+            return limitNanos;
         }
-        // A server that closes as a request is on its way leaves open whether it ran: stay a second and a third below.
+        // If the server closes the connection while a request is in transit, it is unknown whether the request ran. So
+        // the idle time must stay at least one second, and at least one third, below the server's keep-alive time.
         return Math.min(
-                most, Math.min(connection.keepAliveNanos() - 1_000_000_000L, connection.keepAliveNanos() * 2 / 3));
+                limitNanos,
+                Math.min(connection.keepAliveNanos() - 1_000_000_000L, connection.keepAliveNanos() * 2 / 3));
     }
 
     /**
-     * Opens a connection.
+     * Opens a new connection.
      *
-     * @param onOpen takes it
-     * @param onFailure hears why there is none; nothing was sent then
+     * @param onOpen receives the connection
+     * @param onFailure receives the cause if no connection could be opened; nothing has been sent in that case
      */
     public void open(Consumer<ServerConnection> onOpen, Consumer<String> onFailure) {
         if (closed) {
-            onFailure.accept("pool is closed");
+            onFailure.accept("connection pool is closed");
             return;
         }
-        opened++;
+        openedCount++;
         ChannelFuture connecting = bootstrap.connect(target);
-        connecting.addListener(f -> {
-            if (!f.isSuccess()) {
-                onFailure.accept("cannot connect: " + f.cause().getClass().getSimpleName());
+        connecting.addListener(result -> {
+            if (!result.isSuccess()) {
+                onFailure.accept("cannot connect: " + result.cause().getClass().getSimpleName());
                 return;
             }
             HttpConnection connection = connecting.channel().pipeline().get(HttpConnection.class);
-            open.add(connection);
+            openConnections.add(connection);
             if (closed) {
-                connection.abandon();
-                onFailure.accept("pool is closed");
+                connection.abort();
+                onFailure.accept("connection pool is closed");
                 return;
             }
             onOpen.accept(connection);
@@ -143,45 +154,45 @@
     }
 
     @Override
-    public void acquire(long freshestNanos, Consumer<ServerConnection> onOpen, Consumer<String> onFailure) {
-        HttpConnection connection = pollIdle(freshestNanos);
+    public void acquire(long idleLimitNanos, Consumer<ServerConnection> onConnection, Consumer<String> onFailure) {
+        HttpConnection connection = pollIdle(idleLimitNanos);
         if (connection != null) {
-            onOpen.accept(connection);
+            onConnection.accept(connection);
             return;
         }
-        open(onOpen, onFailure);
+        open(onConnection, onFailure);
     }
 
-    private void putBack(HttpConnection connection) {
+    private void returnToPool(HttpConnection connection) {
         if (closed) {
-            connection.abandon();
+            connection.abort();
             return;
         }
-        idle.addFirst(connection);
+        idleConnections.addFirst(connection);
     }
 
-    private void forget(HttpConnection connection) {
-        open.remove(connection);
-        idle.remove(connection);
+    private void remove(HttpConnection connection) {
+        openConnections.remove(connection);
+        idleConnections.remove(connection);
     }
 
     @Override
-    public void trim() {
+    public void evictIdle() {
         long now = System.nanoTime();
-        while (!idle.isEmpty()) {
-            HttpConnection oldest = idle.peekLast();
-            if (now - oldest.idleSince() <= usableFor(oldest, maxIdleNanos)) {
+        while (!idleConnections.isEmpty()) {
+            HttpConnection oldest = idleConnections.peekLast();
+            if (now - oldest.idleSince() <= usableIdleNanos(oldest, maxIdleNanos)) {
                 return;
             }
-            idle.pollLast().abandon();
+            idleConnections.pollLast().abort();
         }
     }
 
     @Override
     public void close() {
         closed = true;
-        while (!idle.isEmpty()) {
-            idle.pollFirst().abandon();
+        while (!idleConnections.isEmpty()) {
+            idleConnections.pollFirst().abort();
         }
     }
 }
--- a/org.berylwick.node/src/org/berylwick/node/transport/EventLoopClock.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/EventLoopClock.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import org.berylwick.node.lib.Clock;
 
-/** The clock of an event loop; its tasks run on that. */
+/** A clock whose tasks run on an event loop. */
 public record EventLoopClock(EventLoop loop) implements Clock {
     @Override
     public long now() {
@@ -14,8 +14,8 @@
 
     @Override
     public Timer schedule(long at, Runnable task) {
-        ScheduledFuture<?> planned = loop.schedule(task, Math.max(0, at - System.nanoTime()), TimeUnit.NANOSECONDS);
-        return () -> planned.cancel(false);
+        ScheduledFuture<?> future = loop.schedule(task, Math.max(0, at - System.nanoTime()), TimeUnit.NANOSECONDS);
+        return () -> future.cancel(false);
     }
 
     @Override
--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -18,31 +18,31 @@
 import java.util.function.Consumer;
 
 /**
- * A connection to a server that carries one request at a time; confined to the event loop.
+ * An HTTP/1.1 connection to a server that carries one request at a time; confined to the event loop.
  *
- * <p>It goes back to its pool only after the loop has read all that came with the end of an answer: bytes behind a
- * complete answer belong to no request, and the connection that brought them is closed.
+ * <p>It returns to its pool only after the event loop has processed everything that was read together with the end of a
+ * response. Bytes after a complete response belong to no request, and a connection that receives such bytes is closed.
  */
 public final class HttpConnection extends ChannelInboundHandlerAdapter implements ServerConnection {
-    private static final String KEEP_ALIVE_TIMEOUT = "timeout=";
+    private static final String KEEP_ALIVE_TIMEOUT_PARAMETER = "timeout=";
 
     private final Channel channel;
     private final Consumer<HttpConnection> onIdle;
     private final Consumer<HttpConnection> onClosed;
-    private HttpExchange exchange;
-    private HttpResponse head;
-    private boolean dropping;
-    private boolean ended;
+    private HttpResponseHandler responseHandler;
+    private HttpResponse responseHead;
+    private boolean discarding;
+    private boolean responseComplete;
     private boolean reusable;
-    private boolean unframed;
-    private boolean reset;
-    private ChannelFuture written;
-    private RequestBody body;
-    private boolean asked;
-    private final BodyWriter writer = new BodyWriter();
+    private boolean closeDelimited;
+    private boolean connectionFailed;
+    private ChannelFuture lastWrite;
+    private RequestBody pendingBody;
+    private boolean bodyRequested;
+    private final BodyWriter bodyWriter = new BodyWriter();
     private long idleSince;
     private long keepAliveNanos;
-    private int served;
+    private int servedRequests;
 
     HttpConnection(Channel channel, Consumer<HttpConnection> onIdle, Consumer<HttpConnection> onClosed) {
         this.channel = channel;
@@ -56,48 +56,48 @@
         return idleSince;
     }
 
-    /** How long the server keeps the connection idle, 0 if it did not say. */
+    /** Returns how long the server keeps an idle connection open, 0 if it did not announce a time. */
     public long keepAliveNanos() {
         return keepAliveNanos;
     }
 
     @Override
-    public int served() {
-        return served;
+    public int servedRequests() {
+        return servedRequests;
     }
 
-    /** Whether it is open and waits for a request. */
+    /** Returns whether the connection is open and carries no request. */
     public boolean isIdle() {
-        return exchange == null && !ended && channel.isActive();
+        return responseHandler == null && !responseComplete && channel.isActive();
     }
 
     @Override
-    public void giveBack() {
+    public void returnUnused() {
         onIdle.accept(this);
     }
 
     @Override
-    public void send(HttpRequest request, RequestBody requestBody, HttpExchange waiter) {
-        exchange = waiter;
-        head = null;
-        dropping = false;
+    public void send(HttpRequest request, RequestBody requestBody, HttpResponseHandler handler) {
+        responseHandler = handler;
+        responseHead = null;
+        discarding = false;
         reusable = true;
-        unframed = false;
-        written = null;
+        closeDelimited = false;
+        lastWrite = null;
         channel.write(request);
-        body = requestBody;
-        asked = !HttpUtil.is100ContinueExpected(request);
-        if (asked) {
-            body.follow(writer);
+        pendingBody = requestBody;
+        bodyRequested = !HttpUtil.is100ContinueExpected(request);
+        if (bodyRequested) {
+            pendingBody.subscribe(bodyWriter);
         }
         channel.flush();
     }
 
-    /** Writes a request's body as it comes. */
-    private final class BodyWriter implements RequestBody.Follower {
+    /** Writes the body of a request as it arrives. */
+    private final class BodyWriter implements RequestBody.Subscriber {
         @Override
-        public void onPart(ByteBuf part) {
-            if (body.isWhole()) {
+        public void onRequestBodyPart(ByteBuf part) {
+            if (pendingBody.isComplete()) {
                 channel.write(new DefaultHttpContent(part));
             } else {
                 channel.writeAndFlush(new DefaultHttpContent(part));
@@ -105,33 +105,33 @@
         }
 
         @Override
-        public void onWhole() {
-            written = channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
-            unfollow();
+        public void onRequestBodyComplete() {
+            lastWrite = channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
+            stopWritingBody();
         }
     }
 
-    private void unfollow() {
-        if (body != null) {
-            body.unfollow(writer);
-            body = null;
+    private void stopWritingBody() {
+        if (pendingBody != null) {
+            pendingBody.unsubscribe(bodyWriter);
+            pendingBody = null;
         }
     }
 
     @Override
-    public boolean isSentWhole() {
-        return written != null;
+    public boolean isRequestFullySent() {
+        return lastWrite != null;
     }
 
     @Override
-    public void readOn(boolean on) {
-        channel.config().setAutoRead(on);
+    public void setAutoRead(boolean enabled) {
+        channel.config().setAutoRead(enabled);
     }
 
     @Override
-    public void abandon() {
-        unfollow();
-        exchange = null;
+    public void abort() {
+        stopWritingBody();
+        responseHandler = null;
         channel.close();
     }
 
@@ -139,103 +139,103 @@
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         if (!(message instanceof HttpObject object) || object.decoderResult().isFailure()) {
             ReferenceCountUtil.release(message);
-            fail("unreadable answer");
+            fail("malformed HTTP response");
             return;
         }
-        if (exchange == null) {
+        if (responseHandler == null) {
             ReferenceCountUtil.release(message);
             channel.close();
             return;
         }
         if (message instanceof HttpResponse response) {
-            readHead(response);
+            handleHead(response);
         }
         if (message instanceof HttpContent content) {
-            readContent(content);
+            handleContent(content);
         }
     }
 
-    private void readHead(HttpResponse response) {
+    private void handleHead(HttpResponse response) {
         int status = response.status().code();
         if (status >= 100 && status < 200) {
-            dropping = true;
-            if (status == HttpResponseStatus.CONTINUE.code() && !asked) {
-                asked = true;
-                body.follow(writer);
+            discarding = true;
+            if (status == HttpResponseStatus.CONTINUE.code() && !bodyRequested) {
+                bodyRequested = true;
+                pendingBody.subscribe(bodyWriter);
             }
             return;
         }
-        if (!exchange.owns(response)) {
-            // An extra answer to an earlier request stands where this one's is expected; this one's follows it.
-            dropping = true;
+        if (!responseHandler.matches(response)) {
+            // This is a second response to an earlier request; the response to the current request follows it.
+            discarding = true;
             reusable = false;
             return;
         }
-        dropping = false;
-        head = response;
-        unframed = !HttpUtil.isContentLengthSet(response) && !HttpUtil.isTransferEncodingChunked(response);
-        reusable &= HttpUtil.isKeepAlive(response) && !unframed;
-        readKeepAlive(response);
-        exchange.onHead(response);
+        discarding = false;
+        responseHead = response;
+        closeDelimited = !HttpUtil.isContentLengthSet(response) && !HttpUtil.isTransferEncodingChunked(response);
+        reusable &= HttpUtil.isKeepAlive(response) && !closeDelimited;
+        parseKeepAlive(response);
+        responseHandler.onHead(response);
     }
 
-    private void readKeepAlive(HttpResponse response) {
+    private void parseKeepAlive(HttpResponse response) {
         String value = response.headers().get("Keep-Alive");
         if (value == null) {
             return;
         }
-        int at = value.indexOf(KEEP_ALIVE_TIMEOUT);
-        if (at < 0) {
+        int parameterIndex = value.indexOf(KEEP_ALIVE_TIMEOUT_PARAMETER);
+        if (parameterIndex < 0) {
             return;
         }
-        int from = at + KEEP_ALIVE_TIMEOUT.length();
-        int to = from;
-        while (to < value.length() && Character.isDigit(value.charAt(to))) {
-            to++;
+        int start = parameterIndex + KEEP_ALIVE_TIMEOUT_PARAMETER.length();
+        int end = start;
+        while (end < value.length() && Character.isDigit(value.charAt(end))) {
+            end++;
         }
-        if (to > from && to - from < 6) {
-            keepAliveNanos = Integer.parseInt(value.substring(from, to)) * 1_000_000_000L;
+        if (end > start && end - start < 6) {
+            keepAliveNanos = Integer.parseInt(value.substring(start, end)) * 1_000_000_000L;
         }
     }
 
-    private void readContent(HttpContent content) {
-        boolean last = content instanceof LastHttpContent;
-        if (dropping) {
+    private void handleContent(HttpContent content) {
+        boolean isLast = content instanceof LastHttpContent;
+        if (discarding) {
             content.release();
-            dropping = !last;
+            discarding = !isLast;
             return;
         }
-        if (head == null) {
+        if (responseHead == null) {
             content.release();
             return;
         }
-        if (last && unframed && reset) {
+        if (isLast && closeDelimited && connectionFailed) {
             content.release();
             return;
         }
-        HttpExchange waiter = exchange;
+        HttpResponseHandler handler = responseHandler;
         if (content.content().isReadable()) {
-            waiter.onBody(content.content());
+            handler.onBody(content.content());
         } else {
             content.release();
         }
-        if (!last || exchange != waiter) {
+        if (!isLast || responseHandler != handler) {
             return;
         }
-        exchange = null;
-        ended = true;
-        served++;
-        unfollow();
-        reusable &= written != null && written.isSuccess();
-        waiter.onEnd();
+        responseHandler = null;
+        responseComplete = true;
+        servedRequests++;
+        stopWritingBody();
+        reusable &= lastWrite != null && lastWrite.isSuccess();
+        handler.onEnd();
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (!ended) {
+        if (!responseComplete) {
             return;
         }
-        ended = false;
+        responseComplete = false;
         if (!reusable) {
             channel.close();
             return;
@@ -247,29 +247,30 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        // The decoder takes any end of a connection for the end of an unframed answer; one that was reset is not whole.
-        reset = true;
-        fail("connection broke: " + cause.getMessage());
+        // The decoder takes any close of the connection for the end of a close-delimited response. After a reset the
+        // response is truncated, so the end that the decoder then reports must not count as its end.
+        connectionFailed = true;
+        fail("connection failed: " + cause.getMessage());
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        fail(head == null ? "closed before an answer" : "closed within an answer");
+        fail(responseHead == null ? "connection closed before the response" : "connection closed during the response");
         onClosed.accept(this);
     }
 
     private void fail(String cause) {
-        HttpExchange waiter = exchange;
-        exchange = null;
-        unfollow();
+        HttpResponseHandler handler = responseHandler;
+        responseHandler = null;
+        stopWritingBody();
         channel.close();
-        if (waiter != null) {
-            waiter.onFailure(cause);
+        if (handler != null) {
+            handler.onFailure(cause);
         }
     }
 
-    /** Names the request's length, which every request here carries. */
-    public static void setLength(HttpRequest request, int bytes) {
+    /** Sets the Content-Length header. Only a GET request without a body goes without one. */
+    public static void setContentLength(HttpRequest request, int bytes) {
         if (bytes > 0 || !"GET".equals(request.method().name())) {
             request.headers().set(HttpHeaderNames.CONTENT_LENGTH, bytes);
         }
--- a/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
@@ -8,146 +8,149 @@
 import java.util.Optional;
 
 /**
- * The body of a request while it comes in, and after; confined to the event loop.
+ * The body of a request, during and after its arrival; confined to the event loop.
  *
- * <p>It is kept whole until it is released, so that it can be sent to another node after one that refused it. Whoever
- * follows it gets what is there at once and the rest as it comes, so that a narrow link delays it once, not at each
- * hop.
+ * <p>All received bytes are kept until the body is released, so that it can be sent to another node after one node has
+ * refused the request. Subscribers get the bytes received so far immediately and the rest as it arrives, so that a
+ * narrow link delays the body once and not again at each hop.
  */
 public final class RequestBody {
-    /** A shorter one mostly comes with its head, or within some milliseconds. */
-    public static final int LEAST_STREAMED = 16_384;
+    /**
+     * Length from which a body is forwarded while it arrives. A shorter body usually arrives with its request head, or
+     * within a few milliseconds.
+     */
+    public static final int MIN_STREAMED_BYTES = 16_384;
 
-    private static final int MOST_PARTS = 1024;
+    private static final int MAX_PARTS = 1024;
 
-    private final ByteBuf kept;
+    private final ByteBuf receivedBytes;
     private final int length;
     private final IncomingLink link;
-    private final List<Follower> followers = new ArrayList<>(1);
-    private Optional<Runnable> asker = Optional.empty();
-    private boolean whole;
+    private final List<Subscriber> subscribers = new ArrayList<>(1);
+    private Optional<Runnable> bodyRequester = Optional.empty();
+    private boolean complete;
     private boolean released;
 
-    /** Takes parts as they come. */
-    public interface Follower {
-        /** A part; the callee releases it. */
-        void onPart(ByteBuf part);
+    /** Receives the parts of a body. */
+    public interface Subscriber {
+        /** Called with each part; the callee releases it. */
+        void onRequestBodyPart(ByteBuf part);
 
-        /** All parts have come. */
-        void onWhole();
+        /** Called when all parts have been passed on. */
+        void onRequestBodyComplete();
     }
 
-    private RequestBody(ByteBuf kept, int length, IncomingLink link, boolean whole) {
-        this.kept = kept;
+    private RequestBody(ByteBuf receivedBytes, int length, IncomingLink link, boolean complete) {
+        this.receivedBytes = receivedBytes;
         this.length = length;
         this.link = link;
-        this.whole = whole;
+        this.complete = complete;
     }
 
     /**
-     * A body of which nothing has come yet.
+     * Creates a body of which nothing has arrived yet.
      *
-     * @param length in bytes, as its head tells
-     * @param link that it comes over
+     * @param length length in bytes as announced in the request head
+     * @param link link over which it arrives
      */
-    public static RequestBody coming(int length, IncomingLink link) {
-        link.onAnnounced(length);
-        return new RequestBody(Unpooled.compositeBuffer(MOST_PARTS), length, link, false);
+    public static RequestBody incoming(int length, IncomingLink link) {
+        link.onBodyAnnounced(length);
+        return new RequestBody(Unpooled.compositeBuffer(MAX_PARTS), length, link, false);
     }
 
     /**
-     * A body that its sender keeps back until it is asked for.
+     * Creates a body that its sender holds back until it is requested.
      *
-     * @param length in bytes, as its head tells
-     * @param link that it comes over
-     * @param asker asks the sender for it
+     * @param length length in bytes as announced in the request head
+     * @param link link over which it arrives
+     * @param bodyRequester requests the body from its sender
      */
-    public static RequestBody keptBack(int length, IncomingLink link, Runnable asker) {
-        RequestBody body = coming(length, link);
-        body.asker = Optional.of(asker);
+    public static RequestBody deferred(int length, IncomingLink link, Runnable bodyRequester) {
+        RequestBody body = incoming(length, link);
+        body.bodyRequester = Optional.of(bodyRequester);
         return body;
     }
 
-    /** A body that is there. */
-    public static RequestBody of(ByteBuf whole) {
-        return new RequestBody(whole, whole.readableBytes(), IncomingLink.NONE, true);
+    /** Creates a body that has arrived completely. */
+    public static RequestBody of(ByteBuf content) {
+        return new RequestBody(content, content.readableBytes(), IncomingLink.NONE, true);
     }
 
-    /** Its length in bytes, also before it has come. */
+    /** Returns the length in bytes, including bytes that have not arrived yet. */
     public int length() {
         return length;
     }
 
-    /** Bytes that have not come yet. */
-    public int missing() {
-        return length - kept.readableBytes();
+    /** Returns the number of bytes that have not arrived yet. */
+    public int missingBytes() {
+        return length - receivedBytes.readableBytes();
     }
 
-    /** Whether its sender waits to be asked for it. */
-    public boolean isKeptBack() {
-        return asker.isPresent();
+    /** Returns whether the sender holds the body back until it is requested. */
+    public boolean isDeferred() {
+        return bodyRequester.isPresent();
     }
 
-    /** Asks the sender for it, if that waits to be asked. */
-    public void ask() {
-        Optional<Runnable> once = asker;
-        asker = Optional.empty();
-        once.ifPresent(Runnable::run);
+    /** Requests the body from its sender if the sender is holding it back. */
+    public void requestFromSender() {
+        Optional<Runnable> pendingRequester = bodyRequester;
+        bodyRequester = Optional.empty();
+        pendingRequester.ifPresent(Runnable::run);
     }
 
-    /** Whether all of it is there. */
-    public boolean isWhole() {
-        return whole;
+    /** Returns whether the body has arrived completely. */
+    public boolean isComplete() {
+        return complete;
     }
 
-    /** A part has come; it is released with the body. */
-    public void add(ByteBuf part) {
-        if (released || whole || part.readableBytes() > missing()) {
+    /** Adds a part that has arrived. It is released with the body, or at once if the body does not accept it. */
+    public void addPart(ByteBuf part) {
+        if (released || complete || part.readableBytes() > missingBytes()) {
             part.release();
             return;
         }
-        link.onCame(part.readableBytes());
-        ((CompositeByteBuf) kept).addComponent(true, part);
-        for (Follower follower : List.copyOf(followers)) {
-            follower.onPart(part.retainedDuplicate());
+        link.onBytesReceived(part.readableBytes());
+        ((CompositeByteBuf) receivedBytes).addComponent(true, part);
+        for (Subscriber subscriber : List.copyOf(subscribers)) {
+            subscriber.onRequestBodyPart(part.retainedDuplicate());
         }
     }
 
-    /** All parts have come. */
-    public void end() {
-        if (released || whole) {
+    /** Marks the body as completely arrived. */
+    public void markComplete() {
+        if (released || complete) {
             return;
         }
-        whole = true;
-        for (Follower follower : List.copyOf(followers)) {
-            follower.onWhole();
+        complete = true;
+        for (Subscriber subscriber : List.copyOf(subscribers)) {
+            subscriber.onRequestBodyComplete();
         }
     }
 
-    /** Tells what is there now, and then the rest until {@link #unfollow}. */
-    public void follow(Follower follower) {
-        followers.add(follower);
-        if (kept.isReadable()) {
-            follower.onPart(kept.retainedDuplicate());
+    /** Passes on the bytes received so far, and each further part until {@link #unsubscribe}. */
+    public void subscribe(Subscriber subscriber) {
+        subscribers.add(subscriber);
+        if (receivedBytes.isReadable()) {
+            subscriber.onRequestBodyPart(receivedBytes.retainedDuplicate());
         }
-        if (whole) {
-            follower.onWhole();
+        if (complete) {
+            subscriber.onRequestBodyComplete();
         }
     }
 
-    /** Tells a follower nothing more. */
-    public void unfollow(Follower follower) {
-        followers.remove(follower);
+    /** Stops passing parts on to a subscriber. */
+    public void unsubscribe(Subscriber subscriber) {
+        subscribers.remove(subscriber);
     }
 
-    /** Lets go of it; nothing more is told, and parts that still come are dropped. */
+    /** Releases the received bytes. Subscribers are not called any more, and parts that still arrive are discarded. */
     public void release() {
         if (released) {
             return;
         }
         released = true;
-        followers.clear();
-        link.onCame(missing());
-        kept.release();
+        subscribers.clear();
+        link.onBytesReceived(missingBytes());
+        receivedBytes.release();
     }
 }
--- /dev/null
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ServerConnectionPool.java
@@ -0,0 +1,25 @@
+package org.berylwick.node.transport;
+
+import java.util.function.Consumer;
+
+/** A pool of connections to one server. */
+public interface ServerConnectionPool extends AutoCloseable {
+    /**
+     * Takes an idle connection or opens a new one.
+     *
+     * @param idleLimitNanos maximum idle time of a connection that is reused
+     * @param onConnection receives the connection
+     * @param onFailure receives the cause if there is no connection; nothing has been sent in that case
+     */
+    void acquire(long idleLimitNanos, Consumer<ServerConnection> onConnection, Consumer<String> onFailure);
+
+    /** Returns how many connections this pool has tried to open so far. */
+    long openedCount();
+
+    /** Closes connections that have been idle for too long to be reused. */
+    void evictIdle();
+
+    /** Closes idle connections now, and connections in use as they become idle. */
+    @Override
+    void close();
+}
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionFetcher.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionFetcher.java
@@ -16,7 +16,7 @@
 import org.berylwick.node.log.NodeMetricNames;
 import org.berylwick.node.member.Member;
 import org.berylwick.node.member.MemberTable;
-import org.berylwick.node.transport.SmallHttpCall;
+import org.berylwick.node.transport.BufferedHttpCall;
 
 /**
  * Fetches a newer version from another node, preferably one in the same availability zone. Confined to the event loop.
@@ -96,7 +96,7 @@
         fetching = true;
         Member member = source.get();
         long baseNumber = fullVersionRequired ? 0 : currentNumber.getAsLong();
-        SmallHttpCall.start(
+        BufferedHttpCall.start(
                 loop,
                 member.pool(),
                 new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, VersionUpdater.VERSION_PATH + baseNumber),
@@ -128,12 +128,12 @@
         return Optional.of(candidates.get(ThreadLocalRandom.current().nextInt(candidates.size())));
     }
 
-    private void onResult(Member source, SmallHttpCall.Result result) {
+    private void onResult(Member source, BufferedHttpCall.Result result) {
         fetching = false;
-        if (!(result instanceof SmallHttpCall.Result.Answered response) || response.status() != 200) {
+        if (!(result instanceof BufferedHttpCall.Result.Completed response) || response.status() != 200) {
             // Not reported as a failure of the node: its link may be saturated with this very version, which does not
             // mean that it cannot serve requests.
-            instruments.counters().add(NodeMetricNames.VERSIONS_FETCH_FAILURES);
+            instruments.counters().increment(NodeMetricNames.VERSIONS_FETCH_FAILURES);
             scheduleRetry();
             return;
         }
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
@@ -139,7 +139,7 @@
             return;
         }
         reading = true;
-        counters.add(NodeMetricNames.STORE_READS);
+        counters.increment(NodeMetricNames.STORE_READS);
         source.read(consistency, result -> {
             reading = false;
             onReadResult(result);
@@ -172,7 +172,7 @@
             case ConfigurationSource.ReadResult.HistoryGone gone -> {
                 // Retried with a delay: a store that has dropped its history under overload must not be read in a tight
                 // loop.
-                counters.add(NodeMetricNames.STORE_HISTORY_GONE);
+                counters.increment(NodeMetricNames.STORE_HISTORY_GONE);
                 scheduleRetry(this::read);
             }
             case ConfigurationSource.ReadResult.Failed failed -> {
@@ -213,7 +213,7 @@
     }
 
     private void onStoreUnreachable(String cause) {
-        counters.add(NodeMetricNames.STORE_FAILURES);
+        counters.increment(NodeMetricNames.STORE_FAILURES);
         if (storeReachable) {
             storeReachable = false;
             log.write(
@@ -236,7 +236,7 @@
             return;
         }
         watching = true;
-        counters.add(NodeMetricNames.STORE_WATCHES);
+        counters.increment(NodeMetricNames.STORE_WATCHES);
         source.watch(revision, WATCH_TIMEOUT_MILLIS, result -> {
             watching = false;
             onReadResult(result);
@@ -268,7 +268,7 @@
         version = Optional.of(candidate);
         lastInstalledAt = System.nanoTime();
         history.add(candidate);
-        counters.add(NodeMetricNames.VERSIONS_INSTALLED);
+        counters.increment(NodeMetricNames.VERSIONS_INSTALLED);
         log.write(
                 Event.VERSION_INSTALLED,
                 "version",
--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -272,7 +272,7 @@
     /** Current value of a gauge of a node. */
     static long gauge(Node node, String name) {
         String text = node.loop()
-                .submit(() -> node.counters().text())
+                .submit(() -> node.counters().render())
                 .syncUninterruptibly()
                 .getNow();
         return text.lines()
@@ -351,7 +351,7 @@
     }
 
     /** In-memory platform of one node of the rig. */
-    private final class TestNodePorts implements NodePorts {
+    private final class TestNodePorts implements NodePlatform {
         private final NodeSettings settings;
 
         TestNodePorts(NodeSettings settings) {
@@ -369,7 +369,7 @@
         }
 
         @Override
-        public Optional<NodeSettings> reread() {
+        public Optional<NodeSettings> reloadSettings() {
             return Optional.of(settings);
         }
 
@@ -379,7 +379,7 @@
         }
 
         @Override
-        public HeartbeatProtocol heartbeats() {
+        public HeartbeatProtocol heartbeatProtocol() {
             return new PlainTextHeartbeats();
         }
 
--- a/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
@@ -18,7 +18,7 @@
 import org.berylwick.node.lib.BackendState;
 import org.berylwick.node.lib.OwnerLoad;
 import org.berylwick.node.member.NodeState;
-import org.berylwick.node.transport.SmallHttpServer;
+import org.berylwick.node.transport.BufferedHttpServer;
 import org.berylwick.node.version.VersionDeltaCodec;
 import org.berylwick.node.version.VersionUpdater;
 import org.berylwick.testing.Await;
@@ -38,7 +38,7 @@
     }
 
     private static long metric(Node node, String name) {
-        for (String line : node.counters().text().split("\n")) {
+        for (String line : node.counters().render().split("\n")) {
             String[] words = line.split("[ :=]+");
             if (words[0].equals(name)) {
                 return Long.parseLong(words[1]);
@@ -109,9 +109,9 @@
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try (NodeRig rig = new NodeRig();
                 DatagramSocket socket = new DatagramSocket(rig.gossipAddress(9))) {
-            SmallHttpServer.open((EventLoop) group.next(), rig.peerAddress(9), request -> {
+            BufferedHttpServer.open((EventLoop) group.next(), rig.peerAddress(9), request -> {
                 requestedBases.add(request.uri().substring(request.uri().indexOf('=') + 1));
-                return SmallHttpServer.Answer.of("",
+                return BufferedHttpServer.Response.of("",
                         requestedBases.size() == 1 ? encodeWithBase(5, mismatchedDelta) : encodeWithBase(0, fullDelta));
             });
             rig.configuration.publish(NodeRig.version(5));
--- a/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
@@ -24,10 +24,10 @@
 import org.berylwick.node.lib.RouteKind;
 import org.berylwick.node.log.Counters;
 import org.berylwick.node.log.EventLog;
-import org.berylwick.node.transport.HttpExchange;
+import org.berylwick.node.transport.HttpResponseHandler;
 import org.berylwick.node.transport.RequestBody;
 import org.berylwick.node.transport.ServerConnection;
-import org.berylwick.node.transport.ServerConnections;
+import org.berylwick.node.transport.ServerConnectionPool;
 import org.berylwick.node.transport.VmLink;
 import org.junit.jupiter.api.Test;
 
@@ -53,14 +53,14 @@
     private int responseCount;
 
     /** A backend server that answers each request after 20 ms, on one shared connection. */
-    private final class RespondingServer implements ServerConnections, ServerConnection {
+    private final class RespondingServer implements ServerConnectionPool, ServerConnection {
         @Override
         public void acquire(long maxIdleNanos, Consumer<ServerConnection> onOpen, Consumer<String> onFailure) {
             onOpen.accept(this);
         }
 
         @Override
-        public void send(HttpRequest request, RequestBody body, HttpExchange exchange) {
+        public void send(HttpRequest request, RequestBody body, HttpResponseHandler exchange) {
             HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
             head.headers().set(NAMES.requestId(), request.headers().get(NAMES.requestId()));
             head.headers().set(NAMES.signature(), "s");
@@ -71,17 +71,17 @@
         }
 
         @Override
-        public boolean isSentWhole() {
+        public boolean isRequestFullySent() {
             return true;
         }
 
         @Override
-        public long opened() {
+        public long openedCount() {
             return 1;
         }
 
         @Override
-        public void trim() {
+        public void evictIdle() {
             // No idle connections to close.
         }
 
@@ -91,22 +91,22 @@
         }
 
         @Override
-        public void giveBack() {
+        public void returnUnused() {
             // All requests share one connection.
         }
 
         @Override
-        public void readOn(boolean on) {
+        public void setAutoRead(boolean on) {
             // Responses have no body.
         }
 
         @Override
-        public void abandon() {
+        public void abort() {
             // Every request is answered.
         }
 
         @Override
-        public int served() {
+        public int servedRequests() {
             return 1;
         }
 
--- a/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
@@ -14,28 +14,28 @@
 import org.berylwick.bench.emulate.VirtualClock;
 import org.junit.jupiter.api.Test;
 
-/** The order in which answers leave over a narrow link. */
+/** Tests the order and the pace in which responses are sent over a narrow link. */
 class OutgoingLinkTest {
-    private static final long MS = 1_000_000L;
+    private static final long NANOS_PER_MS = 1_000_000L;
     private static final double NARROW_MBPS = 7;
-    private static final int LARGE = 90_000;
-    private static final int SMALL = 2_000;
+    private static final int LARGE_BYTES = 90_000;
+    private static final int SMALL_BYTES = 2_000;
 
     private final VirtualClock clock = new VirtualClock();
     private final OutgoingLink link = new OutgoingLink(NARROW_MBPS, clock);
 
-    /** A connection that notes what it was given, and when. */
-    private final class NotingWire implements OutgoingLink.Wire {
-        private final List<Long> times = new ArrayList<>();
+    /** A connection that records the number of bytes written to it and the time of each write. */
+    private final class RecordingSink implements OutgoingLink.Sink {
+        private final List<Long> writeTimes = new ArrayList<>();
         private int bytes;
         private boolean writable = true;
         private boolean reading = true;
-        private boolean ended;
+        private boolean finished;
 
         @Override
         public void write(ByteBuf part) {
             bytes += part.readableBytes();
-            times.add(clock.now());
+            writeTimes.add(clock.now());
             part.release();
         }
 
@@ -45,211 +45,221 @@
         }
 
         @Override
-        public void readOn(boolean on) {
-            reading = on;
+        public void setSourceReading(boolean enabled) {
+            reading = enabled;
         }
     }
 
-    private OutgoingLink.Flow send(NotingWire wire, int bytes, long dueAt) {
-        OutgoingLink.Flow flow = link.open(wire, dueAt);
+    private OutgoingLink.Flow send(RecordingSink sink, int bytes, long dueAt) {
+        OutgoingLink.Flow flow = link.openFlow(sink, dueAt);
         flow.write(Unpooled.wrappedBuffer(new byte[bytes]));
-        flow.end(() -> wire.ended = true);
+        flow.finish(() -> sink.finished = true);
         return flow;
     }
 
-    /** A call's answer of 2 KB comes while three of 90 KB wait: it leaves at once. */
+    /** A response of 2 KB is sent immediately although three responses of 90 KB are queued. */
     @Test
-    void smallAnswersLeaveAtOnce() {
-        NotingWire large = new NotingWire();
+    void smallResponsesAreSentImmediately() {
+        RecordingSink large = new RecordingSink();
         for (int i = 0; i < 3; i++) {
-            send(large, LARGE, 1_000 * MS);
+            send(large, LARGE_BYTES, 1_000 * NANOS_PER_MS);
         }
-        clock.runUntil(50 * MS);
-        NotingWire small = new NotingWire();
-        send(small, SMALL, 300 * MS);
-        assertTrue(small.ended);
-        assertEquals(List.of(50 * MS), small.times);
+        clock.runUntil(50 * NANOS_PER_MS);
+        RecordingSink small = new RecordingSink();
+        send(small, SMALL_BYTES, 300 * NANOS_PER_MS);
+        assertTrue(small.finished);
+        assertEquals(List.of(50 * NANOS_PER_MS), small.writeTimes);
     }
 
-    /** What was handed to the system ahead is all that stands before a small answer there. */
+    /**
+     * Only the bytes that are sent ahead of the link can delay a small response in the operating system, so they are
+     * few.
+     */
     @Test
-    void littleIsHandedOnAheadOfTime() {
-        NotingWire large = new NotingWire();
-        send(large, LARGE, 1_000 * MS);
-        for (long at = 0; at < 60 * MS; at += MS) {
-            clock.runUntil(at);
-            double mayHaveLeft = at * NARROW_MBPS / 8_000;
-            assertTrue(large.bytes - mayHaveLeft <= 28_000, large.bytes + " bytes after " + at / MS + " ms");
+    void sendAheadIsBounded() {
+        RecordingSink large = new RecordingSink();
+        send(large, LARGE_BYTES, 1_000 * NANOS_PER_MS);
+        for (long time = 0; time < 60 * NANOS_PER_MS; time += NANOS_PER_MS) {
+            clock.runUntil(time);
+            double maxTransmittedBytes = time * NARROW_MBPS / 8_000;
+            assertTrue(
+                    large.bytes - maxTransmittedBytes <= 28_000,
+                    large.bytes + " bytes after " + time / NANOS_PER_MS + " ms");
         }
     }
 
-    /** Two answers wait for the link: the one that is due first leaves first, and both at the link's pace. */
+    /** Of two queued responses, the one that is due first is sent first, and both are sent at the rate of the link. */
     @Test
-    void theOneThatIsDueFirstLeavesFirst() {
-        NotingWire later = new NotingWire();
-        NotingWire sooner = new NotingWire();
-        send(later, LARGE, 1_000 * MS);
-        send(sooner, LARGE, 500 * MS);
-        clock.runUntil(130 * MS);
-        assertTrue(sooner.ended);
-        assertTrue(!later.ended);
-        clock.runUntil(240 * MS);
-        assertTrue(later.ended);
-        assertTrue(later.times.getLast() > 170 * MS, "faster than the link");
+    void earliestDueResponseIsSentFirst() {
+        RecordingSink dueLater = new RecordingSink();
+        RecordingSink dueFirst = new RecordingSink();
+        send(dueLater, LARGE_BYTES, 1_000 * NANOS_PER_MS);
+        send(dueFirst, LARGE_BYTES, 500 * NANOS_PER_MS);
+        clock.runUntil(130 * NANOS_PER_MS);
+        assertTrue(dueFirst.finished);
+        assertTrue(!dueLater.finished);
+        clock.runUntil(240 * NANOS_PER_MS);
+        assertTrue(dueLater.finished);
+        assertTrue(dueLater.writeTimes.getLast() > 170 * NANOS_PER_MS, "sent faster than the link allows");
     }
 
-    /** One that is late already gives way to one that can be in time, and is sent all the same. */
+    /** A response that is late already yields to one that can still be in time, and is sent after it. */
     @Test
-    void lateAnswerGivesWayAndIsSent() {
-        clock.runUntil(100 * MS);
-        NotingWire late = new NotingWire();
-        NotingWire timely = new NotingWire();
-        send(late, LARGE, 50 * MS);
-        send(timely, LARGE, 400 * MS);
-        clock.runUntil(250 * MS);
-        assertTrue(timely.ended);
-        assertTrue(!late.ended);
-        clock.runUntil(400 * MS);
-        assertTrue(late.ended);
-        assertEquals(LARGE, late.bytes);
+    void lateResponseYieldsAndIsStillSent() {
+        clock.runUntil(100 * NANOS_PER_MS);
+        RecordingSink late = new RecordingSink();
+        RecordingSink onTime = new RecordingSink();
+        send(late, LARGE_BYTES, 50 * NANOS_PER_MS);
+        send(onTime, LARGE_BYTES, 400 * NANOS_PER_MS);
+        clock.runUntil(250 * NANOS_PER_MS);
+        assertTrue(onTime.finished);
+        assertTrue(!late.finished);
+        clock.runUntil(400 * NANOS_PER_MS);
+        assertTrue(late.finished);
+        assertEquals(LARGE_BYTES, late.bytes);
     }
 
-    /** Guards against a late answer that never leaves while answers that can be in time keep coming. */
+    /** Guards against a late response that is never sent while responses that can be in time keep arriving. */
     @Test
-    void lateAnswerLeavesUnderSteadyLoad() {
-        clock.runUntil(100 * MS);
-        NotingWire late = new NotingWire();
-        send(late, LARGE, 50 * MS);
-        // As much as the link carries, so that there is always one that can be in time.
+    void lateResponseIsSentUnderSteadyLoad() {
+        clock.runUntil(100 * NANOS_PER_MS);
+        RecordingSink late = new RecordingSink();
+        send(late, LARGE_BYTES, 50 * NANOS_PER_MS);
+        // As much as the link can carry, so that there is always a response that can be in time.
         for (int i = 0; i < 40; i++) {
-            send(new NotingWire(), LARGE, clock.now() + 1_000 * MS);
-            clock.runUntil(clock.now() + 110 * MS);
+            send(new RecordingSink(), LARGE_BYTES, clock.now() + 1_000 * NANOS_PER_MS);
+            clock.runUntil(clock.now() + 110 * NANOS_PER_MS);
         }
-        assertTrue(late.ended, late.bytes + " of " + LARGE + " bytes have left");
-        assertTrue(late.times.getLast() < 1_500 * MS, "left after " + late.times.getLast() / MS + " ms");
+        assertTrue(late.finished, late.bytes + " of " + LARGE_BYTES + " bytes have been sent");
+        assertTrue(
+                late.writeTimes.getLast() < 1_500 * NANOS_PER_MS,
+                "sent after " + late.writeTimes.getLast() / NANOS_PER_MS + " ms");
     }
 
-    /** A connection whose other end does not read holds up its own answer alone. */
+    /** A connection whose receiver does not read delays only its own response. */
     @Test
-    void stuckConnectionHoldsUpNoOther() {
-        NotingWire stuck = new NotingWire();
-        stuck.writable = false;
-        OutgoingLink.Flow first = send(stuck, LARGE, 100 * MS);
-        NotingWire other = new NotingWire();
-        send(other, LARGE, 1_000 * MS);
-        clock.runUntil(150 * MS);
-        assertTrue(other.ended);
-        assertEquals(0, stuck.bytes);
-        stuck.writable = true;
-        first.onWritable();
-        clock.runUntil(300 * MS);
-        assertTrue(stuck.ended);
+    void blockedConnectionDelaysNoOther() {
+        RecordingSink blocked = new RecordingSink();
+        blocked.writable = false;
+        OutgoingLink.Flow blockedFlow = send(blocked, LARGE_BYTES, 100 * NANOS_PER_MS);
+        RecordingSink other = new RecordingSink();
+        send(other, LARGE_BYTES, 1_000 * NANOS_PER_MS);
+        clock.runUntil(150 * NANOS_PER_MS);
+        assertTrue(other.finished);
+        assertEquals(0, blocked.bytes);
+        blocked.writable = true;
+        blockedFlow.onWritable();
+        clock.runUntil(300 * NANOS_PER_MS);
+        assertTrue(blocked.finished);
     }
 
-    /** Whatever waits is bounded: the maker of an answer that no longer fits is told to wait, and to go on later. */
+    /** The queue is bounded: the source of a response that exceeds the limit is paused, and resumed later. */
     @Test
-    void makersWaitWhenTooMuchIsHeld() {
-        NotingWire first = new NotingWire();
-        send(first, 2_000_000, 1_000 * MS);
-        NotingWire second = new NotingWire();
-        OutgoingLink.Flow flow = link.open(second, 2_000 * MS);
-        flow.write(Unpooled.wrappedBuffer(new byte[LARGE]));
+    void sourceIsPausedWhenQueueIsFull() {
+        RecordingSink first = new RecordingSink();
+        send(first, 2_000_000, 1_000 * NANOS_PER_MS);
+        RecordingSink second = new RecordingSink();
+        OutgoingLink.Flow flow = link.openFlow(second, 2_000 * NANOS_PER_MS);
+        flow.write(Unpooled.wrappedBuffer(new byte[LARGE_BYTES]));
         assertTrue(!second.reading);
-        clock.runUntil(4_000 * MS);
+        clock.runUntil(4_000 * NANOS_PER_MS);
         assertTrue(second.reading);
-        flow.end(() -> second.ended = true);
-        assertTrue(second.ended);
+        flow.finish(() -> second.finished = true);
+        assertTrue(second.finished);
     }
 
-    /** Guards against an answer that is never read on because those before it were cancelled. */
+    /** Guards against a source that stays paused because the responses queued before its own were cancelled. */
     @Test
-    void sourceIsReadAgainWhenWhatWaitsIsCancelled() {
-        NotingWire stuck = new NotingWire();
-        stuck.writable = false;
-        OutgoingLink.Flow first = send(stuck, 2_000_000, 1_000 * MS);
-        NotingWire second = new NotingWire();
-        OutgoingLink.Flow flow = link.open(second, 500 * MS);
-        flow.write(Unpooled.wrappedBuffer(new byte[LARGE]));
+    void sourceResumesWhenQueuedResponseIsCancelled() {
+        RecordingSink blocked = new RecordingSink();
+        blocked.writable = false;
+        OutgoingLink.Flow blockedFlow = send(blocked, 2_000_000, 1_000 * NANOS_PER_MS);
+        RecordingSink second = new RecordingSink();
+        OutgoingLink.Flow flow = link.openFlow(second, 500 * NANOS_PER_MS);
+        flow.write(Unpooled.wrappedBuffer(new byte[LARGE_BYTES]));
         assertTrue(!second.reading);
-        first.cancel();
-        clock.runUntil(300 * MS);
+        blockedFlow.cancel();
+        clock.runUntil(300 * NANOS_PER_MS);
         assertTrue(second.reading);
     }
 
-    /** Guards against the most urgent answer waiting for its source while less urgent ones fill the memory. */
+    /** Guards against the most urgent response waiting for its paused source while less urgent ones fill the queue. */
     @Test
-    void sourceIsReadAgainWhenItsOwnBytesHaveLeft() {
-        send(new NotingWire(), 2_000_000, 2_000 * MS);
-        NotingWire urgent = new NotingWire();
-        OutgoingLink.Flow flow = link.open(urgent, 500 * MS);
-        flow.write(Unpooled.wrappedBuffer(new byte[LARGE]));
+    void sourceResumesWhenItsOwnQueueIsEmpty() {
+        send(new RecordingSink(), 2_000_000, 2_000 * NANOS_PER_MS);
+        RecordingSink urgent = new RecordingSink();
+        OutgoingLink.Flow flow = link.openFlow(urgent, 500 * NANOS_PER_MS);
+        flow.write(Unpooled.wrappedBuffer(new byte[LARGE_BYTES]));
         assertTrue(!urgent.reading);
-        clock.runUntil(200 * MS);
+        clock.runUntil(200 * NANOS_PER_MS);
         assertTrue(urgent.reading);
     }
 
-    /** Guards against a source that stays unread after its connection was not writable for a moment. */
+    /** Guards against a source that stays paused after its connection was not writable for a moment. */
     @Test
-    void sourceIsReadAgainWhenItsConnectionWasStuckFirst() {
-        NotingWire wire = new NotingWire();
-        wire.writable = false;
-        OutgoingLink.Flow flow = link.open(wire, 1_000 * MS);
-        flow.write(Unpooled.wrappedBuffer(new byte[SMALL]));
-        assertTrue(!wire.reading);
-        flow.write(Unpooled.wrappedBuffer(new byte[LARGE]));
-        wire.writable = true;
+    void sourceResumesAfterItsConnectionWasBlocked() {
+        RecordingSink sink = new RecordingSink();
+        sink.writable = false;
+        OutgoingLink.Flow flow = link.openFlow(sink, 1_000 * NANOS_PER_MS);
+        flow.write(Unpooled.wrappedBuffer(new byte[SMALL_BYTES]));
+        assertTrue(!sink.reading);
+        flow.write(Unpooled.wrappedBuffer(new byte[LARGE_BYTES]));
+        sink.writable = true;
         flow.onWritable();
-        clock.runUntil(300 * MS);
-        assertTrue(wire.reading);
+        clock.runUntil(300 * NANOS_PER_MS);
+        assertTrue(sink.reading);
     }
 
-    /** On a wide link nothing waits, but for a connection whose other end does not read. */
+    /** On a wide link nothing is queued; a source is paused only while the receiver of its response does not read. */
     @Test
-    void wideLinkSendsAtOnce() {
+    void wideLinkSendsImmediately() {
         OutgoingLink wide = new OutgoingLink(1_000, clock);
-        NotingWire wire = new NotingWire();
-        OutgoingLink.Flow flow = wide.open(wire, 100 * MS);
+        RecordingSink sink = new RecordingSink();
+        OutgoingLink.Flow flow = wide.openFlow(sink, 100 * NANOS_PER_MS);
         flow.write(Unpooled.wrappedBuffer(new byte[1_000_000]));
-        assertEquals(1_000_000, wire.bytes);
+        assertEquals(1_000_000, sink.bytes);
         assertEquals(0, wide.busyNanos());
-        wire.writable = false;
+        sink.writable = false;
         flow.write(Unpooled.wrappedBuffer(new byte[10]));
-        assertTrue(!wire.reading);
-        wire.writable = true;
+        assertTrue(!sink.reading);
+        sink.writable = true;
         flow.onWritable();
-        assertTrue(wire.reading);
+        assertTrue(sink.reading);
     }
 
-    /** What is being made counts until it begins, what waits until it has left. */
+    /** Expected bytes count as busy time until they are withdrawn, queued bytes until they have been sent. */
     @Test
-    void busyTimeTellsWhatIsMadeAndWhatWaits() {
-        link.onExpected(LARGE);
-        long one = link.busyNanos();
-        assertTrue(one > 100 * MS && one < 120 * MS, "busy for " + one);
-        link.onExpected(-LARGE);
+    void busyTimeCountsExpectedAndQueuedBytes() {
+        link.adjustExpectedBytes(LARGE_BYTES);
+        long expectedNanos = link.busyNanos();
+        assertTrue(
+                expectedNanos > 100 * NANOS_PER_MS && expectedNanos < 120 * NANOS_PER_MS, "busy for " + expectedNanos);
+        link.adjustExpectedBytes(-LARGE_BYTES);
         assertEquals(0, link.busyNanos());
-        send(new NotingWire(), LARGE, 100 * MS);
-        assertTrue(Math.abs(link.busyNanos() - one) < 12 * MS, "busy for " + link.busyNanos());
-        clock.runUntil(200 * MS);
+        send(new RecordingSink(), LARGE_BYTES, 100 * NANOS_PER_MS);
+        assertTrue(Math.abs(link.busyNanos() - expectedNanos) < 12 * NANOS_PER_MS, "busy for " + link.busyNanos());
+        clock.runUntil(200 * NANOS_PER_MS);
         assertEquals(0, link.busyNanos());
     }
 
-    /** Any answers, in any parts, some left midway: each that goes on is whole, and nothing is held in the end. */
+    /**
+     * For random responses in random parts, some of them cancelled: the others are sent in full, and none stays queued.
+     */
     @Property(tries = 200)
-    void allThatIsNotCancelledLeavesWhole(@ForAll @IntRange(min = 1, max = 30) int count, @ForAll long seed) {
+    void everyResponseNotCancelledIsSentInFull(@ForAll @IntRange(min = 1, max = 30) int count, @ForAll long seed) {
         Random random = new Random(seed);
-        VirtualClock time = new VirtualClock();
-        OutgoingLink any = new OutgoingLink(1 + random.nextInt(39), time);
+        VirtualClock virtualClock = new VirtualClock();
+        OutgoingLink randomLink = new OutgoingLink(1 + random.nextInt(39), virtualClock);
         int[] sizes = new int[count];
-        List<int[]> got = new ArrayList<>();
+        List<int[]> received = new ArrayList<>();
         boolean[] cancelled = new boolean[count];
-        boolean[] ended = new boolean[count];
+        boolean[] finished = new boolean[count];
         for (int i = 0; i < count; i++) {
-            int number = i;
+            int index = i;
             int[] bytes = new int[1];
-            got.add(bytes);
-            OutgoingLink.Flow flow = any.open(
-                    new OutgoingLink.Wire() {
+            received.add(bytes);
+            OutgoingLink.Flow flow = randomLink.openFlow(
+                    new OutgoingLink.Sink() {
                         @Override
                         public void write(ByteBuf part) {
                             bytes[0] += part.readableBytes();
@@ -262,28 +272,28 @@
                         }
 
                         @Override
-                        public void readOn(boolean on) {}
+                        public void setSourceReading(boolean enabled) {}
                     },
-                    time.now() + random.nextInt(1_000) * MS);
+                    virtualClock.now() + random.nextInt(1_000) * NANOS_PER_MS);
             int parts = 1 + random.nextInt(4);
             for (int p = 0; p < parts; p++) {
                 int size = random.nextInt(100_000);
                 sizes[i] += size;
                 flow.write(Unpooled.wrappedBuffer(new byte[size]));
-                time.runUntil(time.now() + random.nextInt(40) * MS);
+                virtualClock.runUntil(virtualClock.now() + random.nextInt(40) * NANOS_PER_MS);
             }
             cancelled[i] = random.nextInt(5) == 0;
             if (cancelled[i]) {
                 flow.cancel();
             } else {
-                flow.end(() -> ended[number] = true);
+                flow.finish(() -> finished[index] = true);
             }
         }
-        time.runUntil(time.now() + 120_000 * MS);
-        assertEquals(0, any.busyNanos());
+        virtualClock.runUntil(virtualClock.now() + 120_000 * NANOS_PER_MS);
+        assertEquals(0, randomLink.busyNanos());
         for (int i = 0; i < count; i++) {
-            assertEquals(!cancelled[i], ended[i]);
-            assertTrue(cancelled[i] || sizes[i] == got.get(i)[0]);
+            assertEquals(!cancelled[i], finished[i]);
+            assertTrue(cancelled[i] || sizes[i] == received.get(i)[0]);
         }
     }
 }
