--- a/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
+++ b/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
@@ -19,13 +19,15 @@
     private static final int FAILED_PROBES_UNTIL_DRAINED = 2;
     /**
      * The platform probes once a second. A probe that follows another one sooner than this comes from someone else and
-     * does not show that callers have been routed to other nodes. */
+     * does not show that callers have been routed to other nodes.
+     */
     private static final long MIN_PROBE_SPACING_NANOS = 500_000_000L;
     /** Time after the last of these probes for requests that callers began before they were routed to other nodes. */
     private static final long LAST_CALLER_REQUESTS_MILLIS = 100;
     /**
      * Time in which the platform makes that many probes. If it makes none, callers are assumed to have been routed to
-     * other nodes after this time. */
+     * other nodes after this time.
+     */
     private static final long CALLER_DRAIN_TIMEOUT_MILLIS = 2_600;
     /** Time in which other nodes learn by gossip that this node is leaving, and stop sending it requests to run. */
     private static final long LEAVE_PROPAGATION_MILLIS = 100;
@@ -35,7 +37,8 @@
     private static final long RESPONSE_FLUSH_MILLIS = 150;
 
     /**
-     * Requests that arrive within this time before the shutdown ends are refused, as they might outlast the process. */
+     * Requests that arrive within this time before the shutdown ends are refused, as they might outlast the process.
+     */
     private static final long REFUSE_REQUESTS_MILLIS = 1_500;
 
     private static final long CHECK_INTERVAL_MILLIS = 50;
--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -38,7 +38,8 @@
 import org.berylwick.node.version.VersionUpdater;
 
 /**
- * A node: assembles its components, opens its ports and shuts down gracefully. All state is confined to one event loop. */
+ * A node: assembles its components, opens its ports and shuts down gracefully. All state is confined to one event loop.
+ */
 public final class Node implements AutoCloseable {
     /** Number of nodes in each availability zone that watch the store; the second covers for the loss of the first. */
     private static final int READERS_PER_ZONE = 2;
@@ -97,7 +98,8 @@
         this.link = VmLink.of(settings.linkMbps(), new EventLoopClock(loop));
         this.owner = new Owner(
                 new EventLoopClock(loop),
-                backendAddress -> new ConnectionPool(loop, backendAddress, BACKEND_CONNECT_TIMEOUT_MILLIS, BACKEND_MAX_IDLE_NANOS),
+                backendAddress -> new ConnectionPool(
+                        loop, backendAddress, BACKEND_CONNECT_TIMEOUT_MILLIS, BACKEND_MAX_IDLE_NANOS),
                 platform.headerNames(),
                 link,
                 settings.heartbeatNanos(),
@@ -116,8 +118,8 @@
                 this::onInstalled,
                 counters,
                 log);
-        this.directory =
-                new NodeDiscovery(loop, platform.directory(loop), gossip, counters, log, settings.vmName(), settings.ip());
+        this.directory = new NodeDiscovery(
+                loop, platform.directory(loop), gossip, counters, log, settings.vmName(), settings.ip());
         RetryBudget budget =
                 new RetryBudget(settings.bounds(), this::nodeCount, directory::isDirectoryRead, System.nanoTime());
         this.entryServer = CallPath.createEntryServer(
@@ -160,7 +162,8 @@
     }
 
     private ConnectionPool createPeerPool(String ip) {
-        InetSocketAddress target = new InetSocketAddress(ip, settings.peerAddress().getPort());
+        InetSocketAddress target =
+                new InetSocketAddress(ip, settings.peerAddress().getPort());
         return new ConnectionPool(loop, target, PEER_CONNECT_TIMEOUT_MILLIS, PEER_MAX_IDLE_NANOS);
     }
 
@@ -177,7 +180,8 @@
             BufferedHttpServer.open(
                     loop,
                     metricsAddress,
-                    request -> BufferedHttpServer.Response.of("text/plain", counters.render().getBytes(StandardCharsets.UTF_8)));
+                    request -> BufferedHttpServer.Response.of(
+                            "text/plain", counters.render().getBytes(StandardCharsets.UTF_8)));
         }
         loop.execute(this::startBackgroundTasks);
         log.write(
@@ -216,7 +220,8 @@
                 NodeMetricNames.VERSION_IN_FORCE,
                 () -> versionKeeper.version().map(v -> v.number()).orElse(0L));
         counters.registerGauge(
-                NodeMetricNames.MEMBERS_HEARD, () -> members.countHeardWithin(gossip.silenceTimeoutNanos(), System.nanoTime()));
+                NodeMetricNames.MEMBERS_HEARD,
+                () -> members.countHeardWithin(gossip.silenceTimeoutNanos(), System.nanoTime()));
         counters.registerGauge(
                 NodeMetricNames.OWNER_CONNECTIONS_OPENED,
                 () -> owner.backend().map(Backend::connectionsOpened).orElse(0L));
@@ -280,7 +285,8 @@
 
     /**
      * Orders the candidates for store readers: by link bandwidth first, as a reader downloads every version completely
-     * and passes it on, then by address. */
+     * and passes it on, then by address.
+     */
     private boolean precedesAsReader(Member member) {
         int linkComparison = Integer.compare(member.state().linkMbps(), linkMbps());
         return linkComparison > 0 || linkComparison == 0 && member.ip().compareTo(settings.ip()) < 0;
@@ -434,7 +440,8 @@
 
     /** Starts a node that runs until the process is asked to stop. */
     public static void run(NodePlatform platform) {
-        EventLog log = new EventLog(platform.settings().vmName(), new java.io.FileOutputStream(java.io.FileDescriptor.out));
+        EventLog log =
+                new EventLog(platform.settings().vmName(), new java.io.FileOutputStream(java.io.FileDescriptor.out));
         Node node = new Node(platform, log);
         Signals.handle("HUP", node::reload);
         Runtime.getRuntime()
--- a/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
@@ -83,7 +83,8 @@
         tries++;
         HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path);
         head.headers().set(HttpHeaderNames.HOST, settings.backendAddress().getHostString());
-        ConnectionPool pool = new ConnectionPool(loop, settings.backendAddress(), CONNECT_TIMEOUT_MILLIS, MAX_IDLE_NANOS);
+        ConnectionPool pool =
+                new ConnectionPool(loop, settings.backendAddress(), CONNECT_TIMEOUT_MILLIS, MAX_IDLE_NANOS);
         BufferedHttpCall.start(loop, pool, head, EMPTY_BODY, TIMEOUT_MILLIS, result -> {
             pool.close();
             onResult(path, result);
--- a/org.berylwick.node/src/org/berylwick/node/call/CallPath.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallPath.java
@@ -26,7 +26,9 @@
      * @param callerService service on this VM, which the callers belong to
      */
     public record Callers(
-            HeaderNames headerNames, Supplier<Optional<ConfigurationVersion>> version, Supplier<String> callerService) {}
+            HeaderNames headerNames,
+            Supplier<Optional<ConfigurationVersion>> version,
+            Supplier<String> callerService) {}
 
     private CallPath() {}
 
--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateSampler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateSampler.java
@@ -144,6 +144,8 @@
             return Candidate.Distance.SAME_ZONE;
         }
         String memberRegion = regionOfZone.get(memberZone);
-        return memberRegion == null || memberRegion.equals(region) ? Candidate.Distance.SAME_REGION : Candidate.Distance.OTHER_REGION;
+        return memberRegion == null || memberRegion.equals(region)
+                ? Candidate.Distance.SAME_REGION
+                : Candidate.Distance.OTHER_REGION;
     }
 }
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -71,7 +71,8 @@
         this.clock = owner.clock();
         this.call = call;
         this.listener = listener;
-        this.effectiveObjectiveAt = call.objectiveAt() + call.priority() * RequestQueue.PRIORITY_STEP_NANOS - advanceNanos;
+        this.effectiveObjectiveAt =
+                call.objectiveAt() + call.priority() * RequestQueue.PRIORITY_STEP_NANOS - advanceNanos;
         this.queuedAt = clock.now();
         this.sequenceNumber = owner.nextSequenceNumber();
         if (owner.outgoingLink().isLarge(call.expectedResponseBytes())) {
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
@@ -64,7 +64,8 @@
         HttpConnection.setContentLength(head, call.body().length());
         // A large body is sent only when the owner asks for it: several at once would delay all small messages behind
         // them, and the body of a refused request would have occupied the link for nothing.
-        boolean largeBody = member.linkLoad(System.nanoTime()).isLarge(call.body().length());
+        boolean largeBody =
+                member.linkLoad(System.nanoTime()).isLarge(call.body().length());
         HttpUtil.set100ContinueExpected(head, largeBody);
         acquired.send(head, call.body(), this);
     }
--- a/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ServiceTimeEstimator.java
@@ -21,7 +21,6 @@
     private static final double DEFAULT_OBJECTIVE_FRACTION = 0.35;
 
     /** Service time assumed before the first response to a request without a latency objective. */
-
     private static final long DEFAULT_NANOS = 150_000_000L;
     /** Maximum number of request classes whose service times are sent to other nodes; a service has fewer. */
     private static final int MAX_PUBLISHED_CLASSES = 8;
@@ -67,7 +66,9 @@
     /** Returns the estimated service time of a request. */
     ServiceTimeDistribution distribution(CallSpec call) {
         ClassEstimate estimate = byClass.get(call.requestClass());
-        return estimate == null ? ServiceTimeDistribution.fromMean(call.requestClass(), defaultNanos(call.requestClass())) : estimate.distribution();
+        return estimate == null
+                ? ServiceTimeDistribution.fromMean(call.requestClass(), defaultNanos(call.requestClass()))
+                : estimate.distribution();
     }
 
     /** Returns the estimates of the request classes that were measured, up to {@link #MAX_PUBLISHED_CLASSES}. */
@@ -83,7 +84,8 @@
 
     /**
      * Returns the mean service time to assume for a class that was not measured. Before the first response of any
-     * class, the latency objective is the best indication, since operators do not set one that is usually missed. */
+     * class, the latency objective is the best indication, since operators do not set one that is usually missed.
+     */
     private long defaultNanos(RequestClass requestClass) {
         if (responses > 0) {
             return (long) overallMeanNanos;
--- a/org.berylwick.node/src/org/berylwick/node/transport/IncomingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/IncomingLink.java
@@ -21,7 +21,8 @@
     /**
      * Creates a link without outstanding bytes.
      *
-     * @param mbps bandwidth of the link in Mbit/s, 0 if unknown */
+     * @param mbps bandwidth of the link in Mbit/s, 0 if unknown
+     */
     public IncomingLink(double mbps) {
         this.unloadedLink = new LinkLoad(0, 0, mbps);
     }
--- a/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
@@ -86,7 +86,8 @@
     /**
      * Changes the number of bytes of large responses that are expected from backend servers.
      *
-     * @param bytes number of bytes to add; negative if a response has been withdrawn or its bytes have been read */
+     * @param bytes number of bytes to add; negative if a response has been withdrawn or its bytes have been read
+     */
     public void adjustExpectedBytes(long bytes) {
         expectedBytes += bytes;
     }
@@ -235,7 +236,8 @@
 
         /**
          * Resumes reading from the source unless the connection accepts no bytes. This does not wait for the queue of
-         * the link to shrink, since a flow without queued bytes occupies no memory. */
+         * the link to shrink, since a flow without queued bytes occupies no memory.
+         */
         private void resumeIfWritable() {
             if (sink.isWritable()) {
                 resume();
--- a/org.berylwick.test/tst/org/berylwick/node/MembershipTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/MembershipTest.java
@@ -55,7 +55,8 @@
     /**
      * Guards against a delayed heartbeat of a crashed incarnation replacing the incarnation that runs now. A heartbeat
      * of an incarnation that the node has never seen is also recognised as delayed: its sequence number is higher than
-     * that of the running incarnation, which has just started. */
+     * that of the running incarnation, which has just started.
+     */
     @Test
     void delayedHeartbeatOfEarlierIncarnationIsIgnored() {
         try (RawServer server = new RawServer(NodeRig::respondOk);
@@ -137,7 +138,8 @@
             }
             assertTrue(
                     faulty.requests().size() < 20,
-                    "requests sent to the faulty backend server: " + faulty.requests().size());
+                    "requests sent to the faulty backend server: "
+                            + faulty.requests().size());
         }
     }
 }
--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -288,7 +288,8 @@
 
     /** A version with one route of each kind, under {@code /read/}, {@code /pay/} and {@code /bulk/}. */
     static ConfigurationVersion version(long number, Consumer<ConfigurationVersion.Builder> customizer) {
-        ConfigurationVersion.Builder builder = new ConfigurationVersion.Builder(number, InMemoryConfigurationStore.encodedVersion(number))
+        ConfigurationVersion.Builder builder = new ConfigurationVersion.Builder(
+                        number, InMemoryConfigurationStore.encodedVersion(number))
                 .service("work", 100)
                 .limits(new CallerLimits(16_384, 1 << 20, 3_000_000_000L, 15_000_000_000L))
                 .route(HOST, route("read", "/read/", RouteKind.IDEMPOTENT, 2_000))
@@ -341,7 +342,8 @@
                 1,
                 200,
                 linkMbps.getOrDefault(number, DEFAULT_LINK_MBPS),
-                new PlatformBounds(2_000_000_000L, GRACE_PERIOD_MILLIS * 1_000_000L, 2_000_000_000L, 0.2, 10_000_000_000L, 60));
+                new PlatformBounds(
+                        2_000_000_000L, GRACE_PERIOD_MILLIS * 1_000_000L, 2_000_000_000L, 0.2, 10_000_000_000L, 60));
     }
 
     @Override
--- a/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
@@ -70,7 +70,8 @@
     }
 
     /**
-     * A backend server that is shutting down fails the health check, and must not get requests from a restarted node. */
+     * A backend server that is shutting down fails the health check, and must not get requests from a restarted node.
+     */
     @Test
     void restartedNodeSendsNoRequestsToUnhealthyBackendServer() {
         List<String> requestedPaths = new CopyOnWriteArrayList<>();
@@ -90,7 +91,8 @@
 
     /**
      * The backend server is replaced after the health check: the first heartbeat of the new incarnation takes
-     * precedence over the result of the health check. */
+     * precedence over the result of the health check.
+     */
     @Test
     void firstHeartbeatReplacesProbedIncarnation() {
         try (RawServer server = new RawServer((c, r) -> answerWithHealth("i-old", 200, c, r));
@@ -164,7 +166,8 @@
             rig.awaitReady(1);
             rig.awaitMemberKnown("i-2");
             String[] outerResponse = new String[1];
-            Thread callThread = Thread.ofPlatform().start(() -> outerResponse[0] = rig.call(1, "POST", "/pay/x", "outer", ""));
+            Thread callThread =
+                    Thread.ofPlatform().start(() -> outerResponse[0] = rig.call(1, "POST", "/pay/x", "outer", ""));
             Await.until("start of the request at the backend server", () -> server.runs("outer") == 1, rig::logText);
             Thread stopThread = Thread.ofPlatform().start(stoppingNode::stop);
             rig.isReady(1);
--- a/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
@@ -45,13 +45,15 @@
             rig.start(2, Optional.of(server));
             callThread.join();
             assertTrue(response[0].endsWith("ok"), response[0]);
-            assertTrue(System.nanoTime() - startedAt < 10_000_000_000L, "the request was not retried before its deadline");
+            assertTrue(
+                    System.nanoTime() - startedAt < 10_000_000_000L, "the request was not retried before its deadline");
         }
     }
 
     /**
      * A node is running a request while its datagrams are lost, as on a saturated link. No other node can run the
-     * request, so its response must be returned to the caller. */
+     * request, so its response must be returned to the caller.
+     */
     @Test
     void responseOfSilentNodeIsAcceptedWhenNoOtherNodeIsAvailable() throws Exception {
         try (NodeRig rig = NodeRig.withEntryNode(NodeRig.version(1));
@@ -89,7 +91,8 @@
 
     /**
      * Guards against a non-idempotent request waiting until its deadline at a silent node that never requested the
-     * body. The request cannot have run there, so it can be sent to another node. */
+     * body. The request cannot have run there, so it can be sent to another node.
+     */
     @Test
     void requestIsRetriedWhenSilentNodeHasNotRequestedItsBody() throws Exception {
         String body = "b".repeat(BODY_LENGTH);
@@ -154,7 +157,9 @@
             assertTrue(response.startsWith("HTTP/1.1 504"), response);
             String expectedLogEntry = rig.ip(9) + "=PENDING";
             Await.until(
-                    "log entry that names the silent node", () -> rig.logText().contains(expectedLogEntry), rig::logText);
+                    "log entry that names the silent node",
+                    () -> rig.logText().contains(expectedLogEntry),
+                    rig::logText);
         }
     }
 }
--- a/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
@@ -111,7 +111,8 @@
                 DatagramSocket socket = new DatagramSocket(rig.gossipAddress(9))) {
             BufferedHttpServer.open((EventLoop) group.next(), rig.peerAddress(9), request -> {
                 requestedBases.add(request.uri().substring(request.uri().indexOf('=') + 1));
-                return BufferedHttpServer.Response.of("",
+                return BufferedHttpServer.Response.of(
+                        "",
                         requestedBases.size() == 1 ? encodeWithBase(5, mismatchedDelta) : encodeWithBase(0, fullDelta));
             });
             rig.configuration.publish(NodeRig.version(5));
@@ -163,7 +164,8 @@
                 connection.connect(rig.peerAddress(1));
                 connection.setSoTimeout(10_000);
                 long requestedAt = System.nanoTime();
-                connection.getOutputStream()
+                connection
+                        .getOutputStream()
                         .write(("GET " + VersionUpdater.VERSION_PATH + "0 HTTP/1.1\r\n\r\n").getBytes(US_ASCII));
                 String response = NodeRig.readResponse(connection.getInputStream());
                 long millis = (System.nanoTime() - requestedAt) / 1_000_000;
--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateSamplerTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateSamplerTest.java
@@ -34,9 +34,15 @@
     private final VirtualClock clock = new VirtualClock();
     private final EventLog log = new EventLog("test", OutputStream.nullOutputStream());
     private final MemberTable memberTable = new MemberTable(address -> null, (member, cause) -> {});
-    private final Owner owner =
-            new Owner(clock, address -> null, NAMES, VmLink.of(1_000, clock),
-            SILENCE_THRESHOLD_NANOS, new Counters(), log, () -> {});
+    private final Owner owner = new Owner(
+            clock,
+            address -> null,
+            NAMES,
+            VmLink.of(1_000, clock),
+            SILENCE_THRESHOLD_NANOS,
+            new Counters(),
+            log,
+            () -> {});
     private final Random random = new Random(1);
     private final CandidateSampler sampler = new CandidateSampler(
             "zone-a",
@@ -84,7 +90,13 @@
         addMembers("zone-b", 20, 60);
         addMembers("zone-c", 60, 90);
         assertEquals(
-                Map.of(Candidate.Distance.SAME_ZONE, 2L, Candidate.Distance.SAME_REGION, 2L, Candidate.Distance.OTHER_REGION, 1L),
+                Map.of(
+                        Candidate.Distance.SAME_ZONE,
+                        2L,
+                        Candidate.Distance.SAME_REGION,
+                        2L,
+                        Candidate.Distance.OTHER_REGION,
+                        1L),
                 countByDistance(Set.of()));
     }
 
@@ -94,12 +106,13 @@
         addMembers("zone-a", 0, 10);
         Map<String, Integer> sampleCounts = new HashMap<>();
         for (int i = 0; i < SAMPLES; i++) {
-            sampler.candidatesFor(SERVICE, Set.of(), clock.now()).forEach(c -> sampleCounts.merge(c.key(), 1, Integer::sum));
+            sampler.candidatesFor(SERVICE, Set.of(), clock.now())
+                    .forEach(c -> sampleCounts.merge(c.key(), 1, Integer::sum));
         }
         assertEquals(10, sampleCounts.size());
         int expected = SAMPLES * 2 / 10;
-        sampleCounts.forEach((key, count) ->
-                assertTrue(count > expected * 0.85 && count < expected * 1.15, key + " was sampled " + count + " times"));
+        sampleCounts.forEach((key, count) -> assertTrue(
+                count > expected * 0.85 && count < expected * 1.15, key + " was sampled " + count + " times"));
     }
 
     /** Members of other zones complete the sample if the own zone has too few. */
@@ -107,7 +120,8 @@
     void samplesOtherZonesWhenOwnZoneHasTooFewMembers() {
         addMembers("zone-a", 0, 1);
         addMembers("zone-b", 1, 30);
-        assertEquals(Map.of(Candidate.Distance.SAME_ZONE, 1L, Candidate.Distance.SAME_REGION, 3L),
+        assertEquals(
+                Map.of(Candidate.Distance.SAME_ZONE, 1L, Candidate.Distance.SAME_REGION, 3L),
                 countByDistance(Set.of()));
     }
 
