--- a/org.berylwick.test/tst/org/berylwick/platform/JsonParserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/JsonParserTest.java
@@ -158,6 +158,6 @@
     @Test
     void writtenTextsAreReadAgain() {
         String any = "a\"b\\c\u0001\u00e9\ud83d\ude00";
-        assertEquals(any, read(JsonText.quoted(any)).orElseThrow().text().orElseThrow());
+        assertEquals(any, read(JsonText.quote(any)).orElseThrow().text().orElseThrow());
     }
 }
