--- a/org.berylwick.test/tst/org/berylwick/platform/ForeignEntriesTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/ForeignEntriesTest.java
@@ -106,9 +106,9 @@
     @Test
     void deeplyNestedBytesAreRefused() {
         String deep = "[".repeat(5_000) + "]".repeat(5_000);
-        assertEquals(Optional.empty(), JsonValue.read(deep.getBytes(StandardCharsets.UTF_8)));
+        assertEquals(Optional.empty(), JsonValue.parse(deep.getBytes(StandardCharsets.UTF_8)));
         String large = "{\"seq\":" + "9".repeat(60) + "}";
-        assertEquals(Optional.empty(), JsonValue.read(large.getBytes(StandardCharsets.UTF_8)));
+        assertEquals(Optional.empty(), JsonValue.parse(large.getBytes(StandardCharsets.UTF_8)));
     }
 
     /** The list comes in three pages; the last item of the first has no name, and some have no address. */
--- a/org.berylwick.test/tst/org/berylwick/platform/JsonParserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/JsonParserTest.java
@@ -24,7 +24,7 @@
     private static final ObjectMapper OTHER = new ObjectMapper();
 
     private static Optional<JsonValue> read(String text) {
-        return JsonValue.read(text.getBytes(StandardCharsets.UTF_8));
+        return JsonValue.parse(text.getBytes(StandardCharsets.UTF_8));
     }
 
     private static JsonNode random(Random random, int depth) {
@@ -91,7 +91,7 @@
         byte[] bytes = spaced
                 ? OTHER.writerWithDefaultPrettyPrinter().writeValueAsBytes(written)
                 : OTHER.writeValueAsBytes(written);
-        assertSame(written, JsonValue.read(bytes).orElseThrow());
+        assertSame(written, JsonValue.parse(bytes).orElseThrow());
     }
 
     /** What is cut off or changed is read alike by both, or by neither; the other one takes wider numbers. */
@@ -104,7 +104,7 @@
         } else {
             bytes[random.nextInt(bytes.length)] = (byte) to;
         }
-        Optional<JsonValue> seen = JsonValue.read(bytes);
+        Optional<JsonValue> seen = JsonValue.parse(bytes);
         if (seen.isEmpty()) {
             return;
         }
@@ -118,7 +118,7 @@
     void objectGivesTheBytesThatItWasReadFrom() {
         byte[] document =
                 "{\"a\": 1, \"spec\" : {\"x\": [1, {\"y\":\"}\"}] }, \"b\":2}".getBytes(StandardCharsets.UTF_8);
-        byte[] spec = JsonValue.read(document).orElseThrow().at("spec").bytes();
+        byte[] spec = JsonValue.parse(document).orElseThrow().at("spec").bytes();
         assertArrayEquals("{\"x\": [1, {\"y\":\"}\"}] }".getBytes(StandardCharsets.UTF_8), spec);
     }
 
