--- a/org.berylwick.test/tst/org/berylwick/platform/JsonParserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/JsonParserTest.java
@@ -69,7 +69,7 @@
         switch (expected.getNodeType()) {
             case OBJECT -> {
                 assertEquals(expected.size(), seen.fields().size());
-                expected.properties().forEach(e -> assertSame(e.getValue(), seen.at(e.getKey())));
+                expected.properties().forEach(e -> assertSame(e.getValue(), seen.field(e.getKey())));
             }
             case ARRAY -> {
                 List<JsonValue> items = seen.items();
@@ -118,7 +118,7 @@
     void objectGivesTheBytesThatItWasReadFrom() {
         byte[] document =
                 "{\"a\": 1, \"spec\" : {\"x\": [1, {\"y\":\"}\"}] }, \"b\":2}".getBytes(StandardCharsets.UTF_8);
-        byte[] spec = JsonValue.parse(document).orElseThrow().at("spec").bytes();
+        byte[] spec = JsonValue.parse(document).orElseThrow().field("spec").bytes();
         assertArrayEquals("{\"x\": [1, {\"y\":\"}\"}] }".getBytes(StandardCharsets.UTF_8), spec);
     }
 
