--- a/org.berylwick.test/tst/org/berylwick/platform/JsonParserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/JsonParserTest.java
@@ -79,7 +79,7 @@
                 }
             }
             case STRING -> assertEquals(Optional.of(expected.asText()), seen.text());
-            case NUMBER -> assertEquals(expected.asDouble(), seen.numberOr(Double.NaN));
+            case NUMBER -> assertEquals(expected.asDouble(), seen.doubleOr(Double.NaN));
             case BOOLEAN -> assertEquals(expected.asBoolean(), seen.isTrue());
             default -> assertTrue(!seen.isPresent());
         }
