--- a/org.berylwick.test/tst/org/berylwick/platform/CodecsTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/CodecsTest.java
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void settingsAreReadAndUnknownFieldsLeftAlone() {
+    void settingsAreParsedAndUnknownFieldsIgnored() {
         SettingsFile file = parse(SETTINGS);
         assertEquals("books", file.settings().service());
         assertEquals(2_500_000_000L, file.settings().bounds().drainNanos());
