--- a/org.berylwick.test/tst/org/berylwick/platform/CodecsTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/CodecsTest.java
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void settingsThatLackAnAddressAreRefusedByName() {
+    void settingsWithoutARequiredAddressAreRejectedNamingTheField() {
         String lacking = SETTINGS.replace("\"control\"", "\"other\"");
         IllegalArgumentException e = assertThrows(IllegalArgumentException.class, () -> parse(lacking));
         assertTrue(e.getMessage().contains("control"), e.getMessage());
