--- a/org.berylwick.test/tst/org/berylwick/platform/CodecsTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/CodecsTest.java
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void configurationIsReadWithItsLongestPrefixFirst() {
+    void configurationIsDecodedAndTheLongestPrefixMatches() {
         MeshVersion version =
                 assertInstanceOf(Answer.Found.class, decode(CONFIGURATION)).version();
         assertEquals(0x1c, version.number());
