--- a/org.berylwick.test/tst/org/berylwick/platform/CodecsTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/CodecsTest.java
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void configurationThatCannotBeWholeIsRefused() {
+    void invalidConfigurationIsRejected() {
         assertInstanceOf(Answer.Invalid.class, decode("{\"version\":"));
         assertInstanceOf(Answer.Invalid.class, decode(CONFIGURATION.replace("\"name\":\"s2\"", "\"name\":\"s3\"")));
         assertInstanceOf(Answer.Invalid.class, decode(CONFIGURATION.replace("0000001c", "new")));
