--- a/org.berylwick.test/tst/org/berylwick/platform/CodecsTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/CodecsTest.java
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void heartbeatsAreReadByTheirPath() {
+    void heartbeatsAreDecodedByMethodAndPath() {
         HeartbeatCodec codec = new HeartbeatCodec();
         byte[] body = ("{\"address\":\"10.0.0.1:5\",\"info\":{\"service\":\"s\",\"slots\":12},"
                         + "\"status\":{\"state\":\"draining\",\"seq\":4,\"warmupLeftS\":1.5}}")
