--- a/org.berylwick.test/tst/org/berylwick/platform/ForeignEntriesTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/InvalidPlatformInputTest.java
@@ -35,7 +35,7 @@
  * Read leniently, a report in an unknown state counted as ready, one without slots as one slot, and an entry without an
  * address became a node at an empty one. Such an entry names nothing; all others hold.
  */
-class ForeignEntriesTest {
+class InvalidPlatformInputTest {
     private static final String REPORT = "{\"address\":\"10.0.0.1:5\",\"info\":{\"service\":\"s\",\"version\":\"v1\","
             + "\"zone\":\"a\",\"slots\":12},\"status\":{\"state\":\"ready\",\"seq\":4,\"warmupLeftS\":1.5}}";
 
