--- a/org.berylwick.test/tst/org/berylwick/platform/InvalidPlatformInputTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/InvalidPlatformInputTest.java
@@ -36,7 +36,7 @@
  * address became a node at an empty one. Such an entry names nothing; all others hold.
  */
 class InvalidPlatformInputTest {
-    private static final String REPORT = "{\"address\":\"10.0.0.1:5\",\"info\":{\"service\":\"s\",\"version\":\"v1\","
+    private static final String HEARTBEAT = "{\"address\":\"10.0.0.1:5\",\"info\":{\"service\":\"s\",\"version\":\"v1\","
             + "\"zone\":\"a\",\"slots\":12},\"status\":{\"state\":\"ready\",\"seq\":4,\"warmupLeftS\":1.5}}";
 
     private static Announcement read(String body) {
@@ -45,20 +45,20 @@
 
     @Test
     void reportsThatLackWhatTheirUseNeedsAreMalformed() {
-        assertInstanceOf(Announcement.Report.class, read(REPORT));
+        assertInstanceOf(Announcement.Report.class, read(HEARTBEAT));
         List<String> spoilt = List.of(
-                REPORT.replace("\"state\":\"ready\",", ""),
-                REPORT.replace("\"ready\"", "\"sleeping\""),
-                REPORT.replace("\"ready\"", "7"),
-                REPORT.replace("\"slots\":12", "\"slots\":\"12\""),
-                REPORT.replace("\"slots\":12", "\"slots\":0"),
-                REPORT.replace("\"seq\":4,", ""),
-                REPORT.replace("\"seq\":4", "\"seq\":\"4\""),
-                REPORT.replace("\"service\":\"s\",", ""),
-                REPORT.replace("\"service\":\"s\"", "\"service\":\"\""),
-                REPORT.replace("10.0.0.1:5", "backend.example:5"),
-                REPORT.replace("10.0.0.1:5", "10.0.0.1:99999"),
-                REPORT.replace("\"address\":\"10.0.0.1:5\"", "\"address\":5"),
+                HEARTBEAT.replace("\"state\":\"ready\",", ""),
+                HEARTBEAT.replace("\"ready\"", "\"sleeping\""),
+                HEARTBEAT.replace("\"ready\"", "7"),
+                HEARTBEAT.replace("\"slots\":12", "\"slots\":\"12\""),
+                HEARTBEAT.replace("\"slots\":12", "\"slots\":0"),
+                HEARTBEAT.replace("\"seq\":4,", ""),
+                HEARTBEAT.replace("\"seq\":4", "\"seq\":\"4\""),
+                HEARTBEAT.replace("\"service\":\"s\",", ""),
+                HEARTBEAT.replace("\"service\":\"s\"", "\"service\":\"\""),
+                HEARTBEAT.replace("10.0.0.1:5", "backend.example:5"),
+                HEARTBEAT.replace("10.0.0.1:5", "10.0.0.1:99999"),
+                HEARTBEAT.replace("\"address\":\"10.0.0.1:5\"", "\"address\":5"),
                 "[]",
                 "null",
                 "");
@@ -69,7 +69,7 @@
 
     @Provide
     Arbitrary<byte[]> mutated() {
-        byte[] whole = REPORT.getBytes(StandardCharsets.UTF_8);
+        byte[] whole = HEARTBEAT.getBytes(StandardCharsets.UTF_8);
         Arbitrary<Integer> at = Arbitraries.integers().between(0, whole.length - 1);
         Arbitrary<Byte> to = Arbitraries.bytes();
         Arbitrary<Integer> length = Arbitraries.integers().between(0, whole.length);
