--- a/org.berylwick.test/tst/org/berylwick/platform/InvalidPlatformInputTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/InvalidPlatformInputTest.java
@@ -39,13 +39,13 @@
     private static final String HEARTBEAT = "{\"address\":\"10.0.0.1:5\",\"info\":{\"service\":\"s\",\"version\":\"v1\","
             + "\"zone\":\"a\",\"slots\":12},\"status\":{\"state\":\"ready\",\"seq\":4,\"warmupLeftS\":1.5}}";
 
-    private static Announcement read(String body) {
+    private static Announcement decodeHeartbeat(String body) {
         return new HeartbeatCodec().read("PUT", "/instances/i-1", body.getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
     void reportsThatLackWhatTheirUseNeedsAreMalformed() {
-        assertInstanceOf(Announcement.Report.class, read(HEARTBEAT));
+        assertInstanceOf(Announcement.Report.class, decodeHeartbeat(HEARTBEAT));
         List<String> spoilt = List.of(
                 HEARTBEAT.replace("\"state\":\"ready\",", ""),
                 HEARTBEAT.replace("\"ready\"", "\"sleeping\""),
@@ -63,7 +63,7 @@
                 "null",
                 "");
         for (String body : spoilt) {
-            assertInstanceOf(Announcement.Malformed.class, read(body), body);
+            assertInstanceOf(Announcement.Malformed.class, decodeHeartbeat(body), body);
         }
     }
 
