--- a/org.berylwick.test/tst/org/berylwick/platform/InvalidPlatformInputTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/InvalidPlatformInputTest.java
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void reportsThatLackWhatTheirUseNeedsAreMalformed() {
+    void heartbeatsWithMissingOrInvalidFieldsAreMalformed() {
         assertInstanceOf(Announcement.Report.class, decodeHeartbeat(HEARTBEAT));
         List<String> spoilt = List.of(
                 HEARTBEAT.replace("\"state\":\"ready\",", ""),
