--- a/org.berylwick.test/tst/org/berylwick/platform/InvalidPlatformInputTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/InvalidPlatformInputTest.java
@@ -84,7 +84,7 @@
     }
 
     @Property(tries = 3_000)
-    void mutatedReportsNeverThrowAndNeverNameAnUnusableServer(@ForAll("mutated") byte[] body) {
+    void mutatedHeartbeatsNeitherThrowNorYieldAnUnusableBackendServer(@ForAll("mutated") byte[] body) {
         if (new HeartbeatCodec().read("PUT", "/instances/i-1", body) instanceof Announcement.Report told) {
             BackendReport report = told.report();
             assertTrue(report.slots() > 0);
