--- a/org.berylwick.test/tst/org/berylwick/platform/InvalidPlatformInputTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/InvalidPlatformInputTest.java
@@ -97,7 +97,7 @@
     }
 
     @Property(tries = 2_000)
-    void anyBytesAreReadOrRefusedAsAConfiguration(@ForAll byte[] body) {
+    void arbitraryBytesAreDecodedOrRejectedAsAConfiguration(@ForAll byte[] body) {
         ConfigurationSource.Answer answer = ConfigurationCodec.decode(body, 1);
         assertTrue(answer instanceof ConfigurationSource.Answer.Invalid
                 || answer instanceof ConfigurationSource.Answer.Found);
