--- a/org.berylwick.test/tst/org/berylwick/platform/InvalidPlatformInputTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/InvalidPlatformInputTest.java
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void deeplyNestedBytesAreRefused() {
+    void deepNestingAndOversizedNumbersAreRejected() {
         String deep = "[".repeat(5_000) + "]".repeat(5_000);
         assertEquals(Optional.empty(), JsonValue.parse(deep.getBytes(StandardCharsets.UTF_8)));
         String large = "{\"seq\":" + "9".repeat(60) + "}";
