--- a/org.berylwick.test/tst/org/berylwick/platform/InvalidPlatformInputTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/InvalidPlatformInputTest.java
@@ -113,7 +113,7 @@
 
     /** The list comes in three pages; the last item of the first has no name, and some have no address. */
     @Test
-    void spoiltEntriesNameNoNodeAndEndNoPaging() throws Exception {
+    void invalidDirectoryEntriesAreSkippedAndDoNotEndPaging() throws Exception {
         List<String> asked = new ArrayList<>();
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = (EventLoop) group.next();
