--- a/org.berylwick.test/tst/org/berylwick/platform/JsonParserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/JsonParserTest.java
@@ -21,7 +21,7 @@
 
 /** Reads what another parser reads, and nothing else. */
 class JsonParserTest {
-    private static final ObjectMapper OTHER = new ObjectMapper();
+    private static final ObjectMapper JACKSON = new ObjectMapper();
 
     private static Optional<JsonValue> read(String text) {
         return JsonValue.parse(text.getBytes(StandardCharsets.UTF_8));
@@ -29,20 +29,20 @@
 
     private static JsonNode random(Random random, int depth) {
         return switch (random.nextInt(depth > 4 ? 5 : 7)) {
-            case 0 -> OTHER.getNodeFactory().numberNode(random.nextLong());
-            case 1 -> OTHER.getNodeFactory().numberNode(random.nextGaussian() * Math.pow(10, random.nextInt(30) - 15));
-            case 2 -> OTHER.getNodeFactory().booleanNode(random.nextBoolean());
-            case 3 -> OTHER.getNodeFactory().nullNode();
-            case 4 -> OTHER.getNodeFactory().textNode(text(random));
+            case 0 -> JACKSON.getNodeFactory().numberNode(random.nextLong());
+            case 1 -> JACKSON.getNodeFactory().numberNode(random.nextGaussian() * Math.pow(10, random.nextInt(30) - 15));
+            case 2 -> JACKSON.getNodeFactory().booleanNode(random.nextBoolean());
+            case 3 -> JACKSON.getNodeFactory().nullNode();
+            case 4 -> JACKSON.getNodeFactory().textNode(text(random));
             case 5 -> {
-                ArrayNode array = OTHER.createArrayNode();
+                ArrayNode array = JACKSON.createArrayNode();
                 for (int i = random.nextInt(4); i > 0; i--) {
                     array.add(random(random, depth + 1));
                 }
                 yield array;
             }
             default -> {
-                ObjectNode object = OTHER.createObjectNode();
+                ObjectNode object = JACKSON.createObjectNode();
                 for (int i = random.nextInt(4); i > 0; i--) {
                     object.set(text(random), random(random, depth + 1));
                 }
@@ -89,8 +89,8 @@
     void readsWhatAnotherParserWrote(@ForAll long seed, @ForAll boolean spaced) throws IOException {
         JsonNode written = random(new Random(seed), 0);
         byte[] bytes = spaced
-                ? OTHER.writerWithDefaultPrettyPrinter().writeValueAsBytes(written)
-                : OTHER.writeValueAsBytes(written);
+                ? JACKSON.writerWithDefaultPrettyPrinter().writeValueAsBytes(written)
+                : JACKSON.writeValueAsBytes(written);
         assertSame(written, JsonValue.parse(bytes).orElseThrow());
     }
 
@@ -98,7 +98,7 @@
     @Property(tries = 3_000)
     void refusesWhatAnotherParserRefuses(@ForAll long seed, @ForAll @IntRange(max = 255) int to) throws IOException {
         Random random = new Random(seed);
-        byte[] bytes = OTHER.writeValueAsBytes(random(random, 0));
+        byte[] bytes = JACKSON.writeValueAsBytes(random(random, 0));
         if (random.nextBoolean()) {
             bytes = Arrays.copyOf(bytes, random.nextInt(bytes.length + 1));
         } else {
@@ -108,7 +108,7 @@
         if (seen.isEmpty()) {
             return;
         }
-        JsonNode other = OTHER.reader()
+        JsonNode other = JACKSON.reader()
                 .with(com.fasterxml.jackson.databind.DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
                 .readTree(new String(bytes, StandardCharsets.UTF_8));
         assertSame(other, seen.get());
