--- a/org.berylwick.test/tst/org/berylwick/platform/JsonParserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/JsonParserTest.java
@@ -23,7 +23,7 @@
 class JsonParserTest {
     private static final ObjectMapper JACKSON = new ObjectMapper();
 
-    private static Optional<JsonValue> read(String text) {
+    private static Optional<JsonValue> parse(String text) {
         return JsonValue.parse(text.getBytes(StandardCharsets.UTF_8));
     }
 
@@ -151,13 +151,13 @@
                 "NaN",
                 "\"\\",
                 "\"\\\"")) {
-            assertEquals(Optional.empty(), read(text), text);
+            assertEquals(Optional.empty(), parse(text), text);
         }
     }
 
     @Test
     void writtenTextsAreReadAgain() {
         String any = "a\"b\\c\u0001\u00e9\ud83d\ude00";
-        assertEquals(any, read(JsonText.quote(any)).orElseThrow().text().orElseThrow());
+        assertEquals(any, parse(JsonText.quote(any)).orElseThrow().text().orElseThrow());
     }
 }
