--- a/org.berylwick.test/tst/org/berylwick/platform/JsonParserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/JsonParserTest.java
@@ -33,7 +33,7 @@
             case 1 -> JACKSON.getNodeFactory().numberNode(random.nextGaussian() * Math.pow(10, random.nextInt(30) - 15));
             case 2 -> JACKSON.getNodeFactory().booleanNode(random.nextBoolean());
             case 3 -> JACKSON.getNodeFactory().nullNode();
-            case 4 -> JACKSON.getNodeFactory().textNode(text(random));
+            case 4 -> JACKSON.getNodeFactory().textNode(randomText(random));
             case 5 -> {
                 ArrayNode array = JACKSON.createArrayNode();
                 for (int i = random.nextInt(4); i > 0; i--) {
@@ -44,14 +44,14 @@
             default -> {
                 ObjectNode object = JACKSON.createObjectNode();
                 for (int i = random.nextInt(4); i > 0; i--) {
-                    object.set(text(random), random(random, depth + 1));
+                    object.set(randomText(random), random(random, depth + 1));
                 }
                 yield object;
             }
         };
     }
 
-    private static String text(Random random) {
+    private static String randomText(Random random) {
         StringBuilder text = new StringBuilder();
         for (int i = random.nextInt(8); i > 0; i--) {
             text.appendCodePoint(
