--- a/org.berylwick.test/tst/org/berylwick/platform/JsonParserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/JsonParserTest.java
@@ -65,17 +65,17 @@
         return text.toString();
     }
 
-    private static void assertSame(JsonNode expected, JsonValue seen) {
+    private static void assertEquivalent(JsonNode expected, JsonValue seen) {
         switch (expected.getNodeType()) {
             case OBJECT -> {
                 assertEquals(expected.size(), seen.fields().size());
-                expected.properties().forEach(e -> assertSame(e.getValue(), seen.field(e.getKey())));
+                expected.properties().forEach(e -> assertEquivalent(e.getValue(), seen.field(e.getKey())));
             }
             case ARRAY -> {
                 List<JsonValue> items = seen.items();
                 assertEquals(expected.size(), items.size());
                 for (int i = 0; i < items.size(); i++) {
-                    assertSame(expected.get(i), items.get(i));
+                    assertEquivalent(expected.get(i), items.get(i));
                 }
             }
             case STRING -> assertEquals(Optional.of(expected.asText()), seen.text());
@@ -91,7 +91,7 @@
         byte[] bytes = spaced
                 ? JACKSON.writerWithDefaultPrettyPrinter().writeValueAsBytes(written)
                 : JACKSON.writeValueAsBytes(written);
-        assertSame(written, JsonValue.parse(bytes).orElseThrow());
+        assertEquivalent(written, JsonValue.parse(bytes).orElseThrow());
     }
 
     /** What is cut off or changed is read alike by both, or by neither; the other one takes wider numbers. */
@@ -111,7 +111,7 @@
         JsonNode other = JACKSON.reader()
                 .with(com.fasterxml.jackson.databind.DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
                 .readTree(new String(bytes, StandardCharsets.UTF_8));
-        assertSame(other, seen.get());
+        assertEquivalent(other, seen.get());
     }
 
     @Test
