--- a/org.berylwick.test/tst/org/berylwick/platform/JsonParserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/JsonParserTest.java
@@ -86,7 +86,7 @@
     }
 
     @Property(tries = 2_000)
-    void readsWhatAnotherParserWrote(@ForAll long seed, @ForAll boolean spaced) throws IOException {
+    void parsesWhatJacksonWrites(@ForAll long seed, @ForAll boolean spaced) throws IOException {
         JsonNode written = random(new Random(seed), 0);
         byte[] bytes = spaced
                 ? JACKSON.writerWithDefaultPrettyPrinter().writeValueAsBytes(written)
