--- a/org.berylwick.test/tst/org/berylwick/platform/JsonParserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/JsonParserTest.java
@@ -115,7 +115,7 @@
     }
 
     @Test
-    void objectGivesTheBytesThatItWasReadFrom() {
+    void objectKeepsItsSourceBytes() {
         byte[] document =
                 "{\"a\": 1, \"spec\" : {\"x\": [1, {\"y\":\"}\"}] }, \"b\":2}".getBytes(StandardCharsets.UTF_8);
         byte[] spec = JsonValue.parse(document).orElseThrow().field("spec").sourceBytes();
