--- a/org.berylwick.test/tst/org/berylwick/platform/JsonParserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/JsonParserTest.java
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void whatIsNoDocumentIsRefused() {
+    void malformedDocumentsAreRejected() {
         for (String text : List.of(
                 "",
                 " ",
