--- a/org.berylwick.test/tst/org/berylwick/platform/JsonParserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/JsonParserTest.java
@@ -156,7 +156,7 @@
     }
 
     @Test
-    void writtenTextsAreReadAgain() {
+    void quotedTextIsParsedBackUnchanged() {
         String any = "a\"b\\c\u0001\u00e9\ud83d\ude00";
         assertEquals(any, parse(JsonText.quote(any)).orElseThrow().text().orElseThrow());
     }
