--- a/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
@@ -26,7 +26,7 @@
  * goes on.
  */
 class StoredConfigurationTest {
-    private static final int REVISION = 300;
+    private static final int LIST_REVISION = 300;
     private static final int OLDEST_KEPT = 290;
     private static final String OBJECT =
             "{\"metadata\":{\"name\":\"main\",\"rev\":15},\"spec\":{\"version\":\"0000000a\"}}";
@@ -41,14 +41,14 @@
         asked.add(question.uri());
         int at = question.uri().indexOf("watch=");
         if (at < 0) {
-            return json("{\"items\":[" + OBJECT + "],\"more\":false,\"asOf\":" + REVISION + "}");
+            return json("{\"items\":[" + OBJECT + "],\"more\":false,\"asOf\":" + LIST_REVISION + "}");
         }
         int from =
                 Integer.parseInt(question.uri().substring(at + 6, question.uri().indexOf('&')));
         if (from < OLDEST_KEPT) {
             return SmallHttpServer.Answer.ofStatus(410);
         }
-        return json("{\"events\":[],\"asOf\":" + (REVISION + 1) + "}");
+        return json("{\"events\":[],\"asOf\":" + (LIST_REVISION + 1) + "}");
     }
 
     private static SmallHttpServer.Answer json(String text) {
@@ -79,7 +79,7 @@
         Answer.Found found = assertInstanceOf(Answer.Found.class, await(a -> configuration.read(Freshness.NEWEST, a)));
         assertEquals(10, found.version().number());
         Answer next = await(a -> configuration.watch(found.revision(), 100, a));
-        assertEquals(new Answer.Unchanged(REVISION + 1), next);
+        assertEquals(new Answer.Unchanged(LIST_REVISION + 1), next);
         assertInstanceOf(Answer.HistoryGone.class, await(a -> configuration.watch(15, 100, a)));
     }
 
