--- a/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
@@ -27,7 +27,7 @@
  */
 class StoredConfigurationTest {
     private static final int LIST_REVISION = 300;
-    private static final int OLDEST_KEPT = 290;
+    private static final int OLDEST_RETAINED_REVISION = 290;
     private static final String OBJECT =
             "{\"metadata\":{\"name\":\"main\",\"rev\":15},\"spec\":{\"version\":\"0000000a\"}}";
 
@@ -45,7 +45,7 @@
         }
         int from =
                 Integer.parseInt(question.uri().substring(at + 6, question.uri().indexOf('&')));
-        if (from < OLDEST_KEPT) {
+        if (from < OLDEST_RETAINED_REVISION) {
             return SmallHttpServer.Answer.ofStatus(410);
         }
         return json("{\"events\":[],\"asOf\":" + (LIST_REVISION + 1) + "}");
