--- a/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
@@ -33,12 +33,12 @@
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = (EventLoop) group.next();
-    private final List<String> asked = new CopyOnWriteArrayList<>();
+    private final List<String> requestedUris = new CopyOnWriteArrayList<>();
     private SmallHttpServer server;
     private StoredConfiguration configuration;
 
     private SmallHttpServer.Answer answer(SmallHttpServer.Question question) {
-        asked.add(question.uri());
+        requestedUris.add(question.uri());
         int at = question.uri().indexOf("watch=");
         if (at < 0) {
             return json("{\"items\":[" + OBJECT + "],\"more\":false,\"asOf\":" + LIST_REVISION + "}");
@@ -88,6 +88,6 @@
     void recentVersionIsReadAtTheLowPrice() throws Exception {
         await(a -> configuration.read(Freshness.RECENT, a));
         await(a -> configuration.read(Freshness.NEWEST, a));
-        assertEquals(List.of("/objects/config?serializable=1", "/objects/config"), asked);
+        assertEquals(List.of("/objects/config?serializable=1", "/objects/config"), requestedUris);
     }
 }
