--- a/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
@@ -37,7 +37,7 @@
     private SmallHttpServer server;
     private StoredConfiguration configuration;
 
-    private SmallHttpServer.Answer answer(SmallHttpServer.Question question) {
+    private SmallHttpServer.Answer respond(SmallHttpServer.Question question) {
         requestedUris.add(question.uri());
         int at = question.uri().indexOf("watch=");
         if (at < 0) {
@@ -57,7 +57,7 @@
 
     @BeforeEach
     void open() {
-        server = SmallHttpServer.open(loop, new InetSocketAddress("127.0.0.1", 0), this::answer);
+        server = SmallHttpServer.open(loop, new InetSocketAddress("127.0.0.1", 0), this::respond);
         configuration =
                 new StoredConfiguration(new ObjectStore(loop, new InetSocketAddress("127.0.0.1", server.port())));
     }
