--- a/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
@@ -41,17 +41,17 @@
         requestedUris.add(question.uri());
         int at = question.uri().indexOf("watch=");
         if (at < 0) {
-            return json("{\"items\":[" + OBJECT + "],\"more\":false,\"asOf\":" + LIST_REVISION + "}");
+            return jsonResponse("{\"items\":[" + OBJECT + "],\"more\":false,\"asOf\":" + LIST_REVISION + "}");
         }
         int from =
                 Integer.parseInt(question.uri().substring(at + 6, question.uri().indexOf('&')));
         if (from < OLDEST_RETAINED_REVISION) {
             return SmallHttpServer.Answer.ofStatus(410);
         }
-        return json("{\"events\":[],\"asOf\":" + (LIST_REVISION + 1) + "}");
+        return jsonResponse("{\"events\":[],\"asOf\":" + (LIST_REVISION + 1) + "}");
     }
 
-    private static SmallHttpServer.Answer json(String text) {
+    private static SmallHttpServer.Answer jsonResponse(String text) {
         return SmallHttpServer.Answer.of("application/json", text.getBytes(StandardCharsets.UTF_8));
     }
 
