--- a/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
@@ -56,7 +56,7 @@
     }
 
     @BeforeEach
-    void open() {
+    void openServer() {
         server = SmallHttpServer.open(loop, new InetSocketAddress("127.0.0.1", 0), this::respond);
         configuration =
                 new StoredConfiguration(new ObjectStore(loop, new InetSocketAddress("127.0.0.1", server.port())));
