--- a/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
@@ -63,7 +63,7 @@
     }
 
     @AfterEach
-    void close() {
+    void closeServer() {
         server.close();
         group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
     }
