--- a/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void watchGoesOnFromTheListsRevision() throws Exception {
+    void watchContinuesFromTheListRevision() throws Exception {
         Answer.Found found = assertInstanceOf(Answer.Found.class, await(a -> configuration.read(Freshness.NEWEST, a)));
         assertEquals(10, found.version().number());
         Answer next = await(a -> configuration.watch(found.revision(), 100, a));
