--- a/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
@@ -85,7 +85,7 @@
 
     /** The questions by which a node finds out that nothing else told it of a version cost a tenth that way. */
     @Test
-    void recentVersionIsReadAtTheLowPrice() throws Exception {
+    void recentReadAllowsAStaleList() throws Exception {
         await(a -> configuration.read(Freshness.RECENT, a));
         await(a -> configuration.read(Freshness.NEWEST, a));
         assertEquals(List.of("/objects/config?serializable=1", "/objects/config"), requestedUris);
