--- a/org.berylwick.test/tst/org/berylwick/platform/CodecsTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/CodecsTest.java
@@ -55,8 +55,8 @@
 
     @Test
     void settingsWithoutARequiredAddressAreRejectedNamingTheField() {
-        String lacking = SETTINGS.replace("\"control\"", "\"other\"");
-        IllegalArgumentException e = assertThrows(IllegalArgumentException.class, () -> parse(lacking));
+        String incomplete = SETTINGS.replace("\"control\"", "\"other\"");
+        IllegalArgumentException e = assertThrows(IllegalArgumentException.class, () -> parse(incomplete));
         assertTrue(e.getMessage().contains("control"), e.getMessage());
     }
 
