--- a/org.berylwick.test/tst/org/berylwick/platform/InvalidPlatformInputTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/InvalidPlatformInputTest.java
@@ -46,7 +46,7 @@
     @Test
     void heartbeatsWithMissingOrInvalidFieldsAreMalformed() {
         assertInstanceOf(Announcement.Report.class, decodeHeartbeat(HEARTBEAT));
-        List<String> spoilt = List.of(
+        List<String> invalidBodies = List.of(
                 HEARTBEAT.replace("\"state\":\"ready\",", ""),
                 HEARTBEAT.replace("\"ready\"", "\"sleeping\""),
                 HEARTBEAT.replace("\"ready\"", "7"),
@@ -62,31 +62,31 @@
                 "[]",
                 "null",
                 "");
-        for (String body : spoilt) {
+        for (String body : invalidBodies) {
             assertInstanceOf(Announcement.Malformed.class, decodeHeartbeat(body), body);
         }
     }
 
     @Provide
     Arbitrary<byte[]> mutated() {
-        byte[] whole = HEARTBEAT.getBytes(StandardCharsets.UTF_8);
-        Arbitrary<Integer> at = Arbitraries.integers().between(0, whole.length - 1);
-        Arbitrary<Byte> to = Arbitraries.bytes();
-        Arbitrary<Integer> length = Arbitraries.integers().between(0, whole.length);
-        return Combinators.combine(at.list().ofMaxSize(4), to.list().ofSize(4), length)
-                .as((places, values, left) -> {
-                    byte[] bytes = whole.clone();
-                    for (int i = 0; i < places.size(); i++) {
-                        bytes[places.get(i)] = values.get(i);
+        byte[] original = HEARTBEAT.getBytes(StandardCharsets.UTF_8);
+        Arbitrary<Integer> offset = Arbitraries.integers().between(0, original.length - 1);
+        Arbitrary<Byte> replacement = Arbitraries.bytes();
+        Arbitrary<Integer> length = Arbitraries.integers().between(0, original.length);
+        return Combinators.combine(offset.list().ofMaxSize(4), replacement.list().ofSize(4), length)
+                .as((offsets, replacements, newLength) -> {
+                    byte[] bytes = original.clone();
+                    for (int i = 0; i < offsets.size(); i++) {
+                        bytes[offsets.get(i)] = replacements.get(i);
                     }
-                    return left % 3 == 0 ? java.util.Arrays.copyOf(bytes, left) : bytes;
+                    return newLength % 3 == 0 ? java.util.Arrays.copyOf(bytes, newLength) : bytes;
                 });
     }
 
     @Property(tries = 3_000)
     void mutatedHeartbeatsNeitherThrowNorYieldAnUnusableBackendServer(@ForAll("mutated") byte[] body) {
-        if (new HeartbeatCodec().read("PUT", "/instances/i-1", body) instanceof Announcement.Report told) {
-            BackendReport report = told.report();
+        if (new HeartbeatCodec().read("PUT", "/instances/i-1", body) instanceof Announcement.Report decoded) {
+            BackendReport report = decoded.report();
             assertTrue(report.slots() > 0);
             assertTrue(report.sequence() >= 0);
             assertTrue(report.warmUpNanos() >= 0);
@@ -105,21 +105,21 @@
 
     @Test
     void deepNestingAndOversizedNumbersAreRejected() {
-        String deep = "[".repeat(5_000) + "]".repeat(5_000);
-        assertEquals(Optional.empty(), JsonValue.parse(deep.getBytes(StandardCharsets.UTF_8)));
-        String large = "{\"seq\":" + "9".repeat(60) + "}";
-        assertEquals(Optional.empty(), JsonValue.parse(large.getBytes(StandardCharsets.UTF_8)));
+        String deeplyNested = "[".repeat(5_000) + "]".repeat(5_000);
+        assertEquals(Optional.empty(), JsonValue.parse(deeplyNested.getBytes(StandardCharsets.UTF_8)));
+        String oversizedNumber = "{\"seq\":" + "9".repeat(60) + "}";
+        assertEquals(Optional.empty(), JsonValue.parse(oversizedNumber.getBytes(StandardCharsets.UTF_8)));
     }
 
     /** The list comes in three pages; the last item of the first has no name, and some have no address. */
     @Test
     void invalidDirectoryEntriesAreSkippedAndDoNotEndPaging() throws Exception {
-        List<String> asked = new ArrayList<>();
+        List<String> requestedUris = new ArrayList<>();
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = (EventLoop) group.next();
-        try (SmallHttpServer server = SmallHttpServer.open(loop, new InetSocketAddress("127.0.0.1", 0), q -> {
-            asked.add(q.uri());
-            Matcher after = Pattern.compile("after=(\\w+)").matcher(q.uri());
+        try (SmallHttpServer server = SmallHttpServer.open(loop, new InetSocketAddress("127.0.0.1", 0), request -> {
+            requestedUris.add(request.uri());
+            Matcher after = Pattern.compile("after=(\\w+)").matcher(request.uri());
             String page = !after.find()
                     ? entry("a", "\"10.0.0.1\"") + "," + entry("b", "7") + ",{\"spec\":{\"ip\":\"10.0.0.3\"}}"
                     : after.group(1).equals("b") ? entry("c", "\"\"") + "," + entry("d", "\"10.0.0.4\"") : "";
@@ -134,7 +134,7 @@
             loop.execute(() -> directory.list(answer::complete));
             Answer.Listed listed = assertInstanceOf(Answer.Listed.class, answer.get(10, TimeUnit.SECONDS));
             assertEquals(List.of("10.0.0.1", "10.0.0.3", "10.0.0.4"), listed.addresses());
-            assertEquals(3, asked.size());
+            assertEquals(3, requestedUris.size());
         } finally {
             group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
         }
