--- a/org.berylwick.test/tst/org/berylwick/platform/JsonParserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/JsonParserTest.java
@@ -65,53 +65,53 @@
         return text.toString();
     }
 
-    private static void assertEquivalent(JsonNode expected, JsonValue seen) {
+    private static void assertEquivalent(JsonNode expected, JsonValue actual) {
         switch (expected.getNodeType()) {
             case OBJECT -> {
-                assertEquals(expected.size(), seen.fields().size());
-                expected.properties().forEach(e -> assertEquivalent(e.getValue(), seen.field(e.getKey())));
+                assertEquals(expected.size(), actual.fields().size());
+                expected.properties().forEach(e -> assertEquivalent(e.getValue(), actual.field(e.getKey())));
             }
             case ARRAY -> {
-                List<JsonValue> items = seen.items();
+                List<JsonValue> items = actual.items();
                 assertEquals(expected.size(), items.size());
                 for (int i = 0; i < items.size(); i++) {
                     assertEquivalent(expected.get(i), items.get(i));
                 }
             }
-            case STRING -> assertEquals(Optional.of(expected.asText()), seen.text());
-            case NUMBER -> assertEquals(expected.asDouble(), seen.doubleOr(Double.NaN));
-            case BOOLEAN -> assertEquals(expected.asBoolean(), seen.isTrue());
-            default -> assertTrue(!seen.isPresent());
+            case STRING -> assertEquals(Optional.of(expected.asText()), actual.text());
+            case NUMBER -> assertEquals(expected.asDouble(), actual.doubleOr(Double.NaN));
+            case BOOLEAN -> assertEquals(expected.asBoolean(), actual.isTrue());
+            default -> assertTrue(!actual.isPresent());
         }
     }
 
     @Property(tries = 2_000)
-    void parsesWhatJacksonWrites(@ForAll long seed, @ForAll boolean spaced) throws IOException {
-        JsonNode written = random(new Random(seed), 0);
-        byte[] bytes = spaced
-                ? JACKSON.writerWithDefaultPrettyPrinter().writeValueAsBytes(written)
-                : JACKSON.writeValueAsBytes(written);
-        assertEquivalent(written, JsonValue.parse(bytes).orElseThrow());
+    void parsesWhatJacksonWrites(@ForAll long seed, @ForAll boolean prettyPrinted) throws IOException {
+        JsonNode expected = random(new Random(seed), 0);
+        byte[] bytes = prettyPrinted
+                ? JACKSON.writerWithDefaultPrettyPrinter().writeValueAsBytes(expected)
+                : JACKSON.writeValueAsBytes(expected);
+        assertEquivalent(expected, JsonValue.parse(bytes).orElseThrow());
     }
 
     /** What is cut off or changed is read alike by both, or by neither; the other one takes wider numbers. */
     @Property(tries = 3_000)
-    void acceptsOnlyWhatJacksonParsesToTheSameValue(@ForAll long seed, @ForAll @IntRange(max = 255) int to) throws IOException {
+    void acceptsOnlyWhatJacksonParsesToTheSameValue(@ForAll long seed, @ForAll @IntRange(max = 255) int replacement) throws IOException {
         Random random = new Random(seed);
         byte[] bytes = JACKSON.writeValueAsBytes(random(random, 0));
         if (random.nextBoolean()) {
             bytes = Arrays.copyOf(bytes, random.nextInt(bytes.length + 1));
         } else {
-            bytes[random.nextInt(bytes.length)] = (byte) to;
+            bytes[random.nextInt(bytes.length)] = (byte) replacement;
         }
-        Optional<JsonValue> seen = JsonValue.parse(bytes);
-        if (seen.isEmpty()) {
+        Optional<JsonValue> actual = JsonValue.parse(bytes);
+        if (actual.isEmpty()) {
             return;
         }
-        JsonNode other = JACKSON.reader()
+        JsonNode expected = JACKSON.reader()
                 .with(com.fasterxml.jackson.databind.DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
                 .readTree(new String(bytes, StandardCharsets.UTF_8));
-        assertEquivalent(other, seen.get());
+        assertEquivalent(expected, actual.get());
     }
 
     @Test
@@ -157,7 +157,7 @@
 
     @Test
     void quotedTextIsParsedBackUnchanged() {
-        String any = "a\"b\\c\u0001\u00e9\ud83d\ude00";
-        assertEquals(any, parse(JsonText.quote(any)).orElseThrow().text().orElseThrow());
+        String original = "a\"b\\c\u0001\u00e9\ud83d\ude00";
+        assertEquals(original, parse(JsonText.quote(original)).orElseThrow().text().orElseThrow());
     }
 }
