--- a/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
@@ -37,15 +37,15 @@
     private SmallHttpServer server;
     private StoredConfiguration configuration;
 
-    private SmallHttpServer.Answer respond(SmallHttpServer.Question question) {
-        requestedUris.add(question.uri());
-        int at = question.uri().indexOf("watch=");
-        if (at < 0) {
+    private SmallHttpServer.Answer respond(SmallHttpServer.Question request) {
+        requestedUris.add(request.uri());
+        int watchStart = request.uri().indexOf("watch=");
+        if (watchStart < 0) {
             return jsonResponse("{\"items\":[" + OBJECT + "],\"more\":false,\"asOf\":" + LIST_REVISION + "}");
         }
-        int from =
-                Integer.parseInt(question.uri().substring(at + 6, question.uri().indexOf('&')));
-        if (from < OLDEST_RETAINED_REVISION) {
+        int revision =
+                Integer.parseInt(request.uri().substring(watchStart + 6, request.uri().indexOf('&')));
+        if (revision < OLDEST_RETAINED_REVISION) {
             return SmallHttpServer.Answer.ofStatus(410);
         }
         return jsonResponse("{\"events\":[],\"asOf\":" + (LIST_REVISION + 1) + "}");
