--- a/org.berylwick.test/tst/org/berylwick/platform/JsonParserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/JsonParserTest.java
@@ -27,7 +27,7 @@
         return JsonValue.parse(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static JsonNode random(Random random, int depth) {
+    private static JsonNode randomNode(Random random, int depth) {
         return switch (random.nextInt(depth > 4 ? 5 : 7)) {
             case 0 -> JACKSON.getNodeFactory().numberNode(random.nextLong());
             case 1 -> JACKSON.getNodeFactory().numberNode(random.nextGaussian() * Math.pow(10, random.nextInt(30) - 15));
@@ -37,14 +37,14 @@
             case 5 -> {
                 ArrayNode array = JACKSON.createArrayNode();
                 for (int i = random.nextInt(4); i > 0; i--) {
-                    array.add(random(random, depth + 1));
+                    array.add(randomNode(random, depth + 1));
                 }
                 yield array;
             }
             default -> {
                 ObjectNode object = JACKSON.createObjectNode();
                 for (int i = random.nextInt(4); i > 0; i--) {
-                    object.set(randomText(random), random(random, depth + 1));
+                    object.set(randomText(random), randomNode(random, depth + 1));
                 }
                 yield object;
             }
@@ -87,7 +87,7 @@
 
     @Property(tries = 2_000)
     void parsesWhatJacksonWrites(@ForAll long seed, @ForAll boolean prettyPrinted) throws IOException {
-        JsonNode expected = random(new Random(seed), 0);
+        JsonNode expected = randomNode(new Random(seed), 0);
         byte[] bytes = prettyPrinted
                 ? JACKSON.writerWithDefaultPrettyPrinter().writeValueAsBytes(expected)
                 : JACKSON.writeValueAsBytes(expected);
@@ -98,7 +98,7 @@
     @Property(tries = 3_000)
     void acceptsOnlyWhatJacksonParsesToTheSameValue(@ForAll long seed, @ForAll @IntRange(max = 255) int replacement) throws IOException {
         Random random = new Random(seed);
-        byte[] bytes = JACKSON.writeValueAsBytes(random(random, 0));
+        byte[] bytes = JACKSON.writeValueAsBytes(randomNode(random, 0));
         if (random.nextBoolean()) {
             bytes = Arrays.copyOf(bytes, random.nextInt(bytes.length + 1));
         } else {
