--- a/org.berylwick.test/tst/org/berylwick/platform/InvalidPlatformInputTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/InvalidPlatformInputTest.java
@@ -36,8 +36,9 @@
  * address became a node at an empty one. Such an entry names nothing; all others hold.
  */
 class InvalidPlatformInputTest {
-    private static final String HEARTBEAT = "{\"address\":\"10.0.0.1:5\",\"info\":{\"service\":\"s\",\"version\":\"v1\","
-            + "\"zone\":\"a\",\"slots\":12},\"status\":{\"state\":\"ready\",\"seq\":4,\"warmupLeftS\":1.5}}";
+    private static final String HEARTBEAT =
+            "{\"address\":\"10.0.0.1:5\",\"info\":{\"service\":\"s\",\"version\":\"v1\","
+                    + "\"zone\":\"a\",\"slots\":12},\"status\":{\"state\":\"ready\",\"seq\":4,\"warmupLeftS\":1.5}}";
 
     private static Announcement decodeHeartbeat(String body) {
         return new HeartbeatCodec().read("PUT", "/instances/i-1", body.getBytes(StandardCharsets.UTF_8));
@@ -73,7 +74,8 @@
         Arbitrary<Integer> offset = Arbitraries.integers().between(0, original.length - 1);
         Arbitrary<Byte> replacement = Arbitraries.bytes();
         Arbitrary<Integer> length = Arbitraries.integers().between(0, original.length);
-        return Combinators.combine(offset.list().ofMaxSize(4), replacement.list().ofSize(4), length)
+        return Combinators.combine(
+                        offset.list().ofMaxSize(4), replacement.list().ofSize(4), length)
                 .as((offsets, replacements, newLength) -> {
                     byte[] bytes = original.clone();
                     for (int i = 0; i < offsets.size(); i++) {
--- a/org.berylwick.test/tst/org/berylwick/platform/JsonParserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/JsonParserTest.java
@@ -30,7 +30,8 @@
     private static JsonNode randomNode(Random random, int depth) {
         return switch (random.nextInt(depth > 4 ? 5 : 7)) {
             case 0 -> JACKSON.getNodeFactory().numberNode(random.nextLong());
-            case 1 -> JACKSON.getNodeFactory().numberNode(random.nextGaussian() * Math.pow(10, random.nextInt(30) - 15));
+            case 1 ->
+                JACKSON.getNodeFactory().numberNode(random.nextGaussian() * Math.pow(10, random.nextInt(30) - 15));
             case 2 -> JACKSON.getNodeFactory().booleanNode(random.nextBoolean());
             case 3 -> JACKSON.getNodeFactory().nullNode();
             case 4 -> JACKSON.getNodeFactory().textNode(randomText(random));
@@ -96,7 +97,8 @@
 
     /** What is cut off or changed is read alike by both, or by neither; the other one takes wider numbers. */
     @Property(tries = 3_000)
-    void acceptsOnlyWhatJacksonParsesToTheSameValue(@ForAll long seed, @ForAll @IntRange(max = 255) int replacement) throws IOException {
+    void acceptsOnlyWhatJacksonParsesToTheSameValue(@ForAll long seed, @ForAll @IntRange(max = 255) int replacement)
+            throws IOException {
         Random random = new Random(seed);
         byte[] bytes = JACKSON.writeValueAsBytes(randomNode(random, 0));
         if (random.nextBoolean()) {
@@ -158,6 +160,7 @@
     @Test
     void quotedTextIsParsedBackUnchanged() {
         String original = "a\"b\\c\u0001\u00e9\ud83d\ude00";
-        assertEquals(original, parse(JsonText.quote(original)).orElseThrow().text().orElseThrow());
+        assertEquals(
+                original, parse(JsonText.quote(original)).orElseThrow().text().orElseThrow());
     }
 }
--- a/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
@@ -43,8 +43,8 @@
         if (watchStart < 0) {
             return jsonResponse("{\"items\":[" + OBJECT + "],\"more\":false,\"asOf\":" + LIST_REVISION + "}");
         }
-        int revision =
-                Integer.parseInt(request.uri().substring(watchStart + 6, request.uri().indexOf('&')));
+        int revision = Integer.parseInt(
+                request.uri().substring(watchStart + 6, request.uri().indexOf('&')));
         if (revision < OLDEST_RETAINED_REVISION) {
             return SmallHttpServer.Answer.ofStatus(410);
         }
