--- a/org.berylwick.test/tst/org/berylwick/platform/CodecsTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/CodecsTest.java
@@ -13,7 +13,7 @@
 import org.berylwick.node.version.ConfigurationSource.Answer;
 import org.junit.jupiter.api.Test;
 
-/** The platform's names are decoded once, and what cannot be decoded is told apart. */
+/** Decoding of settings, configurations and heartbeats from the platform's formats, and rejection of invalid ones. */
 class CodecsTest {
     private static final String SETTINGS = """
             {"node": "vm-1", "ip": "10.0.0.1", "zone": "a", "region": "r", "zones": {"a": "r", "b": "r"},
--- a/org.berylwick.test/tst/org/berylwick/platform/InvalidPlatformInputTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/InvalidPlatformInputTest.java
@@ -31,9 +31,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Something else writes heartbeats or entries of the list of nodes: fields are missing, of another type, or spoilt.
- * Read leniently, a report in an unknown state counted as ready, one without slots as one slot, and an entry without an
- * address became a node at an empty one. Such an entry names nothing; all others hold.
+ * Heartbeats and directory entries with fields that are missing, of another type or corrupted, as other software may
+ * write them. When they were decoded leniently, a report with an unknown state counted as ready, one without slots
+ * counted as one slot, and an entry without an address became a node with an empty address. Such input must be rejected
+ * without any effect on valid input.
  */
 class InvalidPlatformInputTest {
     private static final String HEARTBEAT =
@@ -113,7 +114,10 @@
         assertEquals(Optional.empty(), JsonValue.parse(oversizedNumber.getBytes(StandardCharsets.UTF_8)));
     }
 
-    /** The list comes in three pages; the last item of the first has no name, and some have no address. */
+    /**
+     * The store returns the directory in three pages. The last entry of the first page has no name, and some entries
+     * have no valid address.
+     */
     @Test
     void invalidDirectoryEntriesAreSkippedAndDoNotEndPaging() throws Exception {
         List<String> requestedUris = new ArrayList<>();
--- a/org.berylwick.test/tst/org/berylwick/platform/JsonParserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/JsonParserTest.java
@@ -19,7 +19,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Reads what another parser reads, and nothing else. */
+/** Compares the parser with Jackson on random documents, and checks that malformed documents are rejected. */
 class JsonParserTest {
     private static final ObjectMapper JACKSON = new ObjectMapper();
 
@@ -95,7 +95,10 @@
         assertEquivalent(expected, JsonValue.parse(bytes).orElseThrow());
     }
 
-    /** What is cut off or changed is read alike by both, or by neither; the other one takes wider numbers. */
+    /**
+     * A truncated or altered document that the parser accepts must have the same value in Jackson. The converse is not
+     * checked, as Jackson accepts numbers of a wider range.
+     */
     @Property(tries = 3_000)
     void acceptsOnlyWhatJacksonParsesToTheSameValue(@ForAll long seed, @ForAll @IntRange(max = 255) int replacement)
             throws IOException {
--- a/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
@@ -21,9 +21,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The store has moved on since the configuration last changed, and keeps only its latest history. A watch from the
- * object's own revision would be told that it is gone, read again, and so on without end; one from the list's revision
- * goes on.
+ * The store's revision has advanced since the configuration last changed, and the store retains only recent history. A
+ * watch from the object's own revision would be told that the history is gone, and the node would read and watch again
+ * in an endless loop. A watch from the list's revision succeeds.
  */
 class StoredConfigurationTest {
     private static final int LIST_REVISION = 300;
@@ -83,7 +83,10 @@
         assertInstanceOf(Answer.HistoryGone.class, await(a -> configuration.watch(15, 100, a)));
     }
 
-    /** The questions by which a node finds out that nothing else told it of a version cost a tenth that way. */
+    /**
+     * A node polls the store in case no watch or other node has announced a new version. Such a poll accepts a list
+     * that is seconds old, which costs a tenth.
+     */
     @Test
     void recentReadAllowsAStaleList() throws Exception {
         await(a -> configuration.read(Freshness.RECENT, a));
