--- a/org.berylwick.test/tst/org/berylwick/platform/CodecsTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/CodecsTest.java
@@ -13,7 +13,7 @@
 import org.berylwick.node.version.ConfigurationSource.ReadResult;
 import org.junit.jupiter.api.Test;
 
-/** The platform's names are decoded once, and what cannot be decoded is told apart. */
+/** Decoding of settings, configurations and heartbeats from the platform's formats, and rejection of invalid ones. */
 class CodecsTest {
     private static final String SETTINGS = """
             {"node": "vm-1", "ip": "10.0.0.1", "zone": "a", "region": "r", "zones": {"a": "r", "b": "r"},
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void settingsAreReadAndUnknownFieldsLeftAlone() {
+    void settingsAreParsedAndUnknownFieldsIgnored() {
         SettingsFile file = parse(SETTINGS);
         assertEquals("books", file.settings().service());
         assertEquals(2_500_000_000L, file.settings().bounds().drainNanos());
@@ -54,14 +54,14 @@
     }
 
     @Test
-    void settingsThatLackAnAddressAreRefusedByName() {
-        String lacking = SETTINGS.replace("\"control\"", "\"other\"");
-        IllegalArgumentException e = assertThrows(IllegalArgumentException.class, () -> parse(lacking));
+    void settingsWithoutARequiredAddressAreRejectedNamingTheField() {
+        String incomplete = SETTINGS.replace("\"control\"", "\"other\"");
+        IllegalArgumentException e = assertThrows(IllegalArgumentException.class, () -> parse(incomplete));
         assertTrue(e.getMessage().contains("control"), e.getMessage());
     }
 
     @Test
-    void configurationIsReadWithItsLongestPrefixFirst() {
+    void configurationIsDecodedAndTheLongestPrefixMatches() {
         ConfigurationVersion version =
                 assertInstanceOf(ReadResult.Found.class, decode(CONFIGURATION)).version();
         assertEquals(0x1c, version.number());
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void configurationThatCannotBeWholeIsRefused() {
+    void invalidConfigurationIsRejected() {
         assertInstanceOf(ReadResult.Invalid.class, decode("{\"version\":"));
         assertInstanceOf(ReadResult.Invalid.class, decode(CONFIGURATION.replace("\"name\":\"s2\"", "\"name\":\"s3\"")));
         assertInstanceOf(ReadResult.Invalid.class, decode(CONFIGURATION.replace("0000001c", "new")));
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void heartbeatsAreReadByTheirPath() {
+    void heartbeatsAreDecodedByMethodAndPath() {
         HeartbeatCodec codec = new HeartbeatCodec();
         byte[] body = ("{\"address\":\"10.0.0.1:5\",\"info\":{\"service\":\"s\",\"slots\":12},"
                         + "\"status\":{\"state\":\"draining\",\"seq\":4,\"warmupLeftS\":1.5}}")
--- a/org.berylwick.test/tst/org/berylwick/platform/ForeignEntriesTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/InvalidPlatformInputTest.java
@@ -31,62 +31,64 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Something else writes heartbeats or entries of the list of nodes: fields are missing, of another type, or spoilt.
- * Read leniently, a report in an unknown state counted as ready, one without slots as one slot, and an entry without an
- * address became a node at an empty one. Such an entry names nothing; all others hold.
+ * Heartbeats and directory entries with fields that are missing, of another type or corrupted, as other software may
+ * write them. When they were decoded leniently, a report with an unknown state counted as ready, one without slots
+ * counted as one slot, and an entry without an address became a node with an empty address. Such input must be rejected
+ * without any effect on valid input.
  */
-class ForeignEntriesTest {
-    private static final String REPORT = "{\"address\":\"10.0.0.1:5\",\"info\":{\"service\":\"s\",\"version\":\"v1\","
+class InvalidPlatformInputTest {
+    private static final String HEARTBEAT = "{\"address\":\"10.0.0.1:5\",\"info\":{\"service\":\"s\",\"version\":\"v1\","
             + "\"zone\":\"a\",\"slots\":12},\"status\":{\"state\":\"ready\",\"seq\":4,\"warmupLeftS\":1.5}}";
 
-    private static Announcement read(String body) {
+    private static Announcement decodeHeartbeat(String body) {
         return new HeartbeatCodec().read("PUT", "/instances/i-1", body.getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
-    void reportsThatLackWhatTheirUseNeedsAreMalformed() {
-        assertInstanceOf(Announcement.Report.class, read(REPORT));
-        List<String> spoilt = List.of(
-                REPORT.replace("\"state\":\"ready\",", ""),
-                REPORT.replace("\"ready\"", "\"sleeping\""),
-                REPORT.replace("\"ready\"", "7"),
-                REPORT.replace("\"slots\":12", "\"slots\":\"12\""),
-                REPORT.replace("\"slots\":12", "\"slots\":0"),
-                REPORT.replace("\"seq\":4,", ""),
-                REPORT.replace("\"seq\":4", "\"seq\":\"4\""),
-                REPORT.replace("\"service\":\"s\",", ""),
-                REPORT.replace("\"service\":\"s\"", "\"service\":\"\""),
-                REPORT.replace("10.0.0.1:5", "backend.example:5"),
-                REPORT.replace("10.0.0.1:5", "10.0.0.1:99999"),
-                REPORT.replace("\"address\":\"10.0.0.1:5\"", "\"address\":5"),
+    void heartbeatsWithMissingOrInvalidFieldsAreMalformed() {
+        assertInstanceOf(Announcement.Report.class, decodeHeartbeat(HEARTBEAT));
+        List<String> invalidBodies = List.of(
+                HEARTBEAT.replace("\"state\":\"ready\",", ""),
+                HEARTBEAT.replace("\"ready\"", "\"sleeping\""),
+                HEARTBEAT.replace("\"ready\"", "7"),
+                HEARTBEAT.replace("\"slots\":12", "\"slots\":\"12\""),
+                HEARTBEAT.replace("\"slots\":12", "\"slots\":0"),
+                HEARTBEAT.replace("\"seq\":4,", ""),
+                HEARTBEAT.replace("\"seq\":4", "\"seq\":\"4\""),
+                HEARTBEAT.replace("\"service\":\"s\",", ""),
+                HEARTBEAT.replace("\"service\":\"s\"", "\"service\":\"\""),
+                HEARTBEAT.replace("10.0.0.1:5", "backend.example:5"),
+                HEARTBEAT.replace("10.0.0.1:5", "10.0.0.1:99999"),
+                HEARTBEAT.replace("\"address\":\"10.0.0.1:5\"", "\"address\":5"),
                 "[]",
                 "null",
                 "");
-        for (String body : spoilt) {
-            assertInstanceOf(Announcement.Malformed.class, read(body), body);
+        for (String body : invalidBodies) {
+            assertInstanceOf(Announcement.Malformed.class, decodeHeartbeat(body), body);
         }
     }
 
     @Provide
     Arbitrary<byte[]> mutated() {
-        byte[] whole = REPORT.getBytes(StandardCharsets.UTF_8);
-        Arbitrary<Integer> at = Arbitraries.integers().between(0, whole.length - 1);
-        Arbitrary<Byte> to = Arbitraries.bytes();
-        Arbitrary<Integer> length = Arbitraries.integers().between(0, whole.length);
-        return Combinators.combine(at.list().ofMaxSize(4), to.list().ofSize(4), length)
-                .as((places, values, left) -> {
-                    byte[] bytes = whole.clone();
-                    for (int i = 0; i < places.size(); i++) {
-                        bytes[places.get(i)] = values.get(i);
+        byte[] original = HEARTBEAT.getBytes(StandardCharsets.UTF_8);
+        Arbitrary<Integer> offset = Arbitraries.integers().between(0, original.length - 1);
+        Arbitrary<Byte> replacement = Arbitraries.bytes();
+        Arbitrary<Integer> length = Arbitraries.integers().between(0, original.length);
+        return Combinators.combine(
+                        offset.list().ofMaxSize(4), replacement.list().ofSize(4), length)
+                .as((offsets, replacements, newLength) -> {
+                    byte[] bytes = original.clone();
+                    for (int i = 0; i < offsets.size(); i++) {
+                        bytes[offsets.get(i)] = replacements.get(i);
                     }
-                    return left % 3 == 0 ? java.util.Arrays.copyOf(bytes, left) : bytes;
+                    return newLength % 3 == 0 ? java.util.Arrays.copyOf(bytes, newLength) : bytes;
                 });
     }
 
     @Property(tries = 3_000)
-    void mutatedReportsNeverThrowAndNeverNameAnUnusableServer(@ForAll("mutated") byte[] body) {
-        if (new HeartbeatCodec().read("PUT", "/instances/i-1", body) instanceof Announcement.Report told) {
-            BackendReport report = told.report();
+    void mutatedHeartbeatsNeitherThrowNorYieldAnUnusableBackendServer(@ForAll("mutated") byte[] body) {
+        if (new HeartbeatCodec().read("PUT", "/instances/i-1", body) instanceof Announcement.Report decoded) {
+            BackendReport report = decoded.report();
             assertTrue(report.slots() > 0);
             assertTrue(report.sequence() >= 0);
             assertTrue(report.warmUpNanos() >= 0);
@@ -97,29 +99,31 @@
     }
 
     @Property(tries = 2_000)
-    void anyBytesAreReadOrRefusedAsAConfiguration(@ForAll byte[] body) {
+    void arbitraryBytesAreDecodedOrRejectedAsAConfiguration(@ForAll byte[] body) {
         ConfigurationSource.ReadResult answer = ConfigurationCodec.decode(body, 1);
         assertTrue(answer instanceof ConfigurationSource.ReadResult.Invalid
                 || answer instanceof ConfigurationSource.ReadResult.Found);
     }
 
     @Test
-    void deeplyNestedBytesAreRefused() {
-        String deep = "[".repeat(5_000) + "]".repeat(5_000);
-        assertEquals(Optional.empty(), JsonValue.read(deep.getBytes(StandardCharsets.UTF_8)));
-        String large = "{\"seq\":" + "9".repeat(60) + "}";
-        assertEquals(Optional.empty(), JsonValue.read(large.getBytes(StandardCharsets.UTF_8)));
+    void deepNestingAndOversizedNumbersAreRejected() {
+        String deeplyNested = "[".repeat(5_000) + "]".repeat(5_000);
+        assertEquals(Optional.empty(), JsonValue.parse(deeplyNested.getBytes(StandardCharsets.UTF_8)));
+        String oversizedNumber = "{\"seq\":" + "9".repeat(60) + "}";
+        assertEquals(Optional.empty(), JsonValue.parse(oversizedNumber.getBytes(StandardCharsets.UTF_8)));
     }
 
-    /** The list comes in three pages; the last item of the first has no name, and some have no address. */
+    /**
+     * The store returns the directory in three pages. The last entry of the first page has no name, and some entries
+     * have no valid address. */
     @Test
-    void spoiltEntriesNameNoNodeAndEndNoPaging() throws Exception {
-        List<String> asked = new ArrayList<>();
+    void invalidDirectoryEntriesAreSkippedAndDoNotEndPaging() throws Exception {
+        List<String> requestedUris = new ArrayList<>();
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = (EventLoop) group.next();
-        try (BufferedHttpServer server = BufferedHttpServer.open(loop, new InetSocketAddress("127.0.0.1", 0), q -> {
-            asked.add(q.uri());
-            Matcher after = Pattern.compile("after=(\\w+)").matcher(q.uri());
+        try (BufferedHttpServer server = BufferedHttpServer.open(loop, new InetSocketAddress("127.0.0.1", 0), request -> {
+            requestedUris.add(request.uri());
+            Matcher after = Pattern.compile("after=(\\w+)").matcher(request.uri());
             String page = !after.find()
                     ? entry("a", "\"10.0.0.1\"") + "," + entry("b", "7") + ",{\"spec\":{\"ip\":\"10.0.0.3\"}}"
                     : after.group(1).equals("b") ? entry("c", "\"\"") + "," + entry("d", "\"10.0.0.4\"") : "";
@@ -134,7 +138,7 @@
             loop.execute(() -> directory.list(answer::complete));
             ListResult.Listed listed = assertInstanceOf(ListResult.Listed.class, answer.get(10, TimeUnit.SECONDS));
             assertEquals(List.of("10.0.0.1", "10.0.0.3", "10.0.0.4"), listed.addresses());
-            assertEquals(3, asked.size());
+            assertEquals(3, requestedUris.size());
         } finally {
             group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
         }
--- a/org.berylwick.test/tst/org/berylwick/platform/JsonParserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/JsonParserTest.java
@@ -19,39 +19,40 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Reads what another parser reads, and nothing else. */
+/** Compares the parser with Jackson on random documents, and checks that malformed documents are rejected. */
 class JsonParserTest {
-    private static final ObjectMapper OTHER = new ObjectMapper();
+    private static final ObjectMapper JACKSON = new ObjectMapper();
 
-    private static Optional<JsonValue> read(String text) {
-        return JsonValue.read(text.getBytes(StandardCharsets.UTF_8));
+    private static Optional<JsonValue> parse(String text) {
+        return JsonValue.parse(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static JsonNode random(Random random, int depth) {
+    private static JsonNode randomNode(Random random, int depth) {
         return switch (random.nextInt(depth > 4 ? 5 : 7)) {
-            case 0 -> OTHER.getNodeFactory().numberNode(random.nextLong());
-            case 1 -> OTHER.getNodeFactory().numberNode(random.nextGaussian() * Math.pow(10, random.nextInt(30) - 15));
-            case 2 -> OTHER.getNodeFactory().booleanNode(random.nextBoolean());
-            case 3 -> OTHER.getNodeFactory().nullNode();
-            case 4 -> OTHER.getNodeFactory().textNode(text(random));
+            case 0 -> JACKSON.getNodeFactory().numberNode(random.nextLong());
+            case 1 ->
+                JACKSON.getNodeFactory().numberNode(random.nextGaussian() * Math.pow(10, random.nextInt(30) - 15));
+            case 2 -> JACKSON.getNodeFactory().booleanNode(random.nextBoolean());
+            case 3 -> JACKSON.getNodeFactory().nullNode();
+            case 4 -> JACKSON.getNodeFactory().textNode(randomText(random));
             case 5 -> {
-                ArrayNode array = OTHER.createArrayNode();
+                ArrayNode array = JACKSON.createArrayNode();
                 for (int i = random.nextInt(4); i > 0; i--) {
-                    array.add(random(random, depth + 1));
+                    array.add(randomNode(random, depth + 1));
                 }
                 yield array;
             }
             default -> {
-                ObjectNode object = OTHER.createObjectNode();
+                ObjectNode object = JACKSON.createObjectNode();
                 for (int i = random.nextInt(4); i > 0; i--) {
-                    object.set(text(random), random(random, depth + 1));
+                    object.set(randomText(random), randomNode(random, depth + 1));
                 }
                 yield object;
             }
         };
     }
 
-    private static String text(Random random) {
+    private static String randomText(Random random) {
         StringBuilder text = new StringBuilder();
         for (int i = random.nextInt(8); i > 0; i--) {
             text.appendCodePoint(
@@ -65,65 +66,69 @@
         return text.toString();
     }
 
-    private static void assertSame(JsonNode expected, JsonValue seen) {
+    private static void assertEquivalent(JsonNode expected, JsonValue actual) {
         switch (expected.getNodeType()) {
             case OBJECT -> {
-                assertEquals(expected.size(), seen.fields().size());
-                expected.properties().forEach(e -> assertSame(e.getValue(), seen.at(e.getKey())));
+                assertEquals(expected.size(), actual.fields().size());
+                expected.properties().forEach(e -> assertEquivalent(e.getValue(), actual.field(e.getKey())));
             }
             case ARRAY -> {
-                List<JsonValue> items = seen.items();
+                List<JsonValue> items = actual.items();
                 assertEquals(expected.size(), items.size());
                 for (int i = 0; i < items.size(); i++) {
-                    assertSame(expected.get(i), items.get(i));
+                    assertEquivalent(expected.get(i), items.get(i));
                 }
             }
-            case STRING -> assertEquals(Optional.of(expected.asText()), seen.text());
-            case NUMBER -> assertEquals(expected.asDouble(), seen.numberOr(Double.NaN));
-            case BOOLEAN -> assertEquals(expected.asBoolean(), seen.isTrue());
-            default -> assertTrue(!seen.isPresent());
+            case STRING -> assertEquals(Optional.of(expected.asText()), actual.text());
+            case NUMBER -> assertEquals(expected.asDouble(), actual.doubleOr(Double.NaN));
+            case BOOLEAN -> assertEquals(expected.asBoolean(), actual.isTrue());
+            default -> assertTrue(!actual.isPresent());
         }
     }
 
     @Property(tries = 2_000)
-    void readsWhatAnotherParserWrote(@ForAll long seed, @ForAll boolean spaced) throws IOException {
-        JsonNode written = random(new Random(seed), 0);
-        byte[] bytes = spaced
-                ? OTHER.writerWithDefaultPrettyPrinter().writeValueAsBytes(written)
-                : OTHER.writeValueAsBytes(written);
-        assertSame(written, JsonValue.read(bytes).orElseThrow());
+    void parsesWhatJacksonWrites(@ForAll long seed, @ForAll boolean prettyPrinted) throws IOException {
+        JsonNode expected = randomNode(new Random(seed), 0);
+        byte[] bytes = prettyPrinted
+                ? JACKSON.writerWithDefaultPrettyPrinter().writeValueAsBytes(expected)
+                : JACKSON.writeValueAsBytes(expected);
+        assertEquivalent(expected, JsonValue.parse(bytes).orElseThrow());
     }
 
-    /** What is cut off or changed is read alike by both, or by neither; the other one takes wider numbers. */
+    /**
+     * A truncated or altered document that the parser accepts must have the same value in Jackson. The converse is not
+     * checked, as Jackson accepts numbers of a wider range.
+     */
     @Property(tries = 3_000)
-    void refusesWhatAnotherParserRefuses(@ForAll long seed, @ForAll @IntRange(max = 255) int to) throws IOException {
+    void acceptsOnlyWhatJacksonParsesToTheSameValue(@ForAll long seed, @ForAll @IntRange(max = 255) int replacement)
+            throws IOException {
         Random random = new Random(seed);
-        byte[] bytes = OTHER.writeValueAsBytes(random(random, 0));
+        byte[] bytes = JACKSON.writeValueAsBytes(randomNode(random, 0));
         if (random.nextBoolean()) {
             bytes = Arrays.copyOf(bytes, random.nextInt(bytes.length + 1));
         } else {
-            bytes[random.nextInt(bytes.length)] = (byte) to;
+            bytes[random.nextInt(bytes.length)] = (byte) replacement;
         }
-        Optional<JsonValue> seen = JsonValue.read(bytes);
-        if (seen.isEmpty()) {
+        Optional<JsonValue> actual = JsonValue.parse(bytes);
+        if (actual.isEmpty()) {
             return;
         }
-        JsonNode other = OTHER.reader()
+        JsonNode expected = JACKSON.reader()
                 .with(com.fasterxml.jackson.databind.DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
                 .readTree(new String(bytes, StandardCharsets.UTF_8));
-        assertSame(other, seen.get());
+        assertEquivalent(expected, actual.get());
     }
 
     @Test
-    void objectGivesTheBytesThatItWasReadFrom() {
+    void objectKeepsItsSourceBytes() {
         byte[] document =
                 "{\"a\": 1, \"spec\" : {\"x\": [1, {\"y\":\"}\"}] }, \"b\":2}".getBytes(StandardCharsets.UTF_8);
-        byte[] spec = JsonValue.read(document).orElseThrow().at("spec").bytes();
+        byte[] spec = JsonValue.parse(document).orElseThrow().field("spec").sourceBytes();
         assertArrayEquals("{\"x\": [1, {\"y\":\"}\"}] }".getBytes(StandardCharsets.UTF_8), spec);
     }
 
     @Test
-    void whatIsNoDocumentIsRefused() {
+    void malformedDocumentsAreRejected() {
         for (String text : List.of(
                 "",
                 " ",
@@ -151,13 +156,14 @@
                 "NaN",
                 "\"\\",
                 "\"\\\"")) {
-            assertEquals(Optional.empty(), read(text), text);
+            assertEquals(Optional.empty(), parse(text), text);
         }
     }
 
     @Test
-    void writtenTextsAreReadAgain() {
-        String any = "a\"b\\c\u0001\u00e9\ud83d\ude00";
-        assertEquals(any, read(JsonText.quoted(any)).orElseThrow().text().orElseThrow());
+    void quotedTextIsParsedBackUnchanged() {
+        String original = "a\"b\\c\u0001\u00e9\ud83d\ude00";
+        assertEquals(
+                original, parse(JsonText.quote(original)).orElseThrow().text().orElseThrow());
     }
 }
--- a/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
@@ -21,49 +21,50 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The store has moved on since the configuration last changed, and keeps only its latest history. A watch from the
- * object's own revision would be told that it is gone, read again, and so on without end; one from the list's revision
- * goes on.
+ * The store's revision has advanced since the configuration last changed, and the store retains only recent history. A
+ * watch from the object's own revision would be told that the history is gone, and the node would read and watch again
+ * in an endless loop. A watch from the list's revision succeeds.
  */
 class StoredConfigurationTest {
-    private static final int REVISION = 300;
-    private static final int OLDEST_KEPT = 290;
+    private static final int LIST_REVISION = 300;
+    private static final int OLDEST_RETAINED_REVISION = 290;
     private static final String OBJECT =
             "{\"metadata\":{\"name\":\"main\",\"rev\":15},\"spec\":{\"version\":\"0000000a\"}}";
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = (EventLoop) group.next();
-    private final List<String> asked = new CopyOnWriteArrayList<>();
+    private final List<String> requestedUris = new CopyOnWriteArrayList<>();
     private BufferedHttpServer server;
     private StoredConfiguration configuration;
 
-    private BufferedHttpServer.Response answer(BufferedHttpServer.Request question) {
-        asked.add(question.uri());
-        int at = question.uri().indexOf("watch=");
-        if (at < 0) {
-            return json("{\"items\":[" + OBJECT + "],\"more\":false,\"asOf\":" + REVISION + "}");
+    private BufferedHttpServer.Response respond(BufferedHttpServer.Request request) {
+        requestedUris.add(request.uri());
+        int watchStart = request.uri().indexOf("watch=");
+        if (watchStart < 0) {
+            return jsonResponse("{\"items\":[" + OBJECT + "],\"more\":false,\"asOf\":" + LIST_REVISION + "}");
         }
-        int from =
-                Integer.parseInt(question.uri().substring(at + 6, question.uri().indexOf('&')));
-        if (from < OLDEST_KEPT) {
+        int revision =
+                Integer.parseInt(
+                request.uri().substring(watchStart + 6, request.uri().indexOf('&')));
+        if (revision < OLDEST_RETAINED_REVISION) {
             return BufferedHttpServer.Response.ofStatus(410);
         }
-        return json("{\"events\":[],\"asOf\":" + (REVISION + 1) + "}");
+        return jsonResponse("{\"events\":[],\"asOf\":" + (LIST_REVISION + 1) + "}");
     }
 
-    private static BufferedHttpServer.Response json(String text) {
+    private static BufferedHttpServer.Response jsonResponse(String text) {
         return BufferedHttpServer.Response.of("application/json", text.getBytes(StandardCharsets.UTF_8));
     }
 
     @BeforeEach
-    void open() {
-        server = BufferedHttpServer.open(loop, new InetSocketAddress("127.0.0.1", 0), this::answer);
+    void openServer() {
+        server = BufferedHttpServer.open(loop, new InetSocketAddress("127.0.0.1", 0), this::respond);
         configuration =
                 new StoredConfiguration(new ObjectStore(loop, new InetSocketAddress("127.0.0.1", server.port())));
     }
 
     @AfterEach
-    void close() {
+    void closeServer() {
         server.close();
         group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
     }
@@ -75,20 +76,22 @@
     }
 
     @Test
-    void watchGoesOnFromTheListsRevision() throws Exception {
+    void watchContinuesFromTheListRevision() throws Exception {
         ReadResult.Found found =
                 assertInstanceOf(ReadResult.Found.class, await(a -> configuration.read(Consistency.LINEARIZABLE, a)));
         assertEquals(10, found.version().number());
         ReadResult next = await(a -> configuration.watch(found.revision(), 100, a));
-        assertEquals(new ReadResult.Unchanged(REVISION + 1), next);
+        assertEquals(new ReadResult.Unchanged(LIST_REVISION + 1), next);
         assertInstanceOf(ReadResult.HistoryGone.class, await(a -> configuration.watch(15, 100, a)));
     }
 
-    /** The questions by which a node finds out that nothing else told it of a version cost a tenth that way. */
+    /**
+     * A node polls the store in case no watch or other node has announced a new version. Such a poll accepts a list
+     * that is seconds old, which costs a tenth of a current one. */
     @Test
-    void recentVersionIsReadAtTheLowPrice() throws Exception {
+    void recentReadAllowsAStaleList() throws Exception {
         await(a -> configuration.read(Consistency.STALE_ALLOWED, a));
         await(a -> configuration.read(Consistency.LINEARIZABLE, a));
-        assertEquals(List.of("/objects/config?serializable=1", "/objects/config"), asked);
+        assertEquals(List.of("/objects/config?serializable=1", "/objects/config"), requestedUris);
     }
 }
