--- a/org.berylwick.bench/src/org/berylwick/bench/limits/ChoiceRun.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/limits/ChoiceRun.java
@@ -11,7 +11,7 @@
 import java.util.Random;
 import java.util.Set;
 import org.HdrHistogram.Histogram;
-import org.berylwick.internal.routing.Choice;
+import org.berylwick.internal.routing.MemberChoice;
 import org.berylwick.internal.routing.MemberChooser;
 import org.berylwick.internal.routing.PeerLoads;
 import org.berylwick.internal.routing.RouteMatch;
@@ -253,8 +253,8 @@
     }
 
     private Server chosen(Entry entry) {
-        Choice choice = entry.chooser.choose(view, Matches.ANY, Set.of());
-        if (!(choice instanceof Choice.Chosen(Member member))) {
+        MemberChoice choice = entry.chooser.choose(view, Matches.ANY, Set.of());
+        if (!(choice instanceof MemberChoice.Chosen(Member member))) {
             throw new IllegalStateException("no member: " + choice);
         }
         return servers.stream().filter(s -> s.member.equals(member)).findFirst().orElseThrow();
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarder.java
@@ -10,7 +10,7 @@
 import org.berylwick.internal.membership.MembershipTable;
 import org.berylwick.internal.retry.RetryBudget;
 import org.berylwick.internal.retry.RetryBudgets;
-import org.berylwick.internal.routing.Choice;
+import org.berylwick.internal.routing.MemberChoice;
 import org.berylwick.internal.routing.MemberChooser;
 import org.berylwick.internal.routing.PeerLoads;
 import org.berylwick.lib.Deadline;
@@ -118,7 +118,7 @@
     }
 
     /** Picks a member that was not tried yet. */
-    Choice choose(MembershipView members, Call call, Set<String> tried) {
+    MemberChoice choose(MembershipView members, Call call, Set<String> tried) {
         return chooser.choose(members, call.match(), tried);
     }
 
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
@@ -14,7 +14,7 @@
 import org.berylwick.internal.retry.Backoff;
 import org.berylwick.internal.retry.RetryRule;
 import org.berylwick.internal.retry.RetryRule.Verdict;
-import org.berylwick.internal.routing.Choice;
+import org.berylwick.internal.routing.MemberChoice;
 import org.berylwick.lib.Member;
 import org.berylwick.lib.MembershipView;
 import org.berylwick.lib.Outcome;
@@ -83,9 +83,9 @@
 
     private void attempt(MembershipView members) {
         switch (forwarder.choose(members, call, tried)) {
-            case Choice.Chosen(Member member) -> attempt(member);
-            case Choice.AllTried(Member member) -> noMemberLeft();
-            case Choice.NoMember(RefusalReason reason) -> {
+            case MemberChoice.Chosen(Member member) -> attempt(member);
+            case MemberChoice.AllTried(Member member) -> noMemberLeft();
+            case MemberChoice.NoMember(RefusalReason reason) -> {
                 if (log.attempts() > 0) {
                     noMemberLeft();
                 } else {
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
@@ -15,7 +15,7 @@
 import org.berylwick.internal.retry.AttemptLog;
 import org.berylwick.internal.retry.RetryRule;
 import org.berylwick.internal.retry.RetryRule.Verdict;
-import org.berylwick.internal.routing.Choice;
+import org.berylwick.internal.routing.MemberChoice;
 import org.berylwick.lib.Deadline;
 import org.berylwick.lib.Member;
 import org.berylwick.lib.Outcome;
@@ -130,9 +130,9 @@
 
     private Optional<Member> otherMember() {
         return switch (forwarder.choose(forwarder.currentMembers(), call, Set.of(from.instance()))) {
-            case Choice.Chosen(Member member) -> Optional.of(member);
-            case Choice.AllTried(Member member) -> Optional.of(member);
-            case Choice.NoMember none -> Optional.empty();
+            case MemberChoice.Chosen(Member member) -> Optional.of(member);
+            case MemberChoice.AllTried(Member member) -> Optional.of(member);
+            case MemberChoice.NoMember none -> Optional.empty();
         };
     }
 
--- a/org.berylwick.test/tst/org/berylwick/internal/routing/ChoiceFixture.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/ChoiceFixture.java
@@ -74,13 +74,13 @@
         view = new MembershipView(members);
     }
 
-    Choice choose(boolean idempotent, Set<String> tried) {
+    MemberChoice choose(boolean idempotent, Set<String> tried) {
         return chooser.choose(view, match(idempotent), tried);
     }
 
     /** The chosen member, which there must be. */
     Member chosen(boolean idempotent) {
-        return ((Choice.Chosen) choose(idempotent, Set.of())).member();
+        return ((MemberChoice.Chosen) choose(idempotent, Set.of())).member();
     }
 
     /** How often each instance is chosen. */
--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserPropertyTest.java
@@ -49,15 +49,15 @@
         boolean usable = f.members.stream().anyMatch(m -> m.state() == State.UP || m.state() == State.SUSPECT);
         for (int i = 0; i < 20; i++) {
             switch (f.choose(random.nextBoolean(), tried)) {
-                case Choice.Chosen(Member m) -> {
+                case MemberChoice.Chosen(Member m) -> {
                     assertFalse(tried.contains(m.instance()));
                     assertEquals(upLeft ? State.UP : State.SUSPECT, m.state());
                 }
-                case Choice.AllTried(Member m) -> {
+                case MemberChoice.AllTried(Member m) -> {
                     assertFalse(upLeft || suspectLeft);
                     assertTrue(tried.contains(m.instance()));
                 }
-                case Choice.NoMember(RefusalReason reason) -> {
+                case MemberChoice.NoMember(RefusalReason reason) -> {
                     assertFalse(usable);
                     boolean starting = f.members.stream().anyMatch(m -> m.state() == State.STARTING);
                     assertEquals(starting, reason == RefusalReason.STARTING);
--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -210,7 +210,7 @@
     void aServiceOfStartingMembersSaysSo() {
         f.add("a", MAKATI, Member.State.STARTING, 1);
         f.add("b", PASIG, Member.State.STARTING, 1);
-        assertEquals(new Choice.NoMember(RefusalReason.STARTING), f.choose(true, Set.of()));
+        assertEquals(new MemberChoice.NoMember(RefusalReason.STARTING), f.choose(true, Set.of()));
     }
 
     @Test
@@ -219,10 +219,10 @@
         f.add("b", PASIG);
         f.add("c", CEBU);
         assertNotEquals(
-                "a", ((Choice.Chosen) f.choose(true, Set.of("a"))).member().instance());
+                "a", ((MemberChoice.Chosen) f.choose(true, Set.of("a"))).member().instance());
         assertEquals(
-                "c", ((Choice.Chosen) f.choose(true, Set.of("a", "b"))).member().instance());
-        assertInstanceOf(Choice.AllTried.class, f.choose(true, Set.of("a", "b", "c")));
+                "c", ((MemberChoice.Chosen) f.choose(true, Set.of("a", "b"))).member().instance());
+        assertInstanceOf(MemberChoice.AllTried.class, f.choose(true, Set.of("a", "b", "c")));
     }
 
     private void answer(Member m, Duration after) {
--- a/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
@@ -62,7 +62,7 @@
      *
      * @param tried instances that refused this request already
      */
-    public Choice choose(MembershipView members, RouteMatch match, Set<String> tried) {
+    public MemberChoice choose(MembershipView members, RouteMatch match, Set<String> tried) {
         loads.follow();
         long now = time.nanoTime();
         List<Member> selected = members.ofService(match.route().service()).stream()
@@ -91,15 +91,15 @@
         }
         for (List<Member> again : List.of(up, suspects)) {
             if (!again.isEmpty()) {
-                return new Choice.AllTried(lessLoadedOfTwo(again, now));
+                return new MemberChoice.AllTried(lessLoadedOfTwo(again, now));
             }
         }
-        return new Choice.NoMember(reasonFor(selected));
+        return new MemberChoice.NoMember(reasonFor(selected));
     }
 
-    private Choice choice(Member m) {
+    private MemberChoice choice(Member m) {
         chosen.get(Tiers.distance(own, m.place())).inc();
-        return new Choice.Chosen(m);
+        return new MemberChoice.Chosen(m);
     }
 
     private boolean awaitsProbe(Member m, long now) {
