--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -90,19 +90,19 @@
         // it back, and one bad one keeps it out for twice as long.
         Member bad = f.add("bad", MAKATI);
         f.add("good", MAKATI);
-        f.fail(bad, Ejection.FAILURES_TO_EJECT);
+        f.fail(bad, EjectionState.FAILURES_TO_EJECT);
         assertEquals(Map.of("good", DRAWS), f.draw(DRAWS));
-        f.time.advance(Ejection.FIRST_BACKOFF);
+        f.time.advance(EjectionState.FIRST_BACKOFF);
         assertEquals(Map.of("good", DRAWS), f.draw(DRAWS));
         assertEquals("bad", f.chosen(true).instance());
         try (PeerLoads.Attempt probe = f.loads.begin(bad)) {
             assertEquals("good", f.chosen(true).instance());
             probe.failed("again");
         }
-        f.time.advance(Ejection.FIRST_BACKOFF.multipliedBy(2).minusMillis(1));
+        f.time.advance(EjectionState.FIRST_BACKOFF.multipliedBy(2).minusMillis(1));
         assertEquals("good", f.chosen(true).instance());
         f.time.advance(Duration.ofMillis(1));
-        for (int i = 0; i < Ejection.SUCCESSES_TO_RETURN; i++) {
+        for (int i = 0; i < EjectionState.SUCCESSES_TO_RETURN; i++) {
             assertEquals("bad", f.chosen(true).instance());
             answer(bad, Duration.ZERO);
         }
@@ -115,8 +115,8 @@
         // member would stay out for good; so its probation ends by itself.
         Member bad = f.add("bad", MAKATI);
         f.add("good", MAKATI);
-        f.fail(bad, Ejection.FAILURES_TO_EJECT);
-        f.time.advance(Ejection.FIRST_BACKOFF.plus(Ejection.LONGEST_PROBATION));
+        f.fail(bad, EjectionState.FAILURES_TO_EJECT);
+        f.time.advance(EjectionState.FIRST_BACKOFF.plus(EjectionState.LONGEST_PROBATION));
         assertTrue(f.draw(DRAWS).containsKey("bad"));
     }
 
@@ -129,7 +129,7 @@
                 attempt.unknown("no answer in time", 5);
             }
         }
-        assertEquals(Ejection.Standing.WELL, f.loads.record(a).standing(f.time.nanoTime()));
+        assertEquals(EjectionState.Standing.WELL, f.loads.record(a).standing(f.time.nanoTime()));
     }
 
     @Test
@@ -154,7 +154,7 @@
         for (int i = 0; i < 40; i++) {
             f.members.forEach(m -> answer(m, Duration.ofMillis(m == far ? 200 : 1)));
         }
-        assertEquals(Ejection.Standing.WELL, f.loads.record(far).standing(f.time.nanoTime()));
+        assertEquals(EjectionState.Standing.WELL, f.loads.record(far).standing(f.time.nanoTime()));
     }
 
     @Test
@@ -181,11 +181,11 @@
         f.add("b", MAKATI);
         f.draw(1);
         f.occupy(a, 3);
-        f.fail(a, Ejection.FAILURES_TO_EJECT);
+        f.fail(a, EjectionState.FAILURES_TO_EJECT);
         Member refuted = f.add("a", MAKATI, Member.State.UP, 2);
         f.draw(1);
         assertEquals(3, f.loads.record(refuted).inFlight());
-        assertEquals(Ejection.Standing.EJECTED, f.loads.record(refuted).standing(f.time.nanoTime()));
+        assertEquals(EjectionState.Standing.EJECTED, f.loads.record(refuted).standing(f.time.nanoTime()));
     }
 
     @Test
--- a/org.berylwick/src/org/berylwick/internal/routing/Ejection.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
@@ -10,7 +10,7 @@
  * <p>Ejected for a backoff that doubles each time, then on probation: one idempotent request at a time shows whether it
  * is well again. Not safe for use by several threads.
  */
-final class Ejection {
+final class EjectionState {
     /** Failures in a row after which a member is ejected. */
     static final int FAILURES_TO_EJECT = 5;
 
--- a/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import java.util.function.Supplier;
 import java.util.random.RandomGenerator;
-import org.berylwick.internal.routing.Ejection.Standing;
+import org.berylwick.internal.routing.EjectionState.Standing;
 import org.berylwick.internal.routing.Tiers.Distance;
 import org.berylwick.internal.routing.Tiers.Tier;
 import org.berylwick.lib.Member;
--- a/org.berylwick/src/org/berylwick/internal/routing/MemberRecord.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberRecord.java
@@ -27,7 +27,7 @@
     private static final double NEW_LATENCY_WEIGHT = 0.1;
 
     private final Member member;
-    private final Ejection ejection = new Ejection();
+    private final EjectionState ejection = new EjectionState();
     private final Optional<Long> coldSinceNanos;
     private final Optional<IntSupplier> exactLoad;
     private int inFlight;
@@ -100,7 +100,7 @@
         return Math.clamp(age, FIRST_WEIGHT, 1);
     }
 
-    synchronized Ejection.Standing standing(long nowNanos) {
+    synchronized EjectionState.Standing standing(long nowNanos) {
         return ejection.standing(nowNanos);
     }
 
