--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -92,14 +92,14 @@
         f.add("good", MAKATI);
         f.fail(bad, EjectionState.FAILURES_TO_EJECT);
         assertEquals(Map.of("good", DRAWS), f.draw(DRAWS));
-        f.time.advance(EjectionState.FIRST_BACKOFF);
+        f.time.advance(EjectionState.INITIAL_BACKOFF);
         assertEquals(Map.of("good", DRAWS), f.draw(DRAWS));
         assertEquals("bad", f.chosen(true).instance());
         try (PeerLoads.Attempt probe = f.loads.begin(bad)) {
             assertEquals("good", f.chosen(true).instance());
             probe.failed("again");
         }
-        f.time.advance(EjectionState.FIRST_BACKOFF.multipliedBy(2).minusMillis(1));
+        f.time.advance(EjectionState.INITIAL_BACKOFF.multipliedBy(2).minusMillis(1));
         assertEquals("good", f.chosen(true).instance());
         f.time.advance(Duration.ofMillis(1));
         for (int i = 0; i < EjectionState.SUCCESSES_TO_RETURN; i++) {
@@ -116,7 +116,7 @@
         Member bad = f.add("bad", MAKATI);
         f.add("good", MAKATI);
         f.fail(bad, EjectionState.FAILURES_TO_EJECT);
-        f.time.advance(EjectionState.FIRST_BACKOFF.plus(EjectionState.LONGEST_PROBATION));
+        f.time.advance(EjectionState.INITIAL_BACKOFF.plus(EjectionState.LONGEST_PROBATION));
         assertTrue(f.draw(DRAWS).containsKey("bad"));
     }
 
--- a/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
@@ -17,7 +17,7 @@
     /** Good answers in a row that end a probation. */
     static final int SUCCESSES_TO_RETURN = 3;
 
-    static final Duration FIRST_BACKOFF = Duration.ofSeconds(1);
+    static final Duration INITIAL_BACKOFF = Duration.ofSeconds(1);
     static final Duration LONGEST_BACKOFF = Duration.ofSeconds(60);
 
     /** A probation that no idempotent request came to end in that time ends by itself. */
@@ -89,7 +89,7 @@
         if (until.isEmpty() && times > 0 && nowNanos - returnedAtNanos > FORGIVEN_AFTER.toNanos()) {
             times = 0;
         }
-        long nanos = Math.min(LONGEST_BACKOFF.toNanos(), FIRST_BACKOFF.toNanos() << Math.min(times, 10));
+        long nanos = Math.min(LONGEST_BACKOFF.toNanos(), INITIAL_BACKOFF.toNanos() << Math.min(times, 10));
         times++;
         failures = 0;
         successes = 0;
