--- a/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
@@ -18,7 +18,7 @@
     static final int SUCCESSES_TO_RETURN = 3;
 
     static final Duration INITIAL_BACKOFF = Duration.ofSeconds(1);
-    static final Duration LONGEST_BACKOFF = Duration.ofSeconds(60);
+    static final Duration MAX_BACKOFF = Duration.ofSeconds(60);
 
     /** A probation that no idempotent request came to end in that time ends by itself. */
     static final Duration LONGEST_PROBATION = Duration.ofSeconds(10);
@@ -89,7 +89,7 @@
         if (until.isEmpty() && times > 0 && nowNanos - returnedAtNanos > FORGIVEN_AFTER.toNanos()) {
             times = 0;
         }
-        long nanos = Math.min(LONGEST_BACKOFF.toNanos(), INITIAL_BACKOFF.toNanos() << Math.min(times, 10));
+        long nanos = Math.min(MAX_BACKOFF.toNanos(), INITIAL_BACKOFF.toNanos() << Math.min(times, 10));
         times++;
         failures = 0;
         successes = 0;
