--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -116,7 +116,7 @@
         Member bad = f.add("bad", MAKATI);
         f.add("good", MAKATI);
         f.fail(bad, EjectionState.FAILURES_TO_EJECT);
-        f.time.advance(EjectionState.INITIAL_BACKOFF.plus(EjectionState.LONGEST_PROBATION));
+        f.time.advance(EjectionState.INITIAL_BACKOFF.plus(EjectionState.MAX_PROBATION));
         assertTrue(f.draw(DRAWS).containsKey("bad"));
     }
 
--- a/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
@@ -21,7 +21,7 @@
     static final Duration MAX_BACKOFF = Duration.ofSeconds(60);
 
     /** A probation that no idempotent request came to end in that time ends by itself. */
-    static final Duration LONGEST_PROBATION = Duration.ofSeconds(10);
+    static final Duration MAX_PROBATION = Duration.ofSeconds(10);
 
     /** Time without ejection after which the next one starts at the first backoff again. */
     static final Duration FORGIVEN_AFTER = Duration.ofMinutes(5);
@@ -52,7 +52,7 @@
             return Standing.EJECTED;
         }
         // Some services get no idempotent requests at all; without an end their members would never come back.
-        return over < LONGEST_PROBATION.toNanos() ? Standing.PROBATION : Standing.WELL;
+        return over < MAX_PROBATION.toNanos() ? Standing.PROBATION : Standing.WELL;
     }
 
     /** Notes a good answer; tells whether the member came back by it. */
