--- a/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
@@ -24,7 +24,7 @@
     static final Duration MAX_PROBATION = Duration.ofSeconds(10);
 
     /** Time without ejection after which the next one starts at the first backoff again. */
-    static final Duration FORGIVEN_AFTER = Duration.ofMinutes(5);
+    static final Duration BACKOFF_RESET_AFTER = Duration.ofMinutes(5);
 
     /** Whether a member may be chosen. */
     enum Standing {
@@ -86,7 +86,7 @@
 
     /** Ejects it; gives the backoff. */
     Duration eject(long nowNanos) {
-        if (until.isEmpty() && times > 0 && nowNanos - returnedAtNanos > FORGIVEN_AFTER.toNanos()) {
+        if (until.isEmpty() && times > 0 && nowNanos - returnedAtNanos > BACKOFF_RESET_AFTER.toNanos()) {
             times = 0;
         }
         long nanos = Math.min(MAX_BACKOFF.toNanos(), INITIAL_BACKOFF.toNanos() << Math.min(times, 10));
