--- a/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
@@ -27,7 +27,7 @@
     static final Duration BACKOFF_RESET_AFTER = Duration.ofMinutes(5);
 
     /** Whether a member may be chosen. */
-    enum Standing {
+    enum Status {
         /** Like any other. */
         WELL,
         /** For one idempotent request at a time. */
@@ -43,22 +43,22 @@
     private long returnedAtNanos;
 
     /** How it stands now. */
-    Standing standing(long nowNanos) {
+    Status standing(long nowNanos) {
         if (until.isEmpty()) {
-            return Standing.WELL;
+            return Status.WELL;
         }
         long over = nowNanos - until.get().atNanos();
         if (over < 0) {
-            return Standing.EJECTED;
+            return Status.EJECTED;
         }
         // Some services get no idempotent requests at all; without an end their members would never come back.
-        return over < MAX_PROBATION.toNanos() ? Standing.PROBATION : Standing.WELL;
+        return over < MAX_PROBATION.toNanos() ? Status.PROBATION : Status.WELL;
     }
 
     /** Notes a good answer; tells whether the member came back by it. */
     boolean succeeded(long nowNanos) {
         failures = 0;
-        if (until.isEmpty() || standing(nowNanos) == Standing.EJECTED) {
+        if (until.isEmpty() || standing(nowNanos) == Status.EJECTED) {
             return false;
         }
         successes++;
@@ -72,13 +72,13 @@
 
     /** Notes a failure; gives the backoff if the member is ejected by it. */
     Optional<Duration> failed(long nowNanos) {
-        Standing now = standing(nowNanos);
-        if (now == Standing.EJECTED) {
+        Status now = standing(nowNanos);
+        if (now == Status.EJECTED) {
             return Optional.empty();
         }
         failures++;
         // Once ejected it has to prove itself: on probation a single failure is enough.
-        if (now == Standing.WELL && failures < FAILURES_TO_EJECT) {
+        if (now == Status.WELL && failures < FAILURES_TO_EJECT) {
             return Optional.empty();
         }
         return Optional.of(eject(nowNanos));
--- a/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import java.util.function.Supplier;
 import java.util.random.RandomGenerator;
-import org.berylwick.internal.routing.EjectionState.Standing;
+import org.berylwick.internal.routing.EjectionState.Status;
 import org.berylwick.internal.routing.Tiers.Distance;
 import org.berylwick.internal.routing.Tiers.Tier;
 import org.berylwick.lib.Member;
@@ -104,7 +104,7 @@
 
     private boolean awaitsProbe(Member m, long now) {
         MemberRecord r = loads.record(m);
-        return r.standing(now) == Standing.PROBATION && r.inFlight() == 0;
+        return r.standing(now) == Status.PROBATION && r.inFlight() == 0;
     }
 
     /**
@@ -115,8 +115,8 @@
      */
     private Set<String> leftOut(List<Member> up, long now) {
         List<Member> failing = up.stream()
-                .filter(m -> loads.record(m).standing(now) != Standing.WELL)
-                .sorted(Comparator.<Member, Standing>comparing(
+                .filter(m -> loads.record(m).standing(now) != Status.WELL)
+                .sorted(Comparator.<Member, Status>comparing(
                                 m -> loads.record(m).standing(now))
                         .reversed()
                         .thenComparing(Member::instance))
--- a/org.berylwick/src/org/berylwick/internal/routing/MemberRecord.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberRecord.java
@@ -100,7 +100,7 @@
         return Math.clamp(age, FIRST_WEIGHT, 1);
     }
 
-    synchronized EjectionState.Standing standing(long nowNanos) {
+    synchronized EjectionState.Status standing(long nowNanos) {
         return ejection.standing(nowNanos);
     }
 
