--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -129,7 +129,7 @@
                 attempt.unknown("no answer in time", 5);
             }
         }
-        assertEquals(EjectionState.Status.WELL, f.loads.record(a).standing(f.time.nanoTime()));
+        assertEquals(EjectionState.Status.HEALTHY, f.loads.record(a).standing(f.time.nanoTime()));
     }
 
     @Test
@@ -154,7 +154,7 @@
         for (int i = 0; i < 40; i++) {
             f.members.forEach(m -> answer(m, Duration.ofMillis(m == far ? 200 : 1)));
         }
-        assertEquals(EjectionState.Status.WELL, f.loads.record(far).standing(f.time.nanoTime()));
+        assertEquals(EjectionState.Status.HEALTHY, f.loads.record(far).standing(f.time.nanoTime()));
     }
 
     @Test
--- a/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
@@ -29,7 +29,7 @@
     /** Whether a member may be chosen. */
     enum Status {
         /** Like any other. */
-        WELL,
+        HEALTHY,
         /** For one idempotent request at a time. */
         PROBATION,
         /** Only if nobody else is left. */
@@ -45,14 +45,14 @@
     /** How it stands now. */
     Status standing(long nowNanos) {
         if (until.isEmpty()) {
-            return Status.WELL;
+            return Status.HEALTHY;
         }
         long over = nowNanos - until.get().atNanos();
         if (over < 0) {
             return Status.EJECTED;
         }
         // Some services get no idempotent requests at all; without an end their members would never come back.
-        return over < MAX_PROBATION.toNanos() ? Status.PROBATION : Status.WELL;
+        return over < MAX_PROBATION.toNanos() ? Status.PROBATION : Status.HEALTHY;
     }
 
     /** Notes a good answer; tells whether the member came back by it. */
@@ -78,7 +78,7 @@
         }
         failures++;
         // Once ejected it has to prove itself: on probation a single failure is enough.
-        if (now == Status.WELL && failures < FAILURES_TO_EJECT) {
+        if (now == Status.HEALTHY && failures < FAILURES_TO_EJECT) {
             return Optional.empty();
         }
         return Optional.of(eject(nowNanos));
--- a/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
@@ -115,7 +115,7 @@
      */
     private Set<String> leftOut(List<Member> up, long now) {
         List<Member> failing = up.stream()
-                .filter(m -> loads.record(m).standing(now) != Status.WELL)
+                .filter(m -> loads.record(m).standing(now) != Status.HEALTHY)
                 .sorted(Comparator.<Member, Status>comparing(
                                 m -> loads.record(m).standing(now))
                         .reversed()
