--- a/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
@@ -36,7 +36,7 @@
         EJECTED
     }
 
-    private int failures;
+    private int consecutiveFailures;
     private int successes;
     private int times;
     private Optional<Deadline> until = Optional.empty();
@@ -57,7 +57,7 @@
 
     /** Notes a good answer; tells whether the member came back by it. */
     boolean succeeded(long nowNanos) {
-        failures = 0;
+        consecutiveFailures = 0;
         if (until.isEmpty() || standing(nowNanos) == Status.EJECTED) {
             return false;
         }
@@ -76,9 +76,9 @@
         if (now == Status.EJECTED) {
             return Optional.empty();
         }
-        failures++;
+        consecutiveFailures++;
         // Once ejected it has to prove itself: on probation a single failure is enough.
-        if (now == Status.HEALTHY && failures < FAILURES_TO_EJECT) {
+        if (now == Status.HEALTHY && consecutiveFailures < FAILURES_TO_EJECT) {
             return Optional.empty();
         }
         return Optional.of(eject(nowNanos));
@@ -91,7 +91,7 @@
         }
         long nanos = Math.min(MAX_BACKOFF.toNanos(), INITIAL_BACKOFF.toNanos() << Math.min(times, 10));
         times++;
-        failures = 0;
+        consecutiveFailures = 0;
         successes = 0;
         until = Optional.of(new Deadline(nowNanos + nanos));
         return Duration.ofNanos(nanos);
