--- a/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
@@ -37,7 +37,7 @@
     }
 
     private int consecutiveFailures;
-    private int successes;
+    private int successesSinceEjection;
     private int times;
     private Optional<Deadline> until = Optional.empty();
     private long returnedAtNanos;
@@ -61,8 +61,8 @@
         if (until.isEmpty() || standing(nowNanos) == Status.EJECTED) {
             return false;
         }
-        successes++;
-        if (successes < SUCCESSES_TO_RETURN) {
+        successesSinceEjection++;
+        if (successesSinceEjection < SUCCESSES_TO_RETURN) {
             return false;
         }
         until = Optional.empty();
@@ -92,7 +92,7 @@
         long nanos = Math.min(MAX_BACKOFF.toNanos(), INITIAL_BACKOFF.toNanos() << Math.min(times, 10));
         times++;
         consecutiveFailures = 0;
-        successes = 0;
+        successesSinceEjection = 0;
         until = Optional.of(new Deadline(nowNanos + nanos));
         return Duration.ofNanos(nanos);
     }
