--- a/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
@@ -38,7 +38,7 @@
 
     private int consecutiveFailures;
     private int successesSinceEjection;
-    private int times;
+    private int ejectionCount;
     private Optional<Deadline> until = Optional.empty();
     private long returnedAtNanos;
 
@@ -86,11 +86,11 @@
 
     /** Ejects it; gives the backoff. */
     Duration eject(long nowNanos) {
-        if (until.isEmpty() && times > 0 && nowNanos - returnedAtNanos > BACKOFF_RESET_AFTER.toNanos()) {
-            times = 0;
+        if (until.isEmpty() && ejectionCount > 0 && nowNanos - returnedAtNanos > BACKOFF_RESET_AFTER.toNanos()) {
+            ejectionCount = 0;
         }
-        long nanos = Math.min(MAX_BACKOFF.toNanos(), INITIAL_BACKOFF.toNanos() << Math.min(times, 10));
-        times++;
+        long nanos = Math.min(MAX_BACKOFF.toNanos(), INITIAL_BACKOFF.toNanos() << Math.min(ejectionCount, 10));
+        ejectionCount++;
         consecutiveFailures = 0;
         successesSinceEjection = 0;
         until = Optional.of(new Deadline(nowNanos + nanos));
