--- a/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
@@ -39,15 +39,15 @@
     private int consecutiveFailures;
     private int successesSinceEjection;
     private int ejectionCount;
-    private Optional<Deadline> until = Optional.empty();
+    private Optional<Deadline> ejectedUntil = Optional.empty();
     private long returnedAtNanos;
 
     /** How it stands now. */
     Status standing(long nowNanos) {
-        if (until.isEmpty()) {
+        if (ejectedUntil.isEmpty()) {
             return Status.HEALTHY;
         }
-        long over = nowNanos - until.get().atNanos();
+        long over = nowNanos - ejectedUntil.get().atNanos();
         if (over < 0) {
             return Status.EJECTED;
         }
@@ -58,14 +58,14 @@
     /** Notes a good answer; tells whether the member came back by it. */
     boolean succeeded(long nowNanos) {
         consecutiveFailures = 0;
-        if (until.isEmpty() || standing(nowNanos) == Status.EJECTED) {
+        if (ejectedUntil.isEmpty() || standing(nowNanos) == Status.EJECTED) {
             return false;
         }
         successesSinceEjection++;
         if (successesSinceEjection < SUCCESSES_TO_RETURN) {
             return false;
         }
-        until = Optional.empty();
+        ejectedUntil = Optional.empty();
         returnedAtNanos = nowNanos;
         return true;
     }
@@ -86,14 +86,14 @@
 
     /** Ejects it; gives the backoff. */
     Duration eject(long nowNanos) {
-        if (until.isEmpty() && ejectionCount > 0 && nowNanos - returnedAtNanos > BACKOFF_RESET_AFTER.toNanos()) {
+        if (ejectedUntil.isEmpty() && ejectionCount > 0 && nowNanos - returnedAtNanos > BACKOFF_RESET_AFTER.toNanos()) {
             ejectionCount = 0;
         }
         long nanos = Math.min(MAX_BACKOFF.toNanos(), INITIAL_BACKOFF.toNanos() << Math.min(ejectionCount, 10));
         ejectionCount++;
         consecutiveFailures = 0;
         successesSinceEjection = 0;
-        until = Optional.of(new Deadline(nowNanos + nanos));
+        ejectedUntil = Optional.of(new Deadline(nowNanos + nanos));
         return Duration.ofNanos(nanos);
     }
 }
