--- a/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
@@ -40,7 +40,7 @@
     private int successesSinceEjection;
     private int ejectionCount;
     private Optional<Deadline> ejectedUntil = Optional.empty();
-    private long returnedAtNanos;
+    private long readmittedAtNanos;
 
     /** How it stands now. */
     Status standing(long nowNanos) {
@@ -66,7 +66,7 @@
             return false;
         }
         ejectedUntil = Optional.empty();
-        returnedAtNanos = nowNanos;
+        readmittedAtNanos = nowNanos;
         return true;
     }
 
@@ -86,7 +86,7 @@
 
     /** Ejects it; gives the backoff. */
     Duration eject(long nowNanos) {
-        if (ejectedUntil.isEmpty() && ejectionCount > 0 && nowNanos - returnedAtNanos > BACKOFF_RESET_AFTER.toNanos()) {
+        if (ejectedUntil.isEmpty() && ejectionCount > 0 && nowNanos - readmittedAtNanos > BACKOFF_RESET_AFTER.toNanos()) {
             ejectionCount = 0;
         }
         long nanos = Math.min(MAX_BACKOFF.toNanos(), INITIAL_BACKOFF.toNanos() << Math.min(ejectionCount, 10));
