--- a/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
@@ -43,7 +43,7 @@
     private long readmittedAtNanos;
 
     /** How it stands now. */
-    Status standing(long nowNanos) {
+    Status status(long nowNanos) {
         if (ejectedUntil.isEmpty()) {
             return Status.HEALTHY;
         }
@@ -58,7 +58,7 @@
     /** Notes a good answer; tells whether the member came back by it. */
     boolean succeeded(long nowNanos) {
         consecutiveFailures = 0;
-        if (ejectedUntil.isEmpty() || standing(nowNanos) == Status.EJECTED) {
+        if (ejectedUntil.isEmpty() || status(nowNanos) == Status.EJECTED) {
             return false;
         }
         successesSinceEjection++;
@@ -72,7 +72,7 @@
 
     /** Notes a failure; gives the backoff if the member is ejected by it. */
     Optional<Duration> failed(long nowNanos) {
-        Status now = standing(nowNanos);
+        Status now = status(nowNanos);
         if (now == Status.EJECTED) {
             return Optional.empty();
         }
--- a/org.berylwick/src/org/berylwick/internal/routing/MemberRecord.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberRecord.java
@@ -101,7 +101,7 @@
     }
 
     synchronized EjectionState.Status standing(long nowNanos) {
-        return ejection.standing(nowNanos);
+        return ejection.status(nowNanos);
     }
 
     synchronized boolean succeeded(long nowNanos) {
