--- a/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
@@ -56,7 +56,7 @@
     }
 
     /** Notes a good answer; tells whether the member came back by it. */
-    boolean succeeded(long nowNanos) {
+    boolean recordSuccess(long nowNanos) {
         consecutiveFailures = 0;
         if (ejectedUntil.isEmpty() || status(nowNanos) == Status.EJECTED) {
             return false;
--- a/org.berylwick/src/org/berylwick/internal/routing/MemberRecord.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberRecord.java
@@ -105,7 +105,7 @@
     }
 
     synchronized boolean succeeded(long nowNanos) {
-        return ejection.succeeded(nowNanos);
+        return ejection.recordSuccess(nowNanos);
     }
 
     synchronized Optional<Duration> failed(long nowNanos) {
