--- a/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
@@ -71,7 +71,7 @@
     }
 
     /** Notes a failure; gives the backoff if the member is ejected by it. */
-    Optional<Duration> failed(long nowNanos) {
+    Optional<Duration> recordFailure(long nowNanos) {
         Status now = status(nowNanos);
         if (now == Status.EJECTED) {
             return Optional.empty();
--- a/org.berylwick/src/org/berylwick/internal/routing/MemberRecord.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberRecord.java
@@ -109,7 +109,7 @@
     }
 
     synchronized Optional<Duration> failed(long nowNanos) {
-        return ejection.failed(nowNanos);
+        return ejection.recordFailure(nowNanos);
     }
 
     synchronized Duration eject(long nowNanos) {
