--- a/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
@@ -30,7 +30,7 @@
  * choose.
  */
 public final class MemberChooser {
-    private final Place own;
+    private final Place localPlace;
     private final PeerLoads loads;
     private final TimeSource time;
     private final Supplier<RandomGenerator> random;
@@ -46,7 +46,7 @@
      */
     public MemberChooser(
             Place own, PeerLoads loads, TimeSource time, MetricRegistry metrics, Supplier<RandomGenerator> random) {
-        this.own = own;
+        this.localPlace = own;
         this.loads = loads;
         this.time = time;
         this.random = random;
@@ -98,7 +98,7 @@
     }
 
     private MemberChoice choice(Member m) {
-        chosen.get(Tiers.distance(own, m.place())).inc();
+        chosen.get(Tiers.distance(localPlace, m.place())).inc();
         return new MemberChoice.Chosen(m);
     }
 
@@ -138,7 +138,7 @@
     }
 
     private Member nearest(List<Member> members, long now) {
-        List<Tier> tiers = Tiers.of(own, members, loads, now);
+        List<Tier> tiers = Tiers.of(localPlace, members, loads, now);
         for (int i = 0; i < tiers.size() - 1; i++) {
             double stay = Tiers.stayShare(tiers.get(i), tiers.subList(i + 1, tiers.size()));
             if (stay >= 1 || random.get().nextDouble() < stay) {
