--- a/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
@@ -33,7 +33,7 @@
     private final Place localPlace;
     private final PeerLoads loads;
     private final TimeSource time;
-    private final Supplier<RandomGenerator> random;
+    private final Supplier<RandomGenerator> randomSource;
     private final Map<Distance, Counter> chosen = new EnumMap<>(Distance.class);
     private final Counter probes;
     private final Counter lastResort;
@@ -49,7 +49,7 @@
         this.localPlace = own;
         this.loads = loads;
         this.time = time;
-        this.random = random;
+        this.randomSource = random;
         for (Distance d : Distance.values()) {
             chosen.put(d, metrics.counter(ChoiceMetrics.CHOSEN + d));
         }
@@ -141,7 +141,7 @@
         List<Tier> tiers = Tiers.of(localPlace, members, loads, now);
         for (int i = 0; i < tiers.size() - 1; i++) {
             double stay = Tiers.stayShare(tiers.get(i), tiers.subList(i + 1, tiers.size()));
-            if (stay >= 1 || random.get().nextDouble() < stay) {
+            if (stay >= 1 || randomSource.get().nextDouble() < stay) {
                 return lessLoadedOfTwo(tiers.get(i).members(), now);
             }
         }
@@ -163,7 +163,7 @@
         for (Member m : members) {
             total += weight(m, now);
         }
-        double at = random.get().nextDouble() * total;
+        double at = randomSource.get().nextDouble() * total;
         for (Member m : members) {
             at -= weight(m, now);
             if (at < 0) {
