--- a/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
@@ -34,7 +34,7 @@
     private final PeerLoads loads;
     private final TimeSource time;
     private final Supplier<RandomGenerator> randomSource;
-    private final Map<Distance, Counter> chosen = new EnumMap<>(Distance.class);
+    private final Map<Distance, Counter> chosenByDistance = new EnumMap<>(Distance.class);
     private final Counter probes;
     private final Counter lastResort;
 
@@ -51,7 +51,7 @@
         this.time = time;
         this.randomSource = random;
         for (Distance d : Distance.values()) {
-            chosen.put(d, metrics.counter(ChoiceMetrics.CHOSEN + d));
+            chosenByDistance.put(d, metrics.counter(ChoiceMetrics.CHOSEN + d));
         }
         probes = metrics.counter(ChoiceMetrics.PROBES);
         lastResort = metrics.counter(ChoiceMetrics.LAST_RESORT);
@@ -98,7 +98,7 @@
     }
 
     private MemberChoice choice(Member m) {
-        chosen.get(Tiers.distance(localPlace, m.place())).inc();
+        chosenByDistance.get(Tiers.distance(localPlace, m.place())).inc();
         return new MemberChoice.Chosen(m);
     }
 
