--- a/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
@@ -75,18 +75,18 @@
                     fresh.stream().filter(m -> awaitsProbe(m, now)).findFirst();
             if (probe.isPresent()) {
                 probes.inc();
-                return choice(probe.get());
+                return countChosen(probe.get());
             }
         }
         List<Member> well = without(fresh, leftOut(up, now));
         if (!well.isEmpty()) {
-            return choice(nearest(well, now));
+            return countChosen(nearest(well, now));
         }
         List<Member> suspects = inState(selected, Member.State.SUSPECT);
         for (List<Member> rest : List.of(fresh, without(suspects, tried))) {
             if (!rest.isEmpty()) {
                 lastResort.inc();
-                return choice(lessLoadedOfTwo(rest, now));
+                return countChosen(lessLoadedOfTwo(rest, now));
             }
         }
         for (List<Member> again : List.of(up, suspects)) {
@@ -97,7 +97,7 @@
         return new MemberChoice.NoMember(reasonFor(selected));
     }
 
-    private MemberChoice choice(Member m) {
+    private MemberChoice countChosen(Member m) {
         chosenByDistance.get(Tiers.distance(localPlace, m.place())).inc();
         return new MemberChoice.Chosen(m);
     }
