--- a/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
@@ -72,7 +72,7 @@
         List<Member> fresh = without(up, tried);
         if (match.policy().idempotent()) {
             Optional<Member> probe =
-                    fresh.stream().filter(m -> awaitsProbe(m, now)).findFirst();
+                    fresh.stream().filter(m -> isDueForProbe(m, now)).findFirst();
             if (probe.isPresent()) {
                 probes.inc();
                 return countChosen(probe.get());
@@ -102,7 +102,7 @@
         return new MemberChoice.Chosen(m);
     }
 
-    private boolean awaitsProbe(Member m, long now) {
+    private boolean isDueForProbe(Member m, long now) {
         MemberRecord r = loads.record(m);
         return r.standing(now) == Status.PROBATION && r.inFlight() == 0;
     }
