--- a/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
@@ -78,7 +78,7 @@
                 return countChosen(probe.get());
             }
         }
-        List<Member> well = without(fresh, leftOut(up, now));
+        List<Member> well = without(fresh, findExcluded(up, now));
         if (!well.isEmpty()) {
             return countChosen(nearest(well, now));
         }
@@ -113,7 +113,7 @@
      * <p>What looks like failing members may be this process's own trouble. At most half of a service, and of its
      * members in an availability zone the larger half, is left out, so that a wrong signal can't empty it.
      */
-    private Set<String> leftOut(List<Member> up, long now) {
+    private Set<String> findExcluded(List<Member> up, long now) {
         List<Member> failing = up.stream()
                 .filter(m -> loads.record(m).standing(now) != Status.HEALTHY)
                 .sorted(Comparator.<Member, Status>comparing(
