--- a/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
@@ -80,7 +80,7 @@
         }
         List<Member> well = without(fresh, findExcluded(up, now));
         if (!well.isEmpty()) {
-            return countChosen(nearest(well, now));
+            return countChosen(chooseByDistance(well, now));
         }
         List<Member> suspects = inState(selected, Member.State.SUSPECT);
         for (List<Member> rest : List.of(fresh, without(suspects, tried))) {
@@ -137,7 +137,7 @@
         return out;
     }
 
-    private Member nearest(List<Member> members, long now) {
+    private Member chooseByDistance(List<Member> members, long now) {
         List<Tier> tiers = Tiers.of(localPlace, members, loads, now);
         for (int i = 0; i < tiers.size() - 1; i++) {
             double stay = Tiers.stayShare(tiers.get(i), tiers.subList(i + 1, tiers.size()));
