--- a/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
@@ -152,13 +152,13 @@
         if (members.size() == 1) {
             return members.getFirst();
         }
-        Member a = byWeight(members, now);
-        Member b = byWeight(members.stream().filter(m -> m != a).toList(), now);
+        Member a = drawByWeight(members, now);
+        Member b = drawByWeight(members.stream().filter(m -> m != a).toList(), now);
         return fullness(a, now) <= fullness(b, now) ? a : b;
     }
 
     /** A new member's caches are cold; it is drawn less often until it had time to warm up. */
-    private Member byWeight(List<Member> members, long now) {
+    private Member drawByWeight(List<Member> members, long now) {
         double total = 0;
         for (Member m : members) {
             total += weight(m, now);
