--- a/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
@@ -154,7 +154,7 @@
         }
         Member a = drawByWeight(members, now);
         Member b = drawByWeight(members.stream().filter(m -> m != a).toList(), now);
-        return fullness(a, now) <= fullness(b, now) ? a : b;
+        return utilization(a, now) <= utilization(b, now) ? a : b;
     }
 
     /** A new member's caches are cold; it is drawn less often until it had time to warm up. */
@@ -177,7 +177,7 @@
         return Math.max(1, m.slots()) * loads.record(m).weight(now);
     }
 
-    private double fullness(Member m, long now) {
+    private double utilization(Member m, long now) {
         return (loads.record(m).load(now) + 1) / Math.max(1, m.slots());
     }
 
