--- a/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
@@ -94,7 +94,7 @@
                 return new MemberChoice.AllTried(lessLoadedOfTwo(again, now));
             }
         }
-        return new MemberChoice.NoMember(reasonFor(selected));
+        return new MemberChoice.NoMember(noMemberReason(selected));
     }
 
     private MemberChoice countChosen(Member m) {
@@ -192,7 +192,7 @@
         return members.stream().filter(m -> !instances.contains(m.instance())).toList();
     }
 
-    private static RefusalReason reasonFor(List<Member> members) {
+    private static RefusalReason noMemberReason(List<Member> members) {
         List<Member.State> states = new ArrayList<>();
         members.forEach(m -> states.add(m.state()));
         if (states.contains(Member.State.STARTING)) {
