--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -69,7 +69,7 @@
         f.add("b", MAKATI);
         f.loads.begin(a).report(12);
         assertTrue(f.draw(DRAWS).getOrDefault("a", 0) == 0);
-        f.time.advance(MemberRecord.REPORT_LIFE);
+        f.time.advance(MemberStats.REPORT_LIFE);
         Member b = f.members.get(1);
         f.occupy(b, 2);
         assertTrue(f.draw(DRAWS).getOrDefault("a", 0) > DRAWS / 2);
@@ -165,9 +165,9 @@
         f.draw(1);
         f.add("d", MAKATI, Member.State.UP, 60_000);
         int cold = f.draw(DRAWS).getOrDefault("d", 0);
-        f.time.advance(MemberRecord.SLOW_START.dividedBy(2));
+        f.time.advance(MemberStats.SLOW_START.dividedBy(2));
         int warmer = f.draw(DRAWS).getOrDefault("d", 0);
-        f.time.advance(MemberRecord.SLOW_START);
+        f.time.advance(MemberStats.SLOW_START);
         int warm = f.draw(DRAWS).getOrDefault("d", 0);
         assertTrue(cold > 0 && cold < DRAWS / 8, "cold " + cold);
         assertTrue(warmer > cold && warm > warmer, cold + " " + warmer + " " + warm);
--- a/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
@@ -103,7 +103,7 @@
     }
 
     private boolean isDueForProbe(Member m, long now) {
-        MemberRecord r = loads.record(m);
+        MemberStats r = loads.record(m);
         return r.standing(now) == Status.PROBATION && r.inFlight() == 0;
     }
 
--- a/org.berylwick/src/org/berylwick/internal/routing/MemberRecord.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
@@ -10,7 +10,7 @@
  *
  * <p>Safe for use from any thread; readers may see a value a moment old.
  */
-final class MemberRecord {
+final class MemberStats {
     /** A reported load counts for nothing after that time. */
     static final Duration REPORT_LIFE = Duration.ofSeconds(2);
 
@@ -42,7 +42,7 @@
      * @param coldSinceNanos when the member appeared, if it did so while this process was looking on
      * @param exactLoad counts the member's requests, if it is this process's own
      */
-    MemberRecord(Member member, Optional<Long> coldSinceNanos, Optional<IntSupplier> exactLoad) {
+    MemberStats(Member member, Optional<Long> coldSinceNanos, Optional<IntSupplier> exactLoad) {
         this.member = member;
         this.coldSinceNanos = coldSinceNanos;
         this.exactLoad = exactLoad;
--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -37,7 +37,7 @@
     private static final Duration FAIR_TIME = Duration.ofMillis(100);
 
     private final TimeSource time;
-    private final Map<String, MemberRecord> records = new ConcurrentHashMap<>();
+    private final Map<String, MemberStats> records = new ConcurrentHashMap<>();
     private final Set<String> knownServices = ConcurrentHashMap.newKeySet();
     private final Counter ejections;
     private final Counter returns;
@@ -71,7 +71,7 @@
 
     /** A request goes out; the returned attempt takes in what becomes of it. */
     public Attempt begin(Member member) {
-        MemberRecord record = record(member);
+        MemberStats record = record(member);
         record.begin();
         return new Attempt(record, time.nanoTime());
     }
@@ -83,11 +83,11 @@
 
     /** One request sent to a member; safe to end more than once. */
     public final class Attempt implements AutoCloseable {
-        private final MemberRecord record;
+        private final MemberStats record;
         private final long sinceNanos;
         private boolean ended;
 
-        private Attempt(MemberRecord record, long sinceNanos) {
+        private Attempt(MemberStats record, long sinceNanos) {
             this.record = record;
             this.sinceNanos = sinceNanos;
         }
@@ -141,8 +141,8 @@
     }
 
     /** What is known of a member; a record is made where there is none. */
-    MemberRecord record(Member member) {
-        MemberRecord known = records.get(member.instance());
+    MemberStats record(Member member) {
+        MemberStats known = records.get(member.instance());
         if (known != null && known.isOf(member)) {
             return known;
         }
@@ -155,7 +155,7 @@
             Optional<Long> coldSince = appeared ? Optional.of(time.nanoTime()) : Optional.empty();
             Optional<IntSupplier> exactLoad =
                     own.instance().equals(instance) ? Optional.of(own.load()) : Optional.empty();
-            return new MemberRecord(member, coldSince, exactLoad);
+            return new MemberStats(member, coldSince, exactLoad);
         });
     }
 
@@ -191,7 +191,7 @@
         return records.size();
     }
 
-    private void judge(MemberRecord suspect) {
+    private void judge(MemberStats suspect) {
         Member m = suspect.member();
         List<Double> others = records.values().stream()
                 .filter(r -> r != suspect
@@ -215,7 +215,7 @@
         }
     }
 
-    private void noteEjection(MemberRecord record, Duration backoff, String detail) {
+    private void noteEjection(MemberStats record, Duration backoff, String detail) {
         ejections.inc();
         Member m = record.member();
         EVENTS.log(CallEvent.MEMBER_EJECTED, m.instance(), m.service(), backoff.toMillis(), detail);
