--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -69,7 +69,7 @@
         f.add("b", MAKATI);
         f.loads.begin(a).report(12);
         assertTrue(f.draw(DRAWS).getOrDefault("a", 0) == 0);
-        f.time.advance(MemberStats.REPORT_LIFE);
+        f.time.advance(MemberStats.LOAD_REPORT_EXPIRY);
         Member b = f.members.get(1);
         f.occupy(b, 2);
         assertTrue(f.draw(DRAWS).getOrDefault("a", 0) > DRAWS / 2);
--- a/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
@@ -12,7 +12,7 @@
  */
 final class MemberStats {
     /** A reported load counts for nothing after that time. */
-    static final Duration REPORT_LIFE = Duration.ofSeconds(2);
+    static final Duration LOAD_REPORT_EXPIRY = Duration.ofSeconds(2);
 
     /** Time over which a new member's share rises to that of the others. */
     static final Duration SLOW_START = Duration.ofSeconds(10);
@@ -87,7 +87,7 @@
     }
 
     private synchronized double estimatedLoad(long nowNanos) {
-        double age = (double) (nowNanos - reportedAtNanos) / REPORT_LIFE.toNanos();
+        double age = (double) (nowNanos - reportedAtNanos) / LOAD_REPORT_EXPIRY.toNanos();
         return inFlight + elsewhere * Math.max(0, 1 - age);
     }
 
