--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -165,9 +165,9 @@
         f.draw(1);
         f.add("d", MAKATI, Member.State.UP, 60_000);
         int cold = f.draw(DRAWS).getOrDefault("d", 0);
-        f.time.advance(MemberStats.SLOW_START.dividedBy(2));
+        f.time.advance(MemberStats.SLOW_START_DURATION.dividedBy(2));
         int warmer = f.draw(DRAWS).getOrDefault("d", 0);
-        f.time.advance(MemberStats.SLOW_START);
+        f.time.advance(MemberStats.SLOW_START_DURATION);
         int warm = f.draw(DRAWS).getOrDefault("d", 0);
         assertTrue(cold > 0 && cold < DRAWS / 8, "cold " + cold);
         assertTrue(warmer > cold && warm > warmer, cold + " " + warmer + " " + warm);
--- a/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
@@ -15,7 +15,7 @@
     static final Duration LOAD_REPORT_EXPIRY = Duration.ofSeconds(2);
 
     /** Time over which a new member's share rises to that of the others. */
-    static final Duration SLOW_START = Duration.ofSeconds(10);
+    static final Duration SLOW_START_DURATION = Duration.ofSeconds(10);
 
     /**
      * Incarnations closer than this are of one start: a start takes its incarnation from the clock in milliseconds, and
@@ -96,7 +96,7 @@
         if (coldSinceNanos.isEmpty()) {
             return 1;
         }
-        double age = (double) (nowNanos - coldSinceNanos.get()) / SLOW_START.toNanos();
+        double age = (double) (nowNanos - coldSinceNanos.get()) / SLOW_START_DURATION.toNanos();
         return Math.clamp(age, FIRST_WEIGHT, 1);
     }
 
