--- a/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
@@ -21,7 +21,7 @@
      * Incarnations closer than this are of one start: a start takes its incarnation from the clock in milliseconds, and
      * a refutation of a false suspicion adds one to it.
      */
-    private static final long REFUTATIONS = 1_000;
+    private static final long MIN_INCARNATION_GAP_BETWEEN_STARTS = 1_000;
 
     private static final double FIRST_WEIGHT = 0.1;
     private static final double NEW_LATENCY_WEIGHT = 0.1;
@@ -59,7 +59,7 @@
      * and failures would be lost when it is needed most.
      */
     boolean isOf(Member other) {
-        return Math.abs(member.incarnation() - other.incarnation()) < REFUTATIONS;
+        return Math.abs(member.incarnation() - other.incarnation()) < MIN_INCARNATION_GAP_BETWEEN_STARTS;
     }
 
     synchronized void begin() {
