--- a/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
@@ -23,7 +23,7 @@
      */
     private static final long MIN_INCARNATION_GAP_BETWEEN_STARTS = 1_000;
 
-    private static final double FIRST_WEIGHT = 0.1;
+    private static final double INITIAL_WEIGHT = 0.1;
     private static final double NEW_LATENCY_WEIGHT = 0.1;
 
     private final Member member;
@@ -97,7 +97,7 @@
             return 1;
         }
         double age = (double) (nowNanos - coldSinceNanos.get()) / SLOW_START_DURATION.toNanos();
-        return Math.clamp(age, FIRST_WEIGHT, 1);
+        return Math.clamp(age, INITIAL_WEIGHT, 1);
     }
 
     synchronized EjectionState.Status standing(long nowNanos) {
