--- a/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
@@ -24,7 +24,7 @@
     private static final long MIN_INCARNATION_GAP_BETWEEN_STARTS = 1_000;
 
     private static final double INITIAL_WEIGHT = 0.1;
-    private static final double NEW_LATENCY_WEIGHT = 0.1;
+    private static final double LATENCY_SMOOTHING_FACTOR = 0.1;
 
     private final Member member;
     private final EjectionState ejection = new EjectionState();
@@ -119,7 +119,7 @@
 
     /** Takes in how long an answer took to begin; gives how many were taken in since the last ejection. */
     synchronized int latency(long nanos) {
-        latencyNanos = latencies == 0 ? nanos : latencyNanos + NEW_LATENCY_WEIGHT * (nanos - latencyNanos);
+        latencyNanos = latencies == 0 ? nanos : latencyNanos + LATENCY_SMOOTHING_FACTOR * (nanos - latencyNanos);
         return ++latencies;
     }
 
