--- a/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
@@ -28,7 +28,7 @@
 
     private final Member member;
     private final EjectionState ejection = new EjectionState();
-    private final Optional<Long> coldSinceNanos;
+    private final Optional<Long> appearedAtNanos;
     private final Optional<IntSupplier> exactLoad;
     private int inFlight;
     private int elsewhere;
@@ -44,7 +44,7 @@
      */
     MemberStats(Member member, Optional<Long> coldSinceNanos, Optional<IntSupplier> exactLoad) {
         this.member = member;
-        this.coldSinceNanos = coldSinceNanos;
+        this.appearedAtNanos = coldSinceNanos;
         this.exactLoad = exactLoad;
     }
 
@@ -93,10 +93,10 @@
 
     /** Share of its slots that a new member gets requests for, rising to 1. */
     double weight(long nowNanos) {
-        if (coldSinceNanos.isEmpty()) {
+        if (appearedAtNanos.isEmpty()) {
             return 1;
         }
-        double age = (double) (nowNanos - coldSinceNanos.get()) / SLOW_START_DURATION.toNanos();
+        double age = (double) (nowNanos - appearedAtNanos.get()) / SLOW_START_DURATION.toNanos();
         return Math.clamp(age, INITIAL_WEIGHT, 1);
     }
 
