--- a/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
@@ -29,7 +29,7 @@
     private final Member member;
     private final EjectionState ejection = new EjectionState();
     private final Optional<Long> appearedAtNanos;
-    private final Optional<IntSupplier> exactLoad;
+    private final Optional<IntSupplier> localLoad;
     private int inFlight;
     private int elsewhere;
     private long reportedAtNanos;
@@ -45,7 +45,7 @@
     MemberStats(Member member, Optional<Long> coldSinceNanos, Optional<IntSupplier> exactLoad) {
         this.member = member;
         this.appearedAtNanos = coldSinceNanos;
-        this.exactLoad = exactLoad;
+        this.localLoad = exactLoad;
     }
 
     Member member() {
@@ -83,7 +83,7 @@
 
     /** Requests at the member: own ones in flight, and those of others as last reported, fading with age. */
     double load(long nowNanos) {
-        return exactLoad.isPresent() ? exactLoad.get().getAsInt() : estimatedLoad(nowNanos);
+        return localLoad.isPresent() ? localLoad.get().getAsInt() : estimatedLoad(nowNanos);
     }
 
     private synchronized double estimatedLoad(long nowNanos) {
