--- a/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
@@ -31,7 +31,7 @@
     private final Optional<Long> appearedAtNanos;
     private final Optional<IntSupplier> localLoad;
     private int inFlight;
-    private int elsewhere;
+    private int loadFromOthers;
     private long reportedAtNanos;
     private double latencyNanos;
     private int latencies;
@@ -77,7 +77,7 @@
     /** Takes in the load that the owner counted, own requests among it. */
     synchronized void report(int load, long nowNanos) {
         // Own requests are counted here and need no report. What remains is what others send there.
-        elsewhere = Math.max(0, load - inFlight);
+        loadFromOthers = Math.max(0, load - inFlight);
         reportedAtNanos = nowNanos;
     }
 
@@ -88,7 +88,7 @@
 
     private synchronized double estimatedLoad(long nowNanos) {
         double age = (double) (nowNanos - reportedAtNanos) / LOAD_REPORT_EXPIRY.toNanos();
-        return inFlight + elsewhere * Math.max(0, 1 - age);
+        return inFlight + loadFromOthers * Math.max(0, 1 - age);
     }
 
     /** Share of its slots that a new member gets requests for, rising to 1. */
