--- a/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
@@ -33,7 +33,7 @@
     private int inFlight;
     private int loadFromOthers;
     private long reportedAtNanos;
-    private double latencyNanos;
+    private double meanLatencyNanos;
     private int latencies;
 
     /**
@@ -119,12 +119,12 @@
 
     /** Takes in how long an answer took to begin; gives how many were taken in since the last ejection. */
     synchronized int latency(long nanos) {
-        latencyNanos = latencies == 0 ? nanos : latencyNanos + LATENCY_SMOOTHING_FACTOR * (nanos - latencyNanos);
+        meanLatencyNanos = latencies == 0 ? nanos : meanLatencyNanos + LATENCY_SMOOTHING_FACTOR * (nanos - meanLatencyNanos);
         return ++latencies;
     }
 
     /** The mean time to an answer, if enough answers are known to tell. */
     synchronized Optional<Double> latencyNanos(int needed) {
-        return latencies >= needed ? Optional.of(latencyNanos) : Optional.empty();
+        return latencies >= needed ? Optional.of(meanLatencyNanos) : Optional.empty();
     }
 }
