--- a/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
@@ -124,7 +124,7 @@
     }
 
     /** The mean time to an answer, if enough answers are known to tell. */
-    synchronized Optional<Double> latencyNanos(int needed) {
+    synchronized Optional<Double> meanLatencyNanos(int needed) {
         return latencies >= needed ? Optional.of(meanLatencyNanos) : Optional.empty();
     }
 }
--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -197,14 +197,14 @@
                 .filter(r -> r != suspect
                         && r.member().service().equals(m.service())
                         && r.member().place().region().equals(m.place().region()))
-                .flatMap(r -> r.latencyNanos(LATENCIES_TO_JUDGE).stream())
+                .flatMap(r -> r.meanLatencyNanos(LATENCIES_TO_JUDGE).stream())
                 .sorted()
                 .toList();
         if (others.size() < MEMBERS_TO_COMPARE - 1) {
             return;
         }
         double median = others.get(others.size() / 2);
-        double mean = suspect.latencyNanos(LATENCIES_TO_JUDGE).orElse(0.0);
+        double mean = suspect.meanLatencyNanos(LATENCIES_TO_JUDGE).orElse(0.0);
         if (mean > SLOW_FACTOR * median
                 && mean > median + SLOW_MARGIN.toNanos()
                 && suspect.standing(time.nanoTime()) != EjectionState.Status.EJECTED) {
