--- a/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
@@ -34,7 +34,7 @@
     private int loadFromOthers;
     private long reportedAtNanos;
     private double meanLatencyNanos;
-    private int latencies;
+    private int latencyCount;
 
     /**
      * A record without requests.
@@ -113,18 +113,18 @@
     }
 
     synchronized Duration eject(long nowNanos) {
-        latencies = 0;
+        latencyCount = 0;
         return ejection.eject(nowNanos);
     }
 
     /** Takes in how long an answer took to begin; gives how many were taken in since the last ejection. */
     synchronized int latency(long nanos) {
-        meanLatencyNanos = latencies == 0 ? nanos : meanLatencyNanos + LATENCY_SMOOTHING_FACTOR * (nanos - meanLatencyNanos);
-        return ++latencies;
+        meanLatencyNanos = latencyCount == 0 ? nanos : meanLatencyNanos + LATENCY_SMOOTHING_FACTOR * (nanos - meanLatencyNanos);
+        return ++latencyCount;
     }
 
     /** The mean time to an answer, if enough answers are known to tell. */
     synchronized Optional<Double> meanLatencyNanos(int needed) {
-        return latencies >= needed ? Optional.of(meanLatencyNanos) : Optional.empty();
+        return latencyCount >= needed ? Optional.of(meanLatencyNanos) : Optional.empty();
     }
 }
