--- a/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
@@ -58,7 +58,7 @@
      * <p>A refutation must not count as a start: after a network split everybody refutes, and all that is known of load
      * and failures would be lost when it is needed most.
      */
-    boolean isOf(Member other) {
+    boolean isSameStart(Member other) {
         return Math.abs(member.incarnation() - other.incarnation()) < MIN_INCARNATION_GAP_BETWEEN_STARTS;
     }
 
--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -143,7 +143,7 @@
     /** What is known of a member; a record is made where there is none. */
     MemberStats record(Member member) {
         MemberStats known = records.get(member.instance());
-        if (known != null && known.isOf(member)) {
+        if (known != null && known.isSameStart(member)) {
             return known;
         }
         boolean appeared = knownServices.contains(member.service());
