--- a/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
@@ -62,7 +62,7 @@
         return Math.abs(member.incarnation() - other.incarnation()) < MIN_INCARNATION_GAP_BETWEEN_STARTS;
     }
 
-    synchronized void begin() {
+    synchronized void beginRequest() {
         inFlight++;
     }
 
--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -72,7 +72,7 @@
     /** A request goes out; the returned attempt takes in what becomes of it. */
     public Attempt begin(Member member) {
         MemberStats record = record(member);
-        record.begin();
+        record.beginRequest();
         return new Attempt(record, time.nanoTime());
     }
 
