--- a/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
@@ -66,7 +66,7 @@
         inFlight++;
     }
 
-    synchronized void end() {
+    synchronized void endRequest() {
         inFlight--;
     }
 
--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -135,7 +135,7 @@
         public synchronized void close() {
             if (!ended) {
                 ended = true;
-                record.end();
+                record.endRequest();
             }
         }
     }
