--- a/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
@@ -75,7 +75,7 @@
     }
 
     /** Takes in the load that the owner counted, own requests among it. */
-    synchronized void report(int load, long nowNanos) {
+    synchronized void reportLoad(int load, long nowNanos) {
         // Own requests are counted here and need no report. What remains is what others send there.
         loadFromOthers = Math.max(0, load - inFlight);
         reportedAtNanos = nowNanos;
--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -94,7 +94,7 @@
 
         /** The reply carried the load at its owner. */
         public void report(int load) {
-            record.report(load, time.nanoTime());
+            record.reportLoad(load, time.nanoTime());
         }
 
         /** The answer began; a class whose answers differ widely in time doesn't count for speed. */
