--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -129,7 +129,7 @@
                 attempt.unknown("no answer in time", 5);
             }
         }
-        assertEquals(EjectionState.Status.HEALTHY, f.loads.record(a).standing(f.time.nanoTime()));
+        assertEquals(EjectionState.Status.HEALTHY, f.loads.record(a).ejectionStatus(f.time.nanoTime()));
     }
 
     @Test
@@ -154,7 +154,7 @@
         for (int i = 0; i < 40; i++) {
             f.members.forEach(m -> answer(m, Duration.ofMillis(m == far ? 200 : 1)));
         }
-        assertEquals(EjectionState.Status.HEALTHY, f.loads.record(far).standing(f.time.nanoTime()));
+        assertEquals(EjectionState.Status.HEALTHY, f.loads.record(far).ejectionStatus(f.time.nanoTime()));
     }
 
     @Test
@@ -185,7 +185,7 @@
         Member refuted = f.add("a", MAKATI, Member.State.UP, 2);
         f.draw(1);
         assertEquals(3, f.loads.record(refuted).inFlight());
-        assertEquals(EjectionState.Status.EJECTED, f.loads.record(refuted).standing(f.time.nanoTime()));
+        assertEquals(EjectionState.Status.EJECTED, f.loads.record(refuted).ejectionStatus(f.time.nanoTime()));
     }
 
     @Test
--- a/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
@@ -104,7 +104,7 @@
 
     private boolean isDueForProbe(Member m, long now) {
         MemberStats r = loads.record(m);
-        return r.standing(now) == Status.PROBATION && r.inFlight() == 0;
+        return r.ejectionStatus(now) == Status.PROBATION && r.inFlight() == 0;
     }
 
     /**
@@ -115,9 +115,9 @@
      */
     private Set<String> findExcluded(List<Member> up, long now) {
         List<Member> failing = up.stream()
-                .filter(m -> loads.record(m).standing(now) != Status.HEALTHY)
+                .filter(m -> loads.record(m).ejectionStatus(now) != Status.HEALTHY)
                 .sorted(Comparator.<Member, Status>comparing(
-                                m -> loads.record(m).standing(now))
+                                m -> loads.record(m).ejectionStatus(now))
                         .reversed()
                         .thenComparing(Member::instance))
                 .toList();
--- a/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
@@ -100,7 +100,7 @@
         return Math.clamp(age, INITIAL_WEIGHT, 1);
     }
 
-    synchronized EjectionState.Status standing(long nowNanos) {
+    synchronized EjectionState.Status ejectionStatus(long nowNanos) {
         return ejection.status(nowNanos);
     }
 
--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -207,7 +207,7 @@
         double mean = suspect.meanLatencyNanos(LATENCIES_TO_JUDGE).orElse(0.0);
         if (mean > SLOW_FACTOR * median
                 && mean > median + SLOW_MARGIN.toNanos()
-                && suspect.standing(time.nanoTime()) != EjectionState.Status.EJECTED) {
+                && suspect.ejectionStatus(time.nanoTime()) != EjectionState.Status.EJECTED) {
             String detail =
                     "answers begin after " + Duration.ofNanos((long) mean).toMillis() + " ms, those of others "
                             + "after " + Duration.ofNanos((long) median).toMillis();
