--- a/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
@@ -104,7 +104,7 @@
         return ejection.status(nowNanos);
     }
 
-    synchronized boolean succeeded(long nowNanos) {
+    synchronized boolean recordSuccess(long nowNanos) {
         return ejection.recordSuccess(nowNanos);
     }
 
--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -99,7 +99,7 @@
 
         /** The answer began; a class whose answers differ widely in time doesn't count for speed. */
         public void answered(boolean comparable) {
-            if (record.succeeded(time.nanoTime())) {
+            if (record.recordSuccess(time.nanoTime())) {
                 returns.inc();
                 EVENTS.log(
                         CallEvent.MEMBER_RETURNED,
