--- a/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
@@ -108,7 +108,7 @@
         return ejection.recordSuccess(nowNanos);
     }
 
-    synchronized Optional<Duration> failed(long nowNanos) {
+    synchronized Optional<Duration> recordFailure(long nowNanos) {
         return ejection.recordFailure(nowNanos);
     }
 
--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -113,7 +113,7 @@
 
         /** The member could not be reached, or answered with an error of its own. */
         public void failed(String detail) {
-            record.failed(time.nanoTime()).ifPresent(backoff -> noteEjection(record, backoff, detail));
+            record.recordFailure(time.nanoTime()).ifPresent(backoff -> noteEjection(record, backoff, detail));
         }
 
         /**
