--- a/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
@@ -118,7 +118,7 @@
     }
 
     /** Takes in how long an answer took to begin; gives how many were taken in since the last ejection. */
-    synchronized int latency(long nanos) {
+    synchronized int recordLatency(long nanos) {
         meanLatencyNanos = latencyCount == 0 ? nanos : meanLatencyNanos + LATENCY_SMOOTHING_FACTOR * (nanos - meanLatencyNanos);
         return ++latencyCount;
     }
--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -106,7 +106,7 @@
                         record.member().instance(),
                         record.member().service());
             }
-            if (comparable && record.latency(time.nanoTime() - sinceNanos) % LATENCIES_TO_JUDGE == 0) {
+            if (comparable && record.recordLatency(time.nanoTime() - sinceNanos) % LATENCIES_TO_JUDGE == 0) {
                 judge(record);
             }
         }
