--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -26,7 +26,7 @@
     private static final EventLog EVENTS = new EventLog(PeerLoads.class);
 
     /** Answers needed before a mean time is judged, and between two judgements. */
-    private static final int LATENCIES_TO_JUDGE = 20;
+    private static final int LATENCY_SAMPLES_PER_CHECK = 20;
 
     private static final int MEMBERS_TO_COMPARE = 3;
     private static final double SLOW_FACTOR = 5;
@@ -106,7 +106,7 @@
                         record.member().instance(),
                         record.member().service());
             }
-            if (comparable && record.recordLatency(time.nanoTime() - sinceNanos) % LATENCIES_TO_JUDGE == 0) {
+            if (comparable && record.recordLatency(time.nanoTime() - sinceNanos) % LATENCY_SAMPLES_PER_CHECK == 0) {
                 judge(record);
             }
         }
@@ -197,14 +197,14 @@
                 .filter(r -> r != suspect
                         && r.member().service().equals(m.service())
                         && r.member().place().region().equals(m.place().region()))
-                .flatMap(r -> r.meanLatencyNanos(LATENCIES_TO_JUDGE).stream())
+                .flatMap(r -> r.meanLatencyNanos(LATENCY_SAMPLES_PER_CHECK).stream())
                 .sorted()
                 .toList();
         if (others.size() < MEMBERS_TO_COMPARE - 1) {
             return;
         }
         double median = others.get(others.size() / 2);
-        double mean = suspect.meanLatencyNanos(LATENCIES_TO_JUDGE).orElse(0.0);
+        double mean = suspect.meanLatencyNanos(LATENCY_SAMPLES_PER_CHECK).orElse(0.0);
         if (mean > SLOW_FACTOR * median
                 && mean > median + SLOW_MARGIN.toNanos()
                 && suspect.ejectionStatus(time.nanoTime()) != EjectionState.Status.EJECTED) {
