--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -28,7 +28,7 @@
     /** Answers needed before a mean time is judged, and between two judgements. */
     private static final int LATENCY_SAMPLES_PER_CHECK = 20;
 
-    private static final int MEMBERS_TO_COMPARE = 3;
+    private static final int MIN_MEMBERS_TO_COMPARE = 3;
     private static final double SLOW_FACTOR = 5;
 
     /** A mean this much above the others' is never an outlier: scheduling and distance do that. */
@@ -200,7 +200,7 @@
                 .flatMap(r -> r.meanLatencyNanos(LATENCY_SAMPLES_PER_CHECK).stream())
                 .sorted()
                 .toList();
-        if (others.size() < MEMBERS_TO_COMPARE - 1) {
+        if (others.size() < MIN_MEMBERS_TO_COMPARE - 1) {
             return;
         }
         double median = others.get(others.size() / 2);
