--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -29,7 +29,7 @@
     private static final int LATENCY_SAMPLES_PER_CHECK = 20;
 
     private static final int MIN_MEMBERS_TO_COMPARE = 3;
-    private static final double SLOW_FACTOR = 5;
+    private static final double SLOW_LATENCY_FACTOR = 5;
 
     /** A mean this much above the others' is never an outlier: scheduling and distance do that. */
     private static final Duration SLOW_MARGIN = Duration.ofMillis(100);
@@ -205,7 +205,7 @@
         }
         double median = others.get(others.size() / 2);
         double mean = suspect.meanLatencyNanos(LATENCY_SAMPLES_PER_CHECK).orElse(0.0);
-        if (mean > SLOW_FACTOR * median
+        if (mean > SLOW_LATENCY_FACTOR * median
                 && mean > median + SLOW_MARGIN.toNanos()
                 && suspect.ejectionStatus(time.nanoTime()) != EjectionState.Status.EJECTED) {
             String detail =
