--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -32,7 +32,7 @@
     private static final double SLOW_LATENCY_FACTOR = 5;
 
     /** A mean this much above the others' is never an outlier: scheduling and distance do that. */
-    private static final Duration SLOW_MARGIN = Duration.ofMillis(100);
+    private static final Duration SLOW_LATENCY_MARGIN = Duration.ofMillis(100);
 
     private static final Duration FAIR_TIME = Duration.ofMillis(100);
 
@@ -206,7 +206,7 @@
         double median = others.get(others.size() / 2);
         double mean = suspect.meanLatencyNanos(LATENCY_SAMPLES_PER_CHECK).orElse(0.0);
         if (mean > SLOW_LATENCY_FACTOR * median
-                && mean > median + SLOW_MARGIN.toNanos()
+                && mean > median + SLOW_LATENCY_MARGIN.toNanos()
                 && suspect.ejectionStatus(time.nanoTime()) != EjectionState.Status.EJECTED) {
             String detail =
                     "answers begin after " + Duration.ofNanos((long) mean).toMillis() + " ms, those of others "
