--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -34,7 +34,7 @@
     /** A mean this much above the others' is never an outlier: scheduling and distance do that. */
     private static final Duration SLOW_LATENCY_MARGIN = Duration.ofMillis(100);
 
-    private static final Duration FAIR_TIME = Duration.ofMillis(100);
+    private static final Duration MIN_TIMEOUT_COUNTED_AS_FAILURE = Duration.ofMillis(100);
 
     private final TimeSource time;
     private final Map<String, MemberStats> records = new ConcurrentHashMap<>();
@@ -125,7 +125,7 @@
          * @param allowedMillis by which the answer had to begin
          */
         public void unknown(String detail, long allowedMillis) {
-            if (allowedMillis >= FAIR_TIME.toMillis()) {
+            if (allowedMillis >= MIN_TIMEOUT_COUNTED_AS_FAILURE.toMillis()) {
                 failed(detail);
             }
         }
