--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -37,7 +37,7 @@
     private static final Duration MIN_TIMEOUT_COUNTED_AS_FAILURE = Duration.ofMillis(100);
 
     private final TimeSource time;
-    private final Map<String, MemberStats> records = new ConcurrentHashMap<>();
+    private final Map<String, MemberStats> statsByInstance = new ConcurrentHashMap<>();
     private final Set<String> knownServices = ConcurrentHashMap.newKeySet();
     private final Counter ejections;
     private final Counter returns;
@@ -142,12 +142,12 @@
 
     /** What is known of a member; a record is made where there is none. */
     MemberStats record(Member member) {
-        MemberStats known = records.get(member.instance());
+        MemberStats known = statsByInstance.get(member.instance());
         if (known != null && known.isSameStart(member)) {
             return known;
         }
         boolean appeared = knownServices.contains(member.service());
-        return records.compute(member.instance(), (instance, old) -> {
+        return statsByInstance.compute(member.instance(), (instance, old) -> {
             // A request that pinned an older view may name an incarnation that was replaced since.
             if (old != null && old.member().incarnation() >= member.incarnation()) {
                 return old;
@@ -177,7 +177,7 @@
             return;
         }
         followed = view;
-        records.keySet().removeIf(instance -> view.find(instance).isEmpty());
+        statsByInstance.keySet().removeIf(instance -> view.find(instance).isEmpty());
         for (Member m : view.all()) {
             if (m.state() == Member.State.UP) {
                 record(m);
@@ -188,12 +188,12 @@
 
     /** Members that something is known of. */
     int size() {
-        return records.size();
+        return statsByInstance.size();
     }
 
     private void judge(MemberStats suspect) {
         Member m = suspect.member();
-        List<Double> others = records.values().stream()
+        List<Double> others = statsByInstance.values().stream()
                 .filter(r -> r != suspect
                         && r.member().service().equals(m.service())
                         && r.member().place().region().equals(m.place().region()))
