--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -40,7 +40,7 @@
     private final Map<String, MemberStats> statsByInstance = new ConcurrentHashMap<>();
     private final Set<String> knownServices = ConcurrentHashMap.newKeySet();
     private final Counter ejections;
-    private final Counter returns;
+    private final Counter readmissions;
     private final Supplier<MembershipView> members;
     private final OwnLoad own;
     private volatile MembershipView followed = MembershipView.EMPTY;
@@ -66,7 +66,7 @@
         this.members = members;
         this.time = time;
         ejections = metrics.counter(ChoiceMetrics.EJECTIONS);
-        returns = metrics.counter(ChoiceMetrics.RETURNS);
+        readmissions = metrics.counter(ChoiceMetrics.RETURNS);
     }
 
     /** A request goes out; the returned attempt takes in what becomes of it. */
@@ -100,7 +100,7 @@
         /** The answer began; a class whose answers differ widely in time doesn't count for speed. */
         public void answered(boolean comparable) {
             if (record.recordSuccess(time.nanoTime())) {
-                returns.inc();
+                readmissions.inc();
                 EVENTS.log(
                         CallEvent.MEMBER_RETURNED,
                         record.member().instance(),
