--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -41,7 +41,7 @@
     private final Set<String> knownServices = ConcurrentHashMap.newKeySet();
     private final Counter ejections;
     private final Counter readmissions;
-    private final Supplier<MembershipView> members;
+    private final Supplier<MembershipView> currentView;
     private final OwnLoad own;
     private volatile MembershipView followed = MembershipView.EMPTY;
 
@@ -63,7 +63,7 @@
      */
     public PeerLoads(Supplier<MembershipView> members, OwnLoad own, TimeSource time, MetricRegistry metrics) {
         this.own = own;
-        this.members = members;
+        this.currentView = members;
         this.time = time;
         ejections = metrics.counter(ChoiceMetrics.EJECTIONS);
         readmissions = metrics.counter(ChoiceMetrics.RETURNS);
@@ -166,13 +166,13 @@
      * is new, not they.
      */
     void follow() {
-        if (members.get() != followed) {
+        if (currentView.get() != followed) {
             catchUp();
         }
     }
 
     private synchronized void catchUp() {
-        MembershipView view = members.get();
+        MembershipView view = currentView.get();
         if (view == followed) {
             return;
         }
