--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -42,7 +42,7 @@
     private final Counter ejections;
     private final Counter readmissions;
     private final Supplier<MembershipView> currentView;
-    private final OwnLoad own;
+    private final OwnLoad localLoad;
     private volatile MembershipView followed = MembershipView.EMPTY;
 
     /**
@@ -62,7 +62,7 @@
      * @param members the view as of now
      */
     public PeerLoads(Supplier<MembershipView> members, OwnLoad own, TimeSource time, MetricRegistry metrics) {
-        this.own = own;
+        this.localLoad = own;
         this.currentView = members;
         this.time = time;
         ejections = metrics.counter(ChoiceMetrics.EJECTIONS);
@@ -154,7 +154,7 @@
             }
             Optional<Long> coldSince = appeared ? Optional.of(time.nanoTime()) : Optional.empty();
             Optional<IntSupplier> exactLoad =
-                    own.instance().equals(instance) ? Optional.of(own.load()) : Optional.empty();
+                    localLoad.instance().equals(instance) ? Optional.of(localLoad.load()) : Optional.empty();
             return new MemberStats(member, coldSince, exactLoad);
         });
     }
