--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -43,7 +43,7 @@
     private final Counter readmissions;
     private final Supplier<MembershipView> currentView;
     private final OwnLoad localLoad;
-    private volatile MembershipView followed = MembershipView.EMPTY;
+    private volatile MembershipView appliedView = MembershipView.EMPTY;
 
     /**
      * The load of the backend server in the same VM, which needs no report.
@@ -166,17 +166,17 @@
      * is new, not they.
      */
     void follow() {
-        if (currentView.get() != followed) {
+        if (currentView.get() != appliedView) {
             catchUp();
         }
     }
 
     private synchronized void catchUp() {
         MembershipView view = currentView.get();
-        if (view == followed) {
+        if (view == appliedView) {
             return;
         }
-        followed = view;
+        appliedView = view;
         statsByInstance.keySet().removeIf(instance -> view.find(instance).isEmpty());
         for (Member m : view.all()) {
             if (m.state() == Member.State.UP) {
