--- a/org.berylwick.bench/src/org/berylwick/bench/limits/ChoiceRun.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/limits/ChoiceRun.java
@@ -142,7 +142,7 @@
         view = new MembershipView(members);
         for (int i = 0; i < ZONES.size() * ENTRIES_PER_ZONE; i++) {
             MetricRegistry metrics = new MetricRegistry();
-            PeerLoads loads = new PeerLoads(() -> view, PeerLoads.OwnLoad.NONE, loop, metrics);
+            PeerLoads loads = new PeerLoads(() -> view, PeerLoads.LocalLoad.NONE, loop, metrics);
             entries.add(new Entry(place(i), loads, new MemberChooser(place(i), loads, loop, metrics, () -> random)));
         }
     }
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallPath.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallPath.java
@@ -78,7 +78,7 @@
                 invariants,
                 SlotLimits.ofAllClasses(DEFAULT_SLOTS, DEFAULT_QUEUE));
         PeerLoads loads =
-                new PeerLoads(membership::view, new PeerLoads.OwnLoad(instance, limiter::load), time, registry);
+                new PeerLoads(membership::view, new PeerLoads.LocalLoad(instance, limiter::load), time, registry);
         MemberChooser chooser = new MemberChooser(settings.place(), loads, time, registry, ThreadLocalRandom::current);
         Owner ownServer = new Owner(limiter, server, state, metrics, invariants, time);
         PeerSender sender = new PeerSender(peers, time);
--- a/org.berylwick.test/tst/org/berylwick/internal/routing/ChoiceFixture.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/ChoiceFixture.java
@@ -42,7 +42,7 @@
 
     ChoiceFixture(long seed) {
         Random random = new Random(seed);
-        loads = new PeerLoads(() -> view, PeerLoads.OwnLoad.NONE, time, metrics);
+        loads = new PeerLoads(() -> view, PeerLoads.LocalLoad.NONE, time, metrics);
         chooser = new MemberChooser(MAKATI, loads, time, metrics, () -> random);
     }
 
--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -42,7 +42,7 @@
     private final Counter ejections;
     private final Counter readmissions;
     private final Supplier<MembershipView> currentView;
-    private final OwnLoad localLoad;
+    private final LocalLoad localLoad;
     private volatile MembershipView appliedView = MembershipView.EMPTY;
 
     /**
@@ -51,9 +51,9 @@
      * @param instance the own instance
      * @param load requests there now
      */
-    public record OwnLoad(String instance, IntSupplier load) {
+    public record LocalLoad(String instance, IntSupplier load) {
         /** Of a process without a backend server. */
-        public static final OwnLoad NONE = new OwnLoad("", () -> 0);
+        public static final LocalLoad NONE = new LocalLoad("", () -> 0);
     }
 
     /**
@@ -61,7 +61,7 @@
      *
      * @param members the view as of now
      */
-    public PeerLoads(Supplier<MembershipView> members, OwnLoad own, TimeSource time, MetricRegistry metrics) {
+    public PeerLoads(Supplier<MembershipView> members, LocalLoad own, TimeSource time, MetricRegistry metrics) {
         this.localLoad = own;
         this.currentView = members;
         this.time = time;
