--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -83,37 +83,37 @@
 
     /** One request sent to a member; safe to end more than once. */
     public final class Attempt implements AutoCloseable {
-        private final MemberStats record;
+        private final MemberStats stats;
         private final long sinceNanos;
         private boolean ended;
 
         private Attempt(MemberStats record, long sinceNanos) {
-            this.record = record;
+            this.stats = record;
             this.sinceNanos = sinceNanos;
         }
 
         /** The reply carried the load at its owner. */
         public void report(int load) {
-            record.reportLoad(load, time.nanoTime());
+            stats.reportLoad(load, time.nanoTime());
         }
 
         /** The answer began; a class whose answers differ widely in time doesn't count for speed. */
         public void answered(boolean comparable) {
-            if (record.recordSuccess(time.nanoTime())) {
+            if (stats.recordSuccess(time.nanoTime())) {
                 readmissions.inc();
                 EVENTS.log(
                         CallEvent.MEMBER_RETURNED,
-                        record.member().instance(),
-                        record.member().service());
+                        stats.member().instance(),
+                        stats.member().service());
             }
-            if (comparable && record.recordLatency(time.nanoTime() - sinceNanos) % LATENCY_SAMPLES_PER_CHECK == 0) {
-                judge(record);
+            if (comparable && stats.recordLatency(time.nanoTime() - sinceNanos) % LATENCY_SAMPLES_PER_CHECK == 0) {
+                judge(stats);
             }
         }
 
         /** The member could not be reached, or answered with an error of its own. */
         public void failed(String detail) {
-            record.recordFailure(time.nanoTime()).ifPresent(backoff -> noteEjection(record, backoff, detail));
+            stats.recordFailure(time.nanoTime()).ifPresent(backoff -> noteEjection(stats, backoff, detail));
         }
 
         /**
@@ -135,7 +135,7 @@
         public synchronized void close() {
             if (!ended) {
                 ended = true;
-                record.endRequest();
+                stats.endRequest();
             }
         }
     }
