--- a/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
@@ -103,7 +103,7 @@
     }
 
     private boolean isDueForProbe(Member m, long now) {
-        MemberStats r = loads.record(m);
+        MemberStats r = loads.stats(m);
         return r.ejectionStatus(now) == Status.PROBATION && r.inFlight() == 0;
     }
 
@@ -115,9 +115,9 @@
      */
     private Set<String> findExcluded(List<Member> up, long now) {
         List<Member> failing = up.stream()
-                .filter(m -> loads.record(m).ejectionStatus(now) != Status.HEALTHY)
+                .filter(m -> loads.stats(m).ejectionStatus(now) != Status.HEALTHY)
                 .sorted(Comparator.<Member, Status>comparing(
-                                m -> loads.record(m).ejectionStatus(now))
+                                m -> loads.stats(m).ejectionStatus(now))
                         .reversed()
                         .thenComparing(Member::instance))
                 .toList();
@@ -174,11 +174,11 @@
     }
 
     private double weight(Member m, long now) {
-        return Math.max(1, m.slots()) * loads.record(m).weight(now);
+        return Math.max(1, m.slots()) * loads.stats(m).weight(now);
     }
 
     private double utilization(Member m, long now) {
-        return (loads.record(m).load(now) + 1) / Math.max(1, m.slots());
+        return (loads.stats(m).load(now) + 1) / Math.max(1, m.slots());
     }
 
     private static List<Member> inState(List<Member> members, Member.State state) {
--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -71,14 +71,14 @@
 
     /** A request goes out; the returned attempt takes in what becomes of it. */
     public Attempt begin(Member member) {
-        MemberStats record = record(member);
+        MemberStats record = stats(member);
         record.beginRequest();
         return new Attempt(record, time.nanoTime());
     }
 
     /** Requests at a member, as far as known here. */
     public double load(Member member) {
-        return record(member).load(time.nanoTime());
+        return stats(member).load(time.nanoTime());
     }
 
     /** One request sent to a member; safe to end more than once. */
@@ -141,7 +141,7 @@
     }
 
     /** What is known of a member; a record is made where there is none. */
-    MemberStats record(Member member) {
+    MemberStats stats(Member member) {
         MemberStats known = statsByInstance.get(member.instance());
         if (known != null && known.isSameStart(member)) {
             return known;
@@ -180,7 +180,7 @@
         statsByInstance.keySet().removeIf(instance -> view.find(instance).isEmpty());
         for (Member m : view.all()) {
             if (m.state() == Member.State.UP) {
-                record(m);
+                stats(m);
             }
         }
         view.all().forEach(m -> knownServices.add(m.service()));
--- a/org.berylwick/src/org/berylwick/internal/routing/Tiers.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/Tiers.java
@@ -61,7 +61,7 @@
         double load = 0;
         double capacity = 0;
         for (Member m : members) {
-            MemberStats r = loads.record(m);
+            MemberStats r = loads.stats(m);
             load += r.load(nowNanos);
             capacity += Math.max(1, m.slots()) * r.weight(nowNanos);
         }
