--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -84,12 +84,12 @@
     /** One request sent to a member; safe to end more than once. */
     public final class Attempt implements AutoCloseable {
         private final MemberStats stats;
-        private final long sinceNanos;
+        private final long startedAtNanos;
         private boolean ended;
 
         private Attempt(MemberStats record, long sinceNanos) {
             this.stats = record;
-            this.sinceNanos = sinceNanos;
+            this.startedAtNanos = sinceNanos;
         }
 
         /** The reply carried the load at its owner. */
@@ -106,7 +106,7 @@
                         stats.member().instance(),
                         stats.member().service());
             }
-            if (comparable && stats.recordLatency(time.nanoTime() - sinceNanos) % LATENCY_SAMPLES_PER_CHECK == 0) {
+            if (comparable && stats.recordLatency(time.nanoTime() - startedAtNanos) % LATENCY_SAMPLES_PER_CHECK == 0) {
                 judge(stats);
             }
         }
