--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -85,7 +85,7 @@
     public final class Attempt implements AutoCloseable {
         private final MemberStats stats;
         private final long startedAtNanos;
-        private boolean ended;
+        private boolean closed;
 
         private Attempt(MemberStats record, long sinceNanos) {
             this.stats = record;
@@ -133,8 +133,8 @@
         /** The request is over, its answer's end included. */
         @Override
         public synchronized void close() {
-            if (!ended) {
-                ended = true;
+            if (!closed) {
+                closed = true;
                 stats.endRequest();
             }
         }
