--- a/org.berylwick.bench/src/org/berylwick/bench/limits/ChoiceRun.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/limits/ChoiceRun.java
@@ -211,7 +211,7 @@
                         int reported = server.load;
                         slot.orElseThrow().run();
                         loop.after(hop, () -> {
-                            attempt.report(reported);
+                            attempt.reportLoad(reported);
                             ended(server, attempt);
                             times.recordValue(loop.nanoTime() - began);
                         });
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/PeerSender.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/PeerSender.java
@@ -76,7 +76,7 @@
             SplitHttpResponse split,
             Exchange exchange,
             Pace pace) {
-        load.report(received.getInt(CallHeaders.LOAD, 0));
+        load.reportLoad(received.getInt(CallHeaders.LOAD, 0));
         String answered = received.get(CallHeaders.REQUEST_ID, "");
         if (!answered.equals(call.requestId()) && received.contains(CallHeaders.OUTCOME)) {
             split.body().abort();
--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserPropertyTest.java
@@ -106,7 +106,7 @@
                 open.add(f.loads.begin(m));
             } else {
                 PeerLoads.Attempt a = open.remove(random.nextInt(open.size()));
-                a.report(random.nextInt(30));
+                a.reportLoad(random.nextInt(30));
                 a.close();
                 a.close();
             }
--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -67,7 +67,7 @@
         // and unless some request goes there nobody will ever know.
         Member a = f.add("a", MAKATI);
         f.add("b", MAKATI);
-        f.loads.begin(a).report(12);
+        f.loads.begin(a).reportLoad(12);
         assertTrue(f.draw(DRAWS).getOrDefault("a", 0) == 0);
         f.time.advance(MemberStats.LOAD_REPORT_EXPIRY);
         Member b = f.members.get(1);
@@ -79,7 +79,7 @@
     void ownRequestsAreNotCountedTwiceWhenTheyAreReported() {
         Member a = f.add("a", MAKATI);
         f.occupy(a, 4);
-        f.loads.begin(a).report(5);
+        f.loads.begin(a).reportLoad(5);
         assertEquals(5, f.loads.stats(a).load(f.time.nanoTime()));
     }
 
--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -93,7 +93,7 @@
         }
 
         /** The reply carried the load at its owner. */
-        public void report(int load) {
+        public void reportLoad(int load) {
             stats.reportLoad(load, time.nanoTime());
         }
 
