--- a/org.berylwick.bench/src/org/berylwick/bench/limits/ChoiceRun.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/limits/ChoiceRun.java
@@ -224,7 +224,7 @@
             failed++;
             attempt.failed("status 500");
         } else {
-            attempt.answered(true);
+            attempt.responseStarted(true);
         }
         attempt.close();
     }
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarder.java
@@ -105,7 +105,7 @@
                 if (status.isServerError()) {
                     load.failed("status " + status.code());
                 } else {
-                    load.answered(call.match().policy().trafficClass() != TrafficClass.BULK);
+                    load.responseStarted(call.match().policy().trafficClass() != TrafficClass.BULK);
                 }
             }
             case Outcome.RefusedNotRun<Answer>(RefusalReason reason, Optional<Long> retryAfter) -> {
--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -228,7 +228,7 @@
     private void answer(Member m, Duration after) {
         try (PeerLoads.Attempt a = f.loads.begin(m)) {
             f.time.advance(after);
-            a.answered(true);
+            a.responseStarted(true);
         }
     }
 }
--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -98,7 +98,7 @@
         }
 
         /** The answer began; a class whose answers differ widely in time doesn't count for speed. */
-        public void answered(boolean comparable) {
+        public void responseStarted(boolean comparable) {
             if (stats.recordSuccess(time.nanoTime())) {
                 readmissions.inc();
                 EVENTS.log(
