--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarder.java
@@ -113,7 +113,7 @@
                     load.failed(reason.word());
                 }
             }
-            case Outcome.Unknown<Answer>(String detail) -> load.unknown(detail, attemptMillis);
+            case Outcome.Unknown<Answer>(String detail) -> load.outcomeUnknown(detail, attemptMillis);
         }
     }
 
--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -126,7 +126,7 @@
         f.add("b", MAKATI);
         for (int i = 0; i < DRAWS; i++) {
             try (PeerLoads.Attempt attempt = f.loads.begin(a)) {
-                attempt.unknown("no answer in time", 5);
+                attempt.outcomeUnknown("no answer in time", 5);
             }
         }
         assertEquals(EjectionState.Status.HEALTHY, f.loads.stats(a).ejectionStatus(f.time.nanoTime()));
--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -124,7 +124,7 @@
          *
          * @param allowedMillis by which the answer had to begin
          */
-        public void unknown(String detail, long allowedMillis) {
+        public void outcomeUnknown(String detail, long allowedMillis) {
             if (allowedMillis >= MIN_TIMEOUT_COUNTED_AS_FAILURE.toMillis()) {
                 failed(detail);
             }
