--- a/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
@@ -63,7 +63,7 @@
      * @param tried instances that refused this request already
      */
     public MemberChoice choose(MembershipView members, RouteMatch match, Set<String> tried) {
-        loads.follow();
+        loads.updateMembers();
         long now = time.nanoTime();
         List<Member> selected = members.ofService(match.route().service()).stream()
                 .filter(m -> match.route().servers().matches(m.labels()))
--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -165,7 +165,7 @@
      * <p>Members that were there when this process first heard of their service count as warm: it is this process that
      * is new, not they.
      */
-    void follow() {
+    void updateMembers() {
         if (currentView.get() != appliedView) {
             catchUp();
         }
