--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -167,11 +167,11 @@
      */
     void updateMembers() {
         if (currentView.get() != appliedView) {
-            catchUp();
+            applyCurrentView();
         }
     }
 
-    private synchronized void catchUp() {
+    private synchronized void applyCurrentView() {
         MembershipView view = currentView.get();
         if (view == appliedView) {
             return;
