--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -107,7 +107,7 @@
                         stats.member().service());
             }
             if (comparable && stats.recordLatency(time.nanoTime() - startedAtNanos) % LATENCY_SAMPLES_PER_CHECK == 0) {
-                judge(stats);
+                ejectIfSlow(stats);
             }
         }
 
@@ -191,7 +191,7 @@
         return statsByInstance.size();
     }
 
-    private void judge(MemberStats suspect) {
+    private void ejectIfSlow(MemberStats suspect) {
         Member m = suspect.member();
         List<Double> others = statsByInstance.values().stream()
                 .filter(r -> r != suspect
