--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -113,7 +113,7 @@
 
         /** The member could not be reached, or answered with an error of its own. */
         public void failed(String detail) {
-            stats.recordFailure(time.nanoTime()).ifPresent(backoff -> noteEjection(stats, backoff, detail));
+            stats.recordFailure(time.nanoTime()).ifPresent(backoff -> reportEjection(stats, backoff, detail));
         }
 
         /**
@@ -211,11 +211,11 @@
             String detail =
                     "answers begin after " + Duration.ofNanos((long) mean).toMillis() + " ms, those of others "
                             + "after " + Duration.ofNanos((long) median).toMillis();
-            noteEjection(suspect, suspect.eject(time.nanoTime()), detail);
+            reportEjection(suspect, suspect.eject(time.nanoTime()), detail);
         }
     }
 
-    private void noteEjection(MemberStats record, Duration backoff, String detail) {
+    private void reportEjection(MemberStats record, Duration backoff, String detail) {
         ejections.inc();
         Member m = record.member();
         EVENTS.log(CallEvent.MEMBER_EJECTED, m.instance(), m.service(), backoff.toMillis(), detail);
