--- a/org.berylwick/src/org/berylwick/internal/routing/RoutingTable.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/RoutingTable.java
@@ -20,10 +20,10 @@
             .thenComparing(m -> m.route().methods().isEmpty())
             .thenComparing(m -> m.route().name());
 
-    private final Map<String, List<RouteMatch>> byHost;
+    private final Map<String, List<RouteMatch>> matchesByHost;
 
     private RoutingTable(Map<String, List<RouteMatch>> byHost) {
-        this.byHost = byHost;
+        this.matchesByHost = byHost;
     }
 
     /** Compiles a configuration that was validated; a route without service or policy is left out. */
@@ -69,9 +69,9 @@
      * @param path the path without query
      */
     public Optional<RouteMatch> find(String host, String method, String path) {
-        List<RouteMatch> matches = byHost.get(host);
+        List<RouteMatch> matches = matchesByHost.get(host);
         if (matches == null) {
-            matches = byHost.getOrDefault(host.toLowerCase(Locale.ROOT), List.of());
+            matches = matchesByHost.getOrDefault(host.toLowerCase(Locale.ROOT), List.of());
         }
         for (RouteMatch m : matches) {
             if (isUnder(m.route().path(), path) && takes(m.route(), method)) {
@@ -83,7 +83,7 @@
 
     /** Tells whether any brand has this host. */
     public boolean hasHost(String host) {
-        return byHost.containsKey(host.toLowerCase(Locale.ROOT));
+        return matchesByHost.containsKey(host.toLowerCase(Locale.ROOT));
     }
 
     /** Tells whether a route takes the request method. */
