--- a/org.berylwick.daemon/src/org/berylwick/daemon/admin/RouteExplainer.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/admin/RouteExplainer.java
@@ -75,7 +75,7 @@
         if (!RoutingTable.isUnder(route.path(), request.getPath())) {
             return "path " + request.getPath() + " is not under " + route.path();
         }
-        if (!RoutingTable.takes(route, request.getMethod())) {
+        if (!RoutingTable.acceptsMethod(route, request.getMethod())) {
             return "method " + request.getMethod() + " is not one of " + String.join(", ", route.methods());
         }
         return "takes it; the longest path goes first, then a route that names methods";
--- a/org.berylwick/src/org/berylwick/internal/routing/RoutingTable.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/RoutingTable.java
@@ -74,7 +74,7 @@
             matches = matchesByHost.getOrDefault(host.toLowerCase(Locale.ROOT), List.of());
         }
         for (RouteMatch m : matches) {
-            if (isUnder(m.route().path(), path) && takes(m.route(), method)) {
+            if (isUnder(m.route().path(), path) && acceptsMethod(m.route(), method)) {
                 return Optional.of(m);
             }
         }
@@ -87,7 +87,7 @@
     }
 
     /** Tells whether a route takes the request method. */
-    public static boolean takes(Route route, String method) {
+    public static boolean acceptsMethod(Route route, String method) {
         return route.methods().isEmpty() || route.methods().contains(method);
     }
 
