--- a/org.berylwick.daemon/src/org/berylwick/daemon/admin/RouteExplainer.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/admin/RouteExplainer.java
@@ -72,7 +72,7 @@
         if (!route.brands().matches(brand.labels())) {
             return "not for this brand (its brands are '" + route.brands() + "')";
         }
-        if (!RoutingTable.isUnder(route.path(), request.getPath())) {
+        if (!RoutingTable.isPathUnder(route.path(), request.getPath())) {
             return "path " + request.getPath() + " is not under " + route.path();
         }
         if (!RoutingTable.acceptsMethod(route, request.getMethod())) {
--- a/org.berylwick/src/org/berylwick/internal/routing/RoutingTable.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/RoutingTable.java
@@ -74,7 +74,7 @@
             matches = matchesByHost.getOrDefault(host.toLowerCase(Locale.ROOT), List.of());
         }
         for (RouteMatch m : matches) {
-            if (isUnder(m.route().path(), path) && acceptsMethod(m.route(), method)) {
+            if (isPathUnder(m.route().path(), path) && acceptsMethod(m.route(), method)) {
                 return Optional.of(m);
             }
         }
@@ -92,7 +92,7 @@
     }
 
     /** Tells whether {@code path} is {@code prefix} or lies below it, by whole segments. */
-    public static boolean isUnder(String prefix, String path) {
+    public static boolean isPathUnder(String prefix, String path) {
         if (!path.startsWith(prefix)) {
             return false;
         }
