--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserPropertyTest.java
@@ -91,7 +91,7 @@
         assertTrue(stay >= capacity / (capacity + beyondSlots) - 1e-9 && stay <= 1);
         assertTrue(stayMore <= stay + 1e-9);
         assertTrue(stay - stayMore < 0.08);
-        assertTrue(here / capacity > Tiers.SPILL_FROM || stay == 1);
+        assertTrue(here / capacity > Tiers.SPILL_THRESHOLD || stay == 1);
         assertTrue(here / capacity > beyond / beyondSlots || stay == 1);
     }
 
--- a/org.berylwick/src/org/berylwick/internal/routing/Tiers.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/Tiers.java
@@ -13,7 +13,7 @@
  */
 final class Tiers {
     /** Part of its slots in use from which a tier passes requests on. */
-    static final double SPILL_FROM = 0.6;
+    static final double SPILL_THRESHOLD = 0.6;
 
     /** Difference in fullness at which the whole pressure counts; at less, requests would only swap places. */
     private static final double FULL_RELIEF = 0.25;
@@ -79,7 +79,7 @@
         if (capacity == 0) {
             return 1;
         }
-        double pressure = Math.clamp((here.fullness() - SPILL_FROM) / (1 - SPILL_FROM), 0, 1);
+        double pressure = Math.clamp((here.fullness() - SPILL_THRESHOLD) / (1 - SPILL_THRESHOLD), 0, 1);
         double relief = Math.clamp((here.fullness() - load / capacity) / FULL_RELIEF, 0, 1);
         double fairShare = here.capacity / (here.capacity + capacity);
         return 1 - pressure * relief * (1 - fairShare);
