--- a/org.berylwick/src/org/berylwick/internal/routing/Tiers.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/Tiers.java
@@ -16,7 +16,7 @@
     static final double SPILL_THRESHOLD = 0.6;
 
     /** Difference in fullness at which the whole pressure counts; at less, requests would only swap places. */
-    private static final double FULL_RELIEF = 0.25;
+    private static final double FULL_SPILL_UTILIZATION_GAP = 0.25;
 
     /** Own availability zone, own region, anywhere else. */
     enum Distance {
@@ -80,7 +80,7 @@
             return 1;
         }
         double pressure = Math.clamp((here.fullness() - SPILL_THRESHOLD) / (1 - SPILL_THRESHOLD), 0, 1);
-        double relief = Math.clamp((here.fullness() - load / capacity) / FULL_RELIEF, 0, 1);
+        double relief = Math.clamp((here.fullness() - load / capacity) / FULL_SPILL_UTILIZATION_GAP, 0, 1);
         double fairShare = here.capacity / (here.capacity + capacity);
         return 1 - pressure * relief * (1 - fairShare);
     }
