--- a/org.berylwick/src/org/berylwick/internal/routing/Tiers.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/Tiers.java
@@ -30,7 +30,7 @@
 
     /** Members at one distance; never empty. */
     record Tier(Distance distance, List<Member> members, double load, double capacity) {
-        double fullness() {
+        double utilization() {
             return load / capacity;
         }
     }
@@ -79,8 +79,8 @@
         if (capacity == 0) {
             return 1;
         }
-        double pressure = Math.clamp((here.fullness() - SPILL_THRESHOLD) / (1 - SPILL_THRESHOLD), 0, 1);
-        double relief = Math.clamp((here.fullness() - load / capacity) / FULL_SPILL_UTILIZATION_GAP, 0, 1);
+        double pressure = Math.clamp((here.utilization() - SPILL_THRESHOLD) / (1 - SPILL_THRESHOLD), 0, 1);
+        double relief = Math.clamp((here.utilization() - load / capacity) / FULL_SPILL_UTILIZATION_GAP, 0, 1);
         double fairShare = here.capacity / (here.capacity + capacity);
         return 1 - pressure * relief * (1 - fairShare);
     }
