--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserPropertyTest.java
@@ -117,6 +117,6 @@
 
     private static double stay(double load, double capacity, double beyond, double beyondCapacity) {
         Tier here = new Tier(Distance.ZONE, List.of(), load, capacity);
-        return Tiers.stayShare(here, List.of(new Tier(Distance.REGION, List.of(), beyond, beyondCapacity)));
+        return Tiers.keptShare(here, List.of(new Tier(Distance.REGION, List.of(), beyond, beyondCapacity)));
     }
 }
--- a/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
@@ -140,7 +140,7 @@
     private Member chooseByDistance(List<Member> members, long now) {
         List<Tier> tiers = Tiers.of(localPlace, members, loads, now);
         for (int i = 0; i < tiers.size() - 1; i++) {
-            double stay = Tiers.stayShare(tiers.get(i), tiers.subList(i + 1, tiers.size()));
+            double stay = Tiers.keptShare(tiers.get(i), tiers.subList(i + 1, tiers.size()));
             if (stay >= 1 || randomSource.get().nextDouble() < stay) {
                 return lessLoadedOfTwo(tiers.get(i).members(), now);
             }
--- a/org.berylwick/src/org/berylwick/internal/routing/Tiers.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/Tiers.java
@@ -69,7 +69,7 @@
     }
 
     /** The share of requests that stays in {@code here} with {@code beyond} to go on to. */
-    static double stayShare(Tier here, List<Tier> beyond) {
+    static double keptShare(Tier here, List<Tier> beyond) {
         double load = 0;
         double capacity = 0;
         for (Tier t : beyond) {
