--- a/org.berylwick.test/tst/org/berylwick/internal/routing/ChoiceFixture.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserFixture.java
@@ -21,7 +21,7 @@
 import org.berylwick.testing.ManualTimeSource;
 
 /** A chooser in makati with members that a test puts where it likes. */
-final class ChoiceFixture {
+final class MemberChooserFixture {
     static final Place MAKATI = new Place("ncr", "makati");
     static final Place PASIG = new Place("ncr", "pasig");
     static final Place CEBU = new Place("visayas", "cebu");
@@ -36,11 +36,11 @@
     final MemberChooser chooser;
     private MembershipView view = MembershipView.EMPTY;
 
-    ChoiceFixture() {
+    MemberChooserFixture() {
         this(7);
     }
 
-    ChoiceFixture(long seed) {
+    MemberChooserFixture(long seed) {
         Random random = new Random(seed);
         loads = new PeerLoads(() -> view, PeerLoads.LocalLoad.NONE, time, metrics);
         chooser = new MemberChooser(MAKATI, loads, time, metrics, () -> random);
--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserPropertyTest.java
@@ -23,14 +23,14 @@
 
 /** What holds for the choice of a member whatever is known of them. */
 class MemberChooserPropertyTest {
-    private static final Place[] PLACES = {ChoiceFixture.MAKATI, ChoiceFixture.PASIG, ChoiceFixture.CEBU};
+    private static final Place[] PLACES = {MemberChooserFixture.MAKATI, MemberChooserFixture.PASIG, MemberChooserFixture.CEBU};
 
     @Property(seed = "20271", tries = 300)
     void theBestKindOfMemberLeftIsUsed(@ForAll long seed, @ForAll @IntRange(max = 9) int count) {
         // Members in any state, some of which failed or refused the request. One that is up is preferred to one that
         // is suspect; one that starts, leaves or is gone never gets the request.
         Random random = new Random(seed);
-        ChoiceFixture f = new ChoiceFixture(seed);
+        MemberChooserFixture f = new MemberChooserFixture(seed);
         Set<String> tried = new HashSet<>();
         for (int i = 0; i < count; i++) {
             State state = State.values()[random.nextInt(State.values().length)];
@@ -72,9 +72,9 @@
         // This process itself is in trouble, so that requests to any member fail. However many it takes for broken, at
         // least half of them keep getting requests, or the service would be gone for this process's callers.
         Random random = new Random(seed);
-        ChoiceFixture f = new ChoiceFixture(seed);
+        MemberChooserFixture f = new MemberChooserFixture(seed);
         for (int i = 0; i < count; i++) {
-            Member m = f.add("m" + i, ChoiceFixture.MAKATI);
+            Member m = f.add("m" + i, MemberChooserFixture.MAKATI);
             f.fail(m, random.nextInt(3) == 0 ? 0 : 30);
         }
         assertTrue(f.draw(600).size() >= count - count / 2);
@@ -98,8 +98,8 @@
     @Property(seed = "20274", tries = 150)
     void requestsInFlightAreCountedExactly(@ForAll long seed) {
         Random random = new Random(seed);
-        ChoiceFixture f = new ChoiceFixture(seed);
-        Member m = f.add("m", ChoiceFixture.MAKATI);
+        MemberChooserFixture f = new MemberChooserFixture(seed);
+        Member m = f.add("m", MemberChooserFixture.MAKATI);
         List<PeerLoads.Attempt> open = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
             if (open.isEmpty() || random.nextBoolean()) {
--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -1,8 +1,8 @@
 package org.berylwick.internal.routing;
 
-import static org.berylwick.internal.routing.ChoiceFixture.CEBU;
-import static org.berylwick.internal.routing.ChoiceFixture.MAKATI;
-import static org.berylwick.internal.routing.ChoiceFixture.PASIG;
+import static org.berylwick.internal.routing.MemberChooserFixture.CEBU;
+import static org.berylwick.internal.routing.MemberChooserFixture.MAKATI;
+import static org.berylwick.internal.routing.MemberChooserFixture.PASIG;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
@@ -20,7 +20,7 @@
 class MemberChooserTest {
     private static final int DRAWS = 1_000;
 
-    private final ChoiceFixture f = new ChoiceFixture();
+    private final MemberChooserFixture f = new MemberChooserFixture();
 
     @Test
     void theOwnZoneIsUsedWhileItHasRoom() {
