--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserFixture.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserFixture.java
@@ -79,7 +79,7 @@
     }
 
     /** The chosen member, which there must be. */
-    Member chosen(boolean idempotent) {
+    Member chooseMember(boolean idempotent) {
         return ((MemberChoice.Chosen) choose(idempotent, Set.of())).member();
     }
 
@@ -87,7 +87,7 @@
     Map<String, Integer> draw(int times) {
         Map<String, Integer> drawn = new HashMap<>();
         for (int i = 0; i < times; i++) {
-            drawn.merge(chosen(false).instance(), 1, Integer::sum);
+            drawn.merge(chooseMember(false).instance(), 1, Integer::sum);
         }
         return drawn;
     }
--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -94,16 +94,16 @@
         assertEquals(Map.of("good", DRAWS), f.draw(DRAWS));
         f.time.advance(EjectionState.INITIAL_BACKOFF);
         assertEquals(Map.of("good", DRAWS), f.draw(DRAWS));
-        assertEquals("bad", f.chosen(true).instance());
+        assertEquals("bad", f.chooseMember(true).instance());
         try (PeerLoads.Attempt probe = f.loads.begin(bad)) {
-            assertEquals("good", f.chosen(true).instance());
+            assertEquals("good", f.chooseMember(true).instance());
             probe.failed("again");
         }
         f.time.advance(EjectionState.INITIAL_BACKOFF.multipliedBy(2).minusMillis(1));
-        assertEquals("good", f.chosen(true).instance());
+        assertEquals("good", f.chooseMember(true).instance());
         f.time.advance(Duration.ofMillis(1));
         for (int i = 0; i < EjectionState.SUCCESSES_TO_RETURN; i++) {
-            assertEquals("bad", f.chosen(true).instance());
+            assertEquals("bad", f.chooseMember(true).instance());
             answer(bad, Duration.ZERO);
         }
         assertTrue(f.draw(DRAWS).containsKey("bad"));
