--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserFixture.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserFixture.java
@@ -84,7 +84,7 @@
     }
 
     /** How often each instance is chosen. */
-    Map<String, Integer> draw(int times) {
+    Map<String, Integer> countChoices(int times) {
         Map<String, Integer> drawn = new HashMap<>();
         for (int i = 0; i < times; i++) {
             drawn.merge(chooseMember(false).instance(), 1, Integer::sum);
--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserPropertyTest.java
@@ -77,7 +77,7 @@
             Member m = f.add("m" + i, MemberChooserFixture.MAKATI);
             f.fail(m, random.nextInt(3) == 0 ? 0 : 30);
         }
-        assertTrue(f.draw(600).size() >= count - count / 2);
+        assertTrue(f.countChoices(600).size() >= count - count / 2);
     }
 
     @Property(seed = "20273", tries = 500)
--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -26,7 +26,7 @@
     void theOwnZoneIsUsedWhileItHasRoom() {
         f.add("near", MAKATI);
         f.add("far", PASIG);
-        assertEquals(Map.of("near", DRAWS), f.draw(DRAWS));
+        assertEquals(Map.of("near", DRAWS), f.countChoices(DRAWS));
     }
 
     @Test
@@ -36,10 +36,10 @@
         Member near = f.add("near", MAKATI);
         f.add("there", PASIG);
         f.occupy(near, 10);
-        int spilled = f.draw(DRAWS).getOrDefault("there", 0);
+        int spilled = f.countChoices(DRAWS).getOrDefault("there", 0);
         assertTrue(spilled > DRAWS / 10 && spilled < DRAWS / 2, "spilled " + spilled);
         f.occupy(near, 4);
-        int more = f.draw(DRAWS).getOrDefault("there", 0);
+        int more = f.countChoices(DRAWS).getOrDefault("there", 0);
         assertTrue(more > spilled && more < DRAWS * 6 / 10, "spilled " + more);
     }
 
@@ -49,7 +49,7 @@
         Member there = f.add("there", PASIG);
         f.occupy(near, 12);
         f.occupy(there, 12);
-        assertEquals(Map.of("near", DRAWS), f.draw(DRAWS));
+        assertEquals(Map.of("near", DRAWS), f.countChoices(DRAWS));
     }
 
     @Test
@@ -58,7 +58,7 @@
         f.add("region", PASIG);
         f.add("far", CEBU);
         f.occupy(near, 12);
-        assertFalse(f.draw(DRAWS).containsKey("far"));
+        assertFalse(f.countChoices(DRAWS).containsKey("far"));
     }
 
     @Test
@@ -68,11 +68,11 @@
         Member a = f.add("a", MAKATI);
         f.add("b", MAKATI);
         f.loads.begin(a).reportLoad(12);
-        assertTrue(f.draw(DRAWS).getOrDefault("a", 0) == 0);
+        assertTrue(f.countChoices(DRAWS).getOrDefault("a", 0) == 0);
         f.time.advance(MemberStats.LOAD_REPORT_EXPIRY);
         Member b = f.members.get(1);
         f.occupy(b, 2);
-        assertTrue(f.draw(DRAWS).getOrDefault("a", 0) > DRAWS / 2);
+        assertTrue(f.countChoices(DRAWS).getOrDefault("a", 0) > DRAWS / 2);
     }
 
     @Test
@@ -91,9 +91,9 @@
         Member bad = f.add("bad", MAKATI);
         f.add("good", MAKATI);
         f.fail(bad, EjectionState.FAILURES_TO_EJECT);
-        assertEquals(Map.of("good", DRAWS), f.draw(DRAWS));
+        assertEquals(Map.of("good", DRAWS), f.countChoices(DRAWS));
         f.time.advance(EjectionState.INITIAL_BACKOFF);
-        assertEquals(Map.of("good", DRAWS), f.draw(DRAWS));
+        assertEquals(Map.of("good", DRAWS), f.countChoices(DRAWS));
         assertEquals("bad", f.chooseMember(true).instance());
         try (PeerLoads.Attempt probe = f.loads.begin(bad)) {
             assertEquals("good", f.chooseMember(true).instance());
@@ -106,7 +106,7 @@
             assertEquals("bad", f.chooseMember(true).instance());
             answer(bad, Duration.ZERO);
         }
-        assertTrue(f.draw(DRAWS).containsKey("bad"));
+        assertTrue(f.countChoices(DRAWS).containsKey("bad"));
     }
 
     @Test
@@ -117,7 +117,7 @@
         f.add("good", MAKATI);
         f.fail(bad, EjectionState.FAILURES_TO_EJECT);
         f.time.advance(EjectionState.INITIAL_BACKOFF.plus(EjectionState.MAX_PROBATION));
-        assertTrue(f.draw(DRAWS).containsKey("bad"));
+        assertTrue(f.countChoices(DRAWS).containsKey("bad"));
     }
 
     @Test
@@ -142,7 +142,7 @@
         for (int i = 0; i < 40; i++) {
             f.members.forEach(m -> answer(m, Duration.ofMillis(m == slow ? 2_000 : 20)));
         }
-        assertFalse(f.draw(DRAWS).containsKey("slow"));
+        assertFalse(f.countChoices(DRAWS).containsKey("slow"));
     }
 
     @Test
@@ -162,13 +162,13 @@
         for (String name : new String[] {"a", "b", "c", "d"}) {
             f.add(name, MAKATI);
         }
-        f.draw(1);
+        f.countChoices(1);
         f.add("d", MAKATI, Member.State.UP, 60_000);
-        int cold = f.draw(DRAWS).getOrDefault("d", 0);
+        int cold = f.countChoices(DRAWS).getOrDefault("d", 0);
         f.time.advance(MemberStats.SLOW_START_DURATION.dividedBy(2));
-        int warmer = f.draw(DRAWS).getOrDefault("d", 0);
+        int warmer = f.countChoices(DRAWS).getOrDefault("d", 0);
         f.time.advance(MemberStats.SLOW_START_DURATION);
-        int warm = f.draw(DRAWS).getOrDefault("d", 0);
+        int warm = f.countChoices(DRAWS).getOrDefault("d", 0);
         assertTrue(cold > 0 && cold < DRAWS / 8, "cold " + cold);
         assertTrue(warmer > cold && warm > warmer, cold + " " + warmer + " " + warm);
     }
@@ -179,11 +179,11 @@
         // same as before: what runs there and what failed there must not be forgotten.
         Member a = f.add("a", MAKATI);
         f.add("b", MAKATI);
-        f.draw(1);
+        f.countChoices(1);
         f.occupy(a, 3);
         f.fail(a, EjectionState.FAILURES_TO_EJECT);
         Member refuted = f.add("a", MAKATI, Member.State.UP, 2);
-        f.draw(1);
+        f.countChoices(1);
         assertEquals(3, f.loads.stats(refuted).inFlight());
         assertEquals(EjectionState.Status.EJECTED, f.loads.stats(refuted).ejectionStatus(f.time.nanoTime()));
     }
@@ -191,7 +191,7 @@
     @Test
     void aNewProcessDoesNotTakeEverybodyElseForNew() {
         Member a = f.add("a", MAKATI);
-        f.draw(1);
+        f.countChoices(1);
         assertEquals(1, f.loads.stats(a).weight(f.time.nanoTime()));
     }
 
@@ -199,10 +199,10 @@
     void whoIsGoneIsForgotten() {
         Member a = f.add("a", MAKATI);
         f.add("b", MAKATI);
-        f.draw(1);
+        f.countChoices(1);
         assertEquals(2, f.loads.size());
         f.remove(a);
-        f.draw(1);
+        f.countChoices(1);
         assertEquals(1, f.loads.size());
     }
 
