--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserFixture.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserFixture.java
@@ -93,7 +93,7 @@
     }
 
     /** Requests begin at a member and stay there. */
-    void occupy(Member m, int requests) {
+    void startRequests(Member m, int requests) {
         for (int i = 0; i < requests; i++) {
             loads.begin(m);
         }
--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserPropertyTest.java
@@ -35,7 +35,7 @@
         for (int i = 0; i < count; i++) {
             State state = State.values()[random.nextInt(State.values().length)];
             Member m = f.add("m" + i, PLACES[random.nextInt(3)], state, 1);
-            f.occupy(m, random.nextInt(20));
+            f.startRequests(m, random.nextInt(20));
             f.fail(m, random.nextInt(8));
             if (random.nextInt(4) == 0) {
                 tried.add(m.instance());
--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -35,10 +35,10 @@
         // when it is full some stay: had all of them gone over at once, the next zone would have been swamped.
         Member near = f.add("near", MAKATI);
         f.add("there", PASIG);
-        f.occupy(near, 10);
+        f.startRequests(near, 10);
         int spilled = f.countChoices(DRAWS).getOrDefault("there", 0);
         assertTrue(spilled > DRAWS / 10 && spilled < DRAWS / 2, "spilled " + spilled);
-        f.occupy(near, 4);
+        f.startRequests(near, 4);
         int more = f.countChoices(DRAWS).getOrDefault("there", 0);
         assertTrue(more > spilled && more < DRAWS * 6 / 10, "spilled " + more);
     }
@@ -47,8 +47,8 @@
     void aFullZoneKeepsItsRequestsWhenTheOthersAreAsFull() {
         Member near = f.add("near", MAKATI);
         Member there = f.add("there", PASIG);
-        f.occupy(near, 12);
-        f.occupy(there, 12);
+        f.startRequests(near, 12);
+        f.startRequests(there, 12);
         assertEquals(Map.of("near", DRAWS), f.countChoices(DRAWS));
     }
 
@@ -57,7 +57,7 @@
         Member near = f.add("near", MAKATI);
         f.add("region", PASIG);
         f.add("far", CEBU);
-        f.occupy(near, 12);
+        f.startRequests(near, 12);
         assertFalse(f.countChoices(DRAWS).containsKey("far"));
     }
 
@@ -71,14 +71,14 @@
         assertTrue(f.countChoices(DRAWS).getOrDefault("a", 0) == 0);
         f.time.advance(MemberStats.LOAD_REPORT_EXPIRY);
         Member b = f.members.get(1);
-        f.occupy(b, 2);
+        f.startRequests(b, 2);
         assertTrue(f.countChoices(DRAWS).getOrDefault("a", 0) > DRAWS / 2);
     }
 
     @Test
     void ownRequestsAreNotCountedTwiceWhenTheyAreReported() {
         Member a = f.add("a", MAKATI);
-        f.occupy(a, 4);
+        f.startRequests(a, 4);
         f.loads.begin(a).reportLoad(5);
         assertEquals(5, f.loads.stats(a).load(f.time.nanoTime()));
     }
@@ -180,7 +180,7 @@
         Member a = f.add("a", MAKATI);
         f.add("b", MAKATI);
         f.countChoices(1);
-        f.occupy(a, 3);
+        f.startRequests(a, 3);
         f.fail(a, EjectionState.FAILURES_TO_EJECT);
         Member refuted = f.add("a", MAKATI, Member.State.UP, 2);
         f.countChoices(1);
