--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserFixture.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserFixture.java
@@ -99,7 +99,7 @@
         }
     }
 
-    void fail(Member m, int times) {
+    void failRequests(Member m, int times) {
         for (int i = 0; i < times; i++) {
             try (PeerLoads.Attempt a = loads.begin(m)) {
                 a.failed("refused");
--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserPropertyTest.java
@@ -36,7 +36,7 @@
             State state = State.values()[random.nextInt(State.values().length)];
             Member m = f.add("m" + i, PLACES[random.nextInt(3)], state, 1);
             f.startRequests(m, random.nextInt(20));
-            f.fail(m, random.nextInt(8));
+            f.failRequests(m, random.nextInt(8));
             if (random.nextInt(4) == 0) {
                 tried.add(m.instance());
             }
@@ -75,7 +75,7 @@
         MemberChooserFixture f = new MemberChooserFixture(seed);
         for (int i = 0; i < count; i++) {
             Member m = f.add("m" + i, MemberChooserFixture.MAKATI);
-            f.fail(m, random.nextInt(3) == 0 ? 0 : 30);
+            f.failRequests(m, random.nextInt(3) == 0 ? 0 : 30);
         }
         assertTrue(f.countChoices(600).size() >= count - count / 2);
     }
--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -90,7 +90,7 @@
         // it back, and one bad one keeps it out for twice as long.
         Member bad = f.add("bad", MAKATI);
         f.add("good", MAKATI);
-        f.fail(bad, EjectionState.FAILURES_TO_EJECT);
+        f.failRequests(bad, EjectionState.FAILURES_TO_EJECT);
         assertEquals(Map.of("good", DRAWS), f.countChoices(DRAWS));
         f.time.advance(EjectionState.INITIAL_BACKOFF);
         assertEquals(Map.of("good", DRAWS), f.countChoices(DRAWS));
@@ -115,7 +115,7 @@
         // member would stay out for good; so its probation ends by itself.
         Member bad = f.add("bad", MAKATI);
         f.add("good", MAKATI);
-        f.fail(bad, EjectionState.FAILURES_TO_EJECT);
+        f.failRequests(bad, EjectionState.FAILURES_TO_EJECT);
         f.time.advance(EjectionState.INITIAL_BACKOFF.plus(EjectionState.MAX_PROBATION));
         assertTrue(f.countChoices(DRAWS).containsKey("bad"));
     }
@@ -181,7 +181,7 @@
         f.add("b", MAKATI);
         f.countChoices(1);
         f.startRequests(a, 3);
-        f.fail(a, EjectionState.FAILURES_TO_EJECT);
+        f.failRequests(a, EjectionState.FAILURES_TO_EJECT);
         Member refuted = f.add("a", MAKATI, Member.State.UP, 2);
         f.countChoices(1);
         assertEquals(3, f.loads.stats(refuted).inFlight());
