--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserFixture.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserFixture.java
@@ -75,7 +75,7 @@
     }
 
     MemberChoice choose(boolean idempotent, Set<String> tried) {
-        return chooser.choose(view, match(idempotent), tried);
+        return chooser.choose(view, newMatch(idempotent), tried);
     }
 
     /** The chosen member, which there must be. */
@@ -107,7 +107,7 @@
         }
     }
 
-    private static RouteMatch match(boolean idempotent) {
+    private static RouteMatch newMatch(boolean idempotent) {
         Brand brand = new Brand("b", List.of("b.example"), Labels.EMPTY, Map.of());
         Route route = new Route("r", Labels.EMPTY, Selector.parse(""), "/", List.of(), SERVICE, Selector.parse(""));
         Policy policy = new Policy(
