--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserPropertyTest.java
@@ -26,7 +26,7 @@
     private static final Place[] PLACES = {MemberChooserFixture.MAKATI, MemberChooserFixture.PASIG, MemberChooserFixture.CEBU};
 
     @Property(seed = "20271", tries = 300)
-    void theBestKindOfMemberLeftIsUsed(@ForAll long seed, @ForAll @IntRange(max = 9) int count) {
+    void membersInStateUpArePreferredToSuspectOnes(@ForAll long seed, @ForAll @IntRange(max = 9) int count) {
         // Members in any state, some of which failed or refused the request. One that is up is preferred to one that
         // is suspect; one that starts, leaves or is gone never gets the request.
         Random random = new Random(seed);
