--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserPropertyTest.java
@@ -67,7 +67,7 @@
     }
 
     @Property(seed = "20272", tries = 150)
-    void aWrongSignalLeavesAtLeastHalfOfAServiceInUse(
+    void atLeastHalfOfServiceStaysInUseWhenRequestsToAnyMemberFail(
             @ForAll long seed, @ForAll @IntRange(min = 1, max = 12) int count) {
         // This process itself is in trouble, so that requests to any member fail. However many it takes for broken, at
         // least half of them keep getting requests, or the service would be gone for this process's callers.
