--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserPropertyTest.java
@@ -81,7 +81,7 @@
     }
 
     @Property(seed = "20273", tries = 500)
-    void spillGrowsSteadilyAndNeverTakesAll(
+    void spilloverGrowsContinuouslyAndNeverTakesAllRequests(
             @ForAll @DoubleRange(max = 40) double here,
             @ForAll @DoubleRange(max = 40) double beyond,
             @ForAll @IntRange(min = 1, max = 40) int beyondSlots) {
