--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserPropertyTest.java
@@ -96,7 +96,7 @@
     }
 
     @Property(seed = "20274", tries = 150)
-    void requestsInFlightAreCountedExactly(@ForAll long seed) {
+    void requestsInFlightAreCountedExactlyOnce(@ForAll long seed) {
         Random random = new Random(seed);
         MemberChooserFixture f = new MemberChooserFixture(seed);
         Member m = f.add("m", MemberChooserFixture.MAKATI);
