--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserPropertyTest.java
@@ -86,8 +86,8 @@
             @ForAll @DoubleRange(max = 40) double beyond,
             @ForAll @IntRange(min = 1, max = 40) int beyondSlots) {
         double capacity = 12;
-        double stay = stay(here, capacity, beyond, beyondSlots);
-        double stayMore = stay(here + 0.1, capacity, beyond, beyondSlots);
+        double stay = keptShare(here, capacity, beyond, beyondSlots);
+        double stayMore = keptShare(here + 0.1, capacity, beyond, beyondSlots);
         assertTrue(stay >= capacity / (capacity + beyondSlots) - 1e-9 && stay <= 1);
         assertTrue(stayMore <= stay + 1e-9);
         assertTrue(stay - stayMore < 0.08);
@@ -115,7 +115,7 @@
         }
     }
 
-    private static double stay(double load, double capacity, double beyond, double beyondCapacity) {
+    private static double keptShare(double load, double capacity, double beyond, double beyondCapacity) {
         Tier here = new Tier(Distance.ZONE, List.of(), load, capacity);
         return Tiers.keptShare(here, List.of(new Tier(Distance.REGION, List.of(), beyond, beyondCapacity)));
     }
