--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -23,7 +23,7 @@
     private final MemberChooserFixture f = new MemberChooserFixture();
 
     @Test
-    void theOwnZoneIsUsedWhileItHasRoom() {
+    void localZoneIsUsedWhileBelowSpillThreshold() {
         f.add("near", MAKATI);
         f.add("far", PASIG);
         assertEquals(Map.of("near", DRAWS), f.countChoices(DRAWS));
