--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void aFillingZonePassesSomeRequestsOnBeforeItIsFull() {
+    void requestsSpillGraduallyBeforeLocalZoneIsFull() {
         // A crowd in Makati fills the one member there. Before it is full some requests go to the next zone, and even
         // when it is full some stay: had all of them gone over at once, the next zone would have been swamped.
         Member near = f.add("near", MAKATI);
