--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void aFullZoneKeepsItsRequestsWhenTheOthersAreAsFull() {
+    void fullZoneKeepsRequestsWhenOtherZonesAreAsFull() {
         Member near = f.add("near", MAKATI);
         Member there = f.add("there", PASIG);
         f.startRequests(near, 12);
