--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void anotherRegionComesAfterTheOwnOne() {
+    void otherRegionIsNotUsedWhileLocalRegionHasCapacity() {
         Member near = f.add("near", MAKATI);
         f.add("region", PASIG);
         f.add("far", CEBU);
