--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void aReportedLoadFadesWithTime() {
+    void reportedLoadDecaysWithAge() {
         // Another daemon's requests filled one member when it last replied. That was long ago: it may be idle by now,
         // and unless some request goes there nobody will ever know.
         Member a = f.add("a", MAKATI);
