--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void ownRequestsAreNotCountedTwiceWhenTheyAreReported() {
+    void localRequestsInReportedLoadAreNotCountedTwice() {
         Member a = f.add("a", MAKATI);
         f.startRequests(a, 4);
         f.loads.begin(a).reportLoad(5);
