--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void aMemberThatFailsIsLeftOutAndAskedBackByOneRequestAtATime() {
+    void failingMemberIsEjectedAndProbedByOneRequestAtATime() {
         // A backend server fails every request it gets, at once, so it always looks idle and draws ever more of them.
         // After five it gets none. A second later one idempotent request at a time tries it; three good answers bring
         // it back, and one bad one keeps it out for twice as long.
