--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void aServiceWithoutIdempotentRequestsGetsItsMembersBackToo() {
+    void probationExpiresWithoutIdempotentRequests() {
         // Placement confirmations must not be used to try a doubtful member. Where nothing else is ever asked, the
         // member would stay out for good; so its probation ends by itself.
         Member bad = f.add("bad", MAKATI);
