--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -121,7 +121,7 @@
     }
 
     @Test
-    void callersInAHurryDoNotEjectAnyone() {
+    void timeoutsOfVeryShortDeadlinesDoNotEject() {
         Member a = f.add("a", MAKATI);
         f.add("b", MAKATI);
         for (int i = 0; i < DRAWS; i++) {
