--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void aMemberMuchSlowerThanTheOthersIsLeftOut() {
+    void memberMuchSlowerThanOthersIsEjected() {
         // One of four answers each request, but after two seconds. Nothing fails, so only the time tells.
         Member slow = f.add("slow", MAKATI);
         f.add("b", MAKATI);
