--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void aDistantMemberIsNotCalledSlow() {
+    void memberInOtherRegionIsNotEjectedAsSlow() {
         Member far = f.add("far", CEBU);
         f.add("b", MAKATI);
         f.add("c", MAKATI);
