--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -158,7 +158,7 @@
     }
 
     @Test
-    void aNewIncarnationGetsItsShareLittleByLittle() {
+    void restartedMemberGetsItsShareGradually() {
         for (String name : new String[] {"a", "b", "c", "d"}) {
             f.add(name, MAKATI);
         }
