--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -189,7 +189,7 @@
     }
 
     @Test
-    void aNewProcessDoesNotTakeEverybodyElseForNew() {
+    void membersKnownAtProcessStartHaveFullWeight() {
         Member a = f.add("a", MAKATI);
         f.countChoices(1);
         assertEquals(1, f.loads.stats(a).weight(f.time.nanoTime()));
