--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -207,7 +207,7 @@
     }
 
     @Test
-    void aServiceOfStartingMembersSaysSo() {
+    void serviceWithOnlyStartingMembersReportsStarting() {
         f.add("a", MAKATI, Member.State.STARTING, 1);
         f.add("b", PASIG, Member.State.STARTING, 1);
         assertEquals(new MemberChoice.NoMember(RefusalReason.STARTING), f.choose(true, Set.of()));
