--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -214,7 +214,7 @@
     }
 
     @Test
-    void aMemberThatRefusedIsAskedAgainOnlyAfterAllOthers() {
+    void refusingMemberIsTriedAgainOnlyAfterAllOthers() {
         f.add("a", MAKATI);
         f.add("b", PASIG);
         f.add("c", CEBU);
