--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -18,7 +18,7 @@
 
 /** Which member a request goes to: near, not loaded, not failing. */
 class MemberChooserTest {
-    private static final int DRAWS = 1_000;
+    private static final int CHOICES = 1_000;
 
     private final MemberChooserFixture f = new MemberChooserFixture();
 
@@ -26,7 +26,7 @@
     void localZoneIsUsedWhileBelowSpillThreshold() {
         f.add("near", MAKATI);
         f.add("far", PASIG);
-        assertEquals(Map.of("near", DRAWS), f.countChoices(DRAWS));
+        assertEquals(Map.of("near", CHOICES), f.countChoices(CHOICES));
     }
 
     @Test
@@ -36,11 +36,11 @@
         Member near = f.add("near", MAKATI);
         f.add("there", PASIG);
         f.startRequests(near, 10);
-        int spilled = f.countChoices(DRAWS).getOrDefault("there", 0);
-        assertTrue(spilled > DRAWS / 10 && spilled < DRAWS / 2, "spilled " + spilled);
+        int spilled = f.countChoices(CHOICES).getOrDefault("there", 0);
+        assertTrue(spilled > CHOICES / 10 && spilled < CHOICES / 2, "spilled " + spilled);
         f.startRequests(near, 4);
-        int more = f.countChoices(DRAWS).getOrDefault("there", 0);
-        assertTrue(more > spilled && more < DRAWS * 6 / 10, "spilled " + more);
+        int more = f.countChoices(CHOICES).getOrDefault("there", 0);
+        assertTrue(more > spilled && more < CHOICES * 6 / 10, "spilled " + more);
     }
 
     @Test
@@ -49,7 +49,7 @@
         Member there = f.add("there", PASIG);
         f.startRequests(near, 12);
         f.startRequests(there, 12);
-        assertEquals(Map.of("near", DRAWS), f.countChoices(DRAWS));
+        assertEquals(Map.of("near", CHOICES), f.countChoices(CHOICES));
     }
 
     @Test
@@ -58,7 +58,7 @@
         f.add("region", PASIG);
         f.add("far", CEBU);
         f.startRequests(near, 12);
-        assertFalse(f.countChoices(DRAWS).containsKey("far"));
+        assertFalse(f.countChoices(CHOICES).containsKey("far"));
     }
 
     @Test
@@ -68,11 +68,11 @@
         Member a = f.add("a", MAKATI);
         f.add("b", MAKATI);
         f.loads.begin(a).reportLoad(12);
-        assertTrue(f.countChoices(DRAWS).getOrDefault("a", 0) == 0);
+        assertTrue(f.countChoices(CHOICES).getOrDefault("a", 0) == 0);
         f.time.advance(MemberStats.LOAD_REPORT_EXPIRY);
         Member b = f.members.get(1);
         f.startRequests(b, 2);
-        assertTrue(f.countChoices(DRAWS).getOrDefault("a", 0) > DRAWS / 2);
+        assertTrue(f.countChoices(CHOICES).getOrDefault("a", 0) > CHOICES / 2);
     }
 
     @Test
@@ -91,9 +91,9 @@
         Member bad = f.add("bad", MAKATI);
         f.add("good", MAKATI);
         f.failRequests(bad, EjectionState.FAILURES_TO_EJECT);
-        assertEquals(Map.of("good", DRAWS), f.countChoices(DRAWS));
+        assertEquals(Map.of("good", CHOICES), f.countChoices(CHOICES));
         f.time.advance(EjectionState.INITIAL_BACKOFF);
-        assertEquals(Map.of("good", DRAWS), f.countChoices(DRAWS));
+        assertEquals(Map.of("good", CHOICES), f.countChoices(CHOICES));
         assertEquals("bad", f.chooseMember(true).instance());
         try (PeerLoads.Attempt probe = f.loads.begin(bad)) {
             assertEquals("good", f.chooseMember(true).instance());
@@ -106,7 +106,7 @@
             assertEquals("bad", f.chooseMember(true).instance());
             respond(bad, Duration.ZERO);
         }
-        assertTrue(f.countChoices(DRAWS).containsKey("bad"));
+        assertTrue(f.countChoices(CHOICES).containsKey("bad"));
     }
 
     @Test
@@ -117,14 +117,14 @@
         f.add("good", MAKATI);
         f.failRequests(bad, EjectionState.FAILURES_TO_EJECT);
         f.time.advance(EjectionState.INITIAL_BACKOFF.plus(EjectionState.MAX_PROBATION));
-        assertTrue(f.countChoices(DRAWS).containsKey("bad"));
+        assertTrue(f.countChoices(CHOICES).containsKey("bad"));
     }
 
     @Test
     void timeoutsOfVeryShortDeadlinesDoNotEject() {
         Member a = f.add("a", MAKATI);
         f.add("b", MAKATI);
-        for (int i = 0; i < DRAWS; i++) {
+        for (int i = 0; i < CHOICES; i++) {
             try (PeerLoads.Attempt attempt = f.loads.begin(a)) {
                 attempt.outcomeUnknown("no answer in time", 5);
             }
@@ -142,7 +142,7 @@
         for (int i = 0; i < 40; i++) {
             f.members.forEach(m -> respond(m, Duration.ofMillis(m == slow ? 2_000 : 20)));
         }
-        assertFalse(f.countChoices(DRAWS).containsKey("slow"));
+        assertFalse(f.countChoices(CHOICES).containsKey("slow"));
     }
 
     @Test
@@ -164,12 +164,12 @@
         }
         f.countChoices(1);
         f.add("d", MAKATI, Member.State.UP, 60_000);
-        int cold = f.countChoices(DRAWS).getOrDefault("d", 0);
+        int cold = f.countChoices(CHOICES).getOrDefault("d", 0);
         f.time.advance(MemberStats.SLOW_START_DURATION.dividedBy(2));
-        int warmer = f.countChoices(DRAWS).getOrDefault("d", 0);
+        int warmer = f.countChoices(CHOICES).getOrDefault("d", 0);
         f.time.advance(MemberStats.SLOW_START_DURATION);
-        int warm = f.countChoices(DRAWS).getOrDefault("d", 0);
-        assertTrue(cold > 0 && cold < DRAWS / 8, "cold " + cold);
+        int warm = f.countChoices(CHOICES).getOrDefault("d", 0);
+        assertTrue(cold > 0 && cold < CHOICES / 8, "cold " + cold);
         assertTrue(warmer > cold && warm > warmer, cold + " " + warmer + " " + warm);
     }
 
