--- a/org.berylwick.bench/src/org/berylwick/bench/limits/EventLoop.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/limits/EventLoop.java
@@ -3,12 +3,12 @@
 import java.time.Duration;
 import java.util.Comparator;
 import java.util.PriorityQueue;
-import org.berylwick.internal.limit.Alarm;
+import org.berylwick.internal.limit.Scheduler;
 import org.berylwick.lib.Deadline;
 import org.berylwick.lib.TimeSource;
 
 /** A clock that jumps from one planned task to the next; one thread only. */
-public final class EventLoop implements TimeSource, Alarm {
+public final class EventLoop implements TimeSource, Scheduler {
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final PriorityQueue<Task> tasks =
--- a/org.berylwick.test/tst/org/berylwick/testing/ManualAlarm.java
+++ b/org.berylwick.test/tst/org/berylwick/testing/ManualAlarm.java
@@ -3,11 +3,11 @@
 import java.time.Duration;
 import java.util.Comparator;
 import java.util.PriorityQueue;
-import org.berylwick.internal.limit.Alarm;
+import org.berylwick.internal.limit.Scheduler;
 import org.berylwick.lib.Deadline;
 
 /** Runs tasks in order of their times as a test moves its clock on. */
-public final class ManualAlarm implements Alarm {
+public final class ManualAlarm implements Scheduler {
     private final ManualTimeSource time;
     private final PriorityQueue<Entry> entries =
             new PriorityQueue<>(Comparator.comparingLong((Entry e) -> e.at.atNanos()));
--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -35,7 +35,7 @@
     private static final Duration UNMEASURED_RETRY_AFTER = Duration.ofSeconds(1);
 
     private final TimeSource time;
-    private final Alarm alarm;
+    private final Scheduler alarm;
     private final SlotMetrics metrics;
     private final Invariants invariants;
     private final Map<TrafficClass, ClassQueue> classes = new EnumMap<>(TrafficClass.class);
@@ -101,7 +101,7 @@
 
     /** A limiter with all slots free. */
     public SlotLimiter(
-            TimeSource time, Alarm alarm, MetricRegistry registry, Invariants invariants, SlotLimits limits) {
+            TimeSource time, Scheduler alarm, MetricRegistry registry, Invariants invariants, SlotLimits limits) {
         this.time = time;
         this.alarm = alarm;
         this.invariants = invariants;
