--- a/org.berylwick.bench/src/org/berylwick/bench/limits/EventLoop.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/limits/EventLoop.java
@@ -19,7 +19,7 @@
     private record Task(long atNanos, long sequence, Runnable action) {}
 
     @Override
-    public void at(Deadline deadline, Runnable task) {
+    public void schedule(Deadline deadline, Runnable task) {
         tasks.add(new Task(Math.max(nowNanos, deadline.atNanos()), sequence++, task));
     }
 
--- a/org.berylwick.test/tst/org/berylwick/testing/ManualAlarm.java
+++ b/org.berylwick.test/tst/org/berylwick/testing/ManualAlarm.java
@@ -20,7 +20,7 @@
     }
 
     @Override
-    public void at(Deadline deadline, Runnable task) {
+    public void schedule(Deadline deadline, Runnable task) {
         entries.add(new Entry(deadline, task));
     }
 
--- a/org.berylwick/src/org/berylwick/internal/limit/Scheduler.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/Scheduler.java
@@ -9,5 +9,5 @@
      *
      * <p>It must not run within this call.
      */
-    void at(Deadline deadline, Runnable task);
+    void schedule(Deadline deadline, Runnable task);
 }
--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -388,7 +388,7 @@
             return;
         }
         armed = next;
-        alarm.at(at, () -> wake(at));
+        alarm.schedule(at, () -> wake(at));
     }
 
     private void wake(Deadline at) {
