--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -23,7 +23,7 @@
  *
  * <p>Each traffic class that the configuration brings to the service has a guaranteed share of the slots and of the
  * queue. Idle slots are lent, but only to classes that are known to give them back within
- * {@link ClassQueue#LENDING_BOUND}: a class below its guarantee waits at most for one such request. A free slot goes
+ * {@link TrafficClassQueue#LENDING_BOUND}: a class below its guarantee waits at most for one such request. A free slot goes
  * first to the class that is furthest below its guarantee, then to the most urgent class; within a class to the request
  * that must start first. Who can't be served in time is refused as soon as that is known.
  *
@@ -38,7 +38,7 @@
     private final Scheduler alarm;
     private final SlotMetrics metrics;
     private final Invariants invariants;
-    private final Map<TrafficClass, ClassQueue> classes = new EnumMap<>(TrafficClass.class);
+    private final Map<TrafficClass, TrafficClassQueue> classes = new EnumMap<>(TrafficClass.class);
     private final UsableSlots usable;
     private SlotLimits limits;
     private ClassShares slotShares;
@@ -109,7 +109,7 @@
         metrics = new SlotMetrics(registry);
         usable = new UsableSlots(limits.slots());
         for (TrafficClass c : TrafficClass.values()) {
-            ClassQueue queue = new ClassQueue(c);
+            TrafficClassQueue queue = new TrafficClassQueue(c);
             classes.put(c, queue);
             metrics.gauge(SlotMetrics.IN_USE + c, queue::inUse);
             metrics.gauge(SlotMetrics.WAITING + c, queue::waiting);
@@ -142,7 +142,7 @@
         Waiter waiter;
         synchronized (this) {
             long now = time.nanoTime();
-            ClassQueue queue = classes.get(trafficClass);
+            TrafficClassQueue queue = classes.get(trafficClass);
             waiter = new Waiter(trafficClass, deadline, sequence++, now, queue.meanHoldNanos(), this::leave);
             raise(decisions);
             if (deadline.isPast(time)) {
@@ -192,7 +192,7 @@
         return slotShares.guarantee(trafficClass);
     }
 
-    private void enqueue(ClassQueue queue, Waiter waiter, List<Decision> decisions) {
+    private void enqueue(TrafficClassQueue queue, Waiter waiter, List<Decision> decisions) {
         long untilStart = waiter.startByNanos() - time.nanoTime();
         if (untilStart < queue.waitNanos(queue.ahead(waiter), slotShares.guarantee(waiter.trafficClass()))) {
             decisions.add(refuse(waiter, RefusalCause.TOO_SLOW));
@@ -212,13 +212,13 @@
     }
 
     /** Makes room for a class below its share of the queue by taking a place that another class only borrowed. */
-    private Optional<Waiter> evictFor(ClassQueue queue) {
+    private Optional<Waiter> evictFor(TrafficClassQueue queue) {
         if (queue.waiting() >= queueShares.guarantee(queue.trafficClass())) {
             return Optional.empty();
         }
-        Optional<ClassQueue> from = Optional.empty();
+        Optional<TrafficClassQueue> from = Optional.empty();
         int most = 0;
-        for (ClassQueue q : classes.values()) {
+        for (TrafficClassQueue q : classes.values()) {
             int borrowed = q.waiting() - queueShares.guarantee(q.trafficClass());
             if (borrowed > 0 && borrowed >= most) {
                 most = borrowed;
@@ -226,10 +226,10 @@
             }
         }
         from.ifPresent(q -> waiting--);
-        return from.map(ClassQueue::takeLast);
+        return from.map(TrafficClassQueue::takeLast);
     }
 
-    private boolean mayHold(ClassQueue queue) {
+    private boolean mayHold(TrafficClassQueue queue) {
         if (inUse >= usable.usable()) {
             return false;
         }
@@ -242,15 +242,15 @@
             return true;
         }
         int owed = 0;
-        for (ClassQueue q : classes.values()) {
+        for (TrafficClassQueue q : classes.values()) {
             owed += q == queue ? q.inUse() : Math.max(q.inUse(), slotShares.guarantee(q.trafficClass()));
         }
         return owed < usable.usable();
     }
 
-    private Optional<ClassQueue> next() {
-        Optional<ClassQueue> neediest = Optional.empty();
-        for (ClassQueue q : classes.values()) {
+    private Optional<TrafficClassQueue> next() {
+        Optional<TrafficClassQueue> neediest = Optional.empty();
+        for (TrafficClassQueue q : classes.values()) {
             if (q.waiting() > 0
                     && q.inUse() < slotShares.guarantee(q.trafficClass())
                     && (neediest.isEmpty() || filled(q) < filled(neediest.get()))) {
@@ -265,12 +265,12 @@
                 .findFirst();
     }
 
-    private double filled(ClassQueue queue) {
+    private double filled(TrafficClassQueue queue) {
         return (double) queue.inUse() / slotShares.guarantee(queue.trafficClass());
     }
 
     private void dispatch(List<Decision> decisions) {
-        for (Optional<ClassQueue> q = next(); q.isPresent(); q = next()) {
+        for (Optional<TrafficClassQueue> q = next(); q.isPresent(); q = next()) {
             Waiter w = q.get().takeFirst();
             waiting--;
             if (w.startByNanos() - time.nanoTime() <= 0) {
@@ -287,7 +287,7 @@
         inUse++;
         classes.get(waiter.trafficClass()).take();
         metrics.admitted(waiter.trafficClass());
-        int sum = classes.values().stream().mapToInt(ClassQueue::inUse).sum();
+        int sum = classes.values().stream().mapToInt(TrafficClassQueue::inUse).sum();
         int held = inUse;
         invariants.check(
                 Invariant.SLOTS_EXACT,
@@ -303,7 +303,7 @@
     }
 
     private long retryAfterMillis(TrafficClass trafficClass) {
-        ClassQueue queue = classes.get(trafficClass);
+        TrafficClassQueue queue = classes.get(trafficClass);
         if (queue.meanHoldNanos() == 0) {
             return UNMEASURED_RETRY_AFTER.toMillis();
         }
@@ -314,7 +314,7 @@
     private void release(TrafficClass trafficClass, Optional<Long> sinceNanos) {
         List<Decision> decisions = new ArrayList<>(1);
         synchronized (this) {
-            ClassQueue queue = classes.get(trafficClass);
+            TrafficClassQueue queue = classes.get(trafficClass);
             queue.giveBack();
             inUse--;
             sinceNanos.ifPresent(since -> queue.held(time.nanoTime() - since));
@@ -355,7 +355,7 @@
     }
 
     private void prune(List<Decision> decisions) {
-        for (ClassQueue q : classes.values()) {
+        for (TrafficClassQueue q : classes.values()) {
             q.prune(time.nanoTime(), slotShares.guarantee(q.trafficClass()), w -> {
                 waiting--;
                 boolean late = w.startByNanos() - time.nanoTime() <= 0;
@@ -377,7 +377,7 @@
             return;
         }
         Optional<Deadline> next = usable.nextRaise();
-        for (ClassQueue q : classes.values()) {
+        for (TrafficClassQueue q : classes.values()) {
             if (q.waiting() > 0) {
                 Deadline start = new Deadline(q.first().orElseThrow().startByNanos());
                 next = Optional.of(next.map(start::earlier).orElse(start));
--- a/org.berylwick/src/org/berylwick/internal/limit/ClassQueue.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
@@ -13,7 +13,7 @@
  *
  * <p>Not safe for use by several threads: its limiter's lock guards it.
  */
-final class ClassQueue {
+final class TrafficClassQueue {
     /** A class whose requests hold slots for longer can't return what it borrowed soon enough. */
     static final Duration LENDING_BOUND = Duration.ofSeconds(1);
 
@@ -30,7 +30,7 @@
     private int inUse;
     private double meanHoldNanos;
 
-    ClassQueue(TrafficClass trafficClass) {
+    TrafficClassQueue(TrafficClass trafficClass) {
         this.trafficClass = trafficClass;
     }
 
