--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -23,7 +23,7 @@
  *
  * <p>Each traffic class that the configuration brings to the service has a guaranteed share of the slots and of the
  * queue. Idle slots are lent, but only to classes that are known to give them back within
- * {@link TrafficClassQueue#LENDING_BOUND}: a class below its guarantee waits at most for one such request. A free slot goes
+ * {@link TrafficClassQueue#MAX_HOLD_TIME_TO_BORROW}: a class below its guarantee waits at most for one such request. A free slot goes
  * first to the class that is furthest below its guarantee, then to the most urgent class; within a class to the request
  * that must start first. Who can't be served in time is refused as soon as that is known.
  *
--- a/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
@@ -15,7 +15,7 @@
  */
 final class TrafficClassQueue {
     /** A class whose requests hold slots for longer can't return what it borrowed soon enough. */
-    static final Duration LENDING_BOUND = Duration.ofSeconds(1);
+    static final Duration MAX_HOLD_TIME_TO_BORROW = Duration.ofSeconds(1);
 
     private static final Comparator<Waiter> EARLIEST_FIRST = (a, b) -> {
         int byTime = Long.signum(a.startByNanos() - b.startByNanos());
@@ -71,7 +71,7 @@
      * never borrow, also when the last few were short, and neither does a class that was measured to be slow.
      */
     boolean mayBorrow() {
-        return trafficClass != TrafficClass.BULK && meanHoldNanos <= LENDING_BOUND.toNanos();
+        return trafficClass != TrafficClass.BULK && meanHoldNanos <= MAX_HOLD_TIME_TO_BORROW.toNanos();
     }
 
     void add(Waiter w) {
