--- a/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
@@ -17,7 +17,7 @@
     /** A class whose requests hold slots for longer can't return what it borrowed soon enough. */
     static final Duration MAX_HOLD_TIME_TO_BORROW = Duration.ofSeconds(1);
 
-    private static final Comparator<Waiter> EARLIEST_FIRST = (a, b) -> {
+    private static final Comparator<Waiter> EARLIEST_START_FIRST = (a, b) -> {
         int byTime = Long.signum(a.startByNanos() - b.startByNanos());
         return byTime != 0 ? byTime : Long.signum(a.sequence() - b.sequence());
     };
@@ -26,7 +26,7 @@
     private static final double NEW_WEIGHT = 0.1;
 
     private final TrafficClass trafficClass;
-    private final TreeSet<Waiter> waiters = new TreeSet<>(EARLIEST_FIRST);
+    private final TreeSet<Waiter> waiters = new TreeSet<>(EARLIEST_START_FIRST);
     private int inUse;
     private double meanHoldNanos;
 
