--- a/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
@@ -23,7 +23,7 @@
     };
 
     /** Weight of one new hold time in the mean: the last dozen or so decide, as a whole backend server's slots do. */
-    private static final double NEW_WEIGHT = 0.1;
+    private static final double HOLD_TIME_SMOOTHING_FACTOR = 0.1;
 
     private final TrafficClass trafficClass;
     private final TreeSet<Waiter> waiters = new TreeSet<>(EARLIEST_START_FIRST);
@@ -56,7 +56,7 @@
 
     /** Takes one measured hold time into the mean. */
     void held(long nanos) {
-        meanHoldNanos = meanHoldNanos == 0 ? nanos : meanHoldNanos + NEW_WEIGHT * (nanos - meanHoldNanos);
+        meanHoldNanos = meanHoldNanos == 0 ? nanos : meanHoldNanos + HOLD_TIME_SMOOTHING_FACTOR * (nanos - meanHoldNanos);
     }
 
     /** How long a request holds its slot, zero before the first was measured. */
