--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -285,7 +285,7 @@
 
     private Decision admit(Waiter waiter) {
         inUse++;
-        classes.get(waiter.trafficClass()).take();
+        classes.get(waiter.trafficClass()).acquireSlot();
         metrics.admitted(waiter.trafficClass());
         int sum = classes.values().stream().mapToInt(TrafficClassQueue::inUse).sum();
         int held = inUse;
--- a/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
@@ -46,7 +46,7 @@
         return waiters.size();
     }
 
-    void take() {
+    void acquireSlot() {
         inUse++;
     }
 
