--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -315,7 +315,7 @@
         List<Decision> decisions = new ArrayList<>(1);
         synchronized (this) {
             TrafficClassQueue queue = classes.get(trafficClass);
-            queue.giveBack();
+            queue.releaseSlot();
             inUse--;
             sinceNanos.ifPresent(since -> queue.held(time.nanoTime() - since));
             raise(decisions);
--- a/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
@@ -50,7 +50,7 @@
         inUse++;
     }
 
-    void giveBack() {
+    void releaseSlot() {
         inUse--;
     }
 
