--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -317,7 +317,7 @@
             TrafficClassQueue queue = classes.get(trafficClass);
             queue.releaseSlot();
             inUse--;
-            sinceNanos.ifPresent(since -> queue.held(time.nanoTime() - since));
+            sinceNanos.ifPresent(since -> queue.recordHoldTime(time.nanoTime() - since));
             raise(decisions);
             dispatch(decisions);
         }
--- a/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
@@ -55,7 +55,7 @@
     }
 
     /** Takes one measured hold time into the mean. */
-    void held(long nanos) {
+    void recordHoldTime(long nanos) {
         meanHoldNanos = meanHoldNanos == 0 ? nanos : meanHoldNanos + HOLD_TIME_SMOOTHING_FACTOR * (nanos - meanHoldNanos);
     }
 
