--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -271,7 +271,7 @@
 
     private void dispatch(List<Decision> decisions) {
         for (Optional<TrafficClassQueue> q = next(); q.isPresent(); q = next()) {
-            Waiter w = q.get().takeFirst();
+            Waiter w = q.get().pollFirst();
             waiting--;
             if (w.startByNanos() - time.nanoTime() <= 0) {
                 decisions.add(refuse(w, RefusalCause.EXPIRED));
--- a/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
@@ -82,7 +82,7 @@
         return waiters.remove(w);
     }
 
-    Waiter takeFirst() {
+    Waiter pollFirst() {
         return waiters.pollFirst();
     }
 
