--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -226,7 +226,7 @@
             }
         }
         from.ifPresent(q -> waiting--);
-        return from.map(TrafficClassQueue::takeLast);
+        return from.map(TrafficClassQueue::pollLast);
     }
 
     private boolean mayHold(TrafficClassQueue queue) {
--- a/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
@@ -87,7 +87,7 @@
     }
 
     /** Takes the waiter that can wait longest. */
-    Waiter takeLast() {
+    Waiter pollLast() {
         return waiters.pollLast();
     }
 
