--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -379,7 +379,7 @@
         Optional<Deadline> next = usable.nextRaise();
         for (TrafficClassQueue q : classes.values()) {
             if (q.waiting() > 0) {
-                Deadline start = new Deadline(q.first().orElseThrow().startByNanos());
+                Deadline start = new Deadline(q.peekFirst().orElseThrow().startByNanos());
                 next = Optional.of(next.map(start::earlier).orElse(start));
             }
         }
--- a/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
@@ -91,7 +91,7 @@
         return waiters.pollLast();
     }
 
-    Optional<Waiter> first() {
+    Optional<Waiter> peekFirst() {
         return waiters.isEmpty() ? Optional.empty() : Optional.of(waiters.first());
     }
 
