--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -194,7 +194,7 @@
 
     private void enqueue(TrafficClassQueue queue, Waiter waiter, List<Decision> decisions) {
         long untilStart = waiter.startByNanos() - time.nanoTime();
-        if (untilStart < queue.waitNanos(queue.ahead(waiter), slotShares.guarantee(waiter.trafficClass()))) {
+        if (untilStart < queue.waitNanos(queue.countAhead(waiter), slotShares.guarantee(waiter.trafficClass()))) {
             decisions.add(refuse(waiter, RefusalCause.TOO_SLOW));
             return;
         }
--- a/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
@@ -96,7 +96,7 @@
     }
 
     /** Waiters that go before {@code w}. */
-    int ahead(Waiter w) {
+    int countAhead(Waiter w) {
         return waiters.headSet(w).size();
     }
 
