--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -194,7 +194,7 @@
 
     private void enqueue(TrafficClassQueue queue, Waiter waiter, List<Decision> decisions) {
         long untilStart = waiter.startByNanos() - time.nanoTime();
-        if (untilStart < queue.waitNanos(queue.countAhead(waiter), slotShares.guarantee(waiter.trafficClass()))) {
+        if (untilStart < queue.estimateWaitNanos(queue.countAhead(waiter), slotShares.guarantee(waiter.trafficClass()))) {
             decisions.add(refuse(waiter, RefusalCause.TOO_SLOW));
             return;
         }
@@ -307,7 +307,7 @@
         if (queue.meanHoldNanos() == 0) {
             return UNMEASURED_RETRY_AFTER.toMillis();
         }
-        long nanos = queue.waitNanos(queue.waiting(), slotShares.guarantee(trafficClass));
+        long nanos = queue.estimateWaitNanos(queue.waiting(), slotShares.guarantee(trafficClass));
         return Math.clamp(Duration.ofNanos(nanos).toMillis(), 1, LONGEST_RETRY_AFTER.toMillis());
     }
 
--- a/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
@@ -107,7 +107,7 @@
      * @param slots that the class has
      * @return nanoseconds from now
      */
-    long waitNanos(int ahead, int slots) {
+    long estimateWaitNanos(int ahead, int slots) {
         return (long) ((ahead + 1) * meanHoldNanos / Math.max(1, Math.max(inUse, slots)));
     }
 
@@ -116,7 +116,7 @@
         int ahead = 0;
         for (Iterator<Waiter> i = waiters.iterator(); i.hasNext(); ) {
             Waiter w = i.next();
-            if (w.startByNanos() - nowNanos > 0 && w.startByNanos() - nowNanos >= waitNanos(ahead, slots)) {
+            if (w.startByNanos() - nowNanos > 0 && w.startByNanos() - nowNanos >= estimateWaitNanos(ahead, slots)) {
                 ahead++;
                 continue;
             }
