--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -356,7 +356,7 @@
 
     private void prune(List<Decision> decisions) {
         for (TrafficClassQueue q : classes.values()) {
-            q.prune(time.nanoTime(), slotShares.guarantee(q.trafficClass()), w -> {
+            q.removeUnservable(time.nanoTime(), slotShares.guarantee(q.trafficClass()), w -> {
                 waiting--;
                 boolean late = w.startByNanos() - time.nanoTime() <= 0;
                 decisions.add(refuse(w, late ? RefusalCause.EXPIRED : RefusalCause.TOO_SLOW));
--- a/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
@@ -112,7 +112,7 @@
     }
 
     /** Takes out every waiter that could not start in time. */
-    void prune(long nowNanos, int slots, Consumer<Waiter> pruned) {
+    void removeUnservable(long nowNanos, int slots, Consumer<Waiter> pruned) {
         int ahead = 0;
         for (Iterator<Waiter> i = waiters.iterator(); i.hasNext(); ) {
             Waiter w = i.next();
