--- a/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
@@ -26,7 +26,7 @@
     private static final double HOLD_TIME_SMOOTHING_FACTOR = 0.1;
 
     private final TrafficClass trafficClass;
-    private final TreeSet<Waiter> waiters = new TreeSet<>(EARLIEST_START_FIRST);
+    private final TreeSet<Waiter> waitingRequests = new TreeSet<>(EARLIEST_START_FIRST);
     private int inUse;
     private double meanHoldNanos;
 
@@ -43,7 +43,7 @@
     }
 
     int waiting() {
-        return waiters.size();
+        return waitingRequests.size();
     }
 
     void acquireSlot() {
@@ -75,29 +75,29 @@
     }
 
     void add(Waiter w) {
-        waiters.add(w);
+        waitingRequests.add(w);
     }
 
     boolean remove(Waiter w) {
-        return waiters.remove(w);
+        return waitingRequests.remove(w);
     }
 
     Waiter pollFirst() {
-        return waiters.pollFirst();
+        return waitingRequests.pollFirst();
     }
 
     /** Takes the waiter that can wait longest. */
     Waiter pollLast() {
-        return waiters.pollLast();
+        return waitingRequests.pollLast();
     }
 
     Optional<Waiter> peekFirst() {
-        return waiters.isEmpty() ? Optional.empty() : Optional.of(waiters.first());
+        return waitingRequests.isEmpty() ? Optional.empty() : Optional.of(waitingRequests.first());
     }
 
     /** Waiters that go before {@code w}. */
     int countAhead(Waiter w) {
-        return waiters.headSet(w).size();
+        return waitingRequests.headSet(w).size();
     }
 
     /**
@@ -114,7 +114,7 @@
     /** Takes out every waiter that could not start in time. */
     void removeUnservable(long nowNanos, int slots, Consumer<Waiter> pruned) {
         int ahead = 0;
-        for (Iterator<Waiter> i = waiters.iterator(); i.hasNext(); ) {
+        for (Iterator<Waiter> i = waitingRequests.iterator(); i.hasNext(); ) {
             Waiter w = i.next();
             if (w.startByNanos() - nowNanos > 0 && w.startByNanos() - nowNanos >= estimateWaitNanos(ahead, slots)) {
                 ahead++;
