--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
@@ -133,7 +133,7 @@
             @ForAll @IntRange(min = 1, max = 200) int places, @ForAll @IntRange(min = 1, max = 15) int chosen) {
         List<TrafficClass> classes =
                 Stream.of(CLASSES).filter(c -> (chosen >> c.ordinal() & 1) == 1).toList();
-        ClassShares shares = ClassShares.divide(places, Set.copyOf(classes));
+        TrafficClassShares shares = TrafficClassShares.divide(places, Set.copyOf(classes));
         assertTrue(shares.total() <= places);
         long without = classes.stream().filter(c -> shares.guarantee(c) == 0).count();
         assertEquals(Math.max(0, classes.size() - places), without);
--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -41,8 +41,8 @@
     private final Map<TrafficClass, TrafficClassQueue> classes = new EnumMap<>(TrafficClass.class);
     private final UsableSlots usable;
     private SlotLimits limits;
-    private ClassShares slotShares;
-    private ClassShares queueShares;
+    private TrafficClassShares slotShares;
+    private TrafficClassShares queueShares;
     private int inUse;
     private int waiting;
     private long sequence;
@@ -350,8 +350,8 @@
     }
 
     private void divide() {
-        slotShares = ClassShares.divide(usable.usable(), limits.classes());
-        queueShares = ClassShares.divide(limits.queueLimit(), limits.classes());
+        slotShares = TrafficClassShares.divide(usable.usable(), limits.classes());
+        queueShares = TrafficClassShares.divide(limits.queueLimit(), limits.classes());
     }
 
     private void prune(List<Decision> decisions) {
--- a/org.berylwick/src/org/berylwick/internal/limit/ClassShares.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/TrafficClassShares.java
@@ -13,10 +13,10 @@
  * <p>With at least as many places as classes, each of the given classes has one or more. With fewer, the less urgent
  * classes go without.
  */
-final class ClassShares {
+final class TrafficClassShares {
     private final Map<TrafficClass, Integer> guarantees = new EnumMap<>(TrafficClass.class);
 
-    private ClassShares() {}
+    private TrafficClassShares() {}
 
     /**
      * Divides places by weight.
@@ -24,9 +24,9 @@
      * @param places to divide
      * @param classes which have a share
      */
-    static ClassShares divide(int places, Set<TrafficClass> classes) {
-        ClassShares shares = new ClassShares();
-        int weights = classes.stream().mapToInt(ClassShares::weight).sum();
+    static TrafficClassShares divide(int places, Set<TrafficClass> classes) {
+        TrafficClassShares shares = new TrafficClassShares();
+        int weights = classes.stream().mapToInt(TrafficClassShares::weight).sum();
         for (TrafficClass c : TrafficClass.values()) {
             shares.guarantees.put(c, classes.contains(c) ? places * weight(c) / weights : 0);
         }
