--- a/org.berylwick/src/org/berylwick/internal/limit/TrafficClassShares.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/TrafficClassShares.java
@@ -32,7 +32,7 @@
         }
         for (TrafficClass c : TrafficClass.values()) {
             if (classes.contains(c) && shares.guarantee(c) == 0) {
-                shares.grantOne(c, places);
+                shares.grantMinimum(c, places);
             }
         }
         return shares;
@@ -48,7 +48,7 @@
         return guarantees.values().stream().mapToInt(Integer::intValue).sum();
     }
 
-    private void grantOne(TrafficClass c, int places) {
+    private void grantMinimum(TrafficClass c, int places) {
         if (total() < places) {
             guarantees.put(c, 1);
             return;
