--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -31,7 +31,7 @@
  */
 public final class SlotLimiter {
     private static final EventLog EVENTS = new EventLog(SlotLimiter.class);
-    private static final Duration LONGEST_RETRY_AFTER = Duration.ofSeconds(30);
+    private static final Duration MAX_RETRY_AFTER = Duration.ofSeconds(30);
     private static final Duration UNMEASURED_RETRY_AFTER = Duration.ofSeconds(1);
 
     private final TimeSource time;
@@ -308,7 +308,7 @@
             return UNMEASURED_RETRY_AFTER.toMillis();
         }
         long nanos = queue.estimateWaitNanos(queue.waiting(), slotShares.guarantee(trafficClass));
-        return Math.clamp(Duration.ofNanos(nanos).toMillis(), 1, LONGEST_RETRY_AFTER.toMillis());
+        return Math.clamp(Duration.ofNanos(nanos).toMillis(), 1, MAX_RETRY_AFTER.toMillis());
     }
 
     private void release(TrafficClass trafficClass, Optional<Long> sinceNanos) {
