--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -32,7 +32,7 @@
 public final class SlotLimiter {
     private static final EventLog EVENTS = new EventLog(SlotLimiter.class);
     private static final Duration MAX_RETRY_AFTER = Duration.ofSeconds(30);
-    private static final Duration UNMEASURED_RETRY_AFTER = Duration.ofSeconds(1);
+    private static final Duration DEFAULT_RETRY_AFTER = Duration.ofSeconds(1);
 
     private final TimeSource time;
     private final Scheduler alarm;
@@ -305,7 +305,7 @@
     private long retryAfterMillis(TrafficClass trafficClass) {
         TrafficClassQueue queue = classes.get(trafficClass);
         if (queue.meanHoldNanos() == 0) {
-            return UNMEASURED_RETRY_AFTER.toMillis();
+            return DEFAULT_RETRY_AFTER.toMillis();
         }
         long nanos = queue.estimateWaitNanos(queue.waiting(), slotShares.guarantee(trafficClass));
         return Math.clamp(Duration.ofNanos(nanos).toMillis(), 1, MAX_RETRY_AFTER.toMillis());
