--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -35,7 +35,7 @@
     private static final Duration DEFAULT_RETRY_AFTER = Duration.ofSeconds(1);
 
     private final TimeSource time;
-    private final Scheduler alarm;
+    private final Scheduler scheduler;
     private final SlotMetrics metrics;
     private final Invariants invariants;
     private final Map<TrafficClass, TrafficClassQueue> classes = new EnumMap<>(TrafficClass.class);
@@ -103,7 +103,7 @@
     public SlotLimiter(
             TimeSource time, Scheduler alarm, MetricRegistry registry, Invariants invariants, SlotLimits limits) {
         this.time = time;
-        this.alarm = alarm;
+        this.scheduler = alarm;
         this.invariants = invariants;
         this.limits = limits;
         metrics = new SlotMetrics(registry);
@@ -388,7 +388,7 @@
             return;
         }
         armed = next;
-        alarm.schedule(at, () -> wake(at));
+        scheduler.schedule(at, () -> wake(at));
     }
 
     private void wake(Deadline at) {
