--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -39,7 +39,7 @@
     private final SlotMetrics metrics;
     private final Invariants invariants;
     private final Map<TrafficClass, TrafficClassQueue> classes = new EnumMap<>(TrafficClass.class);
-    private final UsableSlots usable;
+    private final UsableSlots usableSlots;
     private SlotLimits limits;
     private TrafficClassShares slotShares;
     private TrafficClassShares queueShares;
@@ -107,15 +107,15 @@
         this.invariants = invariants;
         this.limits = limits;
         metrics = new SlotMetrics(registry);
-        usable = new UsableSlots(limits.slots());
+        usableSlots = new UsableSlots(limits.slots());
         for (TrafficClass c : TrafficClass.values()) {
             TrafficClassQueue queue = new TrafficClassQueue(c);
             classes.put(c, queue);
             metrics.gauge(SlotMetrics.IN_USE + c, queue::inUse);
             metrics.gauge(SlotMetrics.WAITING + c, queue::waiting);
         }
-        metrics.gauge(SlotMetrics.DECLARED, usable::declared);
-        metrics.gauge(SlotMetrics.USABLE, usable::usable);
+        metrics.gauge(SlotMetrics.DECLARED, usableSlots::declared);
+        metrics.gauge(SlotMetrics.USABLE, usableSlots::usable);
         divide();
     }
 
@@ -124,7 +124,7 @@
         List<Decision> decisions = new ArrayList<>();
         synchronized (this) {
             limits = inForce;
-            usable.declare(inForce.slots());
+            usableSlots.declare(inForce.slots());
             divide();
             prune(decisions);
             dispatch(decisions);
@@ -169,7 +169,7 @@
      * <p>A backend server that sheds holds few requests; unscaled, that would draw more of them to it.
      */
     public synchronized int load() {
-        return (inUse + waiting) * usable.declared() / usable.usable();
+        return (inUse + waiting) * usableSlots.declared() / usableSlots.usable();
     }
 
     /** Slots held now by one class. */
@@ -184,7 +184,7 @@
 
     /** Slots that the backend server takes at present, at most those declared. */
     public synchronized int usableSlots() {
-        return usable.usable();
+        return usableSlots.usable();
     }
 
     /** Slots that a class can always have at present. */
@@ -230,7 +230,7 @@
     }
 
     private boolean mayHold(TrafficClassQueue queue) {
-        if (inUse >= usable.usable()) {
+        if (inUse >= usableSlots.usable()) {
             return false;
         }
         int guarantee = slotShares.guarantee(queue.trafficClass());
@@ -245,7 +245,7 @@
         for (TrafficClassQueue q : classes.values()) {
             owed += q == queue ? q.inUse() : Math.max(q.inUse(), slotShares.guarantee(q.trafficClass()));
         }
-        return owed < usable.usable();
+        return owed < usableSlots.usable();
     }
 
     private Optional<TrafficClassQueue> next() {
@@ -328,9 +328,9 @@
         List<Decision> decisions = new ArrayList<>();
         synchronized (this) {
             metrics.shed();
-            int before = usable.usable();
-            if (usable.lower(time.nanoTime())) {
-                EVENTS.log(CallEvent.SLOTS_LOWERED, before, usable.usable(), usable.declared());
+            int before = usableSlots.usable();
+            if (usableSlots.lower(time.nanoTime())) {
+                EVENTS.log(CallEvent.SLOTS_LOWERED, before, usableSlots.usable(), usableSlots.declared());
                 divide();
                 prune(decisions);
             }
@@ -339,18 +339,18 @@
     }
 
     private void raise(List<Decision> decisions) {
-        if (!usable.raise(time.nanoTime())) {
+        if (!usableSlots.raise(time.nanoTime())) {
             return;
         }
-        if (usable.usable() == usable.declared()) {
-            EVENTS.log(CallEvent.SLOTS_RESTORED, usable.declared());
+        if (usableSlots.usable() == usableSlots.declared()) {
+            EVENTS.log(CallEvent.SLOTS_RESTORED, usableSlots.declared());
         }
         divide();
         dispatch(decisions);
     }
 
     private void divide() {
-        slotShares = TrafficClassShares.divide(usable.usable(), limits.classes());
+        slotShares = TrafficClassShares.divide(usableSlots.usable(), limits.classes());
         queueShares = TrafficClassShares.divide(limits.queueLimit(), limits.classes());
     }
 
@@ -376,7 +376,7 @@
         if (waiting == 0) {
             return;
         }
-        Optional<Deadline> next = usable.nextRaise();
+        Optional<Deadline> next = usableSlots.nextRaise();
         for (TrafficClassQueue q : classes.values()) {
             if (q.waiting() > 0) {
                 Deadline start = new Deadline(q.peekFirst().orElseThrow().startByNanos());
