--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -46,7 +46,7 @@
     private int inUse;
     private int waiting;
     private long sequence;
-    private Optional<Deadline> armed = Optional.empty();
+    private Optional<Deadline> scheduledWakeUp = Optional.empty();
 
     /** What became of asking for a slot. */
     public sealed interface Admission {
@@ -384,18 +384,18 @@
             }
         }
         Deadline at = next.orElseThrow();
-        if (armed.isPresent() && armed.get().atNanos() - at.atNanos() <= 0) {
+        if (scheduledWakeUp.isPresent() && scheduledWakeUp.get().atNanos() - at.atNanos() <= 0) {
             return;
         }
-        armed = next;
+        scheduledWakeUp = next;
         scheduler.schedule(at, () -> wake(at));
     }
 
     private void wake(Deadline at) {
         List<Decision> decisions = new ArrayList<>();
         synchronized (this) {
-            if (armed.filter(at::equals).isPresent()) {
-                armed = Optional.empty();
+            if (scheduledWakeUp.filter(at::equals).isPresent()) {
+                scheduledWakeUp = Optional.empty();
             }
             raise(decisions);
             prune(decisions);
