--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -45,7 +45,7 @@
     private TrafficClassShares queueShares;
     private int inUse;
     private int waiting;
-    private long sequence;
+    private long nextSequence;
     private Optional<Deadline> scheduledWakeUp = Optional.empty();
 
     /** What became of asking for a slot. */
@@ -143,7 +143,7 @@
         synchronized (this) {
             long now = time.nanoTime();
             TrafficClassQueue queue = classes.get(trafficClass);
-            waiter = new Waiter(trafficClass, deadline, sequence++, now, queue.meanHoldNanos(), this::leave);
+            waiter = new Waiter(trafficClass, deadline, nextSequence++, now, queue.meanHoldNanos(), this::leave);
             raise(decisions);
             if (deadline.isPast(time)) {
                 decisions.add(refuse(waiter, RefusalCause.EXPIRED));
