--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -64,7 +64,7 @@
 
     /** Holds one slot; only the first way of closing it counts, later ones do no harm. */
     public final class Permit implements AutoCloseable {
-        private final AtomicBoolean held = new AtomicBoolean(true);
+        private final AtomicBoolean open = new AtomicBoolean(true);
         private final TrafficClass trafficClass;
         private final long sinceNanos;
 
@@ -76,14 +76,14 @@
         /** Frees the slot after a request. */
         @Override
         public void close() {
-            if (held.compareAndSet(true, false)) {
+            if (open.compareAndSet(true, false)) {
                 release(trafficClass, Optional.of(sinceNanos));
             }
         }
 
         /** Frees the slot of a request that the backend server shed, and asks less of it for a while. */
         public void shed() {
-            if (held.compareAndSet(true, false)) {
+            if (open.compareAndSet(true, false)) {
                 lower();
                 release(trafficClass, Optional.empty());
             }
@@ -91,7 +91,7 @@
 
         /** Frees the slot of a request that was not sent after all; it tells nothing of the pace. */
         public void unused() {
-            if (held.compareAndSet(true, false)) {
+            if (open.compareAndSet(true, false)) {
                 release(trafficClass, Optional.empty());
             }
         }
