--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -66,18 +66,18 @@
     public final class Permit implements AutoCloseable {
         private final AtomicBoolean open = new AtomicBoolean(true);
         private final TrafficClass trafficClass;
-        private final long sinceNanos;
+        private final long acquiredAtNanos;
 
         private Permit(TrafficClass trafficClass, long sinceNanos) {
             this.trafficClass = trafficClass;
-            this.sinceNanos = sinceNanos;
+            this.acquiredAtNanos = sinceNanos;
         }
 
         /** Frees the slot after a request. */
         @Override
         public void close() {
             if (open.compareAndSet(true, false)) {
-                release(trafficClass, Optional.of(sinceNanos));
+                release(trafficClass, Optional.of(acquiredAtNanos));
             }
         }
 
