--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
@@ -132,7 +132,7 @@
             return;
         }
         if (received.status().equals(HttpStatus.SERVICE_UNAVAILABLE) && received.contains(CallHeaders.SHED)) {
-            permit.shed();
+            permit.closeAfterShed();
             // Read to its end, so that the connection can be used again.
             split.body().subscribe();
             refuse(RefusalReason.SHED);
--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
@@ -45,7 +45,7 @@
             switch (random.nextInt(8)) {
                 case 0, 1, 2 -> asked.add(f.ask(CLASSES[random.nextInt(4)], Duration.ofMillis(random.nextInt(3_000))));
                 case 3, 4 -> remove(held, random).forEach(Permit::close);
-                case 5 -> remove(held, random).forEach(Permit::shed);
+                case 5 -> remove(held, random).forEach(Permit::closeAfterShed);
                 case 6 -> pick(asked, random).forEach(a -> a.cancel(false));
                 default -> {
                     if (random.nextInt(10) > 0) {
--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
@@ -159,8 +159,8 @@
         // A cold backend server sheds although slots are free by the declaration. Fewer are used at once, a burst of
         // sheds counts once, and with time all of them come back, without a request that would have to ask for it.
         List<Permit> reads = takeAll(TrafficClass.READ, SLOTS);
-        reads.get(0).shed();
-        reads.get(1).shed();
+        reads.get(0).closeAfterShed();
+        reads.get(1).closeAfterShed();
         assertEquals(8, f.limiter.usableSlots());
         CompletableFuture<Admission> waiting = f.ask(TrafficClass.READ, Duration.ofSeconds(30));
         assertFalse(waiting.isDone());
@@ -174,7 +174,7 @@
     @Test
     void aBackendServerThatShedsEverythingKeepsAFewSlotsForProbes() {
         for (int i = 0; i < 50; i++) {
-            f.take(TrafficClass.READ, PATIENCE).shed();
+            f.take(TrafficClass.READ, PATIENCE).closeAfterShed();
             f.alarm.advance(UsableSlots.LOWER_PAUSE);
         }
         assertEquals(3, f.limiter.usableSlots());
--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -82,7 +82,7 @@
         }
 
         /** Frees the slot of a request that the backend server shed, and asks less of it for a while. */
-        public void shed() {
+        public void closeAfterShed() {
             if (open.compareAndSet(true, false)) {
                 lower();
                 release(trafficClass, Optional.empty());
