--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
@@ -79,7 +79,7 @@
         Optional<RefusalReason> refusal =
                 cancelled ? Optional.of(RefusalReason.DEADLINE) : owner.refusal(owned.deadline());
         if (refusal.isPresent()) {
-            permit.unused();
+            permit.closeUnused();
             refuse(refusal.get());
             return;
         }
--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -90,7 +90,7 @@
         }
 
         /** Frees the slot of a request that was not sent after all; it tells nothing of the pace. */
-        public void unused() {
+        public void closeUnused() {
             if (open.compareAndSet(true, false)) {
                 release(trafficClass, Optional.empty());
             }
@@ -409,7 +409,7 @@
             boolean taken = d.waiter().complete(d.admission());
             // Cancelled between the decision and here: the slot that nobody will use goes back.
             if (!taken && d.admission() instanceof Admission.Admitted(Permit permit)) {
-                permit.unused();
+                permit.closeUnused();
             }
         }
     }
