--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -97,7 +97,7 @@
         }
     }
 
-    private record Decision(Waiter waiter, Admission admission) {}
+    private record Decision(Waiter request, Admission admission) {}
 
     /** A limiter with all slots free. */
     public SlotLimiter(
@@ -406,7 +406,7 @@
 
     private void finish(List<Decision> decisions) {
         for (Decision d : decisions) {
-            boolean taken = d.waiter().complete(d.admission());
+            boolean taken = d.request().complete(d.admission());
             // Cancelled between the decision and here: the slot that nobody will use goes back.
             if (!taken && d.admission() instanceof Admission.Admitted(Permit permit)) {
                 permit.closeUnused();
