--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -199,7 +199,7 @@
             return;
         }
         if (waiting >= limits.queueLimit()) {
-            Optional<Waiter> evicted = evictFor(queue);
+            Optional<Waiter> evicted = evictBorrowerFor(queue);
             if (evicted.isEmpty()) {
                 decisions.add(refuse(waiter, RefusalCause.QUEUE_FULL));
                 return;
@@ -212,7 +212,7 @@
     }
 
     /** Makes room for a class below its share of the queue by taking a place that another class only borrowed. */
-    private Optional<Waiter> evictFor(TrafficClassQueue queue) {
+    private Optional<Waiter> evictBorrowerFor(TrafficClassQueue queue) {
         if (queue.waiting() >= queueShares.guarantee(queue.trafficClass())) {
             return Optional.empty();
         }
