--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -147,7 +147,7 @@
             raise(decisions);
             if (deadline.isPast(time)) {
                 decisions.add(refuse(waiter, RefusalCause.EXPIRED));
-            } else if (mayHold(queue)) {
+            } else if (mayAcquire(queue)) {
                 decisions.add(admit(waiter));
             } else {
                 enqueue(queue, waiter, decisions);
@@ -229,7 +229,7 @@
         return from.map(TrafficClassQueue::pollLast);
     }
 
-    private boolean mayHold(TrafficClassQueue queue) {
+    private boolean mayAcquire(TrafficClassQueue queue) {
         if (inUse >= usableSlots.usable()) {
             return false;
         }
@@ -258,10 +258,10 @@
             }
         }
         if (neediest.isPresent()) {
-            return neediest.filter(this::mayHold);
+            return neediest.filter(this::mayAcquire);
         }
         return classes.values().stream()
-                .filter(q -> q.waiting() > 0 && mayHold(q))
+                .filter(q -> q.waiting() > 0 && mayAcquire(q))
                 .findFirst();
     }
 
