--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -248,7 +248,7 @@
         return owed < usableSlots.usable();
     }
 
-    private Optional<TrafficClassQueue> next() {
+    private Optional<TrafficClassQueue> nextClassToServe() {
         Optional<TrafficClassQueue> neediest = Optional.empty();
         for (TrafficClassQueue q : classes.values()) {
             if (q.waiting() > 0
@@ -270,7 +270,7 @@
     }
 
     private void dispatch(List<Decision> decisions) {
-        for (Optional<TrafficClassQueue> q = next(); q.isPresent(); q = next()) {
+        for (Optional<TrafficClassQueue> q = nextClassToServe(); q.isPresent(); q = nextClassToServe()) {
             Waiter w = q.get().pollFirst();
             waiting--;
             if (w.startByNanos() - time.nanoTime() <= 0) {
