--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -253,7 +253,7 @@
         for (TrafficClassQueue q : classes.values()) {
             if (q.waiting() > 0
                     && q.inUse() < slotShares.guarantee(q.trafficClass())
-                    && (neediest.isEmpty() || filled(q) < filled(neediest.get()))) {
+                    && (neediest.isEmpty() || guaranteeUtilization(q) < guaranteeUtilization(neediest.get()))) {
                 neediest = Optional.of(q);
             }
         }
@@ -265,7 +265,7 @@
                 .findFirst();
     }
 
-    private double filled(TrafficClassQueue queue) {
+    private double guaranteeUtilization(TrafficClassQueue queue) {
         return (double) queue.inUse() / slotShares.guarantee(queue.trafficClass());
     }
 
