--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -84,7 +84,7 @@
         /** Frees the slot of a request that the backend server shed, and asks less of it for a while. */
         public void closeAfterShed() {
             if (open.compareAndSet(true, false)) {
-                lower();
+                lowerUsableSlots();
                 release(trafficClass, Optional.empty());
             }
         }
@@ -324,7 +324,7 @@
         finish(decisions);
     }
 
-    private void lower() {
+    private void lowerUsableSlots() {
         List<Decision> decisions = new ArrayList<>();
         synchronized (this) {
             metrics.shed();
