--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -144,7 +144,7 @@
             long now = time.nanoTime();
             TrafficClassQueue queue = classes.get(trafficClass);
             waiter = new Waiter(trafficClass, deadline, nextSequence++, now, queue.meanHoldNanos(), this::leave);
-            raise(decisions);
+            raiseUsableSlots(decisions);
             if (deadline.isPast(time)) {
                 decisions.add(refuse(waiter, RefusalCause.EXPIRED));
             } else if (mayAcquire(queue)) {
@@ -318,7 +318,7 @@
             queue.releaseSlot();
             inUse--;
             sinceNanos.ifPresent(since -> queue.recordHoldTime(time.nanoTime() - since));
-            raise(decisions);
+            raiseUsableSlots(decisions);
             dispatch(decisions);
         }
         finish(decisions);
@@ -338,7 +338,7 @@
         finish(decisions);
     }
 
-    private void raise(List<Decision> decisions) {
+    private void raiseUsableSlots(List<Decision> decisions) {
         if (!usableSlots.raise(time.nanoTime())) {
             return;
         }
@@ -397,7 +397,7 @@
             if (scheduledWakeUp.filter(at::equals).isPresent()) {
                 scheduledWakeUp = Optional.empty();
             }
-            raise(decisions);
+            raiseUsableSlots(decisions);
             prune(decisions);
             dispatch(decisions);
         }
