--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -116,7 +116,7 @@
         }
         metrics.gauge(SlotMetrics.DECLARED, usableSlots::declared);
         metrics.gauge(SlotMetrics.USABLE, usableSlots::usable);
-        divide();
+        recomputeShares();
     }
 
     /** Takes over the limits in force; requests already admitted keep their slots. */
@@ -125,7 +125,7 @@
         synchronized (this) {
             limits = inForce;
             usableSlots.declare(inForce.slots());
-            divide();
+            recomputeShares();
             prune(decisions);
             dispatch(decisions);
         }
@@ -331,7 +331,7 @@
             int before = usableSlots.usable();
             if (usableSlots.lower(time.nanoTime())) {
                 EVENTS.log(CallEvent.SLOTS_LOWERED, before, usableSlots.usable(), usableSlots.declared());
-                divide();
+                recomputeShares();
                 prune(decisions);
             }
         }
@@ -345,11 +345,11 @@
         if (usableSlots.usable() == usableSlots.declared()) {
             EVENTS.log(CallEvent.SLOTS_RESTORED, usableSlots.declared());
         }
-        divide();
+        recomputeShares();
         dispatch(decisions);
     }
 
-    private void divide() {
+    private void recomputeShares() {
         slotShares = TrafficClassShares.divide(usableSlots.usable(), limits.classes());
         queueShares = TrafficClassShares.divide(limits.queueLimit(), limits.classes());
     }
