--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -126,7 +126,7 @@
             limits = inForce;
             usableSlots.declare(inForce.slots());
             recomputeShares();
-            prune(decisions);
+            refuseUnservable(decisions);
             dispatch(decisions);
         }
         finish(decisions);
@@ -332,7 +332,7 @@
             if (usableSlots.lower(time.nanoTime())) {
                 EVENTS.log(CallEvent.SLOTS_LOWERED, before, usableSlots.usable(), usableSlots.declared());
                 recomputeShares();
-                prune(decisions);
+                refuseUnservable(decisions);
             }
         }
         finish(decisions);
@@ -354,7 +354,7 @@
         queueShares = TrafficClassShares.divide(limits.queueLimit(), limits.classes());
     }
 
-    private void prune(List<Decision> decisions) {
+    private void refuseUnservable(List<Decision> decisions) {
         for (TrafficClassQueue q : classes.values()) {
             q.removeUnservable(time.nanoTime(), slotShares.guarantee(q.trafficClass()), w -> {
                 waiting--;
@@ -398,7 +398,7 @@
                 scheduledWakeUp = Optional.empty();
             }
             raiseUsableSlots(decisions);
-            prune(decisions);
+            refuseUnservable(decisions);
             dispatch(decisions);
         }
         finish(decisions);
