--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -143,7 +143,7 @@
         synchronized (this) {
             long now = time.nanoTime();
             TrafficClassQueue queue = classes.get(trafficClass);
-            waiter = new Waiter(trafficClass, deadline, nextSequence++, now, queue.meanHoldNanos(), this::leave);
+            waiter = new Waiter(trafficClass, deadline, nextSequence++, now, queue.meanHoldNanos(), this::removeCancelled);
             raiseUsableSlots(decisions);
             if (deadline.isPast(time)) {
                 decisions.add(refuse(waiter, RefusalCause.EXPIRED));
@@ -364,7 +364,7 @@
         }
     }
 
-    private synchronized void leave(Waiter waiter) {
+    private synchronized void removeCancelled(Waiter waiter) {
         if (classes.get(waiter.trafficClass()).remove(waiter)) {
             waiting--;
             metrics.cancelled(waiter.trafficClass());
