--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -208,7 +208,7 @@
         }
         queue.add(waiter);
         waiting++;
-        arm();
+        scheduleWakeUp();
     }
 
     /** Makes room for a class below its share of the queue by taking a place that another class only borrowed. */
@@ -280,7 +280,7 @@
             metrics.waited(w.trafficClass(), time.nanoTime() - w.arrivedAtNanos());
             decisions.add(admit(w));
         }
-        arm();
+        scheduleWakeUp();
     }
 
     private Decision admit(Waiter waiter) {
@@ -372,7 +372,7 @@
     }
 
     /** Sees to it that a waiter whose time is up is refused then, not when the next slot happens to come free. */
-    private void arm() {
+    private void scheduleWakeUp() {
         if (waiting == 0) {
             return;
         }
