--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -388,10 +388,10 @@
             return;
         }
         scheduledWakeUp = next;
-        scheduler.schedule(at, () -> wake(at));
+        scheduler.schedule(at, () -> onWakeUp(at));
     }
 
-    private void wake(Deadline at) {
+    private void onWakeUp(Deadline at) {
         List<Decision> decisions = new ArrayList<>();
         synchronized (this) {
             if (scheduledWakeUp.filter(at::equals).isPresent()) {
