--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -129,7 +129,7 @@
             refuseUnservable(decisions);
             dispatch(decisions);
         }
-        finish(decisions);
+        completeAll(decisions);
     }
 
     /**
@@ -153,7 +153,7 @@
                 enqueue(queue, waiter, decisions);
             }
         }
-        finish(decisions);
+        completeAll(decisions);
         return waiter;
     }
 
@@ -321,7 +321,7 @@
             raiseUsableSlots(decisions);
             dispatch(decisions);
         }
-        finish(decisions);
+        completeAll(decisions);
     }
 
     private void lowerUsableSlots() {
@@ -335,7 +335,7 @@
                 refuseUnservable(decisions);
             }
         }
-        finish(decisions);
+        completeAll(decisions);
     }
 
     private void raiseUsableSlots(List<Decision> decisions) {
@@ -401,10 +401,10 @@
             refuseUnservable(decisions);
             dispatch(decisions);
         }
-        finish(decisions);
+        completeAll(decisions);
     }
 
-    private void finish(List<Decision> decisions) {
+    private void completeAll(List<Decision> decisions) {
         for (Decision d : decisions) {
             boolean taken = d.request().complete(d.admission());
             // Cancelled between the decision and here: the slot that nobody will use goes back.
