--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
@@ -175,7 +175,7 @@
     void aBackendServerThatShedsEverythingKeepsAFewSlotsForProbes() {
         for (int i = 0; i < 50; i++) {
             f.take(TrafficClass.READ, PATIENCE).closeAfterShed();
-            f.alarm.advance(UsableSlots.LOWER_PAUSE);
+            f.alarm.advance(UsableSlots.MIN_LOWER_INTERVAL);
         }
         assertEquals(3, f.limiter.usableSlots());
     }
--- a/org.berylwick/src/org/berylwick/internal/limit/UsableSlots.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/UsableSlots.java
@@ -11,7 +11,7 @@
  */
 final class UsableSlots {
     /** Sheds of one burst tell of one state of the backend server, so they lower the slots once. */
-    static final Duration LOWER_PAUSE = Duration.ofMillis(100);
+    static final Duration MIN_LOWER_INTERVAL = Duration.ofMillis(100);
 
     /** Each of these without a shed gives one slot back. */
     static final Duration RAISE_INTERVAL = Duration.ofMillis(250);
@@ -45,7 +45,7 @@
 
     /** Notes a shed; tells whether the slots were lowered. */
     boolean lower(long nowNanos) {
-        boolean sameBurst = usable < declared && nowNanos - changedAtNanos < LOWER_PAUSE.toNanos();
+        boolean sameBurst = usable < declared && nowNanos - changedAtNanos < MIN_LOWER_INTERVAL.toNanos();
         if (sameBurst || usable <= floor()) {
             // At the floor a shed still puts off the next raise.
             changedAtNanos = usable < declared ? nowNanos : changedAtNanos;
