--- a/org.berylwick/src/org/berylwick/internal/limit/UsableSlots.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/UsableSlots.java
@@ -16,7 +16,7 @@
     /** Each of these without a shed gives one slot back. */
     static final Duration RAISE_INTERVAL = Duration.ofMillis(250);
 
-    private static final double KEPT_ON_SHED = 0.7;
+    private static final double DECREASE_FACTOR = 0.7;
     private static final int FLOOR_DIVISOR = 4;
 
     private int declared;
@@ -51,7 +51,7 @@
             changedAtNanos = usable < declared ? nowNanos : changedAtNanos;
             return false;
         }
-        usable = Math.max(floor(), (int) (usable * KEPT_ON_SHED));
+        usable = Math.max(floor(), (int) (usable * DECREASE_FACTOR));
         changedAtNanos = nowNanos;
         return true;
     }
