--- a/org.berylwick/src/org/berylwick/internal/limit/UsableSlots.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/UsableSlots.java
@@ -17,7 +17,7 @@
     static final Duration RAISE_INTERVAL = Duration.ofMillis(250);
 
     private static final double DECREASE_FACTOR = 0.7;
-    private static final int FLOOR_DIVISOR = 4;
+    private static final int MINIMUM_DIVISOR = 4;
 
     private int declared;
     private int usable;
@@ -78,6 +78,6 @@
     }
 
     private int floor() {
-        return Math.max(1, declared / FLOOR_DIVISOR);
+        return Math.max(1, declared / MINIMUM_DIVISOR);
     }
 }
