--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -124,7 +124,7 @@
         List<Decision> decisions = new ArrayList<>();
         synchronized (this) {
             limits = inForce;
-            usableSlots.declare(inForce.slots());
+            usableSlots.setDeclared(inForce.slots());
             recomputeShares();
             refuseUnservable(decisions);
             dispatch(decisions);
--- a/org.berylwick/src/org/berylwick/internal/limit/UsableSlots.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/UsableSlots.java
@@ -37,7 +37,7 @@
     }
 
     /** Takes over a new number of declared slots; slots lost to sheds stay lost until they are raised. */
-    void declare(int slots) {
+    void setDeclared(int slots) {
         int lost = declared - usable;
         declared = slots;
         usable = Math.max(floor(), slots - lost);
