--- a/org.berylwick/src/org/berylwick/internal/limit/UsableSlots.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/UsableSlots.java
@@ -40,18 +40,18 @@
     void setDeclared(int slots) {
         int lost = declared - usable;
         declared = slots;
-        usable = Math.max(floor(), slots - lost);
+        usable = Math.max(minimum(), slots - lost);
     }
 
     /** Notes a shed; tells whether the slots were lowered. */
     boolean lower(long nowNanos) {
         boolean sameBurst = usable < declared && nowNanos - changedAtNanos < MIN_LOWER_INTERVAL.toNanos();
-        if (sameBurst || usable <= floor()) {
+        if (sameBurst || usable <= minimum()) {
             // At the floor a shed still puts off the next raise.
             changedAtNanos = usable < declared ? nowNanos : changedAtNanos;
             return false;
         }
-        usable = Math.max(floor(), (int) (usable * DECREASE_FACTOR));
+        usable = Math.max(minimum(), (int) (usable * DECREASE_FACTOR));
         changedAtNanos = nowNanos;
         return true;
     }
@@ -77,7 +77,7 @@
                 : Optional.empty();
     }
 
-    private int floor() {
+    private int minimum() {
         return Math.max(1, declared / MINIMUM_DIVISOR);
     }
 }
