--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -97,7 +97,7 @@
         }
     }
 
-    private record Decision(Waiter request, Admission admission) {}
+    private record Decision(SlotRequest request, Admission admission) {}
 
     /** A limiter with all slots free. */
     public SlotLimiter(
@@ -139,11 +139,11 @@
      */
     public CompletableFuture<Admission> acquire(TrafficClass trafficClass, Deadline deadline) {
         List<Decision> decisions = new ArrayList<>(1);
-        Waiter waiter;
+        SlotRequest waiter;
         synchronized (this) {
             long now = time.nanoTime();
             TrafficClassQueue queue = classes.get(trafficClass);
-            waiter = new Waiter(trafficClass, deadline, nextSequence++, now, queue.meanHoldNanos(), this::removeCancelled);
+            waiter = new SlotRequest(trafficClass, deadline, nextSequence++, now, queue.meanHoldNanos(), this::removeCancelled);
             raiseUsableSlots(decisions);
             if (deadline.isPast(time)) {
                 decisions.add(refuse(waiter, RefusalCause.EXPIRED));
@@ -192,14 +192,14 @@
         return slotShares.guarantee(trafficClass);
     }
 
-    private void enqueue(TrafficClassQueue queue, Waiter waiter, List<Decision> decisions) {
+    private void enqueue(TrafficClassQueue queue, SlotRequest waiter, List<Decision> decisions) {
         long untilStart = waiter.startByNanos() - time.nanoTime();
         if (untilStart < queue.estimateWaitNanos(queue.countAhead(waiter), slotShares.guarantee(waiter.trafficClass()))) {
             decisions.add(refuse(waiter, RefusalCause.TOO_SLOW));
             return;
         }
         if (waiting >= limits.queueLimit()) {
-            Optional<Waiter> evicted = evictBorrowerFor(queue);
+            Optional<SlotRequest> evicted = evictBorrowerFor(queue);
             if (evicted.isEmpty()) {
                 decisions.add(refuse(waiter, RefusalCause.QUEUE_FULL));
                 return;
@@ -212,7 +212,7 @@
     }
 
     /** Makes room for a class below its share of the queue by taking a place that another class only borrowed. */
-    private Optional<Waiter> evictBorrowerFor(TrafficClassQueue queue) {
+    private Optional<SlotRequest> evictBorrowerFor(TrafficClassQueue queue) {
         if (queue.waiting() >= queueShares.guarantee(queue.trafficClass())) {
             return Optional.empty();
         }
@@ -271,7 +271,7 @@
 
     private void dispatch(List<Decision> decisions) {
         for (Optional<TrafficClassQueue> q = nextClassToServe(); q.isPresent(); q = nextClassToServe()) {
-            Waiter w = q.get().pollFirst();
+            SlotRequest w = q.get().pollFirst();
             waiting--;
             if (w.startByNanos() - time.nanoTime() <= 0) {
                 decisions.add(refuse(w, RefusalCause.EXPIRED));
@@ -283,7 +283,7 @@
         scheduleWakeUp();
     }
 
-    private Decision admit(Waiter waiter) {
+    private Decision admit(SlotRequest waiter) {
         inUse++;
         classes.get(waiter.trafficClass()).acquireSlot();
         metrics.admitted(waiter.trafficClass());
@@ -296,7 +296,7 @@
         return new Decision(waiter, new Admission.Admitted(new Permit(waiter.trafficClass(), time.nanoTime())));
     }
 
-    private Decision refuse(Waiter waiter, RefusalCause cause) {
+    private Decision refuse(SlotRequest waiter, RefusalCause cause) {
         metrics.refused(waiter.trafficClass(), cause);
         RefusalReason reason = waiter.deadline().isPast(time) ? RefusalReason.DEADLINE : RefusalReason.OVERLOADED;
         return new Decision(waiter, new Admission.Refused(reason, retryAfterMillis(waiter.trafficClass())));
@@ -364,7 +364,7 @@
         }
     }
 
-    private synchronized void removeCancelled(Waiter waiter) {
+    private synchronized void removeCancelled(SlotRequest waiter) {
         if (classes.get(waiter.trafficClass()).remove(waiter)) {
             waiting--;
             metrics.cancelled(waiter.trafficClass());
--- a/org.berylwick/src/org/berylwick/internal/limit/Waiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotRequest.java
@@ -6,26 +6,26 @@
 import org.berylwick.lib.TrafficClass;
 
 /** A request that asked for a slot; cancelling it takes it out of the queue at once. */
-final class Waiter extends CompletableFuture<SlotLimiter.Admission> {
+final class SlotRequest extends CompletableFuture<SlotLimiter.Admission> {
     private final TrafficClass trafficClass;
     private final Deadline deadline;
     private final long sequence;
     private final long arrivedAtNanos;
     private final long startByNanos;
-    private final Consumer<Waiter> onCancel;
+    private final Consumer<SlotRequest> onCancel;
 
     /**
      * A request.
      *
      * @param typicalHoldNanos how long such requests run
      */
-    Waiter(
+    SlotRequest(
             TrafficClass trafficClass,
             Deadline deadline,
             long sequence,
             long nowNanos,
             long typicalHoldNanos,
-            Consumer<Waiter> onCancel) {
+            Consumer<SlotRequest> onCancel) {
         this.trafficClass = trafficClass;
         this.deadline = deadline;
         this.sequence = sequence;
--- a/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
@@ -17,7 +17,7 @@
     /** A class whose requests hold slots for longer can't return what it borrowed soon enough. */
     static final Duration MAX_HOLD_TIME_TO_BORROW = Duration.ofSeconds(1);
 
-    private static final Comparator<Waiter> EARLIEST_START_FIRST = (a, b) -> {
+    private static final Comparator<SlotRequest> EARLIEST_START_FIRST = (a, b) -> {
         int byTime = Long.signum(a.startByNanos() - b.startByNanos());
         return byTime != 0 ? byTime : Long.signum(a.sequence() - b.sequence());
     };
@@ -26,7 +26,7 @@
     private static final double HOLD_TIME_SMOOTHING_FACTOR = 0.1;
 
     private final TrafficClass trafficClass;
-    private final TreeSet<Waiter> waitingRequests = new TreeSet<>(EARLIEST_START_FIRST);
+    private final TreeSet<SlotRequest> waitingRequests = new TreeSet<>(EARLIEST_START_FIRST);
     private int inUse;
     private double meanHoldNanos;
 
@@ -74,29 +74,29 @@
         return trafficClass != TrafficClass.BULK && meanHoldNanos <= MAX_HOLD_TIME_TO_BORROW.toNanos();
     }
 
-    void add(Waiter w) {
+    void add(SlotRequest w) {
         waitingRequests.add(w);
     }
 
-    boolean remove(Waiter w) {
+    boolean remove(SlotRequest w) {
         return waitingRequests.remove(w);
     }
 
-    Waiter pollFirst() {
+    SlotRequest pollFirst() {
         return waitingRequests.pollFirst();
     }
 
     /** Takes the waiter that can wait longest. */
-    Waiter pollLast() {
+    SlotRequest pollLast() {
         return waitingRequests.pollLast();
     }
 
-    Optional<Waiter> peekFirst() {
+    Optional<SlotRequest> peekFirst() {
         return waitingRequests.isEmpty() ? Optional.empty() : Optional.of(waitingRequests.first());
     }
 
     /** Waiters that go before {@code w}. */
-    int countAhead(Waiter w) {
+    int countAhead(SlotRequest w) {
         return waitingRequests.headSet(w).size();
     }
 
@@ -112,10 +112,10 @@
     }
 
     /** Takes out every waiter that could not start in time. */
-    void removeUnservable(long nowNanos, int slots, Consumer<Waiter> pruned) {
+    void removeUnservable(long nowNanos, int slots, Consumer<SlotRequest> pruned) {
         int ahead = 0;
-        for (Iterator<Waiter> i = waitingRequests.iterator(); i.hasNext(); ) {
-            Waiter w = i.next();
+        for (Iterator<SlotRequest> i = waitingRequests.iterator(); i.hasNext(); ) {
+            SlotRequest w = i.next();
             if (w.startByNanos() - nowNanos > 0 && w.startByNanos() - nowNanos >= estimateWaitNanos(ahead, slots)) {
                 ahead++;
                 continue;
