--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotFixture.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterFixture.java
@@ -14,14 +14,14 @@
 import org.berylwick.testing.ManualTimeSource;
 
 /** A limiter on a clock that stands still. */
-final class SlotFixture {
+final class SlotLimiterFixture {
     final ManualTimeSource time = new ManualTimeSource();
     final ManualAlarm alarm = new ManualAlarm(time);
     final MetricRegistry metrics = new MetricRegistry();
     final Invariants invariants = new Invariants(metrics);
     final SlotLimiter limiter;
 
-    SlotFixture(SlotLimits limits) {
+    SlotLimiterFixture(SlotLimits limits) {
         limiter = new SlotLimiter(time, alarm, metrics, invariants, limits);
     }
 
--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
@@ -36,7 +36,7 @@
         // Requests come, end, are shed and given up while time passes and limits change, in any order. At no time may
         // more slots be given than there are, and once every request is over none may be missing.
         Random random = new Random(seed);
-        SlotFixture f = new SlotFixture(SlotLimits.ofAllClasses(slots, queue));
+        SlotLimiterFixture f = new SlotLimiterFixture(SlotLimits.ofAllClasses(slots, queue));
         List<CompletableFuture<Admission>> asked = new ArrayList<>();
         List<Permit> held = new ArrayList<>();
         int declared = slots;
@@ -57,7 +57,7 @@
                 }
             }
             asked.removeIf(a -> {
-                SlotFixture.permit(a).ifPresent(held::add);
+                SlotLimiterFixture.permit(a).ifPresent(held::add);
                 return a.isDone();
             });
             assertEquals(held.size(), f.limiter.inUse());
@@ -79,7 +79,7 @@
         // waits while its class holds less than its guarantee gets a slot as soon as what was lent has come back,
         // which is within one of those 100 ms.
         Random random = new Random(seed);
-        SlotFixture f = new SlotFixture(SlotLimits.ofAllClasses(12, 48));
+        SlotLimiterFixture f = new SlotLimiterFixture(SlotLimits.ofAllClasses(12, 48));
         List<Running> running = new ArrayList<>();
         Map<TrafficClass, List<CompletableFuture<Admission>>> waiting = new EnumMap<>(TrafficClass.class);
         Map<TrafficClass, Duration> below = new EnumMap<>(TrafficClass.class);
@@ -96,7 +96,7 @@
             running.removeAll(over);
             over.forEach(r -> r.permit.close());
             waiting.forEach((k, list) -> list.removeIf(a -> {
-                SlotFixture.permit(a).ifPresent(p -> running.add(new Running(p, now + holdNanos(k, random))));
+                SlotLimiterFixture.permit(a).ifPresent(p -> running.add(new Running(p, now + holdNanos(k, random))));
                 return a.isDone();
             }));
             for (TrafficClass k : CLASSES) {
@@ -111,14 +111,14 @@
     @Property(seed = "20263", tries = 60)
     void noSlotIsIdleWhileARequestWaitsThatMayHaveIt(@ForAll long seed) {
         Random random = new Random(seed);
-        SlotFixture f = new SlotFixture(SlotLimits.ofAllClasses(12, 48));
+        SlotLimiterFixture f = new SlotLimiterFixture(SlotLimits.ofAllClasses(12, 48));
         List<CompletableFuture<Admission>> asked = new ArrayList<>();
         for (int i = 0; i < STEPS; i++) {
             if (random.nextInt(5) < 3) {
                 asked.add(f.ask(CLASSES[random.nextInt(3)], Duration.ofSeconds(5)));
             } else {
                 List<Permit> held = asked.stream()
-                        .flatMap(a -> SlotFixture.permit(a).stream())
+                        .flatMap(a -> SlotLimiterFixture.permit(a).stream())
                         .toList();
                 pick(held, random).forEach(Permit::close);
             }
@@ -141,7 +141,7 @@
 
     @Example
     void slotsAreExactWhenManyThreadsAskReleaseAndGiveUp() throws Exception {
-        SlotFixture f = new SlotFixture(SlotLimits.ofAllClasses(5, 8));
+        SlotLimiterFixture f = new SlotLimiterFixture(SlotLimits.ofAllClasses(5, 8));
         try (ExecutorService threads = Executors.newFixedThreadPool(6)) {
             List<Future<?>> done = new ArrayList<>();
             for (int t = 0; t < 6; t++) {
@@ -156,7 +156,7 @@
         assertEquals(0, f.breaches());
     }
 
-    private static void hammer(SlotFixture f) {
+    private static void hammer(SlotLimiterFixture f) {
         for (int i = 0; i < 5_000; i++) {
             ThreadLocalRandom random = ThreadLocalRandom.current();
             CompletableFuture<Admission> asked =
--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
@@ -1,7 +1,7 @@
 package org.berylwick.internal.limit;
 
-import static org.berylwick.internal.limit.SlotFixture.isRefused;
-import static org.berylwick.internal.limit.SlotFixture.permit;
+import static org.berylwick.internal.limit.SlotLimiterFixture.isRefused;
+import static org.berylwick.internal.limit.SlotLimiterFixture.permit;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -25,7 +25,7 @@
     private static final int SLOTS = 12;
     private static final int QUEUE = 48;
 
-    private final SlotFixture f = new SlotFixture(SlotLimits.ofAllClasses(SLOTS, QUEUE));
+    private final SlotLimiterFixture f = new SlotLimiterFixture(SlotLimits.ofAllClasses(SLOTS, QUEUE));
 
     @Test
     void lookupsDoNotPushReadsOut() {
@@ -69,7 +69,7 @@
 
     @Test
     void aServiceOfTransfersOnlyUsesEverySlotForThem() {
-        SlotFixture artvault = new SlotFixture(new SlotLimits(SLOTS, QUEUE, Set.of(TrafficClass.BULK)));
+        SlotLimiterFixture artvault = new SlotLimiterFixture(new SlotLimits(SLOTS, QUEUE, Set.of(TrafficClass.BULK)));
         for (int i = 0; i < SLOTS; i++) {
             artvault.take(TrafficClass.BULK, MINUTES);
         }
@@ -150,7 +150,7 @@
         List<CompletableFuture<Admission>> lookups = askMany(TrafficClass.LOOKUP, QUEUE);
         CompletableFuture<Admission> order = f.ask(TrafficClass.CONFIRMATION, PATIENCE);
         assertFalse(order.isDone());
-        assertEquals(1, lookups.stream().filter(SlotFixture::isRefused).count());
+        assertEquals(1, lookups.stream().filter(SlotLimiterFixture::isRefused).count());
         assertEquals(QUEUE, f.limiter.waiting());
     }
 
