--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterFixture.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterFixture.java
@@ -16,13 +16,13 @@
 /** A limiter on a clock that stands still. */
 final class SlotLimiterFixture {
     final ManualTimeSource time = new ManualTimeSource();
-    final ManualAlarm alarm = new ManualAlarm(time);
+    final ManualAlarm scheduler = new ManualAlarm(time);
     final MetricRegistry metrics = new MetricRegistry();
     final Invariants invariants = new Invariants(metrics);
     final SlotLimiter limiter;
 
     SlotLimiterFixture(SlotLimits limits) {
-        limiter = new SlotLimiter(time, alarm, metrics, invariants, limits);
+        limiter = new SlotLimiter(time, scheduler, metrics, invariants, limits);
     }
 
     CompletableFuture<Admission> ask(TrafficClass trafficClass, Duration patience) {
--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
@@ -49,7 +49,7 @@
                 case 6 -> pick(asked, random).forEach(a -> a.cancel(false));
                 default -> {
                     if (random.nextInt(10) > 0) {
-                        f.alarm.advance(Duration.ofMillis(random.nextInt(300)));
+                        f.scheduler.advance(Duration.ofMillis(random.nextInt(300)));
                     } else {
                         declared = 1 + random.nextInt(16);
                         f.limiter.setLimits(SlotLimits.ofAllClasses(declared, random.nextInt(20)));
@@ -90,7 +90,7 @@
             if (random.nextInt(3) > 0) {
                 waiting.computeIfAbsent(c, x -> new ArrayList<>()).add(f.ask(c, Duration.ofHours(1)));
             }
-            f.alarm.advance(step);
+            f.scheduler.advance(step);
             long now = f.time.nanoTime();
             List<Running> over = running.stream().filter(r -> r.endsAt <= now).toList();
             running.removeAll(over);
@@ -122,7 +122,7 @@
                         .toList();
                 pick(held, random).forEach(Permit::close);
             }
-            f.alarm.advance(Duration.ofMillis(random.nextInt(20)));
+            f.scheduler.advance(Duration.ofMillis(random.nextInt(20)));
             boolean idle = f.limiter.inUse() < 12;
             assertTrue(!idle || f.limiter.waiting() == 0);
         }
--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
@@ -34,7 +34,7 @@
         List<Permit> lookups = takeAll(TrafficClass.LOOKUP, SLOTS);
         List<CompletableFuture<Admission>> more = askMany(TrafficClass.LOOKUP, 20);
         List<CompletableFuture<Admission>> reads = askMany(TrafficClass.READ, 4);
-        f.alarm.advance(SHORT);
+        f.scheduler.advance(SHORT);
         lookups.forEach(Permit::close);
         assertTrue(reads.stream().allMatch(r -> permit(r).isPresent()));
         assertTrue(more.stream().anyMatch(m -> permit(m).isPresent()));
@@ -47,7 +47,7 @@
         List<Permit> reads = takeAll(TrafficClass.READ, SLOTS);
         askMany(TrafficClass.READ, 20);
         CompletableFuture<Admission> lookup = f.ask(TrafficClass.LOOKUP, PATIENCE);
-        f.alarm.advance(SHORT);
+        f.scheduler.advance(SHORT);
         reads.getFirst().close();
         assertTrue(permit(lookup).isPresent());
     }
@@ -79,7 +79,7 @@
     @Test
     void aClassMeasuredToBeSlowBorrowsNoMore() {
         Permit slow = f.take(TrafficClass.READ, MINUTES);
-        f.alarm.advance(Duration.ofSeconds(5));
+        f.scheduler.advance(Duration.ofSeconds(5));
         slow.close();
         askMany(TrafficClass.READ, SLOTS);
         assertEquals(f.limiter.guarantee(TrafficClass.READ), f.limiter.inUse(TrafficClass.READ));
@@ -91,9 +91,9 @@
         // up, not when a slot happens to be freed.
         takeAll(TrafficClass.READ, SLOTS);
         CompletableFuture<Admission> waiting = f.ask(TrafficClass.READ, PATIENCE);
-        f.alarm.advance(PATIENCE.minusMillis(1));
+        f.scheduler.advance(PATIENCE.minusMillis(1));
         assertFalse(waiting.isDone());
-        f.alarm.advance(Duration.ofMillis(1));
+        f.scheduler.advance(Duration.ofMillis(1));
         assertTrue(isRefused(waiting));
         assertEquals(RefusalReason.DEADLINE, ((Admission.Refused) waiting.join()).reason());
         assertEquals(0, f.limiter.waiting());
@@ -104,7 +104,7 @@
         // Requests take 400 ms each, all slots are taken and two dozen wait: a newcomer would get its slot in about
         // a second. One with 30 ms left is told so at once, with when to come back; a patient one waits.
         List<Permit> measured = takeAll(TrafficClass.READ, SLOTS);
-        f.alarm.advance(Duration.ofMillis(400));
+        f.scheduler.advance(Duration.ofMillis(400));
         measured.forEach(Permit::close);
         takeAll(TrafficClass.READ, SLOTS);
         askMany(TrafficClass.READ, 24);
@@ -164,9 +164,9 @@
         assertEquals(8, f.limiter.usableSlots());
         CompletableFuture<Admission> waiting = f.ask(TrafficClass.READ, Duration.ofSeconds(30));
         assertFalse(waiting.isDone());
-        f.alarm.advance(Duration.ofMillis(750));
+        f.scheduler.advance(Duration.ofMillis(750));
         assertTrue(permit(waiting).isPresent());
-        f.alarm.advance(Duration.ofMinutes(1));
+        f.scheduler.advance(Duration.ofMinutes(1));
         f.ask(TrafficClass.READ, PATIENCE);
         assertEquals(SLOTS, f.limiter.usableSlots());
     }
@@ -175,7 +175,7 @@
     void aBackendServerThatShedsEverythingKeepsAFewSlotsForProbes() {
         for (int i = 0; i < 50; i++) {
             f.take(TrafficClass.READ, PATIENCE).closeAfterShed();
-            f.alarm.advance(UsableSlots.MIN_LOWER_INTERVAL);
+            f.scheduler.advance(UsableSlots.MIN_LOWER_INTERVAL);
         }
         assertEquals(3, f.limiter.usableSlots());
     }
