--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterFixture.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterFixture.java
@@ -25,13 +25,13 @@
         limiter = new SlotLimiter(time, scheduler, metrics, invariants, limits);
     }
 
-    CompletableFuture<Admission> ask(TrafficClass trafficClass, Duration patience) {
+    CompletableFuture<Admission> acquire(TrafficClass trafficClass, Duration patience) {
         return limiter.acquire(trafficClass, Deadline.after(time, patience));
     }
 
     /** Asks for a slot that must be free. */
     Permit take(TrafficClass trafficClass, Duration patience) {
-        return permit(ask(trafficClass, patience)).orElseThrow();
+        return permit(acquire(trafficClass, patience)).orElseThrow();
     }
 
     static Optional<Permit> permit(CompletableFuture<Admission> asked) {
--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
@@ -43,7 +43,7 @@
         for (int i = 0; i < STEPS; i++) {
             int before = f.limiter.inUse();
             switch (random.nextInt(8)) {
-                case 0, 1, 2 -> asked.add(f.ask(CLASSES[random.nextInt(4)], Duration.ofMillis(random.nextInt(3_000))));
+                case 0, 1, 2 -> asked.add(f.acquire(CLASSES[random.nextInt(4)], Duration.ofMillis(random.nextInt(3_000))));
                 case 3, 4 -> remove(held, random).forEach(Permit::close);
                 case 5 -> remove(held, random).forEach(Permit::closeAfterShed);
                 case 6 -> pick(asked, random).forEach(a -> a.cancel(false));
@@ -88,7 +88,7 @@
             boolean burst = i / 300 % 2 == 0;
             TrafficClass c = CLASSES[burst ? random.nextInt(4) : i / 600 % 4];
             if (random.nextInt(3) > 0) {
-                waiting.computeIfAbsent(c, x -> new ArrayList<>()).add(f.ask(c, Duration.ofHours(1)));
+                waiting.computeIfAbsent(c, x -> new ArrayList<>()).add(f.acquire(c, Duration.ofHours(1)));
             }
             f.scheduler.advance(step);
             long now = f.time.nanoTime();
@@ -115,7 +115,7 @@
         List<CompletableFuture<Admission>> asked = new ArrayList<>();
         for (int i = 0; i < STEPS; i++) {
             if (random.nextInt(5) < 3) {
-                asked.add(f.ask(CLASSES[random.nextInt(3)], Duration.ofSeconds(5)));
+                asked.add(f.acquire(CLASSES[random.nextInt(3)], Duration.ofSeconds(5)));
             } else {
                 List<Permit> held = asked.stream()
                         .flatMap(a -> SlotLimiterFixture.permit(a).stream())
--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
@@ -46,7 +46,7 @@
         // its share: the next slot is its own, before customers that came earlier and are more urgent.
         List<Permit> reads = takeAll(TrafficClass.READ, SLOTS);
         askMany(TrafficClass.READ, 20);
-        CompletableFuture<Admission> lookup = f.ask(TrafficClass.LOOKUP, PATIENCE);
+        CompletableFuture<Admission> lookup = f.acquire(TrafficClass.LOOKUP, PATIENCE);
         f.scheduler.advance(SHORT);
         reads.getFirst().close();
         assertTrue(permit(lookup).isPresent());
@@ -58,11 +58,11 @@
         // one can't be had back. An order that comes a moment later finds its guaranteed slots free.
         List<CompletableFuture<Admission>> bulk = new ArrayList<>();
         for (int i = 0; i < SLOTS; i++) {
-            bulk.add(f.ask(TrafficClass.BULK, MINUTES));
+            bulk.add(f.acquire(TrafficClass.BULK, MINUTES));
         }
         assertEquals(2, f.limiter.inUse(TrafficClass.BULK));
         for (int i = 0; i < 4; i++) {
-            assertTrue(permit(f.ask(TrafficClass.CONFIRMATION, PATIENCE)).isPresent());
+            assertTrue(permit(f.acquire(TrafficClass.CONFIRMATION, PATIENCE)).isPresent());
         }
         assertEquals(2, bulk.stream().filter(b -> permit(b).isPresent()).count());
     }
@@ -90,7 +90,7 @@
         // Every slot hangs and none comes back. The caller behind a waiting request wants to know when its time is
         // up, not when a slot happens to be freed.
         takeAll(TrafficClass.READ, SLOTS);
-        CompletableFuture<Admission> waiting = f.ask(TrafficClass.READ, PATIENCE);
+        CompletableFuture<Admission> waiting = f.acquire(TrafficClass.READ, PATIENCE);
         f.scheduler.advance(PATIENCE.minusMillis(1));
         assertFalse(waiting.isDone());
         f.scheduler.advance(Duration.ofMillis(1));
@@ -108,8 +108,8 @@
         measured.forEach(Permit::close);
         takeAll(TrafficClass.READ, SLOTS);
         askMany(TrafficClass.READ, 24);
-        CompletableFuture<Admission> patient = f.ask(TrafficClass.READ, Duration.ofMinutes(1));
-        CompletableFuture<Admission> hasty = f.ask(TrafficClass.READ, Duration.ofMillis(30));
+        CompletableFuture<Admission> patient = f.acquire(TrafficClass.READ, Duration.ofMinutes(1));
+        CompletableFuture<Admission> hasty = f.acquire(TrafficClass.READ, Duration.ofMillis(30));
         assertFalse(patient.isDone());
         assertTrue(isRefused(hasty));
         Admission.Refused refusal = (Admission.Refused) hasty.join();
@@ -121,10 +121,10 @@
     void aCancelledWaiterLeavesItsPlaceAtOnce() {
         takeAll(TrafficClass.READ, SLOTS);
         List<CompletableFuture<Admission>> waiting = askMany(TrafficClass.READ, QUEUE);
-        assertTrue(isRefused(f.ask(TrafficClass.READ, PATIENCE)));
+        assertTrue(isRefused(f.acquire(TrafficClass.READ, PATIENCE)));
         waiting.get(7).cancel(false);
         assertEquals(QUEUE - 1, f.limiter.waiting());
-        assertFalse(f.ask(TrafficClass.READ, PATIENCE).isDone());
+        assertFalse(f.acquire(TrafficClass.READ, PATIENCE).isDone());
     }
 
     @Test
@@ -134,8 +134,8 @@
         Permit held = f.take(TrafficClass.READ, PATIENCE);
         SlotLimits one = SlotLimits.ofAllClasses(1, QUEUE);
         f.limiter.setLimits(one);
-        CompletableFuture<Admission> first = f.ask(TrafficClass.READ, PATIENCE);
-        CompletableFuture<Admission> second = f.ask(TrafficClass.READ, PATIENCE.plusSeconds(1));
+        CompletableFuture<Admission> first = f.acquire(TrafficClass.READ, PATIENCE);
+        CompletableFuture<Admission> second = f.acquire(TrafficClass.READ, PATIENCE.plusSeconds(1));
         first.thenAccept(a -> second.cancel(false));
         f.limiter.setLimits(SlotLimits.ofAllClasses(3, QUEUE));
         assertTrue(second.isCancelled());
@@ -148,7 +148,7 @@
     void aFullQueueMakesRoomForAClassThatIsOwedAPlace() {
         takeAll(TrafficClass.LOOKUP, SLOTS);
         List<CompletableFuture<Admission>> lookups = askMany(TrafficClass.LOOKUP, QUEUE);
-        CompletableFuture<Admission> order = f.ask(TrafficClass.CONFIRMATION, PATIENCE);
+        CompletableFuture<Admission> order = f.acquire(TrafficClass.CONFIRMATION, PATIENCE);
         assertFalse(order.isDone());
         assertEquals(1, lookups.stream().filter(SlotLimiterFixture::isRefused).count());
         assertEquals(QUEUE, f.limiter.waiting());
@@ -162,12 +162,12 @@
         reads.get(0).closeAfterShed();
         reads.get(1).closeAfterShed();
         assertEquals(8, f.limiter.usableSlots());
-        CompletableFuture<Admission> waiting = f.ask(TrafficClass.READ, Duration.ofSeconds(30));
+        CompletableFuture<Admission> waiting = f.acquire(TrafficClass.READ, Duration.ofSeconds(30));
         assertFalse(waiting.isDone());
         f.scheduler.advance(Duration.ofMillis(750));
         assertTrue(permit(waiting).isPresent());
         f.scheduler.advance(Duration.ofMinutes(1));
-        f.ask(TrafficClass.READ, PATIENCE);
+        f.acquire(TrafficClass.READ, PATIENCE);
         assertEquals(SLOTS, f.limiter.usableSlots());
     }
 
@@ -191,7 +191,7 @@
     private List<CompletableFuture<Admission>> askMany(TrafficClass trafficClass, int count) {
         List<CompletableFuture<Admission>> asked = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            asked.add(f.ask(trafficClass, PATIENCE));
+            asked.add(f.acquire(trafficClass, PATIENCE));
         }
         return asked;
     }
