--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterFixture.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterFixture.java
@@ -30,7 +30,7 @@
     }
 
     /** Asks for a slot that must be free. */
-    Permit take(TrafficClass trafficClass, Duration patience) {
+    Permit acquireNow(TrafficClass trafficClass, Duration patience) {
         return permit(acquire(trafficClass, patience)).orElseThrow();
     }
 
--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
@@ -71,14 +71,14 @@
     void aServiceOfTransfersOnlyUsesEverySlotForThem() {
         SlotLimiterFixture artvault = new SlotLimiterFixture(new SlotLimits(SLOTS, QUEUE, Set.of(TrafficClass.BULK)));
         for (int i = 0; i < SLOTS; i++) {
-            artvault.take(TrafficClass.BULK, MINUTES);
+            artvault.acquireNow(TrafficClass.BULK, MINUTES);
         }
         assertEquals(SLOTS, artvault.limiter.inUse());
     }
 
     @Test
     void aClassMeasuredToBeSlowBorrowsNoMore() {
-        Permit slow = f.take(TrafficClass.READ, MINUTES);
+        Permit slow = f.acquireNow(TrafficClass.READ, MINUTES);
         f.scheduler.advance(Duration.ofSeconds(5));
         slow.close();
         askMany(TrafficClass.READ, SLOTS);
@@ -131,7 +131,7 @@
     void aSlotGivenToACancelledWaiterIsNotLost() {
         // A slot comes free for the first waiter, whose continuation gives up the second one, which was given a slot
         // by the same release. Nobody would ever close that permit; the slot must come back by itself.
-        Permit held = f.take(TrafficClass.READ, PATIENCE);
+        Permit held = f.acquireNow(TrafficClass.READ, PATIENCE);
         SlotLimits one = SlotLimits.ofAllClasses(1, QUEUE);
         f.limiter.setLimits(one);
         CompletableFuture<Admission> first = f.acquire(TrafficClass.READ, PATIENCE);
@@ -174,7 +174,7 @@
     @Test
     void aBackendServerThatShedsEverythingKeepsAFewSlotsForProbes() {
         for (int i = 0; i < 50; i++) {
-            f.take(TrafficClass.READ, PATIENCE).closeAfterShed();
+            f.acquireNow(TrafficClass.READ, PATIENCE).closeAfterShed();
             f.scheduler.advance(UsableSlots.MIN_LOWER_INTERVAL);
         }
         assertEquals(3, f.limiter.usableSlots());
@@ -183,7 +183,7 @@
     private List<Permit> takeAll(TrafficClass trafficClass, int count) {
         List<Permit> permits = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            permits.add(f.take(trafficClass, PATIENCE));
+            permits.add(f.acquireNow(trafficClass, PATIENCE));
         }
         return permits;
     }
