--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
@@ -31,7 +31,7 @@
     private static final TrafficClass[] CLASSES = TrafficClass.values();
 
     @Property(seed = "20261", tries = 150)
-    void slotsAreCountedExactly(
+    void slotsAreCountedExactlyInAnyOrderOfOperations(
             @ForAll long seed, @ForAll @IntRange(min = 1, max = 16) int slots, @ForAll @IntRange(max = 20) int queue) {
         // Requests come, end, are shed and given up while time passes and limits change, in any order. At no time may
         // more slots be given than there are, and once every request is over none may be missing.
