--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
@@ -74,7 +74,7 @@
     }
 
     @Property(seed = "20262", tries = 60)
-    void aClassBelowItsGuaranteeWaitsForOneShortRequestAtMost(@ForAll long seed) {
+    void classBelowGuaranteeWaitsAtMostForOneBorrowedSlot(@ForAll long seed) {
         // Every class asks far more than its share, bulk transfers last minutes, all others at most 100 ms. Whoever
         // waits while its class holds less than its guarantee gets a slot as soon as what was lent has come back,
         // which is within one of those 100 ms.
