--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
@@ -109,7 +109,7 @@
     }
 
     @Property(seed = "20263", tries = 60)
-    void noSlotIsIdleWhileARequestWaitsThatMayHaveIt(@ForAll long seed) {
+    void noSlotStaysIdleWhileEligibleRequestWaits(@ForAll long seed) {
         Random random = new Random(seed);
         SlotLimiterFixture f = new SlotLimiterFixture(SlotLimits.ofAllClasses(12, 48));
         List<CompletableFuture<Admission>> asked = new ArrayList<>();
