--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
@@ -129,7 +129,7 @@
     }
 
     @Property(seed = "20264", tries = 300)
-    void sharesNeverExceedThePlacesAndLeaveNoClassOut(
+    void sharesFitCapacityAndGiveEveryClassOneIfPossible(
             @ForAll @IntRange(min = 1, max = 200) int places, @ForAll @IntRange(min = 1, max = 15) int chosen) {
         List<TrafficClass> classes =
                 Stream.of(CLASSES).filter(c -> (chosen >> c.ordinal() & 1) == 1).toList();
