--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
@@ -140,7 +140,7 @@
     }
 
     @Example
-    void slotsAreExactWhenManyThreadsAskReleaseAndGiveUp() throws Exception {
+    void slotsAreCountedExactlyUnderConcurrentUse() throws Exception {
         SlotLimiterFixture f = new SlotLimiterFixture(SlotLimits.ofAllClasses(5, 8));
         try (ExecutorService threads = Executors.newFixedThreadPool(6)) {
             List<Future<?>> done = new ArrayList<>();
