--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
@@ -145,7 +145,7 @@
         try (ExecutorService threads = Executors.newFixedThreadPool(6)) {
             List<Future<?>> done = new ArrayList<>();
             for (int t = 0; t < 6; t++) {
-                done.add(threads.submit(() -> hammer(f)));
+                done.add(threads.submit(() -> acquireAndReleaseRepeatedly(f)));
             }
             for (Future<?> d : done) {
                 d.get();
@@ -156,7 +156,7 @@
         assertEquals(0, f.breaches());
     }
 
-    private static void hammer(SlotLimiterFixture f) {
+    private static void acquireAndReleaseRepeatedly(SlotLimiterFixture f) {
         for (int i = 0; i < 5_000; i++) {
             ThreadLocalRandom random = ThreadLocalRandom.current();
             CompletableFuture<Admission> asked =
