--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
@@ -44,8 +44,8 @@
             int before = f.limiter.inUse();
             switch (random.nextInt(8)) {
                 case 0, 1, 2 -> asked.add(f.acquire(CLASSES[random.nextInt(4)], Duration.ofMillis(random.nextInt(3_000))));
-                case 3, 4 -> remove(held, random).forEach(Permit::close);
-                case 5 -> remove(held, random).forEach(Permit::closeAfterShed);
+                case 3, 4 -> removeRandom(held, random).forEach(Permit::close);
+                case 5 -> removeRandom(held, random).forEach(Permit::closeAfterShed);
                 case 6 -> pick(asked, random).forEach(a -> a.cancel(false));
                 default -> {
                     if (random.nextInt(10) > 0) {
@@ -180,7 +180,7 @@
                 : Duration.ofMillis(1 + random.nextInt(100)).toNanos();
     }
 
-    private static List<Permit> remove(List<Permit> from, Random random) {
+    private static List<Permit> removeRandom(List<Permit> from, Random random) {
         List<Permit> picked = pick(from, random);
         from.removeAll(picked);
         return picked;
