--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
@@ -46,7 +46,7 @@
                 case 0, 1, 2 -> asked.add(f.acquire(CLASSES[random.nextInt(4)], Duration.ofMillis(random.nextInt(3_000))));
                 case 3, 4 -> removeRandom(held, random).forEach(Permit::close);
                 case 5 -> removeRandom(held, random).forEach(Permit::closeAfterShed);
-                case 6 -> pick(asked, random).forEach(a -> a.cancel(false));
+                case 6 -> pickRandom(asked, random).forEach(a -> a.cancel(false));
                 default -> {
                     if (random.nextInt(10) > 0) {
                         f.scheduler.advance(Duration.ofMillis(random.nextInt(300)));
@@ -120,7 +120,7 @@
                 List<Permit> held = asked.stream()
                         .flatMap(a -> SlotLimiterFixture.permit(a).stream())
                         .toList();
-                pick(held, random).forEach(Permit::close);
+                pickRandom(held, random).forEach(Permit::close);
             }
             f.scheduler.advance(Duration.ofMillis(random.nextInt(20)));
             boolean idle = f.limiter.inUse() < 12;
@@ -181,12 +181,12 @@
     }
 
     private static List<Permit> removeRandom(List<Permit> from, Random random) {
-        List<Permit> picked = pick(from, random);
+        List<Permit> picked = pickRandom(from, random);
         from.removeAll(picked);
         return picked;
     }
 
-    private static <T> List<T> pick(List<T> from, Random random) {
+    private static <T> List<T> pickRandom(List<T> from, Random random) {
         if (from.isEmpty()) {
             return List.of();
         }
