--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
@@ -19,7 +19,7 @@
 
 /** Shares, early refusal, cancellation and the answer to a shedding backend server. */
 class SlotLimiterTest {
-    private static final Duration SHORT = Duration.ofMillis(20);
+    private static final Duration SHORT_HOLD = Duration.ofMillis(20);
     private static final Duration PATIENCE = Duration.ofSeconds(2);
     private static final Duration MINUTES = Duration.ofMinutes(20);
     private static final int SLOTS = 12;
@@ -34,7 +34,7 @@
         List<Permit> lookups = takeAll(TrafficClass.LOOKUP, SLOTS);
         List<CompletableFuture<Admission>> more = askMany(TrafficClass.LOOKUP, 20);
         List<CompletableFuture<Admission>> reads = askMany(TrafficClass.READ, 4);
-        f.scheduler.advance(SHORT);
+        f.scheduler.advance(SHORT_HOLD);
         lookups.forEach(Permit::close);
         assertTrue(reads.stream().allMatch(r -> permit(r).isPresent()));
         assertTrue(more.stream().anyMatch(m -> permit(m).isPresent()));
@@ -47,7 +47,7 @@
         List<Permit> reads = takeAll(TrafficClass.READ, SLOTS);
         askMany(TrafficClass.READ, 20);
         CompletableFuture<Admission> lookup = f.acquire(TrafficClass.LOOKUP, PATIENCE);
-        f.scheduler.advance(SHORT);
+        f.scheduler.advance(SHORT_HOLD);
         reads.getFirst().close();
         assertTrue(permit(lookup).isPresent());
     }
