--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
@@ -20,7 +20,7 @@
 /** Shares, early refusal, cancellation and the answer to a shedding backend server. */
 class SlotLimiterTest {
     private static final Duration SHORT_HOLD = Duration.ofMillis(20);
-    private static final Duration PATIENCE = Duration.ofSeconds(2);
+    private static final Duration TIMEOUT = Duration.ofSeconds(2);
     private static final Duration MINUTES = Duration.ofMinutes(20);
     private static final int SLOTS = 12;
     private static final int QUEUE = 48;
@@ -46,7 +46,7 @@
         // its share: the next slot is its own, before customers that came earlier and are more urgent.
         List<Permit> reads = takeAll(TrafficClass.READ, SLOTS);
         askMany(TrafficClass.READ, 20);
-        CompletableFuture<Admission> lookup = f.acquire(TrafficClass.LOOKUP, PATIENCE);
+        CompletableFuture<Admission> lookup = f.acquire(TrafficClass.LOOKUP, TIMEOUT);
         f.scheduler.advance(SHORT_HOLD);
         reads.getFirst().close();
         assertTrue(permit(lookup).isPresent());
@@ -62,7 +62,7 @@
         }
         assertEquals(2, f.limiter.inUse(TrafficClass.BULK));
         for (int i = 0; i < 4; i++) {
-            assertTrue(permit(f.acquire(TrafficClass.CONFIRMATION, PATIENCE)).isPresent());
+            assertTrue(permit(f.acquire(TrafficClass.CONFIRMATION, TIMEOUT)).isPresent());
         }
         assertEquals(2, bulk.stream().filter(b -> permit(b).isPresent()).count());
     }
@@ -90,8 +90,8 @@
         // Every slot hangs and none comes back. The caller behind a waiting request wants to know when its time is
         // up, not when a slot happens to be freed.
         takeAll(TrafficClass.READ, SLOTS);
-        CompletableFuture<Admission> waiting = f.acquire(TrafficClass.READ, PATIENCE);
-        f.scheduler.advance(PATIENCE.minusMillis(1));
+        CompletableFuture<Admission> waiting = f.acquire(TrafficClass.READ, TIMEOUT);
+        f.scheduler.advance(TIMEOUT.minusMillis(1));
         assertFalse(waiting.isDone());
         f.scheduler.advance(Duration.ofMillis(1));
         assertTrue(isRefused(waiting));
@@ -121,21 +121,21 @@
     void aCancelledWaiterLeavesItsPlaceAtOnce() {
         takeAll(TrafficClass.READ, SLOTS);
         List<CompletableFuture<Admission>> waiting = askMany(TrafficClass.READ, QUEUE);
-        assertTrue(isRefused(f.acquire(TrafficClass.READ, PATIENCE)));
+        assertTrue(isRefused(f.acquire(TrafficClass.READ, TIMEOUT)));
         waiting.get(7).cancel(false);
         assertEquals(QUEUE - 1, f.limiter.waiting());
-        assertFalse(f.acquire(TrafficClass.READ, PATIENCE).isDone());
+        assertFalse(f.acquire(TrafficClass.READ, TIMEOUT).isDone());
     }
 
     @Test
     void aSlotGivenToACancelledWaiterIsNotLost() {
         // A slot comes free for the first waiter, whose continuation gives up the second one, which was given a slot
         // by the same release. Nobody would ever close that permit; the slot must come back by itself.
-        Permit held = f.acquireNow(TrafficClass.READ, PATIENCE);
+        Permit held = f.acquireNow(TrafficClass.READ, TIMEOUT);
         SlotLimits one = SlotLimits.ofAllClasses(1, QUEUE);
         f.limiter.setLimits(one);
-        CompletableFuture<Admission> first = f.acquire(TrafficClass.READ, PATIENCE);
-        CompletableFuture<Admission> second = f.acquire(TrafficClass.READ, PATIENCE.plusSeconds(1));
+        CompletableFuture<Admission> first = f.acquire(TrafficClass.READ, TIMEOUT);
+        CompletableFuture<Admission> second = f.acquire(TrafficClass.READ, TIMEOUT.plusSeconds(1));
         first.thenAccept(a -> second.cancel(false));
         f.limiter.setLimits(SlotLimits.ofAllClasses(3, QUEUE));
         assertTrue(second.isCancelled());
@@ -148,7 +148,7 @@
     void aFullQueueMakesRoomForAClassThatIsOwedAPlace() {
         takeAll(TrafficClass.LOOKUP, SLOTS);
         List<CompletableFuture<Admission>> lookups = askMany(TrafficClass.LOOKUP, QUEUE);
-        CompletableFuture<Admission> order = f.acquire(TrafficClass.CONFIRMATION, PATIENCE);
+        CompletableFuture<Admission> order = f.acquire(TrafficClass.CONFIRMATION, TIMEOUT);
         assertFalse(order.isDone());
         assertEquals(1, lookups.stream().filter(SlotLimiterFixture::isRefused).count());
         assertEquals(QUEUE, f.limiter.waiting());
@@ -167,14 +167,14 @@
         f.scheduler.advance(Duration.ofMillis(750));
         assertTrue(permit(waiting).isPresent());
         f.scheduler.advance(Duration.ofMinutes(1));
-        f.acquire(TrafficClass.READ, PATIENCE);
+        f.acquire(TrafficClass.READ, TIMEOUT);
         assertEquals(SLOTS, f.limiter.usableSlots());
     }
 
     @Test
     void aBackendServerThatShedsEverythingKeepsAFewSlotsForProbes() {
         for (int i = 0; i < 50; i++) {
-            f.acquireNow(TrafficClass.READ, PATIENCE).closeAfterShed();
+            f.acquireNow(TrafficClass.READ, TIMEOUT).closeAfterShed();
             f.scheduler.advance(UsableSlots.MIN_LOWER_INTERVAL);
         }
         assertEquals(3, f.limiter.usableSlots());
@@ -183,7 +183,7 @@
     private List<Permit> takeAll(TrafficClass trafficClass, int count) {
         List<Permit> permits = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            permits.add(f.acquireNow(trafficClass, PATIENCE));
+            permits.add(f.acquireNow(trafficClass, TIMEOUT));
         }
         return permits;
     }
@@ -191,7 +191,7 @@
     private List<CompletableFuture<Admission>> askMany(TrafficClass trafficClass, int count) {
         List<CompletableFuture<Admission>> asked = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            asked.add(f.acquire(trafficClass, PATIENCE));
+            asked.add(f.acquire(trafficClass, TIMEOUT));
         }
         return asked;
     }
