--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
@@ -21,7 +21,7 @@
 class SlotLimiterTest {
     private static final Duration SHORT_HOLD = Duration.ofMillis(20);
     private static final Duration TIMEOUT = Duration.ofSeconds(2);
-    private static final Duration MINUTES = Duration.ofMinutes(20);
+    private static final Duration LONG_TIMEOUT = Duration.ofMinutes(20);
     private static final int SLOTS = 12;
     private static final int QUEUE = 48;
 
@@ -58,7 +58,7 @@
         // one can't be had back. An order that comes a moment later finds its guaranteed slots free.
         List<CompletableFuture<Admission>> bulk = new ArrayList<>();
         for (int i = 0; i < SLOTS; i++) {
-            bulk.add(f.acquire(TrafficClass.BULK, MINUTES));
+            bulk.add(f.acquire(TrafficClass.BULK, LONG_TIMEOUT));
         }
         assertEquals(2, f.limiter.inUse(TrafficClass.BULK));
         for (int i = 0; i < 4; i++) {
@@ -71,14 +71,14 @@
     void aServiceOfTransfersOnlyUsesEverySlotForThem() {
         SlotLimiterFixture artvault = new SlotLimiterFixture(new SlotLimits(SLOTS, QUEUE, Set.of(TrafficClass.BULK)));
         for (int i = 0; i < SLOTS; i++) {
-            artvault.acquireNow(TrafficClass.BULK, MINUTES);
+            artvault.acquireNow(TrafficClass.BULK, LONG_TIMEOUT);
         }
         assertEquals(SLOTS, artvault.limiter.inUse());
     }
 
     @Test
     void aClassMeasuredToBeSlowBorrowsNoMore() {
-        Permit slow = f.acquireNow(TrafficClass.READ, MINUTES);
+        Permit slow = f.acquireNow(TrafficClass.READ, LONG_TIMEOUT);
         f.scheduler.advance(Duration.ofSeconds(5));
         slow.close();
         askMany(TrafficClass.READ, SLOTS);
