--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
@@ -23,9 +23,9 @@
     private static final Duration TIMEOUT = Duration.ofSeconds(2);
     private static final Duration LONG_TIMEOUT = Duration.ofMinutes(20);
     private static final int SLOTS = 12;
-    private static final int QUEUE = 48;
+    private static final int QUEUE_LIMIT = 48;
 
-    private final SlotLimiterFixture f = new SlotLimiterFixture(SlotLimits.ofAllClasses(SLOTS, QUEUE));
+    private final SlotLimiterFixture f = new SlotLimiterFixture(SlotLimits.ofAllClasses(SLOTS, QUEUE_LIMIT));
 
     @Test
     void lookupsDoNotPushReadsOut() {
@@ -69,7 +69,7 @@
 
     @Test
     void aServiceOfTransfersOnlyUsesEverySlotForThem() {
-        SlotLimiterFixture artvault = new SlotLimiterFixture(new SlotLimits(SLOTS, QUEUE, Set.of(TrafficClass.BULK)));
+        SlotLimiterFixture artvault = new SlotLimiterFixture(new SlotLimits(SLOTS, QUEUE_LIMIT, Set.of(TrafficClass.BULK)));
         for (int i = 0; i < SLOTS; i++) {
             artvault.acquireNow(TrafficClass.BULK, LONG_TIMEOUT);
         }
@@ -120,10 +120,10 @@
     @Test
     void aCancelledWaiterLeavesItsPlaceAtOnce() {
         takeAll(TrafficClass.READ, SLOTS);
-        List<CompletableFuture<Admission>> waiting = askMany(TrafficClass.READ, QUEUE);
+        List<CompletableFuture<Admission>> waiting = askMany(TrafficClass.READ, QUEUE_LIMIT);
         assertTrue(isRefused(f.acquire(TrafficClass.READ, TIMEOUT)));
         waiting.get(7).cancel(false);
-        assertEquals(QUEUE - 1, f.limiter.waiting());
+        assertEquals(QUEUE_LIMIT - 1, f.limiter.waiting());
         assertFalse(f.acquire(TrafficClass.READ, TIMEOUT).isDone());
     }
 
@@ -132,12 +132,12 @@
         // A slot comes free for the first waiter, whose continuation gives up the second one, which was given a slot
         // by the same release. Nobody would ever close that permit; the slot must come back by itself.
         Permit held = f.acquireNow(TrafficClass.READ, TIMEOUT);
-        SlotLimits one = SlotLimits.ofAllClasses(1, QUEUE);
+        SlotLimits one = SlotLimits.ofAllClasses(1, QUEUE_LIMIT);
         f.limiter.setLimits(one);
         CompletableFuture<Admission> first = f.acquire(TrafficClass.READ, TIMEOUT);
         CompletableFuture<Admission> second = f.acquire(TrafficClass.READ, TIMEOUT.plusSeconds(1));
         first.thenAccept(a -> second.cancel(false));
-        f.limiter.setLimits(SlotLimits.ofAllClasses(3, QUEUE));
+        f.limiter.setLimits(SlotLimits.ofAllClasses(3, QUEUE_LIMIT));
         assertTrue(second.isCancelled());
         permit(first).orElseThrow().close();
         held.close();
@@ -147,11 +147,11 @@
     @Test
     void aFullQueueMakesRoomForAClassThatIsOwedAPlace() {
         takeAll(TrafficClass.LOOKUP, SLOTS);
-        List<CompletableFuture<Admission>> lookups = askMany(TrafficClass.LOOKUP, QUEUE);
+        List<CompletableFuture<Admission>> lookups = askMany(TrafficClass.LOOKUP, QUEUE_LIMIT);
         CompletableFuture<Admission> order = f.acquire(TrafficClass.CONFIRMATION, TIMEOUT);
         assertFalse(order.isDone());
         assertEquals(1, lookups.stream().filter(SlotLimiterFixture::isRefused).count());
-        assertEquals(QUEUE, f.limiter.waiting());
+        assertEquals(QUEUE_LIMIT, f.limiter.waiting());
     }
 
     @Test
