--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
@@ -28,7 +28,7 @@
     private final SlotLimiterFixture f = new SlotLimiterFixture(SlotLimits.ofAllClasses(SLOTS, QUEUE_LIMIT));
 
     @Test
-    void lookupsDoNotPushReadsOut() {
+    void lookupsDoNotStarveReads() {
         // Before dawn a job sends lookups without end. They take every slot that is idle. Partners who then ask for
         // availability get slots again as soon as those lookups end, although lookups keep asking.
         List<Permit> lookups = takeAll(TrafficClass.LOOKUP, SLOTS);
