--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void readsDoNotStallLookups() {
+    void readsDoNotStarveLookups() {
         // All slots serve customers and more customers wait. A lookup that a customer's page depends on still gets
         // its share: the next slot is its own, before customers that came earlier and are more urgent.
         List<Permit> reads = takeAll(TrafficClass.READ, SLOTS);
