--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void transfersOfMinutesCannotHoldEverySlot() {
+    void bulkRequestsDoNotBorrowSlots() {
         // Clinics start a dozen archive transfers while nobody else is there. Each lasts minutes, so a slot lent to
         // one can't be had back. An order that comes a moment later finds its guaranteed slots free.
         List<CompletableFuture<Admission>> bulk = new ArrayList<>();
