--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void aServiceOfTransfersOnlyUsesEverySlotForThem() {
+    void serviceWithOnlyBulkRequestsUsesAllSlotsForThem() {
         SlotLimiterFixture artvault = new SlotLimiterFixture(new SlotLimits(SLOTS, QUEUE_LIMIT, Set.of(TrafficClass.BULK)));
         for (int i = 0; i < SLOTS; i++) {
             artvault.acquireNow(TrafficClass.BULK, LONG_TIMEOUT);
