--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void aClassMeasuredToBeSlowBorrowsNoMore() {
+    void classWithLongHoldTimeDoesNotBorrow() {
         Permit slow = f.acquireNow(TrafficClass.READ, LONG_TIMEOUT);
         f.scheduler.advance(Duration.ofSeconds(5));
         slow.close();
