--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void aWaiterIsRefusedWhenItsTimeIsUpThoughNoSlotComesFree() {
+    void waitingRequestIsRefusedAtDeadlineWithoutReleasedSlot() {
         // Every slot hangs and none comes back. The caller behind a waiting request wants to know when its time is
         // up, not when a slot happens to be freed.
         takeAll(TrafficClass.READ, SLOTS);
