--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void aRequestThatCannotBeServedInTimeIsRefusedOnArrival() {
+    void requestThatCannotStartInTimeIsRefusedOnArrival() {
         // Requests take 400 ms each, all slots are taken and two dozen wait: a newcomer would get its slot in about
         // a second. One with 30 ms left is told so at once, with when to come back; a patient one waits.
         List<Permit> measured = takeAll(TrafficClass.READ, SLOTS);
