--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void aCancelledWaiterLeavesItsPlaceAtOnce() {
+    void cancelledRequestLeavesQueueAtOnce() {
         takeAll(TrafficClass.READ, SLOTS);
         List<CompletableFuture<Admission>> waiting = askMany(TrafficClass.READ, QUEUE_LIMIT);
         assertTrue(isRefused(f.acquire(TrafficClass.READ, TIMEOUT)));
