--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
@@ -128,7 +128,7 @@
     }
 
     @Test
-    void aSlotGivenToACancelledWaiterIsNotLost() {
+    void slotGrantedToCancelledRequestIsReleased() {
         // A slot comes free for the first waiter, whose continuation gives up the second one, which was given a slot
         // by the same release. Nobody would ever close that permit; the slot must come back by itself.
         Permit held = f.acquireNow(TrafficClass.READ, TIMEOUT);
