--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
@@ -145,7 +145,7 @@
     }
 
     @Test
-    void aFullQueueMakesRoomForAClassThatIsOwedAPlace() {
+    void fullQueueEvictsBorrowerForClassBelowGuarantee() {
         takeAll(TrafficClass.LOOKUP, SLOTS);
         List<CompletableFuture<Admission>> lookups = askMany(TrafficClass.LOOKUP, QUEUE_LIMIT);
         CompletableFuture<Admission> order = f.acquire(TrafficClass.CONFIRMATION, TIMEOUT);
