--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
@@ -155,7 +155,7 @@
     }
 
     @Test
-    void aShedLowersTheSlotsForAWhile() {
+    void shedLowersUsableSlotsTemporarily() {
         // A cold backend server sheds although slots are free by the declaration. Fewer are used at once, a burst of
         // sheds counts once, and with time all of them come back, without a request that would have to ask for it.
         List<Permit> reads = takeAll(TrafficClass.READ, SLOTS);
