--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
@@ -172,7 +172,7 @@
     }
 
     @Test
-    void aBackendServerThatShedsEverythingKeepsAFewSlotsForProbes() {
+    void usableSlotsNeverFallBelowMinimum() {
         for (int i = 0; i < 50; i++) {
             f.acquireNow(TrafficClass.READ, TIMEOUT).closeAfterShed();
             f.scheduler.advance(UsableSlots.MIN_LOWER_INTERVAL);
