--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
@@ -31,7 +31,7 @@
     void lookupsDoNotStarveReads() {
         // Before dawn a job sends lookups without end. They take every slot that is idle. Partners who then ask for
         // availability get slots again as soon as those lookups end, although lookups keep asking.
-        List<Permit> lookups = takeAll(TrafficClass.LOOKUP, SLOTS);
+        List<Permit> lookups = acquireMany(TrafficClass.LOOKUP, SLOTS);
         List<CompletableFuture<Admission>> more = askMany(TrafficClass.LOOKUP, 20);
         List<CompletableFuture<Admission>> reads = askMany(TrafficClass.READ, 4);
         f.scheduler.advance(SHORT_HOLD);
@@ -44,7 +44,7 @@
     void readsDoNotStarveLookups() {
         // All slots serve customers and more customers wait. A lookup that a customer's page depends on still gets
         // its share: the next slot is its own, before customers that came earlier and are more urgent.
-        List<Permit> reads = takeAll(TrafficClass.READ, SLOTS);
+        List<Permit> reads = acquireMany(TrafficClass.READ, SLOTS);
         askMany(TrafficClass.READ, 20);
         CompletableFuture<Admission> lookup = f.acquire(TrafficClass.LOOKUP, TIMEOUT);
         f.scheduler.advance(SHORT_HOLD);
@@ -89,7 +89,7 @@
     void waitingRequestIsRefusedAtDeadlineWithoutReleasedSlot() {
         // Every slot hangs and none comes back. The caller behind a waiting request wants to know when its time is
         // up, not when a slot happens to be freed.
-        takeAll(TrafficClass.READ, SLOTS);
+        acquireMany(TrafficClass.READ, SLOTS);
         CompletableFuture<Admission> waiting = f.acquire(TrafficClass.READ, TIMEOUT);
         f.scheduler.advance(TIMEOUT.minusMillis(1));
         assertFalse(waiting.isDone());
@@ -103,10 +103,10 @@
     void requestThatCannotStartInTimeIsRefusedOnArrival() {
         // Requests take 400 ms each, all slots are taken and two dozen wait: a newcomer would get its slot in about
         // a second. One with 30 ms left is told so at once, with when to come back; a patient one waits.
-        List<Permit> measured = takeAll(TrafficClass.READ, SLOTS);
+        List<Permit> measured = acquireMany(TrafficClass.READ, SLOTS);
         f.scheduler.advance(Duration.ofMillis(400));
         measured.forEach(Permit::close);
-        takeAll(TrafficClass.READ, SLOTS);
+        acquireMany(TrafficClass.READ, SLOTS);
         askMany(TrafficClass.READ, 24);
         CompletableFuture<Admission> patient = f.acquire(TrafficClass.READ, Duration.ofMinutes(1));
         CompletableFuture<Admission> hasty = f.acquire(TrafficClass.READ, Duration.ofMillis(30));
@@ -119,7 +119,7 @@
 
     @Test
     void cancelledRequestLeavesQueueAtOnce() {
-        takeAll(TrafficClass.READ, SLOTS);
+        acquireMany(TrafficClass.READ, SLOTS);
         List<CompletableFuture<Admission>> waiting = askMany(TrafficClass.READ, QUEUE_LIMIT);
         assertTrue(isRefused(f.acquire(TrafficClass.READ, TIMEOUT)));
         waiting.get(7).cancel(false);
@@ -146,7 +146,7 @@
 
     @Test
     void fullQueueEvictsBorrowerForClassBelowGuarantee() {
-        takeAll(TrafficClass.LOOKUP, SLOTS);
+        acquireMany(TrafficClass.LOOKUP, SLOTS);
         List<CompletableFuture<Admission>> lookups = askMany(TrafficClass.LOOKUP, QUEUE_LIMIT);
         CompletableFuture<Admission> order = f.acquire(TrafficClass.CONFIRMATION, TIMEOUT);
         assertFalse(order.isDone());
@@ -158,7 +158,7 @@
     void shedLowersUsableSlotsTemporarily() {
         // A cold backend server sheds although slots are free by the declaration. Fewer are used at once, a burst of
         // sheds counts once, and with time all of them come back, without a request that would have to ask for it.
-        List<Permit> reads = takeAll(TrafficClass.READ, SLOTS);
+        List<Permit> reads = acquireMany(TrafficClass.READ, SLOTS);
         reads.get(0).closeAfterShed();
         reads.get(1).closeAfterShed();
         assertEquals(8, f.limiter.usableSlots());
@@ -180,7 +180,7 @@
         assertEquals(3, f.limiter.usableSlots());
     }
 
-    private List<Permit> takeAll(TrafficClass trafficClass, int count) {
+    private List<Permit> acquireMany(TrafficClass trafficClass, int count) {
         List<Permit> permits = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             permits.add(f.acquireNow(trafficClass, TIMEOUT));
