--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
@@ -32,8 +32,8 @@
         // Before dawn a job sends lookups without end. They take every slot that is idle. Partners who then ask for
         // availability get slots again as soon as those lookups end, although lookups keep asking.
         List<Permit> lookups = acquireMany(TrafficClass.LOOKUP, SLOTS);
-        List<CompletableFuture<Admission>> more = askMany(TrafficClass.LOOKUP, 20);
-        List<CompletableFuture<Admission>> reads = askMany(TrafficClass.READ, 4);
+        List<CompletableFuture<Admission>> more = enqueueMany(TrafficClass.LOOKUP, 20);
+        List<CompletableFuture<Admission>> reads = enqueueMany(TrafficClass.READ, 4);
         f.scheduler.advance(SHORT_HOLD);
         lookups.forEach(Permit::close);
         assertTrue(reads.stream().allMatch(r -> permit(r).isPresent()));
@@ -45,7 +45,7 @@
         // All slots serve customers and more customers wait. A lookup that a customer's page depends on still gets
         // its share: the next slot is its own, before customers that came earlier and are more urgent.
         List<Permit> reads = acquireMany(TrafficClass.READ, SLOTS);
-        askMany(TrafficClass.READ, 20);
+        enqueueMany(TrafficClass.READ, 20);
         CompletableFuture<Admission> lookup = f.acquire(TrafficClass.LOOKUP, TIMEOUT);
         f.scheduler.advance(SHORT_HOLD);
         reads.getFirst().close();
@@ -81,7 +81,7 @@
         Permit slow = f.acquireNow(TrafficClass.READ, LONG_TIMEOUT);
         f.scheduler.advance(Duration.ofSeconds(5));
         slow.close();
-        askMany(TrafficClass.READ, SLOTS);
+        enqueueMany(TrafficClass.READ, SLOTS);
         assertEquals(f.limiter.guarantee(TrafficClass.READ), f.limiter.inUse(TrafficClass.READ));
     }
 
@@ -107,7 +107,7 @@
         f.scheduler.advance(Duration.ofMillis(400));
         measured.forEach(Permit::close);
         acquireMany(TrafficClass.READ, SLOTS);
-        askMany(TrafficClass.READ, 24);
+        enqueueMany(TrafficClass.READ, 24);
         CompletableFuture<Admission> patient = f.acquire(TrafficClass.READ, Duration.ofMinutes(1));
         CompletableFuture<Admission> hasty = f.acquire(TrafficClass.READ, Duration.ofMillis(30));
         assertFalse(patient.isDone());
@@ -120,7 +120,7 @@
     @Test
     void cancelledRequestLeavesQueueAtOnce() {
         acquireMany(TrafficClass.READ, SLOTS);
-        List<CompletableFuture<Admission>> waiting = askMany(TrafficClass.READ, QUEUE_LIMIT);
+        List<CompletableFuture<Admission>> waiting = enqueueMany(TrafficClass.READ, QUEUE_LIMIT);
         assertTrue(isRefused(f.acquire(TrafficClass.READ, TIMEOUT)));
         waiting.get(7).cancel(false);
         assertEquals(QUEUE_LIMIT - 1, f.limiter.waiting());
@@ -147,7 +147,7 @@
     @Test
     void fullQueueEvictsBorrowerForClassBelowGuarantee() {
         acquireMany(TrafficClass.LOOKUP, SLOTS);
-        List<CompletableFuture<Admission>> lookups = askMany(TrafficClass.LOOKUP, QUEUE_LIMIT);
+        List<CompletableFuture<Admission>> lookups = enqueueMany(TrafficClass.LOOKUP, QUEUE_LIMIT);
         CompletableFuture<Admission> order = f.acquire(TrafficClass.CONFIRMATION, TIMEOUT);
         assertFalse(order.isDone());
         assertEquals(1, lookups.stream().filter(SlotLimiterFixture::isRefused).count());
@@ -188,7 +188,7 @@
         return permits;
     }
 
-    private List<CompletableFuture<Admission>> askMany(TrafficClass trafficClass, int count) {
+    private List<CompletableFuture<Admission>> enqueueMany(TrafficClass trafficClass, int count) {
         List<CompletableFuture<Admission>> asked = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             asked.add(f.acquire(trafficClass, TIMEOUT));
