--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
@@ -10,7 +10,7 @@
 import org.berylwick.internal.event.CallEvent;
 import org.berylwick.internal.event.EventLog;
 import org.berylwick.internal.invariant.Invariant;
-import org.berylwick.internal.retry.AttemptLog;
+import org.berylwick.internal.retry.AttemptHistory;
 import org.berylwick.internal.retry.Backoff;
 import org.berylwick.internal.retry.RetryRule;
 import org.berylwick.internal.retry.RetryRule.Verdict;
@@ -36,7 +36,7 @@
     private final long startNanos;
     private final CompletableFuture<HttpResponse> result = new CompletableFuture<>();
     private final Set<String> tried = new HashSet<>();
-    private AttemptLog log = AttemptLog.NONE;
+    private AttemptHistory log = AttemptHistory.NONE;
     private int rounds;
     private volatile boolean cancelled;
     private volatile Attempt current;
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.berylwick.internal.event.CallEvent;
 import org.berylwick.internal.event.EventLog;
-import org.berylwick.internal.retry.AttemptLog;
+import org.berylwick.internal.retry.AttemptHistory;
 import org.berylwick.internal.retry.RetryRule;
 import org.berylwick.internal.retry.RetryRule.Verdict;
 import org.berylwick.internal.routing.MemberChoice;
@@ -37,7 +37,7 @@
     private final long total;
     private long passed;
     private Member from;
-    private AttemptLog log = AttemptLog.NONE;
+    private AttemptHistory log = AttemptHistory.NONE;
     private Attempt current;
 
     private ResumableAnswer(Forwarder forwarder, Call call, String validator, long total, Member from) {
--- a/org.berylwick.test/tst/org/berylwick/internal/retry/RetryRuleTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/retry/RetryRuleTest.java
@@ -33,8 +33,8 @@
         return Arbitraries.oneOf(refused, unknown).list().ofMaxSize(8);
     }
 
-    private static AttemptLog logOf(List<Outcome<String>> outcomes) {
-        AttemptLog log = AttemptLog.NONE;
+    private static AttemptHistory logOf(List<Outcome<String>> outcomes) {
+        AttemptHistory log = AttemptHistory.NONE;
         for (Outcome<String> o : outcomes) {
             log = log.plus(o);
         }
@@ -52,7 +52,7 @@
     void aNonIdempotentRequestThatMayHaveRunIsNeverSentAgain(
             @ForAll("failures") List<Outcome<String>> outcomes, @ForAll @IntRange(min = 1, max = 9) int maxAttempts) {
         RetryRule rule = new RetryRule(false, true, maxAttempts, Deadline.afterMillis(time, 1_000));
-        AttemptLog log = AttemptLog.NONE;
+        AttemptHistory log = AttemptHistory.NONE;
         for (Outcome<String> o : outcomes) {
             log = log.plus(o);
             Verdict verdict = rule.decide(log, unlimited(), time);
@@ -69,7 +69,7 @@
             @ForAll @IntRange(max = 2_000) int elapsedMillis) {
         RetryRule rule = new RetryRule(true, true, maxAttempts, Deadline.afterMillis(time, 1_000));
         time.advance(Duration.ofMillis(elapsedMillis));
-        AttemptLog log = logOf(outcomes);
+        AttemptHistory log = logOf(outcomes);
         Verdict verdict = rule.decide(log, unlimited(), time);
         if (elapsedMillis >= 1_000 || log.attempts() >= maxAttempts) {
             assertNotEquals(Verdict.RETRY, verdict);
@@ -84,7 +84,7 @@
         long left = millis;
         for (int depth = 0; depth < 10; depth++) {
             RetryRule rule = new RetryRule(true, true, 3, Deadline.afterMillis(time, left));
-            left = rule.attemptMillis(AttemptLog.NONE, time);
+            left = rule.attemptMillis(AttemptHistory.NONE, time);
         }
         assertTrue(left >= millis / 3, left + " of " + millis);
     }
@@ -100,7 +100,7 @@
 
     @Property(seed = "4725", tries = 20)
     void aBodyThatIsGoneOrABudgetThatIsUsedUpEndsTheRequest(@ForAll boolean idempotent) {
-        AttemptLog refused = AttemptLog.NONE.plus(new Outcome.RefusedNotRun<>(RefusalReason.SHED, Optional.of(1_000L)));
+        AttemptHistory refused = AttemptHistory.NONE.plus(new Outcome.RefusedNotRun<>(RefusalReason.SHED, Optional.of(1_000L)));
         Deadline by = Deadline.afterMillis(time, 1_000);
         RetryBudget none = new RetryBudget(time, 0, 0, 1_000);
         assertEquals(Verdict.NOT_REPLAYABLE, new RetryRule(idempotent, false, 3, by).decide(refused, none, time));
--- a/org.berylwick/src/org/berylwick/internal/retry/AttemptLog.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/AttemptHistory.java
@@ -13,18 +13,18 @@
  * @param retryAfterMillis when coming back makes sense, as the last refusal had it
  * @param detail of the last unknown outcome, empty without one
  */
-public record AttemptLog(
+public record AttemptHistory(
         int attempts, boolean maybeRan, RefusalReason reason, Optional<Long> retryAfterMillis, String detail) {
     /** No attempt yet. */
-    public static final AttemptLog NONE = new AttemptLog(0, false, RefusalReason.NO_MEMBER, Optional.empty(), "");
+    public static final AttemptHistory NONE = new AttemptHistory(0, false, RefusalReason.NO_MEMBER, Optional.empty(), "");
 
     /** This log with one more attempt that did not bring an answer. */
-    public AttemptLog plus(Outcome<?> outcome) {
+    public AttemptHistory plus(Outcome<?> outcome) {
         return switch (outcome) {
             case Outcome.Answered<?> a -> throw new IllegalArgumentException("an answered request has no next attempt");
             case Outcome.RefusedNotRun<?>(RefusalReason why, Optional<Long> after) ->
-                new AttemptLog(attempts + 1, maybeRan, why, after, detail);
-            case Outcome.Unknown<?>(String what) -> new AttemptLog(attempts + 1, true, reason, retryAfterMillis, what);
+                new AttemptHistory(attempts + 1, maybeRan, why, after, detail);
+            case Outcome.Unknown<?>(String what) -> new AttemptHistory(attempts + 1, true, reason, retryAfterMillis, what);
         };
     }
 
--- a/org.berylwick/src/org/berylwick/internal/retry/RetryRule.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/RetryRule.java
@@ -32,7 +32,7 @@
     }
 
     /** Decides; the budget is asked last, and only a retry takes from it. */
-    public Verdict decide(AttemptLog log, RetryBudget budget, TimeSource time) {
+    public Verdict decide(AttemptHistory log, RetryBudget budget, TimeSource time) {
         if (log.maybeRan() && !idempotent) {
             return Verdict.UNSAFE;
         }
@@ -58,7 +58,7 @@
      *
      * @return milliseconds, at least 1
      */
-    public long attemptMillis(AttemptLog log, TimeSource time) {
+    public long attemptMillis(AttemptHistory log, TimeSource time) {
         long remaining = Math.max(1, deadline.remainingMillis(time));
         boolean anotherPossible = idempotent && replayable && log.attempts() + 1 < maxAttempts;
         return anotherPossible ? remaining - Math.min(MAX_RESERVE_MILLIS, remaining / RESERVE_SHARE) : remaining;
