--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
@@ -96,7 +96,7 @@
     }
 
     private void attempt(Member member) {
-        boolean mayRun = !log.maybeRan() || call.match().policy().idempotent();
+        boolean mayRun = !log.mayHaveRun() || call.match().policy().idempotent();
         forwarder
                 .invariants()
                 .check(Invariant.AT_MOST_ONCE, mayRun, () -> "request " + call.requestId() + " is sent once too often");
@@ -165,7 +165,7 @@
                         .invariants()
                         .check(
                                 Invariant.REFUSAL_TRUE,
-                                !log.maybeRan(),
+                                !log.mayHaveRun(),
                                 () -> "request " + call.requestId() + " may have run and is called not run");
                 result.complete(Problem.notRun(call.requestId(), reason, retryAfter));
             }
--- a/org.berylwick.test/tst/org/berylwick/internal/retry/RetryRuleTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/retry/RetryRuleTest.java
@@ -56,7 +56,7 @@
         for (Outcome<String> o : outcomes) {
             log = log.plus(o);
             Verdict verdict = rule.decide(log, unlimited(), time);
-            if (log.maybeRan()) {
+            if (log.mayHaveRun()) {
                 assertEquals(Verdict.UNSAFE, verdict);
             }
         }
--- a/org.berylwick/src/org/berylwick/internal/retry/AttemptHistory.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/AttemptHistory.java
@@ -8,13 +8,13 @@
  * What is known of one request over all its attempts so far; immutable.
  *
  * @param attempts attempts that have ended
- * @param maybeRan whether any of them may have run the request
+ * @param mayHaveRun whether any of them may have run the request
  * @param reason why the last one that was refused was
  * @param retryAfterMillis when coming back makes sense, as the last refusal had it
  * @param detail of the last unknown outcome, empty without one
  */
 public record AttemptHistory(
-        int attempts, boolean maybeRan, RefusalReason reason, Optional<Long> retryAfterMillis, String detail) {
+        int attempts, boolean mayHaveRun, RefusalReason reason, Optional<Long> retryAfterMillis, String detail) {
     /** No attempt yet. */
     public static final AttemptHistory NONE = new AttemptHistory(0, false, RefusalReason.NO_MEMBER, Optional.empty(), "");
 
@@ -23,7 +23,7 @@
         return switch (outcome) {
             case Outcome.Answered<?> a -> throw new IllegalArgumentException("an answered request has no next attempt");
             case Outcome.RefusedNotRun<?>(RefusalReason why, Optional<Long> after) ->
-                new AttemptHistory(attempts + 1, maybeRan, why, after, detail);
+                new AttemptHistory(attempts + 1, mayHaveRun, why, after, detail);
             case Outcome.Unknown<?>(String what) -> new AttemptHistory(attempts + 1, true, reason, retryAfterMillis, what);
         };
     }
@@ -35,6 +35,6 @@
      * caller of a request that is called not run would send it again.
      */
     public <A> Outcome<A> givenUp() {
-        return maybeRan ? new Outcome.Unknown<>(detail) : new Outcome.RefusedNotRun<>(reason, retryAfterMillis);
+        return mayHaveRun ? new Outcome.Unknown<>(detail) : new Outcome.RefusedNotRun<>(reason, retryAfterMillis);
     }
 }
--- a/org.berylwick/src/org/berylwick/internal/retry/RetryRule.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/RetryRule.java
@@ -33,7 +33,7 @@
 
     /** Decides; the budget is asked last, and only a retry takes from it. */
     public Verdict decide(AttemptHistory log, RetryBudget budget, TimeSource time) {
-        if (log.maybeRan() && !idempotent) {
+        if (log.mayHaveRun() && !idempotent) {
             return Verdict.UNSAFE;
         }
         if (!replayable) {
