--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
@@ -120,7 +120,7 @@
         log = log.plus(outcome);
         tried.add(member.instance());
         if (cancelled) {
-            giveUp(log.givenUp());
+            giveUp(log.finalOutcome());
             return;
         }
         Verdict verdict = rule.decide(log, forwarder.budgetFor(call), forwarder.time());
@@ -135,14 +135,14 @@
                     call.requestId(),
                     call.match().service().name());
         }
-        giveUp(log.givenUp());
+        giveUp(log.finalOutcome());
     }
 
     private void noMemberLeft() {
         long pause = SAME_MEMBER.pauseMillis(rounds, ThreadLocalRandom.current());
         boolean inTime = call.deadline().remainingMillis(forwarder.time()) > pause;
         if (tried.isEmpty() || cancelled || !inTime) {
-            giveUp(log.givenUp());
+            giveUp(log.finalOutcome());
             return;
         }
         rounds++;
--- a/org.berylwick.test/tst/org/berylwick/internal/retry/RetryRuleTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/retry/RetryRuleTest.java
@@ -44,7 +44,7 @@
     @Property(seed = "4721")
     void oneUnknownOutcomeMakesTheWholeRequestUnknown(@ForAll("failures") List<Outcome<String>> outcomes) {
         boolean anyUnknown = outcomes.stream().anyMatch(o -> o instanceof Outcome.Unknown<String>);
-        Outcome<String> said = logOf(outcomes).givenUp();
+        Outcome<String> said = logOf(outcomes).finalOutcome();
         assertEquals(anyUnknown, said instanceof Outcome.Unknown<String>, said.toString());
     }
 
@@ -105,7 +105,7 @@
         RetryBudget none = new RetryBudget(time, 0, 0, 1_000);
         assertEquals(Verdict.NOT_REPLAYABLE, new RetryRule(idempotent, false, 3, by).decide(refused, none, time));
         assertEquals(Verdict.OVER_BUDGET, new RetryRule(idempotent, true, 3, by).decide(refused, none, time));
-        assertInstanceOf(Outcome.RefusedNotRun.class, refused.givenUp());
+        assertInstanceOf(Outcome.RefusedNotRun.class, refused.finalOutcome());
     }
 
     private RetryBudget unlimited() {
--- a/org.berylwick/src/org/berylwick/internal/retry/AttemptHistory.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/AttemptHistory.java
@@ -34,7 +34,7 @@
      * <p>An attempt that may have run makes the whole request unknown, whatever later attempts were refused for: the
      * caller of a request that is called not run would send it again.
      */
-    public <A> Outcome<A> givenUp() {
+    public <A> Outcome<A> finalOutcome() {
         return mayHaveRun ? new Outcome.Unknown<>(detail) : new Outcome.RefusedNotRun<>(reason, retryAfterMillis);
     }
 }
