--- a/org.berylwick/src/org/berylwick/internal/retry/Backoff.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/Backoff.java
@@ -9,9 +9,9 @@
  * don't come back together.
  *
  * @param baseMillis bound of the first pause
- * @param capMillis bound of all pauses
+ * @param maxMillis bound of all pauses
  */
-public record Backoff(long baseMillis, long capMillis) {
+public record Backoff(long baseMillis, long maxMillis) {
     private static final int MAX_DOUBLINGS = 30;
 
     /**
@@ -21,7 +21,7 @@
      * @return milliseconds
      */
     public long pauseMillis(int round, RandomGenerator random) {
-        long bound = Math.min(capMillis, baseMillis << Math.min(round, MAX_DOUBLINGS));
+        long bound = Math.min(maxMillis, baseMillis << Math.min(round, MAX_DOUBLINGS));
         return random.nextLong(bound + 1);
     }
 }
