--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
@@ -139,7 +139,7 @@
     }
 
     private void noMemberLeft() {
-        long pause = SAME_MEMBER.pauseMillis(rounds, ThreadLocalRandom.current());
+        long pause = SAME_MEMBER.delayMillis(rounds, ThreadLocalRandom.current());
         boolean inTime = call.deadline().remainingMillis(forwarder.time()) > pause;
         if (tried.isEmpty() || cancelled || !inTime) {
             giveUp(log.finalOutcome());
--- a/org.berylwick.test/tst/org/berylwick/internal/retry/RetryRuleTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/retry/RetryRuleTest.java
@@ -93,7 +93,7 @@
     void pausesStayWithinTheirBounds(
             @ForAll @IntRange(max = 100) int round, @ForAll @IntRange(min = 1, max = 1_000) int base) {
         Backoff backoff = new Backoff(base, 2_000);
-        long pause = backoff.pauseMillis(round, new Random(round));
+        long pause = backoff.delayMillis(round, new Random(round));
         long bound = Math.min(2_000, (long) base << Math.min(round, 30));
         assertTrue(pause >= 0 && pause <= bound, pause + " of " + bound);
     }
--- a/org.berylwick/src/org/berylwick/internal/retry/Backoff.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/Backoff.java
@@ -20,7 +20,7 @@
      * @param round how often all members were tried before, from 0
      * @return milliseconds
      */
-    public long pauseMillis(int round, RandomGenerator random) {
+    public long delayMillis(int round, RandomGenerator random) {
         long bound = Math.min(maxMillis, baseMillis << Math.min(round, MAX_DOUBLINGS));
         return random.nextLong(bound + 1);
     }
