--- a/org.berylwick/src/org/berylwick/internal/retry/RetryBudget.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/RetryBudget.java
@@ -12,7 +12,7 @@
     private static final int BUCKETS = 10;
 
     private final TimeSource time;
-    private final double share;
+    private final double retryRatio;
     private final int floor;
     private final long bucketNanos;
     private final long originNanos;
@@ -29,7 +29,7 @@
      */
     public RetryBudget(TimeSource time, double share, int floor, long windowMillis) {
         this.time = time;
-        this.share = share;
+        this.retryRatio = share;
         this.floor = floor;
         this.bucketNanos = Math.max(1, windowMillis * 1_000_000L / BUCKETS);
         this.originNanos = time.nanoTime();
@@ -43,7 +43,7 @@
     /** Takes one retry out of the budget if there is one left. */
     public synchronized boolean tryRetry() {
         int slot = currentSlot();
-        if (sum(retries) + 1 > floor + share * sum(requests)) {
+        if (sum(retries) + 1 > floor + retryRatio * sum(requests)) {
             return false;
         }
         retries[slot]++;
