--- a/org.berylwick/src/org/berylwick/internal/retry/RetryBudget.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/RetryBudget.java
@@ -13,7 +13,7 @@
 
     private final TimeSource time;
     private final double retryRatio;
-    private final int floor;
+    private final int minRetries;
     private final long bucketNanos;
     private final long originNanos;
     private final long[] requests = new long[BUCKETS];
@@ -30,7 +30,7 @@
     public RetryBudget(TimeSource time, double share, int floor, long windowMillis) {
         this.time = time;
         this.retryRatio = share;
-        this.floor = floor;
+        this.minRetries = floor;
         this.bucketNanos = Math.max(1, windowMillis * 1_000_000L / BUCKETS);
         this.originNanos = time.nanoTime();
     }
@@ -43,7 +43,7 @@
     /** Takes one retry out of the budget if there is one left. */
     public synchronized boolean tryRetry() {
         int slot = currentSlot();
-        if (sum(retries) + 1 > floor + retryRatio * sum(requests)) {
+        if (sum(retries) + 1 > minRetries + retryRatio * sum(requests)) {
             return false;
         }
         retries[slot]++;
