--- a/org.berylwick.test/tst/org/berylwick/internal/retry/RetryBudgetTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/retry/RetryBudgetTest.java
@@ -32,7 +32,7 @@
             budget.countRequest();
             requests.add(now);
             // In an outage every request asks for as many retries as it can get.
-            while (budget.tryRetry()) {
+            while (budget.tryAcquireRetry()) {
                 retries.add(now);
             }
             // A retry granted at the start of this window was counted against the requests of the window before it.
@@ -51,12 +51,12 @@
         for (int i = 0; i < requests; i++) {
             budget.countRequest();
         }
-        while (budget.tryRetry()) {
+        while (budget.tryAcquireRetry()) {
             // Uses it up.
         }
         time.advance(Duration.ofMillis(WINDOW_MILLIS + BUCKET_MILLIS));
         int granted = 0;
-        while (budget.tryRetry()) {
+        while (budget.tryAcquireRetry()) {
             granted++;
         }
         assertTrue(granted == FLOOR, "granted " + granted);
--- a/org.berylwick/src/org/berylwick/internal/retry/RetryBudget.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/RetryBudget.java
@@ -41,7 +41,7 @@
     }
 
     /** Takes one retry out of the budget if there is one left. */
-    public synchronized boolean tryRetry() {
+    public synchronized boolean tryAcquireRetry() {
         int slot = currentSlot();
         if (sum(retries) + 1 > minRetries + retryRatio * sum(requests)) {
             return false;
--- a/org.berylwick/src/org/berylwick/internal/retry/RetryRule.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/RetryRule.java
@@ -45,7 +45,7 @@
         if (deadline.remainingMillis(time) <= 0) {
             return Verdict.TOO_LATE;
         }
-        return budget.tryRetry() ? Verdict.RETRY : Verdict.OVER_BUDGET;
+        return budget.tryAcquireRetry() ? Verdict.RETRY : Verdict.OVER_BUDGET;
     }
 
     /**
