--- a/org.berylwick/src/org/berylwick/internal/retry/RetryBudget.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/RetryBudget.java
@@ -37,12 +37,12 @@
 
     /** Notes a request, once however often it is sent. */
     public synchronized void countRequest() {
-        requests[currentSlot()]++;
+        requests[currentBucketIndex()]++;
     }
 
     /** Takes one retry out of the budget if there is one left. */
     public synchronized boolean tryAcquireRetry() {
-        int slot = currentSlot();
+        int slot = currentBucketIndex();
         if (sum(retries) + 1 > minRetries + retryRatio * sum(requests)) {
             return false;
         }
@@ -50,7 +50,7 @@
         return true;
     }
 
-    private int currentSlot() {
+    private int currentBucketIndex() {
         long bucket = (time.nanoTime() - originNanos) / bucketNanos;
         long stale = Math.min(BUCKETS, bucket - newestBucket);
         for (long i = 1; i <= stale; i++) {
