--- a/org.berylwick/src/org/berylwick/internal/retry/RetryBudgets.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/RetryBudgets.java
@@ -7,7 +7,7 @@
 /** One retry budget for each service that this daemon sends requests to; any thread may use it. */
 public final class RetryBudgets {
     private static final double RETRY_RATIO = 0.2;
-    private static final int FLOOR = 10;
+    private static final int MIN_RETRIES = 10;
     private static final long WINDOW_MILLIS = 10_000;
 
     private final Map<String, RetryBudget> budgets = new ConcurrentHashMap<>();
@@ -20,6 +20,6 @@
 
     /** The budget of a service. */
     public RetryBudget of(String service) {
-        return budgets.computeIfAbsent(service, s -> new RetryBudget(time, RETRY_RATIO, FLOOR, WINDOW_MILLIS));
+        return budgets.computeIfAbsent(service, s -> new RetryBudget(time, RETRY_RATIO, MIN_RETRIES, WINDOW_MILLIS));
     }
 }
