--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarder.java
@@ -132,7 +132,7 @@
     }
 
     RetryBudget budgetFor(Call call) {
-        return budgets.of(call.match().service().name());
+        return budgets.forService(call.match().service().name());
     }
 
     CallMetrics metrics() {
--- a/org.berylwick/src/org/berylwick/internal/retry/RetryBudgets.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/RetryBudgets.java
@@ -19,7 +19,7 @@
     }
 
     /** The budget of a service. */
-    public RetryBudget of(String service) {
+    public RetryBudget forService(String service) {
         return budgets.computeIfAbsent(service, s -> new RetryBudget(time, RETRY_RATIO, MIN_RETRIES, WINDOW_MILLIS));
     }
 }
