--- a/org.berylwick/src/org/berylwick/internal/retry/RetryRule.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/RetryRule.java
@@ -13,7 +13,7 @@
  */
 public record RetryRule(boolean idempotent, boolean replayable, int maxAttempts, Deadline deadline) {
     private static final long MAX_RESERVE_MILLIS = 500;
-    private static final long RESERVE_SHARE = 10;
+    private static final long RESERVE_DIVISOR = 10;
 
     /** What is to be done after an attempt that brought no answer. */
     public enum Verdict {
@@ -61,6 +61,6 @@
     public long attemptMillis(AttemptHistory log, TimeSource time) {
         long remaining = Math.max(1, deadline.remainingMillis(time));
         boolean anotherPossible = idempotent && replayable && log.attempts() + 1 < maxAttempts;
-        return anotherPossible ? remaining - Math.min(MAX_RESERVE_MILLIS, remaining / RESERVE_SHARE) : remaining;
+        return anotherPossible ? remaining - Math.min(MAX_RESERVE_MILLIS, remaining / RESERVE_DIVISOR) : remaining;
     }
 }
