--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
@@ -100,7 +100,7 @@
         forwarder
                 .invariants()
                 .check(Invariant.AT_MOST_ONCE, mayRun, () -> "request " + call.requestId() + " is sent once too often");
-        Attempt begun = forwarder.send(call, member, rule.attemptMillis(log, forwarder.time()));
+        Attempt begun = forwarder.send(call, member, rule.attemptTimeoutMillis(log, forwarder.time()));
         current = begun;
         if (cancelled) {
             begun.cancel().run();
--- a/org.berylwick.test/tst/org/berylwick/internal/retry/RetryRuleTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/retry/RetryRuleTest.java
@@ -75,7 +75,7 @@
             assertNotEquals(Verdict.RETRY, verdict);
         }
         if (elapsedMillis < 1_000) {
-            assertTrue(rule.attemptMillis(log, time) <= 1_000 - elapsedMillis);
+            assertTrue(rule.attemptTimeoutMillis(log, time) <= 1_000 - elapsedMillis);
         }
     }
 
@@ -84,7 +84,7 @@
         long left = millis;
         for (int depth = 0; depth < 10; depth++) {
             RetryRule rule = new RetryRule(true, true, 3, Deadline.afterMillis(time, left));
-            left = rule.attemptMillis(AttemptHistory.NONE, time);
+            left = rule.attemptTimeoutMillis(AttemptHistory.NONE, time);
         }
         assertTrue(left >= millis / 3, left + " of " + millis);
     }
--- a/org.berylwick/src/org/berylwick/internal/retry/RetryRule.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/RetryRule.java
@@ -58,7 +58,7 @@
      *
      * @return milliseconds, at least 1
      */
-    public long attemptMillis(AttemptHistory log, TimeSource time) {
+    public long attemptTimeoutMillis(AttemptHistory log, TimeSource time) {
         long remaining = Math.max(1, deadline.remainingMillis(time));
         boolean anotherPossible = idempotent && replayable && log.attempts() + 1 < maxAttempts;
         return anotherPossible ? remaining - Math.min(MAX_RESERVE_MILLIS, remaining / RESERVE_DIVISOR) : remaining;
