--- a/org.berylwick.test/tst/org/berylwick/internal/retry/RetryBudgetTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/retry/RetryBudgetTest.java
@@ -15,7 +15,7 @@
 /** How many retries a daemon makes in an outage. */
 class RetryBudgetTest {
     private static final double RETRY_RATIO = 0.2;
-    private static final int FLOOR = 10;
+    private static final int MIN_RETRIES = 10;
     private static final long WINDOW_MILLIS = 10_000;
     private static final long BUCKET_MILLIS = WINDOW_MILLIS / 10;
 
@@ -23,7 +23,7 @@
     void retriesOfAnyWindowStayUnderTheShareOfTheRequestsThatLedToThem(
             @ForAll @Size(min = 1, max = 400) List<@IntRange(max = 500) Integer> pauses) {
         ManualTimeSource time = new ManualTimeSource();
-        RetryBudget budget = new RetryBudget(time, RETRY_RATIO, FLOOR, WINDOW_MILLIS);
+        RetryBudget budget = new RetryBudget(time, RETRY_RATIO, MIN_RETRIES, WINDOW_MILLIS);
         Deque<Long> requests = new ArrayDeque<>();
         Deque<Long> retries = new ArrayDeque<>();
         for (int pause : pauses) {
@@ -39,7 +39,7 @@
             forgetBefore(requests, now - 2 * WINDOW_MILLIS);
             forgetBefore(retries, now - WINDOW_MILLIS + BUCKET_MILLIS);
             assertTrue(
-                    retries.size() <= FLOOR + RETRY_RATIO * requests.size(),
+                    retries.size() <= MIN_RETRIES + RETRY_RATIO * requests.size(),
                     retries.size() + " retries for " + requests.size() + " requests");
         }
     }
@@ -47,7 +47,7 @@
     @Property(seed = "4712", tries = 100)
     void aBudgetUsedUpIsWholeAgainAfterAWindow(@ForAll @IntRange(min = 1, max = 1_000) int requests) {
         ManualTimeSource time = new ManualTimeSource();
-        RetryBudget budget = new RetryBudget(time, RETRY_RATIO, FLOOR, WINDOW_MILLIS);
+        RetryBudget budget = new RetryBudget(time, RETRY_RATIO, MIN_RETRIES, WINDOW_MILLIS);
         for (int i = 0; i < requests; i++) {
             budget.countRequest();
         }
@@ -59,7 +59,7 @@
         while (budget.tryAcquireRetry()) {
             granted++;
         }
-        assertTrue(granted == FLOOR, "granted " + granted);
+        assertTrue(granted == MIN_RETRIES, "granted " + granted);
     }
 
     private static void forgetBefore(Deque<Long> times, long bound) {
