--- a/org.berylwick.test/tst/org/berylwick/internal/retry/RetryBudgetTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/retry/RetryBudgetTest.java
@@ -20,7 +20,7 @@
     private static final long BUCKET_MILLIS = WINDOW_MILLIS / 10;
 
     @Property(seed = "4711", tries = 300)
-    void retriesOfAnyWindowStayUnderTheShareOfTheRequestsThatLedToThem(
+    void retriesInAnyWindowStayWithinRatioOfRequests(
             @ForAll @Size(min = 1, max = 400) List<@IntRange(max = 500) Integer> pauses) {
         ManualTimeSource time = new ManualTimeSource();
         RetryBudget budget = new RetryBudget(time, RETRY_RATIO, MIN_RETRIES, WINDOW_MILLIS);
