--- a/org.berylwick.test/tst/org/berylwick/internal/retry/RetryBudgetTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/retry/RetryBudgetTest.java
@@ -45,7 +45,7 @@
     }
 
     @Property(seed = "4712", tries = 100)
-    void aBudgetUsedUpIsWholeAgainAfterAWindow(@ForAll @IntRange(min = 1, max = 1_000) int requests) {
+    void exhaustedBudgetIsRestoredAfterOneWindow(@ForAll @IntRange(min = 1, max = 1_000) int requests) {
         ManualTimeSource time = new ManualTimeSource();
         RetryBudget budget = new RetryBudget(time, RETRY_RATIO, MIN_RETRIES, WINDOW_MILLIS);
         for (int i = 0; i < requests; i++) {
