--- a/org.berylwick.test/tst/org/berylwick/internal/retry/RetryBudgetTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/retry/RetryBudgetTest.java
@@ -36,8 +36,8 @@
                 retries.add(now);
             }
             // A retry granted at the start of this window was counted against the requests of the window before it.
-            forgetBefore(requests, now - 2 * WINDOW_MILLIS);
-            forgetBefore(retries, now - WINDOW_MILLIS + BUCKET_MILLIS);
+            removeUpTo(requests, now - 2 * WINDOW_MILLIS);
+            removeUpTo(retries, now - WINDOW_MILLIS + BUCKET_MILLIS);
             assertTrue(
                     retries.size() <= MIN_RETRIES + RETRY_RATIO * requests.size(),
                     retries.size() + " retries for " + requests.size() + " requests");
@@ -62,7 +62,7 @@
         assertTrue(granted == MIN_RETRIES, "granted " + granted);
     }
 
-    private static void forgetBefore(Deque<Long> times, long bound) {
+    private static void removeUpTo(Deque<Long> times, long bound) {
         while (!times.isEmpty() && times.peek() <= bound) {
             times.remove();
         }
