--- a/org.berylwick.test/tst/org/berylwick/internal/retry/RetryRuleTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/retry/RetryRuleTest.java
@@ -33,7 +33,7 @@
         return Arbitraries.oneOf(refused, unknown).list().ofMaxSize(8);
     }
 
-    private static AttemptHistory logOf(List<Outcome<String>> outcomes) {
+    private static AttemptHistory historyOf(List<Outcome<String>> outcomes) {
         AttemptHistory log = AttemptHistory.NONE;
         for (Outcome<String> o : outcomes) {
             log = log.plus(o);
@@ -44,7 +44,7 @@
     @Property(seed = "4721")
     void oneUnknownOutcomeMakesTheWholeRequestUnknown(@ForAll("failures") List<Outcome<String>> outcomes) {
         boolean anyUnknown = outcomes.stream().anyMatch(o -> o instanceof Outcome.Unknown<String>);
-        Outcome<String> said = logOf(outcomes).finalOutcome();
+        Outcome<String> said = historyOf(outcomes).finalOutcome();
         assertEquals(anyUnknown, said instanceof Outcome.Unknown<String>, said.toString());
     }
 
@@ -69,7 +69,7 @@
             @ForAll @IntRange(max = 2_000) int elapsedMillis) {
         RetryRule rule = new RetryRule(true, true, maxAttempts, Deadline.afterMillis(time, 1_000));
         time.advance(Duration.ofMillis(elapsedMillis));
-        AttemptHistory log = logOf(outcomes);
+        AttemptHistory log = historyOf(outcomes);
         Verdict verdict = rule.decide(log, unlimited(), time);
         if (elapsedMillis >= 1_000 || log.attempts() >= maxAttempts) {
             assertNotEquals(Verdict.RETRY, verdict);
