--- a/org.berylwick.test/tst/org/berylwick/internal/retry/RetryRuleTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/retry/RetryRuleTest.java
@@ -42,7 +42,7 @@
     }
 
     @Property(seed = "4721")
-    void oneUnknownOutcomeMakesTheWholeRequestUnknown(@ForAll("failures") List<Outcome<String>> outcomes) {
+    void oneUnknownAttemptMakesRequestOutcomeUnknown(@ForAll("failures") List<Outcome<String>> outcomes) {
         boolean anyUnknown = outcomes.stream().anyMatch(o -> o instanceof Outcome.Unknown<String>);
         Outcome<String> said = historyOf(outcomes).finalOutcome();
         assertEquals(anyUnknown, said instanceof Outcome.Unknown<String>, said.toString());
