--- a/org.berylwick.test/tst/org/berylwick/internal/retry/RetryRuleTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/retry/RetryRuleTest.java
@@ -49,7 +49,7 @@
     }
 
     @Property(seed = "4722")
-    void aNonIdempotentRequestThatMayHaveRunIsNeverSentAgain(
+    void nonIdempotentRequestThatMayHaveRunIsNotRetried(
             @ForAll("failures") List<Outcome<String>> outcomes, @ForAll @IntRange(min = 1, max = 9) int maxAttempts) {
         RetryRule rule = new RetryRule(false, true, maxAttempts, Deadline.afterMillis(time, 1_000));
         AttemptHistory log = AttemptHistory.NONE;
