--- a/org.berylwick.test/tst/org/berylwick/internal/retry/RetryRuleTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/retry/RetryRuleTest.java
@@ -63,7 +63,7 @@
     }
 
     @Property(seed = "4723")
-    void noRetryOutlivesTheDeadlineOrTheAttempts(
+    void noRetryAfterDeadlineOrLastAttempt(
             @ForAll("failures") List<Outcome<String>> outcomes,
             @ForAll @IntRange(min = 1, max = 5) int maxAttempts,
             @ForAll @IntRange(max = 2_000) int elapsedMillis) {
