--- a/org.berylwick.test/tst/org/berylwick/internal/retry/RetryRuleTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/retry/RetryRuleTest.java
@@ -80,7 +80,7 @@
     }
 
     @Property(seed = "4726")
-    void aChainOfCallsTenDeepKeepsAThirdOfItsTime(@ForAll @IntRange(min = 1_000, max = 60_000) int millis) {
+    void chainOfTenCallsKeepsOneThirdOfItsTime(@ForAll @IntRange(min = 1_000, max = 60_000) int millis) {
         long left = millis;
         for (int depth = 0; depth < 10; depth++) {
             RetryRule rule = new RetryRule(true, true, 3, Deadline.afterMillis(time, left));
