--- a/org.berylwick.test/tst/org/berylwick/internal/retry/RetryRuleTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/retry/RetryRuleTest.java
@@ -90,7 +90,7 @@
     }
 
     @Property(seed = "4724")
-    void pausesStayWithinTheirBounds(
+    void backoffDelayStaysWithinBounds(
             @ForAll @IntRange(max = 100) int round, @ForAll @IntRange(min = 1, max = 1_000) int base) {
         Backoff backoff = new Backoff(base, 2_000);
         long pause = backoff.delayMillis(round, new Random(round));
