--- a/org.berylwick.test/tst/org/berylwick/internal/retry/RetryRuleTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/retry/RetryRuleTest.java
@@ -99,7 +99,7 @@
     }
 
     @Property(seed = "4725", tries = 20)
-    void aBodyThatIsGoneOrABudgetThatIsUsedUpEndsTheRequest(@ForAll boolean idempotent) {
+    void unreplayableBodyOrExhaustedBudgetPreventsRetry(@ForAll boolean idempotent) {
         AttemptHistory refused = AttemptHistory.NONE.plus(new Outcome.RefusedNotRun<>(RefusalReason.SHED, Optional.of(1_000L)));
         Deadline by = Deadline.afterMillis(time, 1_000);
         RetryBudget none = new RetryBudget(time, 0, 0, 1_000);
