--- a/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
@@ -47,12 +47,12 @@
         if (ejectedUntil.isEmpty()) {
             return Status.HEALTHY;
         }
-        long over = nowNanos - ejectedUntil.get().atNanos();
-        if (over < 0) {
+        long nanosSinceBackoff = nowNanos - ejectedUntil.get().atNanos();
+        if (nanosSinceBackoff < 0) {
             return Status.EJECTED;
         }
         // Some services get no idempotent requests at all; without an end their members would never come back.
-        return over < MAX_PROBATION.toNanos() ? Status.PROBATION : Status.HEALTHY;
+        return nanosSinceBackoff < MAX_PROBATION.toNanos() ? Status.PROBATION : Status.HEALTHY;
     }
 
     /** Notes a good answer; tells whether the member came back by it. */
@@ -72,13 +72,13 @@
 
     /** Notes a failure; gives the backoff if the member is ejected by it. */
     Optional<Duration> recordFailure(long nowNanos) {
-        Status now = status(nowNanos);
-        if (now == Status.EJECTED) {
+        Status status = status(nowNanos);
+        if (status == Status.EJECTED) {
             return Optional.empty();
         }
         consecutiveFailures++;
         // Once ejected it has to prove itself: on probation a single failure is enough.
-        if (now == Status.HEALTHY && consecutiveFailures < FAILURES_TO_EJECT) {
+        if (status == Status.HEALTHY && consecutiveFailures < FAILURES_TO_EJECT) {
             return Optional.empty();
         }
         return Optional.of(eject(nowNanos));
@@ -89,11 +89,11 @@
         if (ejectedUntil.isEmpty() && ejectionCount > 0 && nowNanos - readmittedAtNanos > BACKOFF_RESET_AFTER.toNanos()) {
             ejectionCount = 0;
         }
-        long nanos = Math.min(MAX_BACKOFF.toNanos(), INITIAL_BACKOFF.toNanos() << Math.min(ejectionCount, 10));
+        long backoffNanos = Math.min(MAX_BACKOFF.toNanos(), INITIAL_BACKOFF.toNanos() << Math.min(ejectionCount, 10));
         ejectionCount++;
         consecutiveFailures = 0;
         successesSinceEjection = 0;
-        ejectedUntil = Optional.of(new Deadline(nowNanos + nanos));
-        return Duration.ofNanos(nanos);
+        ejectedUntil = Optional.of(new Deadline(nowNanos + backoffNanos));
+        return Duration.ofNanos(backoffNanos);
     }
 }
