--- a/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
@@ -41,15 +41,15 @@
     /**
      * A chooser.
      *
-     * @param own where this process runs
-     * @param random asked for a source at each choice, on the thread that chooses
+     * @param localPlace where this process runs
+     * @param randomSource asked for a source at each choice, on the thread that chooses
      */
     public MemberChooser(
-            Place own, PeerLoads loads, TimeSource time, MetricRegistry metrics, Supplier<RandomGenerator> random) {
-        this.localPlace = own;
+            Place localPlace, PeerLoads loads, TimeSource time, MetricRegistry metrics, Supplier<RandomGenerator> randomSource) {
+        this.localPlace = localPlace;
         this.loads = loads;
         this.time = time;
-        this.randomSource = random;
+        this.randomSource = randomSource;
         for (Distance d : Distance.values()) {
             chosenByDistance.put(d, metrics.counter(ChoiceMetrics.CHOSEN + d));
         }
@@ -64,34 +64,34 @@
      */
     public MemberChoice choose(MembershipView members, RouteMatch match, Set<String> tried) {
         loads.updateMembers();
-        long now = time.nanoTime();
+        long nowNanos = time.nanoTime();
         List<Member> selected = members.ofService(match.route().service()).stream()
                 .filter(m -> match.route().servers().matches(m.labels()))
                 .toList();
         List<Member> up = inState(selected, Member.State.UP);
-        List<Member> fresh = without(up, tried);
+        List<Member> untried = without(up, tried);
         if (match.policy().idempotent()) {
             Optional<Member> probe =
-                    fresh.stream().filter(m -> isDueForProbe(m, now)).findFirst();
+                    untried.stream().filter(m -> isDueForProbe(m, nowNanos)).findFirst();
             if (probe.isPresent()) {
                 probes.inc();
                 return countChosen(probe.get());
             }
         }
-        List<Member> well = without(fresh, findExcluded(up, now));
-        if (!well.isEmpty()) {
-            return countChosen(chooseByDistance(well, now));
+        List<Member> preferred = without(untried, findExcluded(up, nowNanos));
+        if (!preferred.isEmpty()) {
+            return countChosen(chooseByDistance(preferred, nowNanos));
         }
         List<Member> suspects = inState(selected, Member.State.SUSPECT);
-        for (List<Member> rest : List.of(fresh, without(suspects, tried))) {
-            if (!rest.isEmpty()) {
+        for (List<Member> fallbacks : List.of(untried, without(suspects, tried))) {
+            if (!fallbacks.isEmpty()) {
                 lastResort.inc();
-                return countChosen(lessLoadedOfTwo(rest, now));
+                return countChosen(lessLoadedOfTwo(fallbacks, nowNanos));
             }
         }
-        for (List<Member> again : List.of(up, suspects)) {
-            if (!again.isEmpty()) {
-                return new MemberChoice.AllTried(lessLoadedOfTwo(again, now));
+        for (List<Member> alreadyTried : List.of(up, suspects)) {
+            if (!alreadyTried.isEmpty()) {
+                return new MemberChoice.AllTried(lessLoadedOfTwo(alreadyTried, nowNanos));
             }
         }
         return new MemberChoice.NoMember(noMemberReason(selected));
@@ -102,9 +102,9 @@
         return new MemberChoice.Chosen(m);
     }
 
-    private boolean isDueForProbe(Member m, long now) {
-        MemberStats r = loads.stats(m);
-        return r.ejectionStatus(now) == Status.PROBATION && r.inFlight() == 0;
+    private boolean isDueForProbe(Member m, long nowNanos) {
+        MemberStats stats = loads.stats(m);
+        return stats.ejectionStatus(nowNanos) == Status.PROBATION && stats.inFlight() == 0;
     }
 
     /**
@@ -113,72 +113,72 @@
      * <p>What looks like failing members may be this process's own trouble. At most half of a service, and of its
      * members in an availability zone the larger half, is left out, so that a wrong signal can't empty it.
      */
-    private Set<String> findExcluded(List<Member> up, long now) {
+    private Set<String> findExcluded(List<Member> up, long nowNanos) {
         List<Member> failing = up.stream()
-                .filter(m -> loads.stats(m).ejectionStatus(now) != Status.HEALTHY)
+                .filter(m -> loads.stats(m).ejectionStatus(nowNanos) != Status.HEALTHY)
                 .sorted(Comparator.<Member, Status>comparing(
-                                m -> loads.stats(m).ejectionStatus(now))
+                                m -> loads.stats(m).ejectionStatus(nowNanos))
                         .reversed()
                         .thenComparing(Member::instance))
                 .toList();
         if (failing.isEmpty()) {
             return Set.of();
         }
-        Set<String> out = new HashSet<>();
-        Map<Place, Integer> outByPlace = new HashMap<>();
+        Set<String> excluded = new HashSet<>();
+        Map<Place, Integer> excludedByPlace = new HashMap<>();
         for (Member m : failing) {
             long inPlace = up.stream().filter(o -> o.place().equals(m.place())).count();
-            int outThere = outByPlace.getOrDefault(m.place(), 0);
-            if (out.size() < up.size() / 2 && outThere < (inPlace + 1) / 2) {
-                out.add(m.instance());
-                outByPlace.put(m.place(), outThere + 1);
+            int excludedInPlace = excludedByPlace.getOrDefault(m.place(), 0);
+            if (excluded.size() < up.size() / 2 && excludedInPlace < (inPlace + 1) / 2) {
+                excluded.add(m.instance());
+                excludedByPlace.put(m.place(), excludedInPlace + 1);
             }
         }
-        return out;
+        return excluded;
     }
 
-    private Member chooseByDistance(List<Member> members, long now) {
-        List<Tier> tiers = Tiers.of(localPlace, members, loads, now);
+    private Member chooseByDistance(List<Member> members, long nowNanos) {
+        List<Tier> tiers = Tiers.of(localPlace, members, loads, nowNanos);
         for (int i = 0; i < tiers.size() - 1; i++) {
-            double stay = Tiers.keptShare(tiers.get(i), tiers.subList(i + 1, tiers.size()));
-            if (stay >= 1 || randomSource.get().nextDouble() < stay) {
-                return lessLoadedOfTwo(tiers.get(i).members(), now);
+            double keptShare = Tiers.keptShare(tiers.get(i), tiers.subList(i + 1, tiers.size()));
+            if (keptShare >= 1 || randomSource.get().nextDouble() < keptShare) {
+                return lessLoadedOfTwo(tiers.get(i).members(), nowNanos);
             }
         }
-        return lessLoadedOfTwo(tiers.getLast().members(), now);
+        return lessLoadedOfTwo(tiers.getLast().members(), nowNanos);
     }
 
-    private Member lessLoadedOfTwo(List<Member> members, long now) {
+    private Member lessLoadedOfTwo(List<Member> members, long nowNanos) {
         if (members.size() == 1) {
             return members.getFirst();
         }
-        Member a = drawByWeight(members, now);
-        Member b = drawByWeight(members.stream().filter(m -> m != a).toList(), now);
-        return utilization(a, now) <= utilization(b, now) ? a : b;
+        Member a = drawByWeight(members, nowNanos);
+        Member b = drawByWeight(members.stream().filter(m -> m != a).toList(), nowNanos);
+        return utilization(a, nowNanos) <= utilization(b, nowNanos) ? a : b;
     }
 
     /** A new member's caches are cold; it is drawn less often until it had time to warm up. */
-    private Member drawByWeight(List<Member> members, long now) {
+    private Member drawByWeight(List<Member> members, long nowNanos) {
         double total = 0;
         for (Member m : members) {
-            total += weight(m, now);
+            total += weight(m, nowNanos);
         }
-        double at = randomSource.get().nextDouble() * total;
+        double remaining = randomSource.get().nextDouble() * total;
         for (Member m : members) {
-            at -= weight(m, now);
-            if (at < 0) {
+            remaining -= weight(m, nowNanos);
+            if (remaining < 0) {
                 return m;
             }
         }
         return members.getLast();
     }
 
-    private double weight(Member m, long now) {
-        return Math.max(1, m.slots()) * loads.stats(m).weight(now);
+    private double weight(Member m, long nowNanos) {
+        return Math.max(1, m.slots()) * loads.stats(m).weight(nowNanos);
     }
 
-    private double utilization(Member m, long now) {
-        return (loads.stats(m).load(now) + 1) / Math.max(1, m.slots());
+    private double utilization(Member m, long nowNanos) {
+        return (loads.stats(m).load(nowNanos) + 1) / Math.max(1, m.slots());
     }
 
     private static List<Member> inState(List<Member> members, Member.State state) {
