--- a/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
@@ -39,13 +39,13 @@
     /**
      * A record without requests.
      *
-     * @param coldSinceNanos when the member appeared, if it did so while this process was looking on
-     * @param exactLoad counts the member's requests, if it is this process's own
+     * @param appearedAtNanos when the member appeared, if it did so while this process was looking on
+     * @param localLoad counts the member's requests, if it is this process's own
      */
-    MemberStats(Member member, Optional<Long> coldSinceNanos, Optional<IntSupplier> exactLoad) {
+    MemberStats(Member member, Optional<Long> appearedAtNanos, Optional<IntSupplier> localLoad) {
         this.member = member;
-        this.appearedAtNanos = coldSinceNanos;
-        this.localLoad = exactLoad;
+        this.appearedAtNanos = appearedAtNanos;
+        this.localLoad = localLoad;
     }
 
     Member member() {
@@ -87,8 +87,8 @@
     }
 
     private synchronized double estimatedLoad(long nowNanos) {
-        double age = (double) (nowNanos - reportedAtNanos) / LOAD_REPORT_EXPIRY.toNanos();
-        return inFlight + loadFromOthers * Math.max(0, 1 - age);
+        double ageRatio = (double) (nowNanos - reportedAtNanos) / LOAD_REPORT_EXPIRY.toNanos();
+        return inFlight + loadFromOthers * Math.max(0, 1 - ageRatio);
     }
 
     /** Share of its slots that a new member gets requests for, rising to 1. */
@@ -96,8 +96,8 @@
         if (appearedAtNanos.isEmpty()) {
             return 1;
         }
-        double age = (double) (nowNanos - appearedAtNanos.get()) / SLOW_START_DURATION.toNanos();
-        return Math.clamp(age, INITIAL_WEIGHT, 1);
+        double ageRatio = (double) (nowNanos - appearedAtNanos.get()) / SLOW_START_DURATION.toNanos();
+        return Math.clamp(ageRatio, INITIAL_WEIGHT, 1);
     }
 
     synchronized EjectionState.Status ejectionStatus(long nowNanos) {
@@ -124,7 +124,7 @@
     }
 
     /** The mean time to an answer, if enough answers are known to tell. */
-    synchronized Optional<Double> meanLatencyNanos(int needed) {
-        return latencyCount >= needed ? Optional.of(meanLatencyNanos) : Optional.empty();
+    synchronized Optional<Double> meanLatencyNanos(int minSamples) {
+        return latencyCount >= minSamples ? Optional.of(meanLatencyNanos) : Optional.empty();
     }
 }
