--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -59,11 +59,11 @@
     /**
      * Knows nothing yet.
      *
-     * @param members the view as of now
+     * @param currentView the view as of now
      */
-    public PeerLoads(Supplier<MembershipView> members, LocalLoad own, TimeSource time, MetricRegistry metrics) {
-        this.localLoad = own;
-        this.currentView = members;
+    public PeerLoads(Supplier<MembershipView> currentView, LocalLoad localLoad, TimeSource time, MetricRegistry metrics) {
+        this.localLoad = localLoad;
+        this.currentView = currentView;
         this.time = time;
         ejections = metrics.counter(ChoiceMetrics.EJECTIONS);
         readmissions = metrics.counter(ChoiceMetrics.RETURNS);
@@ -71,9 +71,9 @@
 
     /** A request goes out; the returned attempt takes in what becomes of it. */
     public Attempt begin(Member member) {
-        MemberStats record = stats(member);
-        record.beginRequest();
-        return new Attempt(record, time.nanoTime());
+        MemberStats stats = stats(member);
+        stats.beginRequest();
+        return new Attempt(stats, time.nanoTime());
     }
 
     /** Requests at a member, as far as known here. */
@@ -87,9 +87,9 @@
         private final long startedAtNanos;
         private boolean closed;
 
-        private Attempt(MemberStats record, long sinceNanos) {
-            this.stats = record;
-            this.startedAtNanos = sinceNanos;
+        private Attempt(MemberStats stats, long startedAtNanos) {
+            this.stats = stats;
+            this.startedAtNanos = startedAtNanos;
         }
 
         /** The reply carried the load at its owner. */
@@ -98,7 +98,7 @@
         }
 
         /** The answer began; a class whose answers differ widely in time doesn't count for speed. */
-        public void responseStarted(boolean comparable) {
+        public void responseStarted(boolean comparableLatency) {
             if (stats.recordSuccess(time.nanoTime())) {
                 readmissions.inc();
                 EVENTS.log(
@@ -106,7 +106,7 @@
                         stats.member().instance(),
                         stats.member().service());
             }
-            if (comparable && stats.recordLatency(time.nanoTime() - startedAtNanos) % LATENCY_SAMPLES_PER_CHECK == 0) {
+            if (comparableLatency && stats.recordLatency(time.nanoTime() - startedAtNanos) % LATENCY_SAMPLES_PER_CHECK == 0) {
                 ejectIfSlow(stats);
             }
         }
@@ -146,16 +146,16 @@
         if (known != null && known.isSameStart(member)) {
             return known;
         }
-        boolean appeared = knownServices.contains(member.service());
+        boolean serviceWasKnown = knownServices.contains(member.service());
         return statsByInstance.compute(member.instance(), (instance, old) -> {
             // A request that pinned an older view may name an incarnation that was replaced since.
             if (old != null && old.member().incarnation() >= member.incarnation()) {
                 return old;
             }
-            Optional<Long> coldSince = appeared ? Optional.of(time.nanoTime()) : Optional.empty();
-            Optional<IntSupplier> exactLoad =
+            Optional<Long> appearedAtNanos = serviceWasKnown ? Optional.of(time.nanoTime()) : Optional.empty();
+            Optional<IntSupplier> loadIfLocal =
                     localLoad.instance().equals(instance) ? Optional.of(localLoad.load()) : Optional.empty();
-            return new MemberStats(member, coldSince, exactLoad);
+            return new MemberStats(member, appearedAtNanos, loadIfLocal);
         });
     }
 
@@ -191,33 +191,33 @@
         return statsByInstance.size();
     }
 
-    private void ejectIfSlow(MemberStats suspect) {
-        Member m = suspect.member();
-        List<Double> others = statsByInstance.values().stream()
-                .filter(r -> r != suspect
+    private void ejectIfSlow(MemberStats candidate) {
+        Member m = candidate.member();
+        List<Double> otherMeans = statsByInstance.values().stream()
+                .filter(r -> r != candidate
                         && r.member().service().equals(m.service())
                         && r.member().place().region().equals(m.place().region()))
                 .flatMap(r -> r.meanLatencyNanos(LATENCY_SAMPLES_PER_CHECK).stream())
                 .sorted()
                 .toList();
-        if (others.size() < MIN_MEMBERS_TO_COMPARE - 1) {
+        if (otherMeans.size() < MIN_MEMBERS_TO_COMPARE - 1) {
             return;
         }
-        double median = others.get(others.size() / 2);
-        double mean = suspect.meanLatencyNanos(LATENCY_SAMPLES_PER_CHECK).orElse(0.0);
+        double median = otherMeans.get(otherMeans.size() / 2);
+        double mean = candidate.meanLatencyNanos(LATENCY_SAMPLES_PER_CHECK).orElse(0.0);
         if (mean > SLOW_LATENCY_FACTOR * median
                 && mean > median + SLOW_LATENCY_MARGIN.toNanos()
-                && suspect.ejectionStatus(time.nanoTime()) != EjectionState.Status.EJECTED) {
+                && candidate.ejectionStatus(time.nanoTime()) != EjectionState.Status.EJECTED) {
             String detail =
                     "answers begin after " + Duration.ofNanos((long) mean).toMillis() + " ms, those of others "
                             + "after " + Duration.ofNanos((long) median).toMillis();
-            reportEjection(suspect, suspect.eject(time.nanoTime()), detail);
+            reportEjection(candidate, candidate.eject(time.nanoTime()), detail);
         }
     }
 
-    private void reportEjection(MemberStats record, Duration backoff, String detail) {
+    private void reportEjection(MemberStats stats, Duration backoff, String detail) {
         ejections.inc();
-        Member m = record.member();
+        Member m = stats.member();
         EVENTS.log(CallEvent.MEMBER_EJECTED, m.instance(), m.service(), backoff.toMillis(), detail);
     }
 }
