--- a/org.berylwick/src/org/berylwick/internal/routing/RoutingTable.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/RoutingTable.java
@@ -22,20 +22,20 @@
 
     private final Map<String, List<RouteMatch>> matchesByHost;
 
-    private RoutingTable(Map<String, List<RouteMatch>> byHost) {
-        this.matchesByHost = byHost;
+    private RoutingTable(Map<String, List<RouteMatch>> matchesByHost) {
+        this.matchesByHost = matchesByHost;
     }
 
     /** Compiles a configuration that was validated; a route without service or policy is left out. */
     public static RoutingTable compile(Configuration configuration) {
-        Map<String, List<RouteMatch>> hosts = new HashMap<>();
+        Map<String, List<RouteMatch>> matchesByHost = new HashMap<>();
         for (Brand brand : configuration.brands().values()) {
             List<RouteMatch> matches = routesOf(configuration, brand);
             for (String host : brand.hosts()) {
-                hosts.put(host.toLowerCase(Locale.ROOT), matches);
+                matchesByHost.put(host.toLowerCase(Locale.ROOT), matches);
             }
         }
-        return new RoutingTable(Map.copyOf(hosts));
+        return new RoutingTable(Map.copyOf(matchesByHost));
     }
 
     private static List<RouteMatch> routesOf(Configuration configuration, Brand brand) {
