--- a/org.berylwick/src/org/berylwick/internal/routing/Tiers.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/Tiers.java
@@ -37,21 +37,21 @@
 
     private Tiers() {}
 
-    static Distance distance(Place own, Place other) {
-        if (!own.region().equals(other.region())) {
+    static Distance distance(Place localPlace, Place other) {
+        if (!localPlace.region().equals(other.region())) {
             return Distance.FAR;
         }
-        return own.availabilityZone().equals(other.availabilityZone()) ? Distance.ZONE : Distance.REGION;
+        return localPlace.availabilityZone().equals(other.availabilityZone()) ? Distance.ZONE : Distance.REGION;
     }
 
     /** Sorts members into tiers, nearest first, without empty ones. */
-    static List<Tier> of(Place own, List<Member> members, PeerLoads loads, long nowNanos) {
+    static List<Tier> of(Place localPlace, List<Member> members, PeerLoads loads, long nowNanos) {
         List<Tier> tiers = new ArrayList<>(Distance.values().length);
         for (Distance d : Distance.values()) {
-            List<Member> at =
-                    members.stream().filter(m -> distance(own, m.place()) == d).toList();
-            if (!at.isEmpty()) {
-                tiers.add(tier(d, at, loads, nowNanos));
+            List<Member> membersAtDistance =
+                    members.stream().filter(m -> distance(localPlace, m.place()) == d).toList();
+            if (!membersAtDistance.isEmpty()) {
+                tiers.add(tier(d, membersAtDistance, loads, nowNanos));
             }
         }
         return tiers;
@@ -61,27 +61,27 @@
         double load = 0;
         double capacity = 0;
         for (Member m : members) {
-            MemberStats r = loads.stats(m);
-            load += r.load(nowNanos);
-            capacity += Math.max(1, m.slots()) * r.weight(nowNanos);
+            MemberStats stats = loads.stats(m);
+            load += stats.load(nowNanos);
+            capacity += Math.max(1, m.slots()) * stats.weight(nowNanos);
         }
         return new Tier(distance, members, load, capacity);
     }
 
     /** The share of requests that stays in {@code here} with {@code beyond} to go on to. */
-    static double keptShare(Tier here, List<Tier> beyond) {
+    static double keptShare(Tier nearTier, List<Tier> fartherTiers) {
         double load = 0;
         double capacity = 0;
-        for (Tier t : beyond) {
+        for (Tier t : fartherTiers) {
             load += t.load;
             capacity += t.capacity;
         }
         if (capacity == 0) {
             return 1;
         }
-        double pressure = Math.clamp((here.utilization() - SPILL_THRESHOLD) / (1 - SPILL_THRESHOLD), 0, 1);
-        double relief = Math.clamp((here.utilization() - load / capacity) / FULL_SPILL_UTILIZATION_GAP, 0, 1);
-        double fairShare = here.capacity / (here.capacity + capacity);
-        return 1 - pressure * relief * (1 - fairShare);
+        double pressure = Math.clamp((nearTier.utilization() - SPILL_THRESHOLD) / (1 - SPILL_THRESHOLD), 0, 1);
+        double utilizationGap = Math.clamp((nearTier.utilization() - load / capacity) / FULL_SPILL_UTILIZATION_GAP, 0, 1);
+        double fairShare = nearTier.capacity / (nearTier.capacity + capacity);
+        return 1 - pressure * utilizationGap * (1 - fairShare);
     }
 }
