--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserFixture.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserFixture.java
@@ -85,11 +85,11 @@
 
     /** How often each instance is chosen. */
     Map<String, Integer> countChoices(int times) {
-        Map<String, Integer> drawn = new HashMap<>();
+        Map<String, Integer> choicesByInstance = new HashMap<>();
         for (int i = 0; i < times; i++) {
-            drawn.merge(chooseMember(false).instance(), 1, Integer::sum);
+            choicesByInstance.merge(chooseMember(false).instance(), 1, Integer::sum);
         }
-        return drawn;
+        return choicesByInstance;
     }
 
     /** Requests begin at a member and stay there. */
