--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserPropertyTest.java
@@ -42,19 +42,19 @@
             }
         }
         f.time.advance(Duration.ofMillis(random.nextInt(3_000)));
-        List<Member> left =
+        List<Member> untried =
                 f.members.stream().filter(m -> !tried.contains(m.instance())).toList();
-        boolean upLeft = left.stream().anyMatch(m -> m.state() == State.UP);
-        boolean suspectLeft = left.stream().anyMatch(m -> m.state() == State.SUSPECT);
+        boolean untriedUp = untried.stream().anyMatch(m -> m.state() == State.UP);
+        boolean untriedSuspect = untried.stream().anyMatch(m -> m.state() == State.SUSPECT);
         boolean usable = f.members.stream().anyMatch(m -> m.state() == State.UP || m.state() == State.SUSPECT);
         for (int i = 0; i < 20; i++) {
             switch (f.choose(random.nextBoolean(), tried)) {
                 case MemberChoice.Chosen(Member m) -> {
                     assertFalse(tried.contains(m.instance()));
-                    assertEquals(upLeft ? State.UP : State.SUSPECT, m.state());
+                    assertEquals(untriedUp ? State.UP : State.SUSPECT, m.state());
                 }
                 case MemberChoice.AllTried(Member m) -> {
-                    assertFalse(upLeft || suspectLeft);
+                    assertFalse(untriedUp || untriedSuspect);
                     assertTrue(tried.contains(m.instance()));
                 }
                 case MemberChoice.NoMember(RefusalReason reason) -> {
@@ -82,17 +82,17 @@
 
     @Property(seed = "20273", tries = 500)
     void spilloverGrowsContinuouslyAndNeverTakesAllRequests(
-            @ForAll @DoubleRange(max = 40) double here,
-            @ForAll @DoubleRange(max = 40) double beyond,
-            @ForAll @IntRange(min = 1, max = 40) int beyondSlots) {
+            @ForAll @DoubleRange(max = 40) double nearLoad,
+            @ForAll @DoubleRange(max = 40) double fartherLoad,
+            @ForAll @IntRange(min = 1, max = 40) int fartherSlots) {
         double capacity = 12;
-        double stay = keptShare(here, capacity, beyond, beyondSlots);
-        double stayMore = keptShare(here + 0.1, capacity, beyond, beyondSlots);
-        assertTrue(stay >= capacity / (capacity + beyondSlots) - 1e-9 && stay <= 1);
-        assertTrue(stayMore <= stay + 1e-9);
-        assertTrue(stay - stayMore < 0.08);
-        assertTrue(here / capacity > Tiers.SPILL_THRESHOLD || stay == 1);
-        assertTrue(here / capacity > beyond / beyondSlots || stay == 1);
+        double kept = keptShare(nearLoad, capacity, fartherLoad, fartherSlots);
+        double keptAtHigherLoad = keptShare(nearLoad + 0.1, capacity, fartherLoad, fartherSlots);
+        assertTrue(kept >= capacity / (capacity + fartherSlots) - 1e-9 && kept <= 1);
+        assertTrue(keptAtHigherLoad <= kept + 1e-9);
+        assertTrue(kept - keptAtHigherLoad < 0.08);
+        assertTrue(nearLoad / capacity > Tiers.SPILL_THRESHOLD || kept == 1);
+        assertTrue(nearLoad / capacity > fartherLoad / fartherSlots || kept == 1);
     }
 
     @Property(seed = "20274", tries = 150)
@@ -115,8 +115,8 @@
         }
     }
 
-    private static double keptShare(double load, double capacity, double beyond, double beyondCapacity) {
-        Tier here = new Tier(Distance.ZONE, List.of(), load, capacity);
-        return Tiers.keptShare(here, List.of(new Tier(Distance.REGION, List.of(), beyond, beyondCapacity)));
+    private static double keptShare(double load, double capacity, double fartherLoad, double fartherCapacity) {
+        Tier nearLoad = new Tier(Distance.ZONE, List.of(), load, capacity);
+        return Tiers.keptShare(nearLoad, List.of(new Tier(Distance.REGION, List.of(), fartherLoad, fartherCapacity)));
     }
 }
