--- a/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
@@ -74,12 +74,12 @@
         return trafficClass != TrafficClass.BULK && meanHoldNanos <= MAX_HOLD_TIME_TO_BORROW.toNanos();
     }
 
-    void add(SlotRequest w) {
-        waitingRequests.add(w);
+    void add(SlotRequest request) {
+        waitingRequests.add(request);
     }
 
-    boolean remove(SlotRequest w) {
-        return waitingRequests.remove(w);
+    boolean remove(SlotRequest request) {
+        return waitingRequests.remove(request);
     }
 
     SlotRequest pollFirst() {
@@ -96,8 +96,8 @@
     }
 
     /** Waiters that go before {@code w}. */
-    int countAhead(SlotRequest w) {
-        return waitingRequests.headSet(w).size();
+    int countAhead(SlotRequest request) {
+        return waitingRequests.headSet(request).size();
     }
 
     /**
@@ -112,16 +112,16 @@
     }
 
     /** Takes out every waiter that could not start in time. */
-    void removeUnservable(long nowNanos, int slots, Consumer<SlotRequest> pruned) {
+    void removeUnservable(long nowNanos, int slots, Consumer<SlotRequest> onRemoved) {
         int ahead = 0;
         for (Iterator<SlotRequest> i = waitingRequests.iterator(); i.hasNext(); ) {
-            SlotRequest w = i.next();
-            if (w.startByNanos() - nowNanos > 0 && w.startByNanos() - nowNanos >= estimateWaitNanos(ahead, slots)) {
+            SlotRequest request = i.next();
+            if (request.startByNanos() - nowNanos > 0 && request.startByNanos() - nowNanos >= estimateWaitNanos(ahead, slots)) {
                 ahead++;
                 continue;
             }
             i.remove();
-            pruned.accept(w);
+            onRemoved.accept(request);
         }
     }
 }
