--- a/org.berylwick/src/org/berylwick/internal/limit/TrafficClassShares.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/TrafficClassShares.java
@@ -21,18 +21,18 @@
     /**
      * Divides places by weight.
      *
-     * @param places to divide
+     * @param capacity to divide
      * @param classes which have a share
      */
-    static TrafficClassShares divide(int places, Set<TrafficClass> classes) {
+    static TrafficClassShares divide(int capacity, Set<TrafficClass> classes) {
         TrafficClassShares shares = new TrafficClassShares();
-        int weights = classes.stream().mapToInt(TrafficClassShares::weight).sum();
+        int totalWeight = classes.stream().mapToInt(TrafficClassShares::weight).sum();
         for (TrafficClass c : TrafficClass.values()) {
-            shares.guarantees.put(c, classes.contains(c) ? places * weight(c) / weights : 0);
+            shares.guarantees.put(c, classes.contains(c) ? capacity * weight(c) / totalWeight : 0);
         }
         for (TrafficClass c : TrafficClass.values()) {
             if (classes.contains(c) && shares.guarantee(c) == 0) {
-                shares.grantMinimum(c, places);
+                shares.grantMinimum(c, capacity);
             }
         }
         return shares;
@@ -48,16 +48,16 @@
         return guarantees.values().stream().mapToInt(Integer::intValue).sum();
     }
 
-    private void grantMinimum(TrafficClass c, int places) {
-        if (total() < places) {
+    private void grantMinimum(TrafficClass c, int capacity) {
+        if (total() < capacity) {
             guarantees.put(c, 1);
             return;
         }
-        Optional<TrafficClass> richest = guarantees.entrySet().stream()
+        Optional<TrafficClass> largest = guarantees.entrySet().stream()
                 .filter(e -> e.getValue() > 1)
                 .max(Comparator.comparingInt(Map.Entry::getValue))
                 .map(Map.Entry::getKey);
-        richest.ifPresent(r -> {
+        largest.ifPresent(r -> {
             guarantees.merge(r, -1, Integer::sum);
             guarantees.put(c, 1);
         });
