--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -68,9 +68,9 @@
         private final TrafficClass trafficClass;
         private final long acquiredAtNanos;
 
-        private Permit(TrafficClass trafficClass, long sinceNanos) {
+        private Permit(TrafficClass trafficClass, long acquiredAtNanos) {
             this.trafficClass = trafficClass;
-            this.acquiredAtNanos = sinceNanos;
+            this.acquiredAtNanos = acquiredAtNanos;
         }
 
         /** Frees the slot after a request. */
@@ -101,9 +101,9 @@
 
     /** A limiter with all slots free. */
     public SlotLimiter(
-            TimeSource time, Scheduler alarm, MetricRegistry registry, Invariants invariants, SlotLimits limits) {
+            TimeSource time, Scheduler scheduler, MetricRegistry registry, Invariants invariants, SlotLimits limits) {
         this.time = time;
-        this.scheduler = alarm;
+        this.scheduler = scheduler;
         this.invariants = invariants;
         this.limits = limits;
         metrics = new SlotMetrics(registry);
@@ -120,11 +120,11 @@
     }
 
     /** Takes over the limits in force; requests already admitted keep their slots. */
-    public void setLimits(SlotLimits inForce) {
+    public void setLimits(SlotLimits newLimits) {
         List<Decision> decisions = new ArrayList<>();
         synchronized (this) {
-            limits = inForce;
-            usableSlots.setDeclared(inForce.slots());
+            limits = newLimits;
+            usableSlots.setDeclared(newLimits.slots());
             recomputeShares();
             refuseUnservable(decisions);
             dispatch(decisions);
@@ -139,22 +139,22 @@
      */
     public CompletableFuture<Admission> acquire(TrafficClass trafficClass, Deadline deadline) {
         List<Decision> decisions = new ArrayList<>(1);
-        SlotRequest waiter;
+        SlotRequest request;
         synchronized (this) {
             long now = time.nanoTime();
             TrafficClassQueue queue = classes.get(trafficClass);
-            waiter = new SlotRequest(trafficClass, deadline, nextSequence++, now, queue.meanHoldNanos(), this::removeCancelled);
+            request = new SlotRequest(trafficClass, deadline, nextSequence++, now, queue.meanHoldNanos(), this::removeCancelled);
             raiseUsableSlots(decisions);
             if (deadline.isPast(time)) {
-                decisions.add(refuse(waiter, RefusalCause.EXPIRED));
+                decisions.add(refuse(request, RefusalCause.EXPIRED));
             } else if (mayAcquire(queue)) {
-                decisions.add(admit(waiter));
+                decisions.add(admit(request));
             } else {
-                enqueue(queue, waiter, decisions);
+                enqueue(queue, request, decisions);
             }
         }
         completeAll(decisions);
-        return waiter;
+        return request;
     }
 
     /** Slots held now. */
@@ -192,21 +192,21 @@
         return slotShares.guarantee(trafficClass);
     }
 
-    private void enqueue(TrafficClassQueue queue, SlotRequest waiter, List<Decision> decisions) {
-        long untilStart = waiter.startByNanos() - time.nanoTime();
-        if (untilStart < queue.estimateWaitNanos(queue.countAhead(waiter), slotShares.guarantee(waiter.trafficClass()))) {
-            decisions.add(refuse(waiter, RefusalCause.TOO_SLOW));
+    private void enqueue(TrafficClassQueue queue, SlotRequest request, List<Decision> decisions) {
+        long untilStart = request.startByNanos() - time.nanoTime();
+        if (untilStart < queue.estimateWaitNanos(queue.countAhead(request), slotShares.guarantee(request.trafficClass()))) {
+            decisions.add(refuse(request, RefusalCause.TOO_SLOW));
             return;
         }
         if (waiting >= limits.queueLimit()) {
             Optional<SlotRequest> evicted = evictBorrowerFor(queue);
             if (evicted.isEmpty()) {
-                decisions.add(refuse(waiter, RefusalCause.QUEUE_FULL));
+                decisions.add(refuse(request, RefusalCause.QUEUE_FULL));
                 return;
             }
             decisions.add(refuse(evicted.get(), RefusalCause.EVICTED));
         }
-        queue.add(waiter);
+        queue.add(request);
         waiting++;
         scheduleWakeUp();
     }
@@ -216,17 +216,17 @@
         if (queue.waiting() >= queueShares.guarantee(queue.trafficClass())) {
             return Optional.empty();
         }
-        Optional<TrafficClassQueue> from = Optional.empty();
-        int most = 0;
+        Optional<TrafficClassQueue> mostBorrowed = Optional.empty();
+        int maxBorrowed = 0;
         for (TrafficClassQueue q : classes.values()) {
             int borrowed = q.waiting() - queueShares.guarantee(q.trafficClass());
-            if (borrowed > 0 && borrowed >= most) {
-                most = borrowed;
-                from = Optional.of(q);
+            if (borrowed > 0 && borrowed >= maxBorrowed) {
+                maxBorrowed = borrowed;
+                mostBorrowed = Optional.of(q);
             }
         }
-        from.ifPresent(q -> waiting--);
-        return from.map(TrafficClassQueue::pollLast);
+        mostBorrowed.ifPresent(q -> waiting--);
+        return mostBorrowed.map(TrafficClassQueue::pollLast);
     }
 
     private boolean mayAcquire(TrafficClassQueue queue) {
@@ -241,24 +241,24 @@
             // With fewer slots than classes somebody has no guarantee; one slot keeps it from waiting for ever.
             return true;
         }
-        int owed = 0;
+        int reserved = 0;
         for (TrafficClassQueue q : classes.values()) {
-            owed += q == queue ? q.inUse() : Math.max(q.inUse(), slotShares.guarantee(q.trafficClass()));
+            reserved += q == queue ? q.inUse() : Math.max(q.inUse(), slotShares.guarantee(q.trafficClass()));
         }
-        return owed < usableSlots.usable();
+        return reserved < usableSlots.usable();
     }
 
     private Optional<TrafficClassQueue> nextClassToServe() {
-        Optional<TrafficClassQueue> neediest = Optional.empty();
+        Optional<TrafficClassQueue> furthestBelowGuarantee = Optional.empty();
         for (TrafficClassQueue q : classes.values()) {
             if (q.waiting() > 0
                     && q.inUse() < slotShares.guarantee(q.trafficClass())
-                    && (neediest.isEmpty() || guaranteeUtilization(q) < guaranteeUtilization(neediest.get()))) {
-                neediest = Optional.of(q);
+                    && (furthestBelowGuarantee.isEmpty() || guaranteeUtilization(q) < guaranteeUtilization(furthestBelowGuarantee.get()))) {
+                furthestBelowGuarantee = Optional.of(q);
             }
         }
-        if (neediest.isPresent()) {
-            return neediest.filter(this::mayAcquire);
+        if (furthestBelowGuarantee.isPresent()) {
+            return furthestBelowGuarantee.filter(this::mayAcquire);
         }
         return classes.values().stream()
                 .filter(q -> q.waiting() > 0 && mayAcquire(q))
@@ -271,35 +271,35 @@
 
     private void dispatch(List<Decision> decisions) {
         for (Optional<TrafficClassQueue> q = nextClassToServe(); q.isPresent(); q = nextClassToServe()) {
-            SlotRequest w = q.get().pollFirst();
+            SlotRequest request = q.get().pollFirst();
             waiting--;
-            if (w.startByNanos() - time.nanoTime() <= 0) {
-                decisions.add(refuse(w, RefusalCause.EXPIRED));
+            if (request.startByNanos() - time.nanoTime() <= 0) {
+                decisions.add(refuse(request, RefusalCause.EXPIRED));
                 continue;
             }
-            metrics.waited(w.trafficClass(), time.nanoTime() - w.arrivedAtNanos());
-            decisions.add(admit(w));
+            metrics.waited(request.trafficClass(), time.nanoTime() - request.arrivedAtNanos());
+            decisions.add(admit(request));
         }
         scheduleWakeUp();
     }
 
-    private Decision admit(SlotRequest waiter) {
+    private Decision admit(SlotRequest request) {
         inUse++;
-        classes.get(waiter.trafficClass()).acquireSlot();
-        metrics.admitted(waiter.trafficClass());
-        int sum = classes.values().stream().mapToInt(TrafficClassQueue::inUse).sum();
-        int held = inUse;
+        classes.get(request.trafficClass()).acquireSlot();
+        metrics.admitted(request.trafficClass());
+        int heldByClass = classes.values().stream().mapToInt(TrafficClassQueue::inUse).sum();
+        int heldSlots = inUse;
         invariants.check(
                 Invariant.SLOTS_EXACT,
-                held <= limits.slots() && sum == held,
-                () -> held + " held, " + sum + " by class, of " + limits.slots());
-        return new Decision(waiter, new Admission.Admitted(new Permit(waiter.trafficClass(), time.nanoTime())));
+                heldSlots <= limits.slots() && heldByClass == heldSlots,
+                () -> heldSlots + " held, " + heldByClass + " by class, of " + limits.slots());
+        return new Decision(request, new Admission.Admitted(new Permit(request.trafficClass(), time.nanoTime())));
     }
 
-    private Decision refuse(SlotRequest waiter, RefusalCause cause) {
-        metrics.refused(waiter.trafficClass(), cause);
-        RefusalReason reason = waiter.deadline().isPast(time) ? RefusalReason.DEADLINE : RefusalReason.OVERLOADED;
-        return new Decision(waiter, new Admission.Refused(reason, retryAfterMillis(waiter.trafficClass())));
+    private Decision refuse(SlotRequest request, RefusalCause cause) {
+        metrics.refused(request.trafficClass(), cause);
+        RefusalReason reason = request.deadline().isPast(time) ? RefusalReason.DEADLINE : RefusalReason.OVERLOADED;
+        return new Decision(request, new Admission.Refused(reason, retryAfterMillis(request.trafficClass())));
     }
 
     private long retryAfterMillis(TrafficClass trafficClass) {
@@ -311,13 +311,13 @@
         return Math.clamp(Duration.ofNanos(nanos).toMillis(), 1, MAX_RETRY_AFTER.toMillis());
     }
 
-    private void release(TrafficClass trafficClass, Optional<Long> sinceNanos) {
+    private void release(TrafficClass trafficClass, Optional<Long> acquiredAtNanos) {
         List<Decision> decisions = new ArrayList<>(1);
         synchronized (this) {
             TrafficClassQueue queue = classes.get(trafficClass);
             queue.releaseSlot();
             inUse--;
-            sinceNanos.ifPresent(since -> queue.recordHoldTime(time.nanoTime() - since));
+            acquiredAtNanos.ifPresent(acquiredAt -> queue.recordHoldTime(time.nanoTime() - acquiredAt));
             raiseUsableSlots(decisions);
             dispatch(decisions);
         }
@@ -356,18 +356,18 @@
 
     private void refuseUnservable(List<Decision> decisions) {
         for (TrafficClassQueue q : classes.values()) {
-            q.removeUnservable(time.nanoTime(), slotShares.guarantee(q.trafficClass()), w -> {
+            q.removeUnservable(time.nanoTime(), slotShares.guarantee(q.trafficClass()), request -> {
                 waiting--;
-                boolean late = w.startByNanos() - time.nanoTime() <= 0;
-                decisions.add(refuse(w, late ? RefusalCause.EXPIRED : RefusalCause.TOO_SLOW));
+                boolean expired = request.startByNanos() - time.nanoTime() <= 0;
+                decisions.add(refuse(request, expired ? RefusalCause.EXPIRED : RefusalCause.TOO_SLOW));
             });
         }
     }
 
-    private synchronized void removeCancelled(SlotRequest waiter) {
-        if (classes.get(waiter.trafficClass()).remove(waiter)) {
+    private synchronized void removeCancelled(SlotRequest request) {
+        if (classes.get(request.trafficClass()).remove(request)) {
             waiting--;
-            metrics.cancelled(waiter.trafficClass());
+            metrics.cancelled(request.trafficClass());
         }
     }
 
@@ -376,25 +376,25 @@
         if (waiting == 0) {
             return;
         }
-        Optional<Deadline> next = usableSlots.nextRaise();
+        Optional<Deadline> earliest = usableSlots.nextRaise();
         for (TrafficClassQueue q : classes.values()) {
             if (q.waiting() > 0) {
                 Deadline start = new Deadline(q.peekFirst().orElseThrow().startByNanos());
-                next = Optional.of(next.map(start::earlier).orElse(start));
+                earliest = Optional.of(earliest.map(start::earlier).orElse(start));
             }
         }
-        Deadline at = next.orElseThrow();
-        if (scheduledWakeUp.isPresent() && scheduledWakeUp.get().atNanos() - at.atNanos() <= 0) {
+        Deadline wakeUpAt = earliest.orElseThrow();
+        if (scheduledWakeUp.isPresent() && scheduledWakeUp.get().atNanos() - wakeUpAt.atNanos() <= 0) {
             return;
         }
-        scheduledWakeUp = next;
-        scheduler.schedule(at, () -> onWakeUp(at));
+        scheduledWakeUp = earliest;
+        scheduler.schedule(wakeUpAt, () -> onWakeUp(wakeUpAt));
     }
 
-    private void onWakeUp(Deadline at) {
+    private void onWakeUp(Deadline wakeUpAt) {
         List<Decision> decisions = new ArrayList<>();
         synchronized (this) {
-            if (scheduledWakeUp.filter(at::equals).isPresent()) {
+            if (scheduledWakeUp.filter(wakeUpAt::equals).isPresent()) {
                 scheduledWakeUp = Optional.empty();
             }
             raiseUsableSlots(decisions);
@@ -406,9 +406,9 @@
 
     private void completeAll(List<Decision> decisions) {
         for (Decision d : decisions) {
-            boolean taken = d.request().complete(d.admission());
+            boolean completed = d.request().complete(d.admission());
             // Cancelled between the decision and here: the slot that nobody will use goes back.
-            if (!taken && d.admission() instanceof Admission.Admitted(Permit permit)) {
+            if (!completed && d.admission() instanceof Admission.Admitted(Permit permit)) {
                 permit.closeUnused();
             }
         }
