--- a/org.berylwick/src/org/berylwick/internal/limit/UsableSlots.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/UsableSlots.java
@@ -38,9 +38,9 @@
 
     /** Takes over a new number of declared slots; slots lost to sheds stay lost until they are raised. */
     void setDeclared(int slots) {
-        int lost = declared - usable;
+        int reduction = declared - usable;
         declared = slots;
-        usable = Math.max(minimum(), slots - lost);
+        usable = Math.max(minimum(), slots - reduction);
     }
 
     /** Notes a shed; tells whether the slots were lowered. */
