--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterFixture.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterFixture.java
@@ -25,23 +25,23 @@
         limiter = new SlotLimiter(time, scheduler, metrics, invariants, limits);
     }
 
-    CompletableFuture<Admission> acquire(TrafficClass trafficClass, Duration patience) {
-        return limiter.acquire(trafficClass, Deadline.after(time, patience));
+    CompletableFuture<Admission> acquire(TrafficClass trafficClass, Duration timeout) {
+        return limiter.acquire(trafficClass, Deadline.after(time, timeout));
     }
 
     /** Asks for a slot that must be free. */
-    Permit acquireNow(TrafficClass trafficClass, Duration patience) {
-        return permit(acquire(trafficClass, patience)).orElseThrow();
+    Permit acquireNow(TrafficClass trafficClass, Duration timeout) {
+        return permit(acquire(trafficClass, timeout)).orElseThrow();
     }
 
-    static Optional<Permit> permit(CompletableFuture<Admission> asked) {
-        return asked.isDone() && !asked.isCancelled() && asked.join() instanceof Admission.Admitted(Permit permit)
+    static Optional<Permit> permit(CompletableFuture<Admission> admission) {
+        return admission.isDone() && !admission.isCancelled() && admission.join() instanceof Admission.Admitted(Permit permit)
                 ? Optional.of(permit)
                 : Optional.empty();
     }
 
-    static boolean isRefused(CompletableFuture<Admission> asked) {
-        return asked.isDone() && !asked.isCancelled() && asked.join() instanceof Admission.Refused;
+    static boolean isRefused(CompletableFuture<Admission> admission) {
+        return admission.isDone() && !admission.isCancelled() && admission.join() instanceof Admission.Refused;
     }
 
     long breaches() {
