--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
@@ -37,16 +37,16 @@
         // more slots be given than there are, and once every request is over none may be missing.
         Random random = new Random(seed);
         SlotLimiterFixture f = new SlotLimiterFixture(SlotLimits.ofAllClasses(slots, queue));
-        List<CompletableFuture<Admission>> asked = new ArrayList<>();
+        List<CompletableFuture<Admission>> pending = new ArrayList<>();
         List<Permit> held = new ArrayList<>();
         int declared = slots;
         for (int i = 0; i < STEPS; i++) {
             int before = f.limiter.inUse();
             switch (random.nextInt(8)) {
-                case 0, 1, 2 -> asked.add(f.acquire(CLASSES[random.nextInt(4)], Duration.ofMillis(random.nextInt(3_000))));
+                case 0, 1, 2 -> pending.add(f.acquire(CLASSES[random.nextInt(4)], Duration.ofMillis(random.nextInt(3_000))));
                 case 3, 4 -> removeRandom(held, random).forEach(Permit::close);
                 case 5 -> removeRandom(held, random).forEach(Permit::closeAfterShed);
-                case 6 -> pickRandom(asked, random).forEach(a -> a.cancel(false));
+                case 6 -> pickRandom(pending, random).forEach(a -> a.cancel(false));
                 default -> {
                     if (random.nextInt(10) > 0) {
                         f.scheduler.advance(Duration.ofMillis(random.nextInt(300)));
@@ -56,16 +56,16 @@
                     }
                 }
             }
-            asked.removeIf(a -> {
+            pending.removeIf(a -> {
                 SlotLimiterFixture.permit(a).ifPresent(held::add);
                 return a.isDone();
             });
             assertEquals(held.size(), f.limiter.inUse());
-            assertEquals(asked.size(), f.limiter.waiting());
+            assertEquals(pending.size(), f.limiter.waiting());
             assertTrue(f.limiter.inUse() <= Math.max(before, declared));
             assertTrue(f.limiter.usableSlots() <= declared);
         }
-        asked.forEach(a -> a.cancel(false));
+        pending.forEach(a -> a.cancel(false));
         held.forEach(Permit::close);
         held.forEach(Permit::close);
         assertEquals(0, f.limiter.inUse());
@@ -82,7 +82,7 @@
         SlotLimiterFixture f = new SlotLimiterFixture(SlotLimits.ofAllClasses(12, 48));
         List<Running> running = new ArrayList<>();
         Map<TrafficClass, List<CompletableFuture<Admission>>> waiting = new EnumMap<>(TrafficClass.class);
-        Map<TrafficClass, Duration> below = new EnumMap<>(TrafficClass.class);
+        Map<TrafficClass, Duration> timeBelowGuarantee = new EnumMap<>(TrafficClass.class);
         Duration step = Duration.ofMillis(1);
         for (int i = 0; i < 3_000; i++) {
             boolean burst = i / 300 % 2 == 0;
@@ -92,18 +92,18 @@
             }
             f.scheduler.advance(step);
             long now = f.time.nanoTime();
-            List<Running> over = running.stream().filter(r -> r.endsAt <= now).toList();
-            running.removeAll(over);
-            over.forEach(r -> r.permit.close());
+            List<Running> finished = running.stream().filter(r -> r.endsAt <= now).toList();
+            running.removeAll(finished);
+            finished.forEach(r -> r.permit.close());
             waiting.forEach((k, list) -> list.removeIf(a -> {
                 SlotLimiterFixture.permit(a).ifPresent(p -> running.add(new Running(p, now + holdNanos(k, random))));
                 return a.isDone();
             }));
             for (TrafficClass k : CLASSES) {
-                boolean owed =
+                boolean belowGuarantee =
                         !waiting.getOrDefault(k, List.of()).isEmpty() && f.limiter.inUse(k) < f.limiter.guarantee(k);
-                below.merge(k, step, (a, b) -> owed ? a.plus(b) : Duration.ZERO);
-                assertTrue(below.get(k).toMillis() <= 102, () -> k + " owed a slot for " + below.get(k));
+                timeBelowGuarantee.merge(k, step, (a, b) -> belowGuarantee ? a.plus(b) : Duration.ZERO);
+                assertTrue(timeBelowGuarantee.get(k).toMillis() <= 102, () -> k + " owed a slot for " + timeBelowGuarantee.get(k));
             }
         }
     }
@@ -112,12 +112,12 @@
     void noSlotStaysIdleWhileEligibleRequestWaits(@ForAll long seed) {
         Random random = new Random(seed);
         SlotLimiterFixture f = new SlotLimiterFixture(SlotLimits.ofAllClasses(12, 48));
-        List<CompletableFuture<Admission>> asked = new ArrayList<>();
+        List<CompletableFuture<Admission>> pending = new ArrayList<>();
         for (int i = 0; i < STEPS; i++) {
             if (random.nextInt(5) < 3) {
-                asked.add(f.acquire(CLASSES[random.nextInt(3)], Duration.ofSeconds(5)));
+                pending.add(f.acquire(CLASSES[random.nextInt(3)], Duration.ofSeconds(5)));
             } else {
-                List<Permit> held = asked.stream()
+                List<Permit> held = pending.stream()
                         .flatMap(a -> SlotLimiterFixture.permit(a).stream())
                         .toList();
                 pickRandom(held, random).forEach(Permit::close);
@@ -130,13 +130,13 @@
 
     @Property(seed = "20264", tries = 300)
     void sharesFitCapacityAndGiveEveryClassOneIfPossible(
-            @ForAll @IntRange(min = 1, max = 200) int places, @ForAll @IntRange(min = 1, max = 15) int chosen) {
+            @ForAll @IntRange(min = 1, max = 200) int capacity, @ForAll @IntRange(min = 1, max = 15) int classMask) {
         List<TrafficClass> classes =
-                Stream.of(CLASSES).filter(c -> (chosen >> c.ordinal() & 1) == 1).toList();
-        TrafficClassShares shares = TrafficClassShares.divide(places, Set.copyOf(classes));
-        assertTrue(shares.total() <= places);
-        long without = classes.stream().filter(c -> shares.guarantee(c) == 0).count();
-        assertEquals(Math.max(0, classes.size() - places), without);
+                Stream.of(CLASSES).filter(c -> (classMask >> c.ordinal() & 1) == 1).toList();
+        TrafficClassShares shares = TrafficClassShares.divide(capacity, Set.copyOf(classes));
+        assertTrue(shares.total() <= capacity);
+        long classesWithoutShare = classes.stream().filter(c -> shares.guarantee(c) == 0).count();
+        assertEquals(Math.max(0, classes.size() - capacity), classesWithoutShare);
     }
 
     @Example
@@ -159,12 +159,12 @@
     private static void acquireAndReleaseRepeatedly(SlotLimiterFixture f) {
         for (int i = 0; i < 5_000; i++) {
             ThreadLocalRandom random = ThreadLocalRandom.current();
-            CompletableFuture<Admission> asked =
+            CompletableFuture<Admission> pending =
                     f.limiter.acquire(CLASSES[random.nextInt(4)], Deadline.after(f.time, Duration.ofSeconds(1)));
-            if (random.nextBoolean() && asked.cancel(false)) {
+            if (random.nextBoolean() && pending.cancel(false)) {
                 continue;
             }
-            asked.thenAccept(a -> {
+            pending.thenAccept(a -> {
                 if (a instanceof Admission.Admitted(Permit permit)) {
                     permit.close();
                 }
