--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
@@ -69,11 +69,11 @@
 
     @Test
     void serviceWithOnlyBulkRequestsUsesAllSlotsForThem() {
-        SlotLimiterFixture artvault = new SlotLimiterFixture(new SlotLimits(SLOTS, QUEUE_LIMIT, Set.of(TrafficClass.BULK)));
+        SlotLimiterFixture bulkOnly = new SlotLimiterFixture(new SlotLimits(SLOTS, QUEUE_LIMIT, Set.of(TrafficClass.BULK)));
         for (int i = 0; i < SLOTS; i++) {
-            artvault.acquireNow(TrafficClass.BULK, LONG_TIMEOUT);
+            bulkOnly.acquireNow(TrafficClass.BULK, LONG_TIMEOUT);
         }
-        assertEquals(SLOTS, artvault.limiter.inUse());
+        assertEquals(SLOTS, bulkOnly.limiter.inUse());
     }
 
     @Test
@@ -108,11 +108,11 @@
         measured.forEach(Permit::close);
         acquireMany(TrafficClass.READ, SLOTS);
         enqueueMany(TrafficClass.READ, 24);
-        CompletableFuture<Admission> patient = f.acquire(TrafficClass.READ, Duration.ofMinutes(1));
-        CompletableFuture<Admission> hasty = f.acquire(TrafficClass.READ, Duration.ofMillis(30));
-        assertFalse(patient.isDone());
-        assertTrue(isRefused(hasty));
-        Admission.Refused refusal = (Admission.Refused) hasty.join();
+        CompletableFuture<Admission> longDeadline = f.acquire(TrafficClass.READ, Duration.ofMinutes(1));
+        CompletableFuture<Admission> shortDeadline = f.acquire(TrafficClass.READ, Duration.ofMillis(30));
+        assertFalse(longDeadline.isDone());
+        assertTrue(isRefused(shortDeadline));
+        Admission.Refused refusal = (Admission.Refused) shortDeadline.join();
         assertEquals(RefusalReason.OVERLOADED, refusal.reason());
         assertTrue(refusal.retryAfterMillis() > 0);
     }
@@ -132,8 +132,8 @@
         // A slot comes free for the first waiter, whose continuation gives up the second one, which was given a slot
         // by the same release. Nobody would ever close that permit; the slot must come back by itself.
         Permit held = f.acquireNow(TrafficClass.READ, TIMEOUT);
-        SlotLimits one = SlotLimits.ofAllClasses(1, QUEUE_LIMIT);
-        f.limiter.setLimits(one);
+        SlotLimits oneSlot = SlotLimits.ofAllClasses(1, QUEUE_LIMIT);
+        f.limiter.setLimits(oneSlot);
         CompletableFuture<Admission> first = f.acquire(TrafficClass.READ, TIMEOUT);
         CompletableFuture<Admission> second = f.acquire(TrafficClass.READ, TIMEOUT.plusSeconds(1));
         first.thenAccept(a -> second.cancel(false));
@@ -148,8 +148,8 @@
     void fullQueueEvictsBorrowerForClassBelowGuarantee() {
         acquireMany(TrafficClass.LOOKUP, SLOTS);
         List<CompletableFuture<Admission>> lookups = enqueueMany(TrafficClass.LOOKUP, QUEUE_LIMIT);
-        CompletableFuture<Admission> order = f.acquire(TrafficClass.CONFIRMATION, TIMEOUT);
-        assertFalse(order.isDone());
+        CompletableFuture<Admission> confirmation = f.acquire(TrafficClass.CONFIRMATION, TIMEOUT);
+        assertFalse(confirmation.isDone());
         assertEquals(1, lookups.stream().filter(SlotLimiterFixture::isRefused).count());
         assertEquals(QUEUE_LIMIT, f.limiter.waiting());
     }
@@ -189,10 +189,10 @@
     }
 
     private List<CompletableFuture<Admission>> enqueueMany(TrafficClass trafficClass, int count) {
-        List<CompletableFuture<Admission>> asked = new ArrayList<>();
+        List<CompletableFuture<Admission>> pending = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            asked.add(f.acquire(trafficClass, TIMEOUT));
+            pending.add(f.acquire(trafficClass, TIMEOUT));
         }
-        return asked;
+        return pending;
     }
 }
