--- a/org.berylwick/src/org/berylwick/internal/retry/RetryBudget.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/RetryBudget.java
@@ -23,14 +23,14 @@
     /**
      * A budget with no request seen yet.
      *
-     * @param share retries allowed for each request of the window
-     * @param floor retries allowed in a window whatever the number of requests
+     * @param retryRatio retries allowed for each request of the window
+     * @param minRetries retries allowed in a window whatever the number of requests
      * @param windowMillis length of the window
      */
-    public RetryBudget(TimeSource time, double share, int floor, long windowMillis) {
+    public RetryBudget(TimeSource time, double retryRatio, int minRetries, long windowMillis) {
         this.time = time;
-        this.retryRatio = share;
-        this.minRetries = floor;
+        this.retryRatio = retryRatio;
+        this.minRetries = minRetries;
         this.bucketNanos = Math.max(1, windowMillis * 1_000_000L / BUCKETS);
         this.originNanos = time.nanoTime();
     }
@@ -42,23 +42,23 @@
 
     /** Takes one retry out of the budget if there is one left. */
     public synchronized boolean tryAcquireRetry() {
-        int slot = currentBucketIndex();
+        int index = currentBucketIndex();
         if (sum(retries) + 1 > minRetries + retryRatio * sum(requests)) {
             return false;
         }
-        retries[slot]++;
+        retries[index]++;
         return true;
     }
 
     private int currentBucketIndex() {
         long bucket = (time.nanoTime() - originNanos) / bucketNanos;
-        long stale = Math.min(BUCKETS, bucket - newestBucket);
-        for (long i = 1; i <= stale; i++) {
-            int slot = (int) ((newestBucket + i) % BUCKETS);
-            requests[slot] = 0;
-            retries[slot] = 0;
+        long expiredBuckets = Math.min(BUCKETS, bucket - newestBucket);
+        for (long i = 1; i <= expiredBuckets; i++) {
+            int index = (int) ((newestBucket + i) % BUCKETS);
+            requests[index] = 0;
+            retries[index] = 0;
         }
-        if (stale > 0) {
+        if (expiredBuckets > 0) {
             newestBucket = bucket;
         }
         return (int) (newestBucket % BUCKETS);
