--- a/org.berylwick/src/org/berylwick/internal/retry/RetryRule.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/RetryRule.java
@@ -32,14 +32,14 @@
     }
 
     /** Decides; the budget is asked last, and only a retry takes from it. */
-    public Verdict decide(AttemptHistory log, RetryBudget budget, TimeSource time) {
-        if (log.mayHaveRun() && !idempotent) {
+    public Verdict decide(AttemptHistory history, RetryBudget budget, TimeSource time) {
+        if (history.mayHaveRun() && !idempotent) {
             return Verdict.UNSAFE;
         }
         if (!replayable) {
             return Verdict.NOT_REPLAYABLE;
         }
-        if (log.attempts() >= maxAttempts) {
+        if (history.attempts() >= maxAttempts) {
             return Verdict.NO_ATTEMPT_LEFT;
         }
         if (deadline.remainingMillis(time) <= 0) {
@@ -58,9 +58,9 @@
      *
      * @return milliseconds, at least 1
      */
-    public long attemptTimeoutMillis(AttemptHistory log, TimeSource time) {
+    public long attemptTimeoutMillis(AttemptHistory history, TimeSource time) {
         long remaining = Math.max(1, deadline.remainingMillis(time));
-        boolean anotherPossible = idempotent && replayable && log.attempts() + 1 < maxAttempts;
+        boolean anotherPossible = idempotent && replayable && history.attempts() + 1 < maxAttempts;
         return anotherPossible ? remaining - Math.min(MAX_RESERVE_MILLIS, remaining / RESERVE_DIVISOR) : remaining;
     }
 }
