--- a/org.berylwick.test/tst/org/berylwick/internal/retry/RetryRuleTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/retry/RetryRuleTest.java
@@ -34,29 +34,29 @@
     }
 
     private static AttemptHistory historyOf(List<Outcome<String>> outcomes) {
-        AttemptHistory log = AttemptHistory.NONE;
+        AttemptHistory history = AttemptHistory.NONE;
         for (Outcome<String> o : outcomes) {
-            log = log.plus(o);
+            history = history.plus(o);
         }
-        return log;
+        return history;
     }
 
     @Property(seed = "4721")
     void oneUnknownAttemptMakesRequestOutcomeUnknown(@ForAll("failures") List<Outcome<String>> outcomes) {
         boolean anyUnknown = outcomes.stream().anyMatch(o -> o instanceof Outcome.Unknown<String>);
-        Outcome<String> said = historyOf(outcomes).finalOutcome();
-        assertEquals(anyUnknown, said instanceof Outcome.Unknown<String>, said.toString());
+        Outcome<String> outcome = historyOf(outcomes).finalOutcome();
+        assertEquals(anyUnknown, outcome instanceof Outcome.Unknown<String>, outcome.toString());
     }
 
     @Property(seed = "4722")
     void nonIdempotentRequestThatMayHaveRunIsNotRetried(
             @ForAll("failures") List<Outcome<String>> outcomes, @ForAll @IntRange(min = 1, max = 9) int maxAttempts) {
         RetryRule rule = new RetryRule(false, true, maxAttempts, Deadline.afterMillis(time, 1_000));
-        AttemptHistory log = AttemptHistory.NONE;
+        AttemptHistory history = AttemptHistory.NONE;
         for (Outcome<String> o : outcomes) {
-            log = log.plus(o);
-            Verdict verdict = rule.decide(log, unlimited(), time);
-            if (log.mayHaveRun()) {
+            history = history.plus(o);
+            Verdict verdict = rule.decide(history, unlimited(), time);
+            if (history.mayHaveRun()) {
                 assertEquals(Verdict.UNSAFE, verdict);
             }
         }
@@ -69,13 +69,13 @@
             @ForAll @IntRange(max = 2_000) int elapsedMillis) {
         RetryRule rule = new RetryRule(true, true, maxAttempts, Deadline.afterMillis(time, 1_000));
         time.advance(Duration.ofMillis(elapsedMillis));
-        AttemptHistory log = historyOf(outcomes);
-        Verdict verdict = rule.decide(log, unlimited(), time);
-        if (elapsedMillis >= 1_000 || log.attempts() >= maxAttempts) {
+        AttemptHistory history = historyOf(outcomes);
+        Verdict verdict = rule.decide(history, unlimited(), time);
+        if (elapsedMillis >= 1_000 || history.attempts() >= maxAttempts) {
             assertNotEquals(Verdict.RETRY, verdict);
         }
         if (elapsedMillis < 1_000) {
-            assertTrue(rule.attemptTimeoutMillis(log, time) <= 1_000 - elapsedMillis);
+            assertTrue(rule.attemptTimeoutMillis(history, time) <= 1_000 - elapsedMillis);
         }
     }
 
@@ -93,18 +93,18 @@
     void backoffDelayStaysWithinBounds(
             @ForAll @IntRange(max = 100) int round, @ForAll @IntRange(min = 1, max = 1_000) int base) {
         Backoff backoff = new Backoff(base, 2_000);
-        long pause = backoff.delayMillis(round, new Random(round));
+        long delay = backoff.delayMillis(round, new Random(round));
         long bound = Math.min(2_000, (long) base << Math.min(round, 30));
-        assertTrue(pause >= 0 && pause <= bound, pause + " of " + bound);
+        assertTrue(delay >= 0 && delay <= bound, delay + " of " + bound);
     }
 
     @Property(seed = "4725", tries = 20)
     void unreplayableBodyOrExhaustedBudgetPreventsRetry(@ForAll boolean idempotent) {
         AttemptHistory refused = AttemptHistory.NONE.plus(new Outcome.RefusedNotRun<>(RefusalReason.SHED, Optional.of(1_000L)));
-        Deadline by = Deadline.afterMillis(time, 1_000);
-        RetryBudget none = new RetryBudget(time, 0, 0, 1_000);
-        assertEquals(Verdict.NOT_REPLAYABLE, new RetryRule(idempotent, false, 3, by).decide(refused, none, time));
-        assertEquals(Verdict.OVER_BUDGET, new RetryRule(idempotent, true, 3, by).decide(refused, none, time));
+        Deadline deadline = Deadline.afterMillis(time, 1_000);
+        RetryBudget exhausted = new RetryBudget(time, 0, 0, 1_000);
+        assertEquals(Verdict.NOT_REPLAYABLE, new RetryRule(idempotent, false, 3, deadline).decide(refused, exhausted, time));
+        assertEquals(Verdict.OVER_BUDGET, new RetryRule(idempotent, true, 3, deadline).decide(refused, exhausted, time));
         assertInstanceOf(Outcome.RefusedNotRun.class, refused.finalOutcome());
     }
 
