--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
@@ -96,7 +96,8 @@
         headers.set(HttpHeaderNames.RANGE, "bytes=" + passed + "-");
         headers.set(HttpHeaderNames.IF_RANGE, validator);
         from = member.get();
-        current = forwarder.send(call.withHeaders(headers.build()), from, rule.attemptTimeoutMillis(log, forwarder.time()));
+        current = forwarder.send(
+                call.withHeaders(headers.build()), from, rule.attemptTimeoutMillis(log, forwarder.time()));
         current.outcome().thenAccept(outcome -> {
             switch (outcome) {
                 case Outcome.Answered<Answer>(Answer answer) -> join(answer, cause, rest);
--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterFixture.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterFixture.java
@@ -35,7 +35,9 @@
     }
 
     static Optional<Permit> permit(CompletableFuture<Admission> admission) {
-        return admission.isDone() && !admission.isCancelled() && admission.join() instanceof Admission.Admitted(Permit permit)
+        return admission.isDone()
+                        && !admission.isCancelled()
+                        && admission.join() instanceof Admission.Admitted(Permit permit)
                 ? Optional.of(permit)
                 : Optional.empty();
     }
--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
@@ -43,7 +43,8 @@
         for (int i = 0; i < STEPS; i++) {
             int before = f.limiter.inUse();
             switch (random.nextInt(8)) {
-                case 0, 1, 2 -> pending.add(f.acquire(CLASSES[random.nextInt(4)], Duration.ofMillis(random.nextInt(3_000))));
+                case 0, 1, 2 ->
+                    pending.add(f.acquire(CLASSES[random.nextInt(4)], Duration.ofMillis(random.nextInt(3_000))));
                 case 3, 4 -> removeRandom(held, random).forEach(Permit::close);
                 case 5 -> removeRandom(held, random).forEach(Permit::closeAfterShed);
                 case 6 -> pickRandom(pending, random).forEach(a -> a.cancel(false));
@@ -92,7 +93,8 @@
             }
             f.scheduler.advance(step);
             long now = f.time.nanoTime();
-            List<Running> finished = running.stream().filter(r -> r.endsAt <= now).toList();
+            List<Running> finished =
+                    running.stream().filter(r -> r.endsAt <= now).toList();
             running.removeAll(finished);
             finished.forEach(r -> r.permit.close());
             waiting.forEach((k, list) -> list.removeIf(a -> {
@@ -103,7 +105,9 @@
                 boolean belowGuarantee =
                         !waiting.getOrDefault(k, List.of()).isEmpty() && f.limiter.inUse(k) < f.limiter.guarantee(k);
                 timeBelowGuarantee.merge(k, step, (a, b) -> belowGuarantee ? a.plus(b) : Duration.ZERO);
-                assertTrue(timeBelowGuarantee.get(k).toMillis() <= 102, () -> k + " owed a slot for " + timeBelowGuarantee.get(k));
+                assertTrue(
+                        timeBelowGuarantee.get(k).toMillis() <= 102,
+                        () -> k + " owed a slot for " + timeBelowGuarantee.get(k));
             }
         }
     }
@@ -131,11 +135,13 @@
     @Property(seed = "20264", tries = 300)
     void sharesFitCapacityAndGiveEveryClassOneIfPossible(
             @ForAll @IntRange(min = 1, max = 200) int capacity, @ForAll @IntRange(min = 1, max = 15) int classMask) {
-        List<TrafficClass> classes =
-                Stream.of(CLASSES).filter(c -> (classMask >> c.ordinal() & 1) == 1).toList();
+        List<TrafficClass> classes = Stream.of(CLASSES)
+                .filter(c -> (classMask >> c.ordinal() & 1) == 1)
+                .toList();
         TrafficClassShares shares = TrafficClassShares.divide(capacity, Set.copyOf(classes));
         assertTrue(shares.total() <= capacity);
-        long classesWithoutShare = classes.stream().filter(c -> shares.guarantee(c) == 0).count();
+        long classesWithoutShare =
+                classes.stream().filter(c -> shares.guarantee(c) == 0).count();
         assertEquals(Math.max(0, classes.size() - capacity), classesWithoutShare);
     }
 
--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
@@ -69,7 +69,8 @@
 
     @Test
     void serviceWithOnlyBulkRequestsUsesAllSlotsForThem() {
-        SlotLimiterFixture bulkOnly = new SlotLimiterFixture(new SlotLimits(SLOTS, QUEUE_LIMIT, Set.of(TrafficClass.BULK)));
+        SlotLimiterFixture bulkOnly =
+                new SlotLimiterFixture(new SlotLimits(SLOTS, QUEUE_LIMIT, Set.of(TrafficClass.BULK)));
         for (int i = 0; i < SLOTS; i++) {
             bulkOnly.acquireNow(TrafficClass.BULK, LONG_TIMEOUT);
         }
--- a/org.berylwick.test/tst/org/berylwick/internal/retry/RetryRuleTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/retry/RetryRuleTest.java
@@ -100,11 +100,14 @@
 
     @Property(seed = "4725", tries = 20)
     void unreplayableBodyOrExhaustedBudgetPreventsRetry(@ForAll boolean idempotent) {
-        AttemptHistory refused = AttemptHistory.NONE.plus(new Outcome.RefusedNotRun<>(RefusalReason.SHED, Optional.of(1_000L)));
+        AttemptHistory refused =
+                AttemptHistory.NONE.plus(new Outcome.RefusedNotRun<>(RefusalReason.SHED, Optional.of(1_000L)));
         Deadline deadline = Deadline.afterMillis(time, 1_000);
         RetryBudget exhausted = new RetryBudget(time, 0, 0, 1_000);
-        assertEquals(Verdict.NOT_REPLAYABLE, new RetryRule(idempotent, false, 3, deadline).decide(refused, exhausted, time));
-        assertEquals(Verdict.OVER_BUDGET, new RetryRule(idempotent, true, 3, deadline).decide(refused, exhausted, time));
+        assertEquals(
+                Verdict.NOT_REPLAYABLE, new RetryRule(idempotent, false, 3, deadline).decide(refused, exhausted, time));
+        assertEquals(
+                Verdict.OVER_BUDGET, new RetryRule(idempotent, true, 3, deadline).decide(refused, exhausted, time));
         assertInstanceOf(Outcome.RefusedNotRun.class, refused.finalOutcome());
     }
 
--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserPropertyTest.java
@@ -23,7 +23,9 @@
 
 /** What holds for the choice of a member whatever is known of them. */
 class MemberChooserPropertyTest {
-    private static final Place[] PLACES = {MemberChooserFixture.MAKATI, MemberChooserFixture.PASIG, MemberChooserFixture.CEBU};
+    private static final Place[] PLACES = {
+        MemberChooserFixture.MAKATI, MemberChooserFixture.PASIG, MemberChooserFixture.CEBU
+    };
 
     @Property(seed = "20271", tries = 300)
     void membersInStateUpArePreferredToSuspectOnes(@ForAll long seed, @ForAll @IntRange(max = 9) int count) {
--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -219,9 +219,13 @@
         f.add("b", PASIG);
         f.add("c", CEBU);
         assertNotEquals(
-                "a", ((MemberChoice.Chosen) f.choose(true, Set.of("a"))).member().instance());
+                "a",
+                ((MemberChoice.Chosen) f.choose(true, Set.of("a"))).member().instance());
         assertEquals(
-                "c", ((MemberChoice.Chosen) f.choose(true, Set.of("a", "b"))).member().instance());
+                "c",
+                ((MemberChoice.Chosen) f.choose(true, Set.of("a", "b")))
+                        .member()
+                        .instance());
         assertInstanceOf(MemberChoice.AllTried.class, f.choose(true, Set.of("a", "b", "c")));
     }
 
--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -23,9 +23,9 @@
  *
  * <p>Each traffic class that the configuration brings to the service has a guaranteed share of the slots and of the
  * queue. Idle slots are lent, but only to classes that are known to give them back within
- * {@link TrafficClassQueue#MAX_HOLD_TIME_TO_BORROW}: a class below its guarantee waits at most for one such request. A free slot goes
- * first to the class that is furthest below its guarantee, then to the most urgent class; within a class to the request
- * that must start first. Who can't be served in time is refused as soon as that is known.
+ * {@link TrafficClassQueue#MAX_HOLD_TIME_TO_BORROW}: a class below its guarantee waits at most for one such request. A
+ * free slot goes first to the class that is furthest below its guarantee, then to the most urgent class; within a class
+ * to the request that must start first. Who can't be served in time is refused as soon as that is known.
  *
  * <p>Safe for use from any thread. Futures complete outside the lock, on the thread that freed the slot.
  */
@@ -143,7 +143,8 @@
         synchronized (this) {
             long now = time.nanoTime();
             TrafficClassQueue queue = classes.get(trafficClass);
-            request = new SlotRequest(trafficClass, deadline, nextSequence++, now, queue.meanHoldNanos(), this::removeCancelled);
+            request = new SlotRequest(
+                    trafficClass, deadline, nextSequence++, now, queue.meanHoldNanos(), this::removeCancelled);
             raiseUsableSlots(decisions);
             if (deadline.isPast(time)) {
                 decisions.add(refuse(request, RefusalCause.EXPIRED));
@@ -194,7 +195,8 @@
 
     private void enqueue(TrafficClassQueue queue, SlotRequest request, List<Decision> decisions) {
         long untilStart = request.startByNanos() - time.nanoTime();
-        if (untilStart < queue.estimateWaitNanos(queue.countAhead(request), slotShares.guarantee(request.trafficClass()))) {
+        if (untilStart
+                < queue.estimateWaitNanos(queue.countAhead(request), slotShares.guarantee(request.trafficClass()))) {
             decisions.add(refuse(request, RefusalCause.TOO_SLOW));
             return;
         }
@@ -253,7 +255,8 @@
         for (TrafficClassQueue q : classes.values()) {
             if (q.waiting() > 0
                     && q.inUse() < slotShares.guarantee(q.trafficClass())
-                    && (furthestBelowGuarantee.isEmpty() || guaranteeUtilization(q) < guaranteeUtilization(furthestBelowGuarantee.get()))) {
+                    && (furthestBelowGuarantee.isEmpty()
+                            || guaranteeUtilization(q) < guaranteeUtilization(furthestBelowGuarantee.get()))) {
                 furthestBelowGuarantee = Optional.of(q);
             }
         }
@@ -287,7 +290,8 @@
         inUse++;
         classes.get(request.trafficClass()).acquireSlot();
         metrics.admitted(request.trafficClass());
-        int heldByClass = classes.values().stream().mapToInt(TrafficClassQueue::inUse).sum();
+        int heldByClass =
+                classes.values().stream().mapToInt(TrafficClassQueue::inUse).sum();
         int heldSlots = inUse;
         invariants.check(
                 Invariant.SLOTS_EXACT,
--- a/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
@@ -56,7 +56,8 @@
 
     /** Takes one measured hold time into the mean. */
     void recordHoldTime(long nanos) {
-        meanHoldNanos = meanHoldNanos == 0 ? nanos : meanHoldNanos + HOLD_TIME_SMOOTHING_FACTOR * (nanos - meanHoldNanos);
+        meanHoldNanos =
+                meanHoldNanos == 0 ? nanos : meanHoldNanos + HOLD_TIME_SMOOTHING_FACTOR * (nanos - meanHoldNanos);
     }
 
     /** How long a request holds its slot, zero before the first was measured. */
@@ -116,7 +117,8 @@
         int ahead = 0;
         for (Iterator<SlotRequest> i = waitingRequests.iterator(); i.hasNext(); ) {
             SlotRequest request = i.next();
-            if (request.startByNanos() - nowNanos > 0 && request.startByNanos() - nowNanos >= estimateWaitNanos(ahead, slots)) {
+            if (request.startByNanos() - nowNanos > 0
+                    && request.startByNanos() - nowNanos >= estimateWaitNanos(ahead, slots)) {
                 ahead++;
                 continue;
             }
--- a/org.berylwick/src/org/berylwick/internal/retry/AttemptHistory.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/AttemptHistory.java
@@ -16,7 +16,8 @@
 public record AttemptHistory(
         int attempts, boolean mayHaveRun, RefusalReason reason, Optional<Long> retryAfterMillis, String detail) {
     /** No attempt yet. */
-    public static final AttemptHistory NONE = new AttemptHistory(0, false, RefusalReason.NO_MEMBER, Optional.empty(), "");
+    public static final AttemptHistory NONE =
+            new AttemptHistory(0, false, RefusalReason.NO_MEMBER, Optional.empty(), "");
 
     /** This log with one more attempt that did not bring an answer. */
     public AttemptHistory plus(Outcome<?> outcome) {
@@ -24,7 +25,8 @@
             case Outcome.Answered<?> a -> throw new IllegalArgumentException("an answered request has no next attempt");
             case Outcome.RefusedNotRun<?>(RefusalReason why, Optional<Long> after) ->
                 new AttemptHistory(attempts + 1, mayHaveRun, why, after, detail);
-            case Outcome.Unknown<?>(String what) -> new AttemptHistory(attempts + 1, true, reason, retryAfterMillis, what);
+            case Outcome.Unknown<?>(String what) ->
+                new AttemptHistory(attempts + 1, true, reason, retryAfterMillis, what);
         };
     }
 
--- a/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
@@ -86,7 +86,9 @@
 
     /** Ejects it; gives the backoff. */
     Duration eject(long nowNanos) {
-        if (ejectedUntil.isEmpty() && ejectionCount > 0 && nowNanos - readmittedAtNanos > BACKOFF_RESET_AFTER.toNanos()) {
+        if (ejectedUntil.isEmpty()
+                && ejectionCount > 0
+                && nowNanos - readmittedAtNanos > BACKOFF_RESET_AFTER.toNanos()) {
             ejectionCount = 0;
         }
         long backoffNanos = Math.min(MAX_BACKOFF.toNanos(), INITIAL_BACKOFF.toNanos() << Math.min(ejectionCount, 10));
--- a/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
@@ -45,7 +45,11 @@
      * @param randomSource asked for a source at each choice, on the thread that chooses
      */
     public MemberChooser(
-            Place localPlace, PeerLoads loads, TimeSource time, MetricRegistry metrics, Supplier<RandomGenerator> randomSource) {
+            Place localPlace,
+            PeerLoads loads,
+            TimeSource time,
+            MetricRegistry metrics,
+            Supplier<RandomGenerator> randomSource) {
         this.localPlace = localPlace;
         this.loads = loads;
         this.time = time;
@@ -116,8 +120,7 @@
     private Set<String> findExcluded(List<Member> up, long nowNanos) {
         List<Member> failing = up.stream()
                 .filter(m -> loads.stats(m).ejectionStatus(nowNanos) != Status.HEALTHY)
-                .sorted(Comparator.<Member, Status>comparing(
-                                m -> loads.stats(m).ejectionStatus(nowNanos))
+                .sorted(Comparator.<Member, Status>comparing(m -> loads.stats(m).ejectionStatus(nowNanos))
                         .reversed()
                         .thenComparing(Member::instance))
                 .toList();
--- a/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
@@ -119,7 +119,8 @@
 
     /** Takes in how long an answer took to begin; gives how many were taken in since the last ejection. */
     synchronized int recordLatency(long nanos) {
-        meanLatencyNanos = latencyCount == 0 ? nanos : meanLatencyNanos + LATENCY_SMOOTHING_FACTOR * (nanos - meanLatencyNanos);
+        meanLatencyNanos =
+                latencyCount == 0 ? nanos : meanLatencyNanos + LATENCY_SMOOTHING_FACTOR * (nanos - meanLatencyNanos);
         return ++latencyCount;
     }
 
--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -61,7 +61,8 @@
      *
      * @param currentView the view as of now
      */
-    public PeerLoads(Supplier<MembershipView> currentView, LocalLoad localLoad, TimeSource time, MetricRegistry metrics) {
+    public PeerLoads(
+            Supplier<MembershipView> currentView, LocalLoad localLoad, TimeSource time, MetricRegistry metrics) {
         this.localLoad = localLoad;
         this.currentView = currentView;
         this.time = time;
@@ -106,7 +107,8 @@
                         stats.member().instance(),
                         stats.member().service());
             }
-            if (comparableLatency && stats.recordLatency(time.nanoTime() - startedAtNanos) % LATENCY_SAMPLES_PER_CHECK == 0) {
+            if (comparableLatency
+                    && stats.recordLatency(time.nanoTime() - startedAtNanos) % LATENCY_SAMPLES_PER_CHECK == 0) {
                 ejectIfSlow(stats);
             }
         }
--- a/org.berylwick/src/org/berylwick/internal/routing/Tiers.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/Tiers.java
@@ -48,8 +48,9 @@
     static List<Tier> of(Place localPlace, List<Member> members, PeerLoads loads, long nowNanos) {
         List<Tier> tiers = new ArrayList<>(Distance.values().length);
         for (Distance d : Distance.values()) {
-            List<Member> membersAtDistance =
-                    members.stream().filter(m -> distance(localPlace, m.place()) == d).toList();
+            List<Member> membersAtDistance = members.stream()
+                    .filter(m -> distance(localPlace, m.place()) == d)
+                    .toList();
             if (!membersAtDistance.isEmpty()) {
                 tiers.add(tier(d, membersAtDistance, loads, nowNanos));
             }
@@ -80,7 +81,8 @@
             return 1;
         }
         double pressure = Math.clamp((nearTier.utilization() - SPILL_THRESHOLD) / (1 - SPILL_THRESHOLD), 0, 1);
-        double utilizationGap = Math.clamp((nearTier.utilization() - load / capacity) / FULL_SPILL_UTILIZATION_GAP, 0, 1);
+        double utilizationGap =
+                Math.clamp((nearTier.utilization() - load / capacity) / FULL_SPILL_UTILIZATION_GAP, 0, 1);
         double fairShare = nearTier.capacity / (nearTier.capacity + capacity);
         return 1 - pressure * utilizationGap * (1 - fairShare);
     }
