--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -69,7 +69,7 @@
         f.add("b", MAKATI);
         f.loads.begin(a).reportLoad(12);
         assertTrue(f.countChoices(CHOICES).getOrDefault("a", 0) == 0);
-        f.time.advance(MemberStats.LOAD_REPORT_EXPIRY);
+        f.time.advance(MemberLoadRecord.LOAD_REPORT_EXPIRY);
         Member b = f.members.get(1);
         f.startRequests(b, 2);
         assertTrue(f.countChoices(CHOICES).getOrDefault("a", 0) > CHOICES / 2);
@@ -165,9 +165,9 @@
         f.countChoices(1);
         f.add("d", MAKATI, Member.State.UP, 60_000);
         int cold = f.countChoices(CHOICES).getOrDefault("d", 0);
-        f.time.advance(MemberStats.SLOW_START_DURATION.dividedBy(2));
+        f.time.advance(MemberLoadRecord.SLOW_START_DURATION.dividedBy(2));
         int warmer = f.countChoices(CHOICES).getOrDefault("d", 0);
-        f.time.advance(MemberStats.SLOW_START_DURATION);
+        f.time.advance(MemberLoadRecord.SLOW_START_DURATION);
         int warm = f.countChoices(CHOICES).getOrDefault("d", 0);
         assertTrue(cold > 0 && cold < CHOICES / 8, "cold " + cold);
         assertTrue(warmer > cold && warm > warmer, cold + " " + warmer + " " + warm);
--- a/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
@@ -107,7 +107,7 @@
     }
 
     private boolean isDueForProbe(Member m, long nowNanos) {
-        MemberStats stats = loads.stats(m);
+        MemberLoadRecord stats = loads.stats(m);
         return stats.ejectionStatus(nowNanos) == Status.PROBATION && stats.inFlight() == 0;
     }
 
--- a/org.berylwick/src/org/berylwick/internal/routing/MemberStats.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberLoadRecord.java
@@ -10,7 +10,7 @@
  *
  * <p>Safe for use from any thread; readers may see a value a moment old.
  */
-final class MemberStats {
+final class MemberLoadRecord {
     /** A reported load counts for nothing after that time. */
     static final Duration LOAD_REPORT_EXPIRY = Duration.ofSeconds(2);
 
@@ -42,7 +42,7 @@
      * @param appearedAtNanos when the member appeared, if it did so while this process was looking on
      * @param localLoad counts the member's requests, if it is this process's own
      */
-    MemberStats(Member member, Optional<Long> appearedAtNanos, Optional<IntSupplier> localLoad) {
+    MemberLoadRecord(Member member, Optional<Long> appearedAtNanos, Optional<IntSupplier> localLoad) {
         this.member = member;
         this.appearedAtNanos = appearedAtNanos;
         this.localLoad = localLoad;
--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -37,7 +37,7 @@
     private static final Duration MIN_TIMEOUT_COUNTED_AS_FAILURE = Duration.ofMillis(100);
 
     private final TimeSource time;
-    private final Map<String, MemberStats> statsByInstance = new ConcurrentHashMap<>();
+    private final Map<String, MemberLoadRecord> statsByInstance = new ConcurrentHashMap<>();
     private final Set<String> knownServices = ConcurrentHashMap.newKeySet();
     private final Counter ejections;
     private final Counter readmissions;
@@ -72,7 +72,7 @@
 
     /** A request goes out; the returned attempt takes in what becomes of it. */
     public Attempt begin(Member member) {
-        MemberStats stats = stats(member);
+        MemberLoadRecord stats = stats(member);
         stats.beginRequest();
         return new Attempt(stats, time.nanoTime());
     }
@@ -84,11 +84,11 @@
 
     /** One request sent to a member; safe to end more than once. */
     public final class Attempt implements AutoCloseable {
-        private final MemberStats stats;
+        private final MemberLoadRecord stats;
         private final long startedAtNanos;
         private boolean closed;
 
-        private Attempt(MemberStats stats, long startedAtNanos) {
+        private Attempt(MemberLoadRecord stats, long startedAtNanos) {
             this.stats = stats;
             this.startedAtNanos = startedAtNanos;
         }
@@ -143,8 +143,8 @@
     }
 
     /** What is known of a member; a record is made where there is none. */
-    MemberStats stats(Member member) {
-        MemberStats known = statsByInstance.get(member.instance());
+    MemberLoadRecord stats(Member member) {
+        MemberLoadRecord known = statsByInstance.get(member.instance());
         if (known != null && known.isSameStart(member)) {
             return known;
         }
@@ -157,7 +157,7 @@
             Optional<Long> appearedAtNanos = serviceWasKnown ? Optional.of(time.nanoTime()) : Optional.empty();
             Optional<IntSupplier> loadIfLocal =
                     localLoad.instance().equals(instance) ? Optional.of(localLoad.load()) : Optional.empty();
-            return new MemberStats(member, appearedAtNanos, loadIfLocal);
+            return new MemberLoadRecord(member, appearedAtNanos, loadIfLocal);
         });
     }
 
@@ -193,7 +193,7 @@
         return statsByInstance.size();
     }
 
-    private void ejectIfSlow(MemberStats candidate) {
+    private void ejectIfSlow(MemberLoadRecord candidate) {
         Member m = candidate.member();
         List<Double> otherMeans = statsByInstance.values().stream()
                 .filter(r -> r != candidate
@@ -217,7 +217,7 @@
         }
     }
 
-    private void reportEjection(MemberStats stats, Duration backoff, String detail) {
+    private void reportEjection(MemberLoadRecord stats, Duration backoff, String detail) {
         ejections.inc();
         Member m = stats.member();
         EVENTS.log(CallEvent.MEMBER_EJECTED, m.instance(), m.service(), backoff.toMillis(), detail);
