--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -84,38 +84,38 @@
 
     /** One request sent to a member; safe to end more than once. */
     public final class Attempt implements AutoCloseable {
-        private final MemberLoadRecord stats;
+        private final MemberLoadRecord record;
         private final long startedAtNanos;
         private boolean closed;
 
         private Attempt(MemberLoadRecord stats, long startedAtNanos) {
-            this.stats = stats;
+            this.record = stats;
             this.startedAtNanos = startedAtNanos;
         }
 
         /** The reply carried the load at its owner. */
         public void reportLoad(int load) {
-            stats.reportLoad(load, time.nanoTime());
+            record.reportLoad(load, time.nanoTime());
         }
 
         /** The answer began; a class whose answers differ widely in time doesn't count for speed. */
         public void responseStarted(boolean comparableLatency) {
-            if (stats.recordSuccess(time.nanoTime())) {
+            if (record.recordSuccess(time.nanoTime())) {
                 readmissions.inc();
                 EVENTS.log(
                         CallEvent.MEMBER_RETURNED,
-                        stats.member().instance(),
-                        stats.member().service());
+                        record.member().instance(),
+                        record.member().service());
             }
             if (comparableLatency
-                    && stats.recordLatency(time.nanoTime() - startedAtNanos) % LATENCY_SAMPLES_PER_CHECK == 0) {
-                ejectIfSlow(stats);
+                    && record.recordLatency(time.nanoTime() - startedAtNanos) % LATENCY_SAMPLES_PER_CHECK == 0) {
+                ejectIfSlow(record);
             }
         }
 
         /** The member could not be reached, or answered with an error of its own. */
         public void failed(String detail) {
-            stats.recordFailure(time.nanoTime()).ifPresent(backoff -> reportEjection(stats, backoff, detail));
+            record.recordFailure(time.nanoTime()).ifPresent(backoff -> reportEjection(record, backoff, detail));
         }
 
         /**
@@ -137,7 +137,7 @@
         public synchronized void close() {
             if (!closed) {
                 closed = true;
-                stats.endRequest();
+                record.endRequest();
             }
         }
     }
