--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserPropertyTest.java
@@ -112,8 +112,8 @@
                 a.close();
                 a.close();
             }
-            assertEquals(open.size(), f.loads.stats(m).inFlight());
-            assertTrue(f.loads.stats(m).load(f.time.nanoTime()) >= open.size());
+            assertEquals(open.size(), f.loads.record(m).inFlight());
+            assertTrue(f.loads.record(m).load(f.time.nanoTime()) >= open.size());
         }
     }
 
--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -80,7 +80,7 @@
         Member a = f.add("a", MAKATI);
         f.startRequests(a, 4);
         f.loads.begin(a).reportLoad(5);
-        assertEquals(5, f.loads.stats(a).load(f.time.nanoTime()));
+        assertEquals(5, f.loads.record(a).load(f.time.nanoTime()));
     }
 
     @Test
@@ -129,7 +129,7 @@
                 attempt.outcomeUnknown("no answer in time", 5);
             }
         }
-        assertEquals(EjectionState.Status.HEALTHY, f.loads.stats(a).ejectionStatus(f.time.nanoTime()));
+        assertEquals(EjectionState.Status.HEALTHY, f.loads.record(a).ejectionStatus(f.time.nanoTime()));
     }
 
     @Test
@@ -154,7 +154,7 @@
         for (int i = 0; i < 40; i++) {
             f.members.forEach(m -> respond(m, Duration.ofMillis(m == far ? 200 : 1)));
         }
-        assertEquals(EjectionState.Status.HEALTHY, f.loads.stats(far).ejectionStatus(f.time.nanoTime()));
+        assertEquals(EjectionState.Status.HEALTHY, f.loads.record(far).ejectionStatus(f.time.nanoTime()));
     }
 
     @Test
@@ -184,15 +184,15 @@
         f.failRequests(a, EjectionState.FAILURES_TO_EJECT);
         Member refuted = f.add("a", MAKATI, Member.State.UP, 2);
         f.countChoices(1);
-        assertEquals(3, f.loads.stats(refuted).inFlight());
-        assertEquals(EjectionState.Status.EJECTED, f.loads.stats(refuted).ejectionStatus(f.time.nanoTime()));
+        assertEquals(3, f.loads.record(refuted).inFlight());
+        assertEquals(EjectionState.Status.EJECTED, f.loads.record(refuted).ejectionStatus(f.time.nanoTime()));
     }
 
     @Test
     void membersKnownAtProcessStartHaveFullWeight() {
         Member a = f.add("a", MAKATI);
         f.countChoices(1);
-        assertEquals(1, f.loads.stats(a).weight(f.time.nanoTime()));
+        assertEquals(1, f.loads.record(a).weight(f.time.nanoTime()));
     }
 
     @Test
--- a/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
@@ -107,7 +107,7 @@
     }
 
     private boolean isDueForProbe(Member m, long nowNanos) {
-        MemberLoadRecord stats = loads.stats(m);
+        MemberLoadRecord stats = loads.record(m);
         return stats.ejectionStatus(nowNanos) == Status.PROBATION && stats.inFlight() == 0;
     }
 
@@ -119,8 +119,8 @@
      */
     private Set<String> findExcluded(List<Member> up, long nowNanos) {
         List<Member> failing = up.stream()
-                .filter(m -> loads.stats(m).ejectionStatus(nowNanos) != Status.HEALTHY)
-                .sorted(Comparator.<Member, Status>comparing(m -> loads.stats(m).ejectionStatus(nowNanos))
+                .filter(m -> loads.record(m).ejectionStatus(nowNanos) != Status.HEALTHY)
+                .sorted(Comparator.<Member, Status>comparing(m -> loads.record(m).ejectionStatus(nowNanos))
                         .reversed()
                         .thenComparing(Member::instance))
                 .toList();
@@ -177,11 +177,11 @@
     }
 
     private double weight(Member m, long nowNanos) {
-        return Math.max(1, m.slots()) * loads.stats(m).weight(nowNanos);
+        return Math.max(1, m.slots()) * loads.record(m).weight(nowNanos);
     }
 
     private double utilization(Member m, long nowNanos) {
-        return (loads.stats(m).load(nowNanos) + 1) / Math.max(1, m.slots());
+        return (loads.record(m).load(nowNanos) + 1) / Math.max(1, m.slots());
     }
 
     private static List<Member> inState(List<Member> members, Member.State state) {
--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -72,14 +72,14 @@
 
     /** A request goes out; the returned attempt takes in what becomes of it. */
     public Attempt begin(Member member) {
-        MemberLoadRecord stats = stats(member);
+        MemberLoadRecord stats = record(member);
         stats.beginRequest();
         return new Attempt(stats, time.nanoTime());
     }
 
     /** Requests at a member, as far as known here. */
     public double load(Member member) {
-        return stats(member).load(time.nanoTime());
+        return record(member).load(time.nanoTime());
     }
 
     /** One request sent to a member; safe to end more than once. */
@@ -143,7 +143,7 @@
     }
 
     /** What is known of a member; a record is made where there is none. */
-    MemberLoadRecord stats(Member member) {
+    MemberLoadRecord record(Member member) {
         MemberLoadRecord known = statsByInstance.get(member.instance());
         if (known != null && known.isSameStart(member)) {
             return known;
@@ -182,7 +182,7 @@
         statsByInstance.keySet().removeIf(instance -> view.find(instance).isEmpty());
         for (Member m : view.all()) {
             if (m.state() == Member.State.UP) {
-                stats(m);
+                record(m);
             }
         }
         view.all().forEach(m -> knownServices.add(m.service()));
--- a/org.berylwick/src/org/berylwick/internal/routing/Tiers.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/Tiers.java
@@ -62,7 +62,7 @@
         double load = 0;
         double capacity = 0;
         for (Member m : members) {
-            MemberLoadRecord stats = loads.stats(m);
+            MemberLoadRecord stats = loads.record(m);
             load += stats.load(nowNanos);
             capacity += Math.max(1, m.slots()) * stats.weight(nowNanos);
         }
