--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -37,7 +37,7 @@
     private static final Duration MIN_TIMEOUT_COUNTED_AS_FAILURE = Duration.ofMillis(100);
 
     private final TimeSource time;
-    private final Map<String, MemberLoadRecord> statsByInstance = new ConcurrentHashMap<>();
+    private final Map<String, MemberLoadRecord> recordsByInstance = new ConcurrentHashMap<>();
     private final Set<String> knownServices = ConcurrentHashMap.newKeySet();
     private final Counter ejections;
     private final Counter readmissions;
@@ -144,12 +144,12 @@
 
     /** What is known of a member; a record is made where there is none. */
     MemberLoadRecord record(Member member) {
-        MemberLoadRecord known = statsByInstance.get(member.instance());
+        MemberLoadRecord known = recordsByInstance.get(member.instance());
         if (known != null && known.isSameStart(member)) {
             return known;
         }
         boolean serviceWasKnown = knownServices.contains(member.service());
-        return statsByInstance.compute(member.instance(), (instance, old) -> {
+        return recordsByInstance.compute(member.instance(), (instance, old) -> {
             // A request that pinned an older view may name an incarnation that was replaced since.
             if (old != null && old.member().incarnation() >= member.incarnation()) {
                 return old;
@@ -179,7 +179,7 @@
             return;
         }
         appliedView = view;
-        statsByInstance.keySet().removeIf(instance -> view.find(instance).isEmpty());
+        recordsByInstance.keySet().removeIf(instance -> view.find(instance).isEmpty());
         for (Member m : view.all()) {
             if (m.state() == Member.State.UP) {
                 record(m);
@@ -190,12 +190,12 @@
 
     /** Members that something is known of. */
     int size() {
-        return statsByInstance.size();
+        return recordsByInstance.size();
     }
 
     private void ejectIfSlow(MemberLoadRecord candidate) {
         Member m = candidate.member();
-        List<Double> otherMeans = statsByInstance.values().stream()
+        List<Double> otherMeans = recordsByInstance.values().stream()
                 .filter(r -> r != candidate
                         && r.member().service().equals(m.service())
                         && r.member().place().region().equals(m.place().region()))
