--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -174,7 +174,7 @@
     }
 
     @Test
-    void refutedSuspicionKeepsMemberStats() {
+    void refutedSuspicionKeepsLoadRecord() {
         // The network splits and heals. Every member was suspected, refutes it with the next incarnation, and is the
         // same as before: what runs there and what failed there must not be forgotten.
         Member a = f.add("a", MAKATI);
