--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -196,7 +196,7 @@
     }
 
     @Test
-    void statsOfRemovedMemberAreDropped() {
+    void loadRecordOfRemovedMemberIsDropped() {
         Member a = f.add("a", MAKATI);
         f.add("b", MAKATI);
         f.countChoices(1);
