--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
@@ -94,7 +94,7 @@
             f.scheduler.advance(step);
             long now = f.time.nanoTime();
             List<Running> finished =
-                    running.stream().filter(r -> r.endsAt <= now).toList();
+                    running.stream().filter(r -> r.endsAtNanos <= now).toList();
             running.removeAll(finished);
             finished.forEach(r -> r.permit.close());
             waiting.forEach((k, list) -> list.removeIf(a -> {
@@ -178,7 +178,7 @@
         }
     }
 
-    private record Running(Permit permit, long endsAt) {}
+    private record Running(Permit permit, long endsAtNanos) {}
 
     private static long holdNanos(TrafficClass c, Random random) {
         return c == TrafficClass.BULK
