--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -72,9 +72,9 @@
 
     /** A request goes out; the returned attempt takes in what becomes of it. */
     public Attempt begin(Member member) {
-        MemberLoadRecord stats = record(member);
-        stats.beginRequest();
-        return new Attempt(stats, time.nanoTime());
+        MemberLoadRecord record = record(member);
+        record.beginRequest();
+        return new Attempt(record, time.nanoTime());
     }
 
     /** Requests at a member, as far as known here. */
@@ -88,8 +88,8 @@
         private final long startedAtNanos;
         private boolean closed;
 
-        private Attempt(MemberLoadRecord stats, long startedAtNanos) {
-            this.record = stats;
+        private Attempt(MemberLoadRecord record, long startedAtNanos) {
+            this.record = record;
             this.startedAtNanos = startedAtNanos;
         }
 
@@ -217,9 +217,9 @@
         }
     }
 
-    private void reportEjection(MemberLoadRecord stats, Duration backoff, String detail) {
+    private void reportEjection(MemberLoadRecord record, Duration backoff, String detail) {
         ejections.inc();
-        Member m = stats.member();
+        Member m = record.member();
         EVENTS.log(CallEvent.MEMBER_EJECTED, m.instance(), m.service(), backoff.toMillis(), detail);
     }
 }
