--- a/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
@@ -107,8 +107,8 @@
     }
 
     private boolean isDueForProbe(Member m, long nowNanos) {
-        MemberLoadRecord stats = loads.record(m);
-        return stats.ejectionStatus(nowNanos) == Status.PROBATION && stats.inFlight() == 0;
+        MemberLoadRecord loadRecord = loads.record(m);
+        return loadRecord.ejectionStatus(nowNanos) == Status.PROBATION && loadRecord.inFlight() == 0;
     }
 
     /**
