--- a/org.berylwick/src/org/berylwick/internal/routing/Tiers.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/Tiers.java
@@ -62,9 +62,9 @@
         double load = 0;
         double capacity = 0;
         for (Member m : members) {
-            MemberLoadRecord stats = loads.record(m);
-            load += stats.load(nowNanos);
-            capacity += Math.max(1, m.slots()) * stats.weight(nowNanos);
+            MemberLoadRecord loadRecord = loads.record(m);
+            load += loadRecord.load(nowNanos);
+            capacity += Math.max(1, m.slots()) * loadRecord.weight(nowNanos);
         }
         return new Tier(distance, members, load, capacity);
     }
