--- a/org.berylwick/src/org/berylwick/internal/limit/SlotRequest.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotRequest.java
@@ -17,14 +17,14 @@
     /**
      * A request.
      *
-     * @param typicalHoldNanos how long such requests run
+     * @param meanHoldNanos how long such requests run
      */
     SlotRequest(
             TrafficClass trafficClass,
             Deadline deadline,
             long sequence,
             long nowNanos,
-            long typicalHoldNanos,
+            long meanHoldNanos,
             Consumer<SlotRequest> onCancel) {
         this.trafficClass = trafficClass;
         this.deadline = deadline;
@@ -33,7 +33,7 @@
         this.onCancel = onCancel;
         // Started any later it would most likely be cut by its deadline, having used the slot for nothing. Half the
         // typical time, and never more than half of what remains: sizes within a class differ widely.
-        long margin = Math.min(typicalHoldNanos / 2, (deadline.atNanos() - nowNanos) / 2);
+        long margin = Math.min(meanHoldNanos / 2, (deadline.atNanos() - nowNanos) / 2);
         this.startByNanos = deadline.atNanos() - Math.max(0, margin);
     }
 
