--- a/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
@@ -18,8 +18,8 @@
     static final Duration MAX_HOLD_TIME_TO_BORROW = Duration.ofSeconds(1);
 
     private static final Comparator<SlotRequest> EARLIEST_START_FIRST = (a, b) -> {
-        int byTime = Long.signum(a.startByNanos() - b.startByNanos());
-        return byTime != 0 ? byTime : Long.signum(a.sequence() - b.sequence());
+        int byStart = Long.signum(a.startByNanos() - b.startByNanos());
+        return byStart != 0 ? byStart : Long.signum(a.sequence() - b.sequence());
     };
 
     /** Weight of one new hold time in the mean: the last dozen or so decide, as a whole backend server's slots do. */
