--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
@@ -32,12 +32,12 @@
         // Before dawn a job sends lookups without end. They take every slot that is idle. Partners who then ask for
         // availability get slots again as soon as those lookups end, although lookups keep asking.
         List<Permit> lookups = acquireMany(TrafficClass.LOOKUP, SLOTS);
-        List<CompletableFuture<Admission>> more = enqueueMany(TrafficClass.LOOKUP, 20);
+        List<CompletableFuture<Admission>> moreLookups = enqueueMany(TrafficClass.LOOKUP, 20);
         List<CompletableFuture<Admission>> reads = enqueueMany(TrafficClass.READ, 4);
         f.scheduler.advance(SHORT_HOLD);
         lookups.forEach(Permit::close);
         assertTrue(reads.stream().allMatch(r -> permit(r).isPresent()));
-        assertTrue(more.stream().anyMatch(m -> permit(m).isPresent()));
+        assertTrue(moreLookups.stream().anyMatch(m -> permit(m).isPresent()));
     }
 
     @Test
@@ -104,9 +104,9 @@
     void requestThatCannotStartInTimeIsRefusedOnArrival() {
         // Requests take 400 ms each, all slots are taken and two dozen wait: a newcomer would get its slot in about
         // a second. One with 30 ms left is told so at once, with when to come back; a patient one waits.
-        List<Permit> measured = acquireMany(TrafficClass.READ, SLOTS);
+        List<Permit> earlierReads = acquireMany(TrafficClass.READ, SLOTS);
         f.scheduler.advance(Duration.ofMillis(400));
-        measured.forEach(Permit::close);
+        earlierReads.forEach(Permit::close);
         acquireMany(TrafficClass.READ, SLOTS);
         enqueueMany(TrafficClass.READ, 24);
         CompletableFuture<Admission> longDeadline = f.acquire(TrafficClass.READ, Duration.ofMinutes(1));
