--- a/org.berylwick.test/tst/org/berylwick/internal/retry/RetryBudgetTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/retry/RetryBudgetTest.java
@@ -21,13 +21,13 @@
 
     @Property(seed = "4711", tries = 300)
     void retriesInAnyWindowStayWithinRatioOfRequests(
-            @ForAll @Size(min = 1, max = 400) List<@IntRange(max = 500) Integer> pauses) {
+            @ForAll @Size(min = 1, max = 400) List<@IntRange(max = 500) Integer> gapsMillis) {
         ManualTimeSource time = new ManualTimeSource();
         RetryBudget budget = new RetryBudget(time, RETRY_RATIO, MIN_RETRIES, WINDOW_MILLIS);
         Deque<Long> requests = new ArrayDeque<>();
         Deque<Long> retries = new ArrayDeque<>();
-        for (int pause : pauses) {
-            time.advance(Duration.ofMillis(pause));
+        for (int gapMillis : gapsMillis) {
+            time.advance(Duration.ofMillis(gapMillis));
             long now = time.nanoTime() / 1_000_000;
             budget.countRequest();
             requests.add(now);
