--- a/org.berylwick/src/org/berylwick/internal/retry/RetryRule.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/RetryRule.java
@@ -60,7 +60,7 @@
      */
     public long attemptTimeoutMillis(AttemptHistory history, TimeSource time) {
         long remaining = Math.max(1, deadline.remainingMillis(time));
-        boolean anotherPossible = idempotent && replayable && history.attempts() + 1 < maxAttempts;
-        return anotherPossible ? remaining - Math.min(MAX_RESERVE_MILLIS, remaining / RESERVE_DIVISOR) : remaining;
+        boolean retryPossible = idempotent && replayable && history.attempts() + 1 < maxAttempts;
+        return retryPossible ? remaining - Math.min(MAX_RESERVE_MILLIS, remaining / RESERVE_DIVISOR) : remaining;
     }
 }
