--- a/org.berylwick/src/org/berylwick/internal/retry/AttemptHistory.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/AttemptHistory.java
@@ -23,10 +23,10 @@
     public AttemptHistory plus(Outcome<?> outcome) {
         return switch (outcome) {
             case Outcome.Answered<?> a -> throw new IllegalArgumentException("an answered request has no next attempt");
-            case Outcome.RefusedNotRun<?>(RefusalReason why, Optional<Long> after) ->
-                new AttemptHistory(attempts + 1, mayHaveRun, why, after, detail);
-            case Outcome.Unknown<?>(String what) ->
-                new AttemptHistory(attempts + 1, true, reason, retryAfterMillis, what);
+            case Outcome.RefusedNotRun<?>(RefusalReason refusalReason, Optional<Long> retryAfter) ->
+                new AttemptHistory(attempts + 1, mayHaveRun, refusalReason, retryAfter, detail);
+            case Outcome.Unknown<?>(String unknownDetail) ->
+                new AttemptHistory(attempts + 1, true, reason, retryAfterMillis, unknownDetail);
         };
     }
 
