--- a/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
@@ -120,7 +120,8 @@
     private Set<String> findExcluded(List<Member> up, long nowNanos) {
         List<Member> failing = up.stream()
                 .filter(m -> loads.record(m).ejectionStatus(nowNanos) != Status.HEALTHY)
-                .sorted(Comparator.<Member, Status>comparing(m -> loads.record(m).ejectionStatus(nowNanos))
+                .sorted(Comparator.<Member, Status>comparing(
+                                m -> loads.record(m).ejectionStatus(nowNanos))
                         .reversed()
                         .thenComparing(Member::instance))
                 .toList();
