--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -24,8 +24,7 @@
  */
 final class EntryCall implements CallHandle {
     /**
-     * Each refusal costs a round trip. After this many, the nodes are taken to be at capacity, and no other is tried.
-     */
+     * Each refusal costs a round trip. After this many, the nodes are taken to be at capacity, and no other is tried. */
     private static final int MAX_REFUSALS = 3;
     /**
      * Longest time that a request waits for slots, at all nodes together, as a fraction of its latency objective.
@@ -184,8 +183,7 @@
     /**
      * Removes an attempt that has ended.
      *
-     * @return whether it was the attempt at a silent node, so that the retry started alongside it goes on
-     */
+     * @return whether it was the attempt at a silent node, so that the retry started alongside it goes on */
     private boolean removeEndedAttempt(EntryAttempt attempt) {
         if (silentAttempt.isPresent() && silentAttempt.get() == attempt) {
             silentAttempt = Optional.empty();
@@ -356,6 +354,7 @@
      * @param attempt the attempt it belongs to
      * @param complete whether it is complete; otherwise the caller's connection is closed
      */
+
     void onStreamingEnded(EntryAttempt attempt, boolean complete) {
         finish();
         context.counters().add(complete ? NodeMetricNames.ENTRY_STREAMED : NodeMetricNames.ENTRY_STREAMS_BROKEN);
--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -366,8 +366,7 @@
         int ahead = running.size() + queue.timelyBefore(run);
         RequestBody body = run.call().body();
         long slotWaitNanos = Math.max(
-                slotWaitNanos(ahead, server),
-                bodyAdmission.transferNanosAhead(body) + bodyAdmission.transferNanos(body));
+                slotWaitNanos(ahead, server), bodyAdmission.transferNanosAhead(body) + bodyAdmission.transferNanos(body));
         long waitNanos = Math.max(slotWaitNanos, run.linkWaitNanos());
         return run.canMeetObjective(clock.now() + waitNanos);
     }
--- a/org.berylwick.node/src/org/berylwick/node/call/RequestBodyScheduler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RequestBodyScheduler.java
@@ -51,8 +51,7 @@
      *
      * @param run the request
      * @param canMeetObjective whether it can still meet its latency objective
-     * @param now current time
-     */
+     * @param now current time */
     void add(OwnerRun run, boolean canMeetObjective, long now) {
         if (!run.call().body().isKeptBack()) {
             receiving.add(run);
@@ -89,8 +88,7 @@
     /**
      * Removes a request because its body is complete or the request has ended.
      *
-     * @return whether its body was being received
-     */
+     * @return whether its body was being received */
     boolean remove(OwnerRun run, long now) {
         boolean wasReceiving = receiving.remove(run);
         waiting.remove(run);
--- a/org.berylwick.test/tst/org/berylwick/node/LargeResponseTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/LargeResponseTest.java
@@ -24,8 +24,7 @@
     private static final String LARGE_BODY = "x".repeat(BODY_LENGTH);
 
     private static RawServer startServer() {
-        return new RawServer(
-                (c, r) -> c.write(NodeRig.responseTo(r, r.path().startsWith("/bulk/") ? LARGE_BODY : "small")));
+        return new RawServer((c, r) -> c.write(NodeRig.responseTo(r, r.path().startsWith("/bulk/") ? LARGE_BODY : "small")));
     }
 
     /** Starts an owner on a slow link, whose backend server has one slot. */
@@ -39,8 +38,7 @@
 
     /**
      * Guards against an owner that keeps response bytes for a node that lost power, and reports its link as busy
-     * permanently.
-     */
+     * permanently. */
     @Test
     void responseIsDroppedAtDeadline() throws IOException {
         try (RawServer server = startServer();
@@ -91,8 +89,7 @@
     }
 
     /**
-     * Guards against a slot that stays occupied, so that calls are refused, until a slow link or reader has caught up.
-     */
+     * Guards against a slot that stays occupied, so that calls are refused, until a slow link or reader has caught up. */
     @Test
     void slotIsFreeWhileLargeResponseIsSent() throws IOException {
         try (RawServer server = startServer();
--- a/org.berylwick.test/tst/org/berylwick/node/ResponsePathTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/ResponsePathTest.java
@@ -19,8 +19,7 @@
 
 /**
  * The path of a response from the backend server to the caller: a caller gets the complete response to its own request,
- * or one that it can recognise as a failure.
- */
+ * or one that it can recognise as a failure. */
 @Timeout(60)
 class ResponsePathTest {
     private static void readBody(RawServer.Connection connection, RawServer.Request request) throws IOException {
@@ -59,8 +58,7 @@
             assertEquals("/pay/x?q=1", receivedRequest.path());
             assertEquals("i-1", receivedRequest.header("x-target"));
             assertEquals("caller-1", receivedRequest.header("x-caller"));
-            assertTrue(
-                    Long.parseLong(receivedRequest.header("x-deadline")) <= 2_000,
+            assertTrue(Long.parseLong(receivedRequest.header("x-deadline")) <= 2_000,
                     receivedRequest.header("x-deadline"));
             assertEquals("", receivedRequest.header("bw-call"));
         }
@@ -106,8 +104,7 @@
     }
 
     /**
-     * A truncated response to an idempotent request is replaced by a retry; the caller never sees the truncated one.
-     */
+     * A truncated response to an idempotent request is replaced by a retry; the caller never sees the truncated one. */
     @Test
     void truncatedResponseToIdempotentRequestIsRetried() {
         boolean[] truncateNext = {true};
@@ -151,8 +148,7 @@
 
     /**
      * A response without a length is complete if the backend server closes the connection, and truncated if it resets
-     * the connection.
-     */
+     * the connection. */
     @Test
     void responseWithoutLengthIsCompleteOnlyOnOrderlyClose() {
         boolean[] resetConnection = {false};
@@ -210,8 +206,7 @@
 
     /**
      * A node without a configuration version cannot know which routes exist. It must respond 503 with a time to retry,
-     * not 404.
-     */
+     * not 404. */
     @Test
     void respondsUnavailableInsteadOfNotFoundBeforeFirstVersion() {
         try (RawServer server = new RawServer();
@@ -245,8 +240,7 @@
 
     /**
      * When a caller disconnects, the connection to the backend server is closed, so that it stops work that nobody
-     * waits for.
-     */
+     * waits for. */
     @Test
     void callerDisconnectCancelsRunningRequest() throws IOException {
         try (RawServer server = new RawServer((c, r) -> c.awaitClosedByPeer());
--- a/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StreamedUploadTest.java
@@ -97,8 +97,7 @@
 
     /**
      * A request that is refused before its body was sent runs once on another node with its complete body, and none of
-     * the body is sent to the node that refused it.
-     */
+     * the body is sent to the node that refused it. */
     @Test
     void requestRefusedBeforeBodyRunsElsewhereWithWholeBody() throws IOException {
         try (NodeRig rig = startEntry();
--- a/org.berylwick.test/tst/org/berylwick/node/UploadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/UploadTest.java
@@ -45,8 +45,7 @@
     }
 
     /** Responds with the length and the CRC-32 of the body received. */
-    private static void respondWithChecksum(RawServer.Connection connection, RawServer.Request request)
-            throws IOException {
+    private static void respondWithChecksum(RawServer.Connection connection, RawServer.Request request) throws IOException {
         byte[] body = connection.read(Integer.parseInt(request.header("content-length")));
         connection.write(NodeRig.responseTo(request, checksum(body)));
     }
@@ -139,8 +138,7 @@
             for (int i = 0; i < 5; i++) {
                 try (Socket caller = new Socket()) {
                     caller.connect(rig.callerAddress(1));
-                    caller.getOutputStream()
-                            .write(request.substring(0, 4_000_000).getBytes(StandardCharsets.ISO_8859_1));
+                    caller.getOutputStream().write(request.substring(0, 4_000_000).getBytes(StandardCharsets.ISO_8859_1));
                 }
             }
             String body = body(8_000_000);
