--- a/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
@@ -5,34 +5,36 @@
 import org.berylwick.lib.Deadline;
 
 /**
- * Whether one member is kept from requests because those sent there failed.
+ * Outlier ejection state of one member: whether it receives no requests because earlier ones failed or were slow.
  *
- * <p>Ejected for a backoff that doubles each time, then on probation: one idempotent request at a time shows whether it
- * is well again. Not safe for use by several threads.
+ * <p>A member is ejected for a backoff that doubles with each ejection. It is then on probation, during which one
+ * idempotent request at a time probes whether it has recovered. Not thread-safe.
  */
 final class EjectionState {
-    /** Failures in a row after which a member is ejected. */
+    /** Consecutive failures after which a healthy member is ejected. */
     static final int FAILURES_TO_EJECT = 5;
 
-    /** Good answers in a row that end a probation. */
+    /** Consecutive successes that end a probation. */
     static final int SUCCESSES_TO_RETURN = 3;
 
     static final Duration INITIAL_BACKOFF = Duration.ofSeconds(1);
     static final Duration MAX_BACKOFF = Duration.ofSeconds(60);
 
-    /** A probation that no idempotent request came to end in that time ends by itself. */
+    /**
+     * Longest probation. Without idempotent requests to probe the member, the probation ends after this time by itself.
+     */
     static final Duration MAX_PROBATION = Duration.ofSeconds(10);
 
-    /** Time without ejection after which the next one starts at the first backoff again. */
+    /** If a member is ejected later than this after its readmission, the backoff starts at its initial value again. */
     static final Duration BACKOFF_RESET_AFTER = Duration.ofMinutes(5);
 
     /** Whether a member may be chosen. */
     enum Status {
-        /** Like any other. */
+        /** Receives requests like any other member. */
         HEALTHY,
-        /** For one idempotent request at a time. */
+        /** Receives one idempotent request at a time. */
         PROBATION,
-        /** Only if nobody else is left. */
+        /** Receives requests only if no other member is available. */
         EJECTED
     }
 
@@ -42,7 +44,6 @@
     private Optional<Deadline> ejectedUntil = Optional.empty();
     private long readmittedAtNanos;
 
-    /** How it stands now. */
     Status status(long nowNanos) {
         if (ejectedUntil.isEmpty()) {
             return Status.HEALTHY;
@@ -51,11 +52,12 @@
         if (nanosSinceBackoff < 0) {
             return Status.EJECTED;
         }
-        // Some services get no idempotent requests at all; without an end their members would never come back.
+        // Some services receive no idempotent requests. Their members would never be readmitted if the probation did
+        // not expire.
         return nanosSinceBackoff < MAX_PROBATION.toNanos() ? Status.PROBATION : Status.HEALTHY;
     }
 
-    /** Notes a good answer; tells whether the member came back by it. */
+    /** Records a success; returns whether it readmitted the member. */
     boolean recordSuccess(long nowNanos) {
         consecutiveFailures = 0;
         if (ejectedUntil.isEmpty() || status(nowNanos) == Status.EJECTED) {
@@ -70,21 +72,21 @@
         return true;
     }
 
-    /** Notes a failure; gives the backoff if the member is ejected by it. */
+    /** Records a failure; returns the backoff if it ejected the member. */
     Optional<Duration> recordFailure(long nowNanos) {
         Status status = status(nowNanos);
         if (status == Status.EJECTED) {
             return Optional.empty();
         }
         consecutiveFailures++;
-        // Once ejected it has to prove itself: on probation a single failure is enough.
+        // On probation a single failure ejects the member again.
         if (status == Status.HEALTHY && consecutiveFailures < FAILURES_TO_EJECT) {
             return Optional.empty();
         }
         return Optional.of(eject(nowNanos));
     }
 
-    /** Ejects it; gives the backoff. */
+    /** Ejects the member; returns the backoff. */
     Duration eject(long nowNanos) {
         if (ejectedUntil.isEmpty()
                 && ejectionCount > 0
--- a/org.berylwick/src/org/berylwick/internal/routing/MemberChoice.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberChoice.java
@@ -3,22 +3,23 @@
 import org.berylwick.lib.Member;
 import org.berylwick.lib.RefusalReason;
 
-/** What became of looking for a member for one attempt. */
+/** Result of choosing a member for one attempt of a request. */
 public sealed interface MemberChoice {
-    /** Send it there. */
+    /** The attempt goes to this member. */
     record Chosen(Member member) implements MemberChoice {}
 
     /**
-     * Every member that may take the request was tried by it already.
+     * Every eligible member has already refused this request.
      *
-     * @param member the least loaded of them, for whoever wants to wait and ask again
+     * @param member the less loaded of two randomly drawn ones, for callers that wait and try again
      */
     record AllTried(Member member) implements MemberChoice {}
 
     /**
-     * No member may take the request.
+     * No member is eligible for the request.
      *
-     * @param reason {@code STARTING} or {@code LEAVING} if that is what keeps members from it
+     * @param reason {@code STARTING} or {@code LEAVING} if members exist but are in that state, otherwise
+     *     {@code NO_MEMBER}
      */
     record NoMember(RefusalReason reason) implements MemberChoice {}
 }
--- a/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
@@ -23,11 +23,12 @@
 import org.berylwick.lib.TimeSource;
 
 /**
- * Picks the member that a request goes to: the less loaded of two random ones, nearest place first.
+ * Chooses the member that receives a request: nearest place first, and there the less loaded of two randomly drawn
+ * members.
  *
- * <p>Members that failed requests are left out for a while, but never more than half of a service. Those that didn't
- * answer the membership's probes are used when no other is left, those that start or leave never. Any thread may
- * choose.
+ * <p>Members whose requests failed are excluded temporarily, but never more than half of a service. Suspect members,
+ * which didn't answer the probes of the membership protocol, are used only if no other is available. Members that are
+ * starting or leaving are never used. Thread-safe.
  */
 public final class MemberChooser {
     private final Place localPlace;
@@ -39,10 +40,10 @@
     private final Counter lastResort;
 
     /**
-     * A chooser.
+     * Creates a chooser.
      *
-     * @param localPlace where this process runs
-     * @param randomSource asked for a source at each choice, on the thread that chooses
+     * @param localPlace place of this process
+     * @param randomSource supplies the random generator; called for each random draw on the choosing thread
      */
     public MemberChooser(
             Place localPlace,
@@ -62,9 +63,9 @@
     }
 
     /**
-     * Picks a member.
+     * Chooses a member for one attempt of a request.
      *
-     * @param tried instances that refused this request already
+     * @param tried instances that have already refused this request
      */
     public MemberChoice choose(MembershipView members, RouteMatch match, Set<String> tried) {
         loads.updateMembers();
@@ -112,10 +113,11 @@
     }
 
     /**
-     * The instances that are not to be used now.
+     * Returns the instances that are not healthy and are therefore not to be used now.
      *
-     * <p>What looks like failing members may be this process's own trouble. At most half of a service, and of its
-     * members in an availability zone the larger half, is left out, so that a wrong signal can't empty it.
+     * <p>Failures may be caused by this process itself rather than by the members. So that a false signal can't remove
+     * all members, at most half of a service (rounded down) and at most half of its members in one availability zone
+     * (rounded up) are excluded.
      */
     private Set<String> findExcluded(List<Member> up, long nowNanos) {
         List<Member> failing = up.stream()
@@ -161,7 +163,10 @@
         return utilization(a, nowNanos) <= utilization(b, nowNanos) ? a : b;
     }
 
-    /** A new member's caches are cold; it is drawn less often until it had time to warm up. */
+    /**
+     * Draws a member at random in proportion to its weight. The caches of a new member are cold, so it has a lower
+     * weight until it has had time to warm up.
+     */
     private Member drawByWeight(List<Member> members, long nowNanos) {
         double total = 0;
         for (Member m : members) {
--- a/org.berylwick/src/org/berylwick/internal/routing/MemberLoadRecord.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberLoadRecord.java
@@ -6,20 +6,20 @@
 import org.berylwick.lib.Member;
 
 /**
- * What requests sent to one member since its start taught this process.
+ * Load, latency and failures of one member since its start, as observed by the requests of this process.
  *
- * <p>Safe for use from any thread; readers may see a value a moment old.
+ * <p>Thread-safe; readers may see slightly outdated values.
  */
 final class MemberLoadRecord {
-    /** A reported load counts for nothing after that time. */
+    /** Age at which a reported load no longer counts. */
     static final Duration LOAD_REPORT_EXPIRY = Duration.ofSeconds(2);
 
-    /** Time over which a new member's share rises to that of the others. */
+    /** Time over which the weight of a new member rises to the full weight. */
     static final Duration SLOW_START_DURATION = Duration.ofSeconds(10);
 
     /**
-     * Incarnations closer than this are of one start: a start takes its incarnation from the clock in milliseconds, and
-     * a refutation of a false suspicion adds one to it.
+     * Incarnations that differ by less than this belong to the same start of a member: a start takes its incarnation
+     * from the clock in milliseconds, and each refutation of a false suspicion adds one.
      */
     private static final long MIN_INCARNATION_GAP_BETWEEN_STARTS = 1_000;
 
@@ -37,10 +37,10 @@
     private int latencyCount;
 
     /**
-     * A record without requests.
+     * Creates a record without requests.
      *
-     * @param appearedAtNanos when the member appeared, if it did so while this process was looking on
-     * @param localLoad counts the member's requests, if it is this process's own
+     * @param appearedAtNanos when the member appeared; empty if it was there before this process first saw its service
+     * @param localLoad returns the exact load, if the member is this process's own backend server
      */
     MemberLoadRecord(Member member, Optional<Long> appearedAtNanos, Optional<IntSupplier> localLoad) {
         this.member = member;
@@ -53,10 +53,10 @@
     }
 
     /**
-     * Tells whether what was learnt holds for {@code other} too.
+     * Returns whether {@code other} is the same start of this member, so that this record applies to it.
      *
-     * <p>A refutation must not count as a start: after a network split everybody refutes, and all that is known of load
-     * and failures would be lost when it is needed most.
+     * <p>A refutation must not count as a start: after a network partition every member refutes a suspicion, and all
+     * records of load and failures would be lost when they are needed most.
      */
     boolean isSameStart(Member other) {
         return Math.abs(member.incarnation() - other.incarnation()) < MIN_INCARNATION_GAP_BETWEEN_STARTS;
@@ -74,14 +74,17 @@
         return inFlight;
     }
 
-    /** Takes in the load that the owner counted, own requests among it. */
+    /** Records the load that the member's daemon reported, which includes the requests of this process. */
     synchronized void reportLoad(int load, long nowNanos) {
-        // Own requests are counted here and need no report. What remains is what others send there.
+        // This process counts its own requests exactly, so only the requests of other processes are kept.
         loadFromOthers = Math.max(0, load - inFlight);
         reportedAtNanos = nowNanos;
     }
 
-    /** Requests at the member: own ones in flight, and those of others as last reported, fading with age. */
+    /**
+     * Requests at the member: those in flight from this process, and those of other processes as last reported, which
+     * decay linearly with the age of the report.
+     */
     double load(long nowNanos) {
         return localLoad.isPresent() ? localLoad.get().getAsInt() : estimatedLoad(nowNanos);
     }
@@ -91,7 +94,7 @@
         return inFlight + loadFromOthers * Math.max(0, 1 - ageRatio);
     }
 
-    /** Share of its slots that a new member gets requests for, rising to 1. */
+    /** Factor applied to the slots of a new member when requests are distributed; rises linearly to 1. */
     double weight(long nowNanos) {
         if (appearedAtNanos.isEmpty()) {
             return 1;
@@ -117,14 +120,14 @@
         return ejection.eject(nowNanos);
     }
 
-    /** Takes in how long an answer took to begin; gives how many were taken in since the last ejection. */
+    /** Records the time until a response started; returns the number of samples since the last ejection. */
     synchronized int recordLatency(long nanos) {
         meanLatencyNanos =
                 latencyCount == 0 ? nanos : meanLatencyNanos + LATENCY_SMOOTHING_FACTOR * (nanos - meanLatencyNanos);
         return ++latencyCount;
     }
 
-    /** The mean time to an answer, if enough answers are known to tell. */
+    /** Exponentially weighted mean of the time until a response started; empty with fewer than {@code minSamples}. */
     synchronized Optional<Double> meanLatencyNanos(int minSamples) {
         return latencyCount >= minSamples ? Optional.of(meanLatencyNanos) : Optional.empty();
     }
--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -17,23 +17,27 @@
 import org.berylwick.lib.TimeSource;
 
 /**
- * What this process knows of each member from the requests that it sent there: how loaded, how quick, how reliable.
+ * Load, latency and failures of each member, as observed by the requests that this process sent to it.
  *
- * <p>No health or load endpoint is asked: those lag and mislead, and a request's own fate doesn't. Any thread may use
- * it.
+ * <p>No health or load endpoint is queried: their values lag and can be wrong, unlike the outcome of actual requests.
+ * Thread-safe.
  */
 public final class PeerLoads {
     private static final EventLog EVENTS = new EventLog(PeerLoads.class);
 
-    /** Answers needed before a mean time is judged, and between two judgements. */
+    /** Responses needed before a mean latency is compared with others, and between two comparisons. */
     private static final int LATENCY_SAMPLES_PER_CHECK = 20;
 
     private static final int MIN_MEMBERS_TO_COMPARE = 3;
     private static final double SLOW_LATENCY_FACTOR = 5;
 
-    /** A mean this much above the others' is never an outlier: scheduling and distance do that. */
+    /**
+     * A mean latency is an outlier only if it exceeds the median of the other members by more than this. Scheduling
+     * delays and network distance cause smaller differences.
+     */
     private static final Duration SLOW_LATENCY_MARGIN = Duration.ofMillis(100);
 
+    /** An unknown outcome counts as a failure only if the member had at least this time to start a response. */
     private static final Duration MIN_TIMEOUT_COUNTED_AS_FAILURE = Duration.ofMillis(100);
 
     private final TimeSource time;
@@ -46,20 +50,20 @@
     private volatile MembershipView appliedView = MembershipView.EMPTY;
 
     /**
-     * The load of the backend server in the same VM, which needs no report.
+     * The load of the backend server in the same VM, which is read directly instead of being reported.
      *
-     * @param instance the own instance
-     * @param load requests there now
+     * @param instance instance of this process
+     * @param load returns the current load of the backend server
      */
     public record LocalLoad(String instance, IntSupplier load) {
-        /** Of a process without a backend server. */
+        /** For a process without a backend server. */
         public static final LocalLoad NONE = new LocalLoad("", () -> 0);
     }
 
     /**
-     * Knows nothing yet.
+     * Creates an instance without any records.
      *
-     * @param currentView the view as of now
+     * @param currentView supplies the current membership view
      */
     public PeerLoads(
             Supplier<MembershipView> currentView, LocalLoad localLoad, TimeSource time, MetricRegistry metrics) {
@@ -70,19 +74,19 @@
         readmissions = metrics.counter(ChoiceMetrics.RETURNS);
     }
 
-    /** A request goes out; the returned attempt takes in what becomes of it. */
+    /** Records that a request is sent to a member; the returned attempt records its outcome. */
     public Attempt begin(Member member) {
         MemberLoadRecord record = record(member);
         record.beginRequest();
         return new Attempt(record, time.nanoTime());
     }
 
-    /** Requests at a member, as far as known here. */
+    /** Estimated number of requests at a member. */
     public double load(Member member) {
         return record(member).load(time.nanoTime());
     }
 
-    /** One request sent to a member; safe to end more than once. */
+    /** One request sent to a member; closing it more than once has no effect. */
     public final class Attempt implements AutoCloseable {
         private final MemberLoadRecord record;
         private final long startedAtNanos;
@@ -93,12 +97,16 @@
             this.startedAtNanos = startedAtNanos;
         }
 
-        /** The reply carried the load at its owner. */
+        /** Records the load of the member that its reply carried. */
         public void reportLoad(int load) {
             record.reportLoad(load, time.nanoTime());
         }
 
-        /** The answer began; a class whose answers differ widely in time doesn't count for speed. */
+        /**
+         * Records that the response started, which counts as a success.
+         *
+         * @param comparableLatency false for traffic classes with widely varying latency, which are not compared
+         */
         public void responseStarted(boolean comparableLatency) {
             if (record.recordSuccess(time.nanoTime())) {
                 readmissions.inc();
@@ -113,18 +121,18 @@
             }
         }
 
-        /** The member could not be reached, or answered with an error of its own. */
+        /** Records that the member could not be reached or responded with a server error. */
         public void failed(String detail) {
             record.recordFailure(time.nanoTime()).ifPresent(backoff -> reportEjection(record, backoff, detail));
         }
 
         /**
-         * What became of the request is unknown, as no answer began in time or its connection was lost.
+         * Records that the outcome is unknown because no response started in time or the connection was lost.
          *
-         * <p>Counts as a failure only if the member had a fair time: callers with very short deadlines would otherwise
-         * have every member ejected.
+         * <p>Counts as a failure only if the member had enough time to respond. Otherwise callers with very short
+         * deadlines would cause every member to be ejected.
          *
-         * @param allowedMillis by which the answer had to begin
+         * @param allowedMillis time within which the response had to start
          */
         public void outcomeUnknown(String detail, long allowedMillis) {
             if (allowedMillis >= MIN_TIMEOUT_COUNTED_AS_FAILURE.toMillis()) {
@@ -132,7 +140,7 @@
             }
         }
 
-        /** The request is over, its answer's end included. */
+        /** Records the end of the request, after the end of its response. */
         @Override
         public synchronized void close() {
             if (!closed) {
@@ -142,7 +150,7 @@
         }
     }
 
-    /** What is known of a member; a record is made where there is none. */
+    /** Returns the record of a member; creates one if there is none. */
     MemberLoadRecord record(Member member) {
         MemberLoadRecord known = recordsByInstance.get(member.instance());
         if (known != null && known.isSameStart(member)) {
@@ -150,7 +158,7 @@
         }
         boolean serviceWasKnown = knownServices.contains(member.service());
         return recordsByInstance.compute(member.instance(), (instance, old) -> {
-            // A request that pinned an older view may name an incarnation that was replaced since.
+            // A request that holds an older membership view may refer to an incarnation that has been replaced.
             if (old != null && old.member().incarnation() >= member.incarnation()) {
                 return old;
             }
@@ -162,10 +170,10 @@
     }
 
     /**
-     * Takes over the membership as of now: forgets who is gone, and notes who is new.
+     * Applies the current membership view: drops the records of removed members and creates those of new ones.
      *
-     * <p>Members that were there when this process first heard of their service count as warm: it is this process that
-     * is new, not they.
+     * <p>Members that existed when this process first saw their service get full weight at once: this process may be
+     * new, but they are not.
      */
     void updateMembers() {
         if (currentView.get() != appliedView) {
@@ -188,7 +196,7 @@
         view.all().forEach(m -> knownServices.add(m.service()));
     }
 
-    /** Members that something is known of. */
+    /** Number of members that have a record. */
     int size() {
         return recordsByInstance.size();
     }
@@ -210,9 +218,9 @@
         if (mean > SLOW_LATENCY_FACTOR * median
                 && mean > median + SLOW_LATENCY_MARGIN.toNanos()
                 && candidate.ejectionStatus(time.nanoTime()) != EjectionState.Status.EJECTED) {
-            String detail =
-                    "answers begin after " + Duration.ofNanos((long) mean).toMillis() + " ms, those of others "
-                            + "after " + Duration.ofNanos((long) median).toMillis();
+            String detail = "mean time to response "
+                    + Duration.ofNanos((long) mean).toMillis() + " ms, median of other " + "members in ms: "
+                    + Duration.ofNanos((long) median).toMillis();
             reportEjection(candidate, candidate.eject(time.nanoTime()), detail);
         }
     }
--- a/org.berylwick/src/org/berylwick/internal/routing/RouteMatch.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/RouteMatch.java
@@ -5,5 +5,5 @@
 import org.berylwick.lib.Route;
 import org.berylwick.lib.ServiceSpec;
 
-/** What a request meets: all of one version. */
+/** Configuration objects that apply to a request, all from the same configuration version. */
 public record RouteMatch(Brand brand, Route route, Policy policy, ServiceSpec service) {}
--- a/org.berylwick/src/org/berylwick/internal/routing/RoutingTable.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/RoutingTable.java
@@ -13,7 +13,10 @@
 import org.berylwick.lib.Route;
 import org.berylwick.lib.ServiceSpec;
 
-/** Routes of each brand in the order they are tried: longest path first, then those naming methods. */
+/**
+ * The routes of each host in matching order: longest path first, then routes restricted to certain methods before
+ * routes for all methods, then by name.
+ */
 public final class RoutingTable {
     private static final Comparator<RouteMatch> MOST_SPECIFIC_FIRST = Comparator.<RouteMatch>comparingInt(
                     m -> -m.route().path().length())
@@ -26,7 +29,7 @@
         this.matchesByHost = matchesByHost;
     }
 
-    /** Compiles a configuration that was validated; a route without service or policy is left out. */
+    /** Compiles a validated configuration; a route without a service or policy is left out. */
     public static RoutingTable compile(Configuration configuration) {
         Map<String, List<RouteMatch>> matchesByHost = new HashMap<>();
         for (Brand brand : configuration.brands().values()) {
@@ -54,7 +57,7 @@
         return List.copyOf(matches);
     }
 
-    /** The policy with the highest priority among those that select this route of this brand. */
+    /** Returns the policy with the highest priority among those that select this route and this brand. */
     public static Optional<Policy> policyOf(Configuration configuration, Brand brand, Route route) {
         return configuration.policies().values().stream()
                 .filter(p -> p.routes().matches(route.labels()) && p.brands().matches(brand.labels()))
@@ -62,9 +65,9 @@
     }
 
     /**
-     * Finds what a request meets.
+     * Finds the route that matches a request, with its brand, policy and service.
      *
-     * @param host the authority without port, any case
+     * @param host the authority without port, in any letter case
      * @param method the request method
      * @param path the path without query
      */
@@ -81,17 +84,17 @@
         return Optional.empty();
     }
 
-    /** Tells whether any brand has this host. */
+    /** Returns whether a brand has this host. */
     public boolean hasHost(String host) {
         return matchesByHost.containsKey(host.toLowerCase(Locale.ROOT));
     }
 
-    /** Tells whether a route takes the request method. */
+    /** Returns whether a route accepts the request method; a route without methods accepts all. */
     public static boolean acceptsMethod(Route route, String method) {
         return route.methods().isEmpty() || route.methods().contains(method);
     }
 
-    /** Tells whether {@code path} is {@code prefix} or lies below it, by whole segments. */
+    /** Returns whether {@code path} equals {@code prefix} or is below it, compared by whole path segments. */
     public static boolean isPathUnder(String prefix, String path) {
         if (!path.startsWith(prefix)) {
             return false;
--- a/org.berylwick/src/org/berylwick/internal/routing/Tiers.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/Tiers.java
@@ -6,29 +6,32 @@
 import org.berylwick.lib.Place;
 
 /**
- * Members by distance, and which share of requests stays near.
+ * Groups members by distance and computes which share of requests is kept in a nearer tier.
  *
- * <p>Requests go on to the next tier before the nearer one is full, the more of them the fuller it is, and only as far
- * as the next one is less full.
+ * <p>Requests spill over to farther tiers before the nearer one is full. The share that spills over grows with the
+ * utilization of the nearer tier and with its difference to the utilization of the farther ones.
  */
 final class Tiers {
-    /** Part of its slots in use from which a tier passes requests on. */
+    /** Utilization above which a tier spills requests over. */
     static final double SPILL_THRESHOLD = 0.6;
 
-    /** Difference in fullness at which the whole pressure counts; at less, requests would only swap places. */
+    /**
+     * Difference in utilization from which spillover is not reduced. With smaller differences it is reduced in
+     * proportion, as tiers of similar utilization would only exchange requests.
+     */
     private static final double FULL_SPILL_UTILIZATION_GAP = 0.25;
 
-    /** Own availability zone, own region, anywhere else. */
+    /** Distance of a member from this process. */
     enum Distance {
         /** Same region and availability zone. */
         ZONE,
-        /** Same region. */
+        /** Same region, another availability zone. */
         REGION,
         /** Another region. */
         FAR
     }
 
-    /** Members at one distance; never empty. */
+    /** Members at one distance, at least one, with the sums of their loads and of their weighted slots. */
     record Tier(Distance distance, List<Member> members, double load, double capacity) {
         double utilization() {
             return load / capacity;
@@ -44,7 +47,7 @@
         return localPlace.availabilityZone().equals(other.availabilityZone()) ? Distance.ZONE : Distance.REGION;
     }
 
-    /** Sorts members into tiers, nearest first, without empty ones. */
+    /** Groups members into tiers, nearest first, without empty tiers. */
     static List<Tier> of(Place localPlace, List<Member> members, PeerLoads loads, long nowNanos) {
         List<Tier> tiers = new ArrayList<>(Distance.values().length);
         for (Distance d : Distance.values()) {
@@ -69,7 +72,7 @@
         return new Tier(distance, members, load, capacity);
     }
 
-    /** The share of requests that stays in {@code here} with {@code beyond} to go on to. */
+    /** Returns the share of requests kept in {@code nearTier}; the rest spills over to {@code fartherTiers}. */
     static double keptShare(Tier nearTier, List<Tier> fartherTiers) {
         double load = 0;
         double capacity = 0;
--- a/org.berylwick/src/org/berylwick/internal/routing/package-info.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/package-info.java
@@ -1,2 +1,2 @@
-/** Finds the route of a request and the member to send it to. */
+/** Finds the route of a request and chooses the member that receives it. */
 package org.berylwick.internal.routing;
