--- a/org.berylwick/src/org/berylwick/internal/limit/RefusalCause.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/RefusalCause.java
@@ -1,13 +1,13 @@
 package org.berylwick.internal.limit;
 
-/** Why the limiter refused a request; finer than what the caller is told. */
+/** Why the limiter refused a request; more detailed than the reason that the caller receives. */
 public enum RefusalCause {
-    /** The deadline had passed on arrival, or passed before a slot came free. */
+    /** The deadline had passed on arrival, or it became too late to start before a slot was free. */
     EXPIRED,
-    /** By the measured pace a slot would have come too late. */
+    /** According to the mean hold time, no slot would have been free in time. */
     TOO_SLOW,
-    /** No place in the queue. */
+    /** The queue was full. */
     QUEUE_FULL,
-    /** Gave its place in the queue back to a class that was owed it. */
+    /** Removed from a full queue in favour of a class below its guaranteed share of the queue. */
     EVICTED
 }
--- a/org.berylwick/src/org/berylwick/internal/limit/Scheduler.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/Scheduler.java
@@ -2,12 +2,12 @@
 
 import org.berylwick.lib.Deadline;
 
-/** Runs a task at a point of time; the daemon gives one on top of its event loops, tests a manual one. */
+/** Runs tasks at given times; the daemon implements it with its event loops, tests with a manual clock. */
 public interface Scheduler {
     /**
-     * Runs {@code task} once, at {@code deadline} or soon after it, on any thread.
+     * Runs {@code task} once, at {@code deadline} or shortly after, on any thread.
      *
-     * <p>It must not run within this call.
+     * <p>Implementations must not run the task within this call.
      */
     void schedule(Deadline deadline, Runnable task);
 }
--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -19,15 +19,16 @@
 import org.berylwick.lib.TrafficClass;
 
 /**
- * Counts the slots of one backend server exactly and holds a short queue for them.
+ * Limits the concurrent requests of one backend server to its slots and keeps a short queue of requests that wait for
+ * one.
  *
- * <p>Each traffic class that the configuration brings to the service has a guaranteed share of the slots and of the
- * queue. Idle slots are lent, but only to classes that are known to give them back within
- * {@link TrafficClassQueue#MAX_HOLD_TIME_TO_BORROW}: a class below its guarantee waits at most for one such request. A
+ * <p>Each traffic class that the configuration routes to the service has a guaranteed share of the slots and of the
+ * queue. Idle slots are lent, but only to classes that are known to return them within
+ * {@link TrafficClassQueue#MAX_HOLD_TIME_TO_BORROW}: a class below its guarantee waits for at most one such request. A
  * free slot goes first to the class that is furthest below its guarantee, then to the most urgent class; within a class
- * to the request that must start first. Who can't be served in time is refused as soon as that is known.
+ * to the request that must start first. A request that can't be served in time is refused as soon as that is known.
  *
- * <p>Safe for use from any thread. Futures complete outside the lock, on the thread that freed the slot.
+ * <p>Thread-safe. Futures complete outside the lock, on the thread whose call or task decided about the request.
  */
 public final class SlotLimiter {
     private static final EventLog EVENTS = new EventLog(SlotLimiter.class);
@@ -48,21 +49,21 @@
     private long nextSequence;
     private Optional<Deadline> scheduledWakeUp = Optional.empty();
 
-    /** What became of asking for a slot. */
+    /** Result of a request for a slot. */
     public sealed interface Admission {
         /** A slot is held until the permit is closed. */
         record Admitted(Permit permit) implements Admission {}
 
         /**
-         * Nothing is held and the request was not run.
+         * No slot is held and the request was not run.
          *
-         * @param reason for the caller
-         * @param retryAfterMillis when a slot is likely to be free, by the measured pace
+         * @param reason reason to report to the caller
+         * @param retryAfterMillis time after which a slot is likely to be free, according to the mean hold time
          */
         record Refused(RefusalReason reason, long retryAfterMillis) implements Admission {}
     }
 
-    /** Holds one slot; only the first way of closing it counts, later ones do no harm. */
+    /** Holds one slot; only the first call of one of its methods has an effect. */
     public final class Permit implements AutoCloseable {
         private final AtomicBoolean open = new AtomicBoolean(true);
         private final TrafficClass trafficClass;
@@ -73,7 +74,7 @@
             this.acquiredAtNanos = acquiredAtNanos;
         }
 
-        /** Frees the slot after a request. */
+        /** Releases the slot after a request and records the hold time. */
         @Override
         public void close() {
             if (open.compareAndSet(true, false)) {
@@ -81,7 +82,7 @@
             }
         }
 
-        /** Frees the slot of a request that the backend server shed, and asks less of it for a while. */
+        /** Releases the slot of a request that the backend server shed, and lowers its usable slots temporarily. */
         public void closeAfterShed() {
             if (open.compareAndSet(true, false)) {
                 lowerUsableSlots();
@@ -89,7 +90,7 @@
             }
         }
 
-        /** Frees the slot of a request that was not sent after all; it tells nothing of the pace. */
+        /** Releases the slot of a request that was not sent; its hold time is not recorded. */
         public void closeUnused() {
             if (open.compareAndSet(true, false)) {
                 release(trafficClass, Optional.empty());
@@ -99,7 +100,7 @@
 
     private record Decision(SlotRequest request, Admission admission) {}
 
-    /** A limiter with all slots free. */
+    /** Creates a limiter with all slots free. */
     public SlotLimiter(
             TimeSource time, Scheduler scheduler, MetricRegistry registry, Invariants invariants, SlotLimits limits) {
         this.time = time;
@@ -119,7 +120,7 @@
         recomputeShares();
     }
 
-    /** Takes over the limits in force; requests already admitted keep their slots. */
+    /** Applies new limits; requests that were already admitted keep their slots. */
     public void setLimits(SlotLimits newLimits) {
         List<Decision> decisions = new ArrayList<>();
         synchronized (this) {
@@ -133,9 +134,9 @@
     }
 
     /**
-     * Asks for a slot.
+     * Requests a slot.
      *
-     * @return completes when a slot is held or refused; cancelling it gives up the place in the queue at once
+     * @return completes when a slot is granted or refused; cancelling it removes the request from the queue at once
      */
     public CompletableFuture<Admission> acquire(TrafficClass trafficClass, Deadline deadline) {
         List<Decision> decisions = new ArrayList<>(1);
@@ -158,37 +159,37 @@
         return request;
     }
 
-    /** Slots held now. */
+    /** Number of slots in use. */
     public synchronized int inUse() {
         return inUse;
     }
 
     /**
-     * How loaded the backend server is, to tell others: requests that hold slots or wait, scaled so that it reaches the
-     * declared slots when the usable ones are taken.
+     * The load of the backend server, as reported to other daemons: requests that hold slots or wait, scaled so that
+     * the load equals the declared slots when all usable slots are in use.
      *
-     * <p>A backend server that sheds holds few requests; unscaled, that would draw more of them to it.
+     * <p>A backend server that sheds requests holds few of them; without scaling it would look idle and attract more.
      */
     public synchronized int load() {
         return (inUse + waiting) * usableSlots.declared() / usableSlots.usable();
     }
 
-    /** Slots held now by one class. */
+    /** Number of slots in use by one class. */
     public synchronized int inUse(TrafficClass trafficClass) {
         return classes.get(trafficClass).inUse();
     }
 
-    /** Requests waiting now. */
+    /** Number of waiting requests. */
     public synchronized int waiting() {
         return waiting;
     }
 
-    /** Slots that the backend server takes at present, at most those declared. */
+    /** Number of slots that may currently be used, at most the declared ones. */
     public synchronized int usableSlots() {
         return usableSlots.usable();
     }
 
-    /** Slots that a class can always have at present. */
+    /** Number of slots currently guaranteed to a class. */
     public synchronized int guarantee(TrafficClass trafficClass) {
         return slotShares.guarantee(trafficClass);
     }
@@ -213,7 +214,7 @@
         scheduleWakeUp();
     }
 
-    /** Makes room for a class below its share of the queue by taking a place that another class only borrowed. */
+    /** Makes room for a class below its share of the queue by evicting a request of a class above its share. */
     private Optional<SlotRequest> evictBorrowerFor(TrafficClassQueue queue) {
         if (queue.waiting() >= queueShares.guarantee(queue.trafficClass())) {
             return Optional.empty();
@@ -240,7 +241,7 @@
             return true;
         }
         if (guarantee == 0 && queue.inUse() == 0) {
-            // With fewer slots than classes somebody has no guarantee; one slot keeps it from waiting for ever.
+            // With fewer slots than classes some class has no guarantee. Granting it one slot prevents starvation.
             return true;
         }
         int reserved = 0;
@@ -296,7 +297,7 @@
         invariants.check(
                 Invariant.SLOTS_EXACT,
                 heldSlots <= limits.slots() && heldByClass == heldSlots,
-                () -> heldSlots + " held, " + heldByClass + " by class, of " + limits.slots());
+                () -> heldSlots + " slots in use, sum over classes " + heldByClass + ", declared " + limits.slots());
         return new Decision(request, new Admission.Admitted(new Permit(request.trafficClass(), time.nanoTime())));
     }
 
@@ -375,7 +376,10 @@
         }
     }
 
-    /** Sees to it that a waiter whose time is up is refused then, not when the next slot happens to come free. */
+    /**
+     * Schedules the next check of the queue, so that a request is refused when its latest start time passes and not
+     * only when the next slot is released.
+     */
     private void scheduleWakeUp() {
         if (waiting == 0) {
             return;
@@ -411,7 +415,7 @@
     private void completeAll(List<Decision> decisions) {
         for (Decision d : decisions) {
             boolean completed = d.request().complete(d.admission());
-            // Cancelled between the decision and here: the slot that nobody will use goes back.
+            // The request was cancelled after the decision; its slot would otherwise never be released.
             if (!completed && d.admission() instanceof Admission.Admitted(Permit permit)) {
                 permit.closeUnused();
             }
--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimits.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimits.java
@@ -8,24 +8,24 @@
 import org.berylwick.lib.TrafficClass;
 
 /**
- * What the configuration in force says about the slots of one backend server.
+ * Limits for the slots of one backend server, from the configuration in force.
  *
- * @param slots requests that the backend server runs at once, at least 1
- * @param queueLimit requests that may wait
- * @param classes the traffic classes that some route brings to the service; only these have a guaranteed share
+ * @param slots requests that the backend server runs concurrently, at least 1
+ * @param queueLimit maximum number of waiting requests
+ * @param classes traffic classes that the routes send to the service; only these have a guaranteed share
  */
 public record SlotLimits(int slots, int queueLimit, Set<TrafficClass> classes) {
-    /** Copies the set; no class at all counts as every class. */
+    /** Copies the set; an empty set stands for all classes. */
     public SlotLimits {
         classes = classes.isEmpty() ? Set.of(TrafficClass.values()) : Set.copyOf(classes);
     }
 
-    /** Limits under which every class has a share. */
+    /** Returns limits with a guaranteed share for every class. */
     public static SlotLimits ofAllClasses(int slots, int queueLimit) {
         return new SlotLimits(slots, queueLimit, Set.of());
     }
 
-    /** Reads the limits of a service, and from routes and policies which classes it can meet. */
+    /** Returns the limits of a service, with the traffic classes that its routes and their policies can produce. */
     public static SlotLimits of(Configuration configuration, ServiceSpec service) {
         Set<TrafficClass> classes = EnumSet.noneOf(TrafficClass.class);
         configuration.routes().values().stream()
--- a/org.berylwick/src/org/berylwick/internal/limit/SlotMetrics.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotMetrics.java
@@ -13,28 +13,28 @@
     /** Gauge: slots that the configuration declares. */
     static final String DECLARED = "limit.slots.declared";
 
-    /** Gauge: slots that the backend server takes at present. */
+    /** Gauge: slots that may currently be used. */
     static final String USABLE = "limit.slots.usable";
 
-    /** Gauge: slots held; the class follows. */
+    /** Gauge: slots in use; the class is appended to the name. */
     static final String IN_USE = "limit.slots.in-use.";
 
-    /** Gauge: requests waiting; the class follows. */
+    /** Gauge: waiting requests; the class is appended to the name. */
     static final String WAITING = "limit.queue.waiting.";
 
-    /** Histogram: microseconds waited by requests that got a slot from the queue; the class follows. */
+    /** Histogram: queueing time in microseconds of requests that got a slot; the class is appended to the name. */
     static final String WAIT_MICROS = "limit.queue.wait-micros.";
 
-    /** Counter: requests given a slot; the class follows. */
+    /** Counter: requests that got a slot; the class is appended to the name. */
     static final String ADMITTED = "limit.admitted.";
 
-    /** Counter: requests refused; class and cause follow. */
+    /** Counter: refused requests; the class and the cause are appended to the name. */
     static final String REFUSED = "limit.refused.";
 
-    /** Counter: requests given up by their sender while they waited; the class follows. */
+    /** Counter: requests that their sender cancelled while they waited; the class is appended to the name. */
     static final String CANCELLED = "limit.cancelled.";
 
-    /** Counter: sheds of the backend server. */
+    /** Counter: requests shed by the backend server. */
     static final String SHED = "limit.shed";
 
     private final MetricRegistry registry;
--- a/org.berylwick/src/org/berylwick/internal/limit/SlotRequest.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotRequest.java
@@ -5,7 +5,7 @@
 import org.berylwick.lib.Deadline;
 import org.berylwick.lib.TrafficClass;
 
-/** A request that asked for a slot; cancelling it takes it out of the queue at once. */
+/** A request for a slot; cancelling it removes it from the queue at once. */
 final class SlotRequest extends CompletableFuture<SlotLimiter.Admission> {
     private final TrafficClass trafficClass;
     private final Deadline deadline;
@@ -15,9 +15,10 @@
     private final Consumer<SlotRequest> onCancel;
 
     /**
-     * A request.
+     * Creates a request.
      *
-     * @param meanHoldNanos how long such requests run
+     * @param meanHoldNanos mean time for which requests of this class hold their slot
+     * @param onCancel called when the request is cancelled
      */
     SlotRequest(
             TrafficClass trafficClass,
@@ -31,8 +32,9 @@
         this.sequence = sequence;
         this.arrivedAtNanos = nowNanos;
         this.onCancel = onCancel;
-        // Started any later it would most likely be cut by its deadline, having used the slot for nothing. Half the
-        // typical time, and never more than half of what remains: sizes within a class differ widely.
+        // A request that starts later would most likely exceed its deadline and waste the slot. The margin is only
+        // half the mean hold time, and at most half of the remaining time, because run times differ widely within a
+        // class.
         long margin = Math.min(meanHoldNanos / 2, (deadline.atNanos() - nowNanos) / 2);
         this.startByNanos = deadline.atNanos() - Math.max(0, margin);
     }
@@ -53,7 +55,7 @@
         return arrivedAtNanos;
     }
 
-    /** The latest time at which starting it makes sense. */
+    /** Latest time at which the request is still started. */
     long startByNanos() {
         return startByNanos;
     }
--- a/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
@@ -9,12 +9,12 @@
 import org.berylwick.lib.TrafficClass;
 
 /**
- * The requests of one traffic class: how many hold slots, which wait, and how long slots are held.
+ * The requests of one traffic class: the number of slots in use, the waiting requests and the mean hold time of slots.
  *
- * <p>Not safe for use by several threads: its limiter's lock guards it.
+ * <p>Not thread-safe: guarded by the lock of its {@link SlotLimiter}.
  */
 final class TrafficClassQueue {
-    /** A class whose requests hold slots for longer can't return what it borrowed soon enough. */
+    /** Longest mean hold time with which a class may borrow; with longer ones it returns slots too late. */
     static final Duration MAX_HOLD_TIME_TO_BORROW = Duration.ofSeconds(1);
 
     private static final Comparator<SlotRequest> EARLIEST_START_FIRST = (a, b) -> {
@@ -22,7 +22,10 @@
         return byStart != 0 ? byStart : Long.signum(a.sequence() - b.sequence());
     };
 
-    /** Weight of one new hold time in the mean: the last dozen or so decide, as a whole backend server's slots do. */
+    /**
+     * Weight of a new hold time in the mean. With 0.1 roughly the last dozen hold times determine the mean, about as
+     * many as a backend server has slots.
+     */
     private static final double HOLD_TIME_SMOOTHING_FACTOR = 0.1;
 
     private final TrafficClass trafficClass;
@@ -54,22 +57,23 @@
         inUse--;
     }
 
-    /** Takes one measured hold time into the mean. */
+    /** Adds a measured hold time to the mean. */
     void recordHoldTime(long nanos) {
         meanHoldNanos =
                 meanHoldNanos == 0 ? nanos : meanHoldNanos + HOLD_TIME_SMOOTHING_FACTOR * (nanos - meanHoldNanos);
     }
 
-    /** How long a request holds its slot, zero before the first was measured. */
+    /** Mean time for which a request holds its slot; zero before the first measurement. */
     long meanHoldNanos() {
         return (long) meanHoldNanos;
     }
 
     /**
-     * Tells whether idle guarantees of other classes may be lent to this one.
+     * Returns whether this class may borrow idle slots that are guaranteed to other classes.
      *
-     * <p>A slot lent to a transfer of minutes is gone for minutes, whatever the lender needs. Bulk transfers therefore
-     * never borrow, also when the last few were short, and neither does a class that was measured to be slow.
+     * <p>A slot lent to a transfer of several minutes is unavailable for minutes, even if the lending class needs it.
+     * Bulk requests therefore never borrow, even if the last ones were short, and neither does a class with a long mean
+     * hold time.
      */
     boolean mayBorrow() {
         return trafficClass != TrafficClass.BULK && meanHoldNanos <= MAX_HOLD_TIME_TO_BORROW.toNanos();
@@ -87,7 +91,7 @@
         return waitingRequests.pollFirst();
     }
 
-    /** Takes the waiter that can wait longest. */
+    /** Removes and returns the request with the latest start time. */
     SlotRequest pollLast() {
         return waitingRequests.pollLast();
     }
@@ -96,23 +100,23 @@
         return waitingRequests.isEmpty() ? Optional.empty() : Optional.of(waitingRequests.first());
     }
 
-    /** Waiters that go before {@code w}. */
+    /** Number of waiting requests that are served before {@code request}. */
     int countAhead(SlotRequest request) {
         return waitingRequests.headSet(request).size();
     }
 
     /**
-     * When a slot comes to a waiter, by the measured pace.
+     * Estimates how long a request waits for a slot, based on the mean hold time.
      *
-     * @param ahead waiters before it
-     * @param slots that the class has
+     * @param ahead number of waiting requests before it
+     * @param slots number of slots guaranteed to the class
      * @return nanoseconds from now
      */
     long estimateWaitNanos(int ahead, int slots) {
         return (long) ((ahead + 1) * meanHoldNanos / Math.max(1, Math.max(inUse, slots)));
     }
 
-    /** Takes out every waiter that could not start in time. */
+    /** Removes every waiting request that is not expected to start in time. */
     void removeUnservable(long nowNanos, int slots, Consumer<SlotRequest> onRemoved) {
         int ahead = 0;
         for (Iterator<SlotRequest> i = waitingRequests.iterator(); i.hasNext(); ) {
--- a/org.berylwick/src/org/berylwick/internal/limit/TrafficClassShares.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/TrafficClassShares.java
@@ -8,10 +8,11 @@
 import org.berylwick.lib.TrafficClass;
 
 /**
- * How many of a number of places each traffic class can always have; together never more than there are.
+ * Guaranteed shares of the traffic classes in a capacity, such as slots or queue entries; never more than the capacity
+ * in total.
  *
- * <p>With at least as many places as classes, each of the given classes has one or more. With fewer, the less urgent
- * classes go without.
+ * <p>If the capacity is at least the number of classes, each class has a share of at least one. Otherwise the less
+ * urgent classes have none.
  */
 final class TrafficClassShares {
     private final Map<TrafficClass, Integer> guarantees = new EnumMap<>(TrafficClass.class);
@@ -19,10 +20,10 @@
     private TrafficClassShares() {}
 
     /**
-     * Divides places by weight.
+     * Divides a capacity by the weights of the classes.
      *
-     * @param capacity to divide
-     * @param classes which have a share
+     * @param capacity number of units to divide
+     * @param classes classes that get a share
      */
     static TrafficClassShares divide(int capacity, Set<TrafficClass> classes) {
         TrafficClassShares shares = new TrafficClassShares();
@@ -38,12 +39,12 @@
         return shares;
     }
 
-    /** Places that the class can always have. */
+    /** Units guaranteed to the class. */
     int guarantee(TrafficClass c) {
         return guarantees.get(c);
     }
 
-    /** Places that any class can always have, all together. */
+    /** Sum of the guarantees of all classes. */
     int total() {
         return guarantees.values().stream().mapToInt(Integer::intValue).sum();
     }
--- a/org.berylwick/src/org/berylwick/internal/limit/UsableSlots.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/UsableSlots.java
@@ -5,15 +5,15 @@
 import org.berylwick.lib.Deadline;
 
 /**
- * How many of the declared slots the backend server takes at present: fewer after it shed requests.
+ * Number of declared slots that may currently be used: fewer after the backend server shed requests.
  *
- * <p>Multiplicative decrease on a shed, additive increase with time. Not safe for use by several threads.
+ * <p>Multiplicative decrease when a request is shed, additive increase with time. Not thread-safe.
  */
 final class UsableSlots {
-    /** Sheds of one burst tell of one state of the backend server, so they lower the slots once. */
+    /** Shed requests in quick succession reflect the same overload, so within this time they lower the slots once. */
     static final Duration MIN_LOWER_INTERVAL = Duration.ofMillis(100);
 
-    /** Each of these without a shed gives one slot back. */
+    /** Each such interval without a shed request restores one slot. */
     static final Duration RAISE_INTERVAL = Duration.ofMillis(250);
 
     private static final double DECREASE_FACTOR = 0.7;
@@ -36,18 +36,18 @@
         return usable;
     }
 
-    /** Takes over a new number of declared slots; slots lost to sheds stay lost until they are raised. */
+    /** Sets the number of declared slots; a reduction caused by shed requests remains until it is raised again. */
     void setDeclared(int slots) {
         int reduction = declared - usable;
         declared = slots;
         usable = Math.max(minimum(), slots - reduction);
     }
 
-    /** Notes a shed; tells whether the slots were lowered. */
+    /** Records a shed request; returns whether the slots were lowered. */
     boolean lower(long nowNanos) {
         boolean sameBurst = usable < declared && nowNanos - changedAtNanos < MIN_LOWER_INTERVAL.toNanos();
         if (sameBurst || usable <= minimum()) {
-            // At the floor a shed still puts off the next raise.
+            // At the minimum and within a burst, a shed request still postpones the next raise.
             changedAtNanos = usable < declared ? nowNanos : changedAtNanos;
             return false;
         }
@@ -56,7 +56,7 @@
         return true;
     }
 
-    /** Gives back what time has earned; tells whether the slots were raised. */
+    /** Restores one slot for each elapsed interval; returns whether the slots were raised. */
     boolean raise(long nowNanos) {
         if (usable >= declared) {
             return false;
@@ -70,7 +70,7 @@
         return true;
     }
 
-    /** When the next slot comes back, if one is missing. */
+    /** Time at which the next slot is restored; empty if all declared slots are usable. */
     Optional<Deadline> nextRaise() {
         return usable < declared
                 ? Optional.of(new Deadline(changedAtNanos + RAISE_INTERVAL.toNanos()))
--- a/org.berylwick/src/org/berylwick/internal/limit/package-info.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/package-info.java
@@ -1,2 +1,2 @@
-/** Decides which requests may run now, which wait and which are refused. */
+/** Admission control: which requests run now, which wait and which are refused. */
 package org.berylwick.internal.limit;
