--- a/org.berylwick/src/org/berylwick/internal/retry/AttemptHistory.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/AttemptHistory.java
@@ -5,24 +5,26 @@
 import org.berylwick.lib.RefusalReason;
 
 /**
- * What is known of one request over all its attempts so far; immutable.
+ * Summary of the failed attempts of one request so far; immutable.
  *
- * @param attempts attempts that have ended
- * @param mayHaveRun whether any of them may have run the request
- * @param reason why the last one that was refused was
- * @param retryAfterMillis when coming back makes sense, as the last refusal had it
- * @param detail of the last unknown outcome, empty without one
+ * @param attempts number of attempts that have ended
+ * @param mayHaveRun whether any attempt may have run the request
+ * @param reason reason of the last refused attempt
+ * @param retryAfterMillis retry delay that the last refusal suggested
+ * @param detail detail of the last unknown outcome, empty if there was none
  */
 public record AttemptHistory(
         int attempts, boolean mayHaveRun, RefusalReason reason, Optional<Long> retryAfterMillis, String detail) {
-    /** No attempt yet. */
+    /** History of a request without attempts. */
     public static final AttemptHistory NONE =
             new AttemptHistory(0, false, RefusalReason.NO_MEMBER, Optional.empty(), "");
 
-    /** This log with one more attempt that did not bring an answer. */
+    /** Returns this history with one more attempt that was refused or whose outcome is unknown. */
     public AttemptHistory plus(Outcome<?> outcome) {
         return switch (outcome) {
-            case Outcome.Answered<?> a -> throw new IllegalArgumentException("an answered request has no next attempt");
+            case Outcome.Answered<?> a ->
+                throw new IllegalArgumentException(
+                        "an answered attempt cannot be added: an answered request is not retried");
             case Outcome.RefusedNotRun<?>(RefusalReason refusalReason, Optional<Long> retryAfter) ->
                 new AttemptHistory(attempts + 1, mayHaveRun, refusalReason, retryAfter, detail);
             case Outcome.Unknown<?>(String unknownDetail) ->
@@ -31,10 +33,10 @@
     }
 
     /**
-     * What the caller is told when the request is given up.
+     * Returns the outcome reported to the caller when the request is not retried any more.
      *
-     * <p>An attempt that may have run makes the whole request unknown, whatever later attempts were refused for: the
-     * caller of a request that is called not run would send it again.
+     * <p>If an attempt may have run, the outcome of the whole request is unknown, even if later attempts were refused:
+     * the caller would send a request again that is reported as not run.
      */
     public <A> Outcome<A> finalOutcome() {
         return mayHaveRun ? new Outcome.Unknown<>(detail) : new Outcome.RefusedNotRun<>(reason, retryAfterMillis);
--- a/org.berylwick/src/org/berylwick/internal/retry/Backoff.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/Backoff.java
@@ -3,21 +3,21 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Pauses before a request goes to a member that refused it already.
+ * Delay before a request is sent again to a member that has already refused it.
  *
- * <p>Full jitter: any pause between none and the bound, which doubles with each round, so that callers refused together
- * don't come back together.
+ * <p>Exponential backoff with full jitter: a random delay between zero and a bound that doubles with each round, so
+ * that requests refused at the same time are not retried at the same time.
  *
- * @param baseMillis bound of the first pause
- * @param maxMillis bound of all pauses
+ * @param baseMillis bound of the delay in the first round
+ * @param maxMillis upper limit of the bound in all rounds
  */
 public record Backoff(long baseMillis, long maxMillis) {
     private static final int MAX_DOUBLINGS = 30;
 
     /**
-     * A pause.
+     * Returns a random delay.
      *
-     * @param round how often all members were tried before, from 0
+     * @param round number of delays before this one, from 0
      * @return milliseconds
      */
     public long delayMillis(int round, RandomGenerator random) {
--- a/org.berylwick/src/org/berylwick/internal/retry/RetryBudget.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/RetryBudget.java
@@ -3,10 +3,10 @@
 import org.berylwick.lib.TimeSource;
 
 /**
- * Bounds retries to a share of the requests of the last seconds.
+ * Limits retries to a ratio of the requests in a sliding window.
  *
- * <p>In an outage every request fails, and without a bound each of them would arrive several times at servers that are
- * overloaded already. A small floor lets a service with few requests retry at all. Any thread may use it.
+ * <p>In an outage every request fails, and without a limit each of them would be sent several times to servers that are
+ * already overloaded. A small minimum allows retries for services with few requests. Thread-safe.
  */
 public final class RetryBudget {
     private static final int BUCKETS = 10;
@@ -21,10 +21,10 @@
     private long newestBucket;
 
     /**
-     * A budget with no request seen yet.
+     * Creates a budget without requests.
      *
-     * @param retryRatio retries allowed for each request of the window
-     * @param minRetries retries allowed in a window whatever the number of requests
+     * @param retryRatio retries allowed per request in the window
+     * @param minRetries retries allowed in a window in addition, regardless of the number of requests
      * @param windowMillis length of the window
      */
     public RetryBudget(TimeSource time, double retryRatio, int minRetries, long windowMillis) {
@@ -35,12 +35,12 @@
         this.originNanos = time.nanoTime();
     }
 
-    /** Notes a request, once however often it is sent. */
+    /** Counts a request; to be called once per request, not per attempt. */
     public synchronized void countRequest() {
         requests[currentBucketIndex()]++;
     }
 
-    /** Takes one retry out of the budget if there is one left. */
+    /** Takes one retry from the budget; returns false if none is left. */
     public synchronized boolean tryAcquireRetry() {
         int index = currentBucketIndex();
         if (sum(retries) + 1 > minRetries + retryRatio * sum(requests)) {
--- a/org.berylwick/src/org/berylwick/internal/retry/RetryBudgets.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/RetryBudgets.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import org.berylwick.lib.TimeSource;
 
-/** One retry budget for each service that this daemon sends requests to; any thread may use it. */
+/** Retry budgets of the services that this daemon sends requests to, one per service; thread-safe. */
 public final class RetryBudgets {
     private static final double RETRY_RATIO = 0.2;
     private static final int MIN_RETRIES = 10;
@@ -13,12 +13,12 @@
     private final Map<String, RetryBudget> budgets = new ConcurrentHashMap<>();
     private final TimeSource time;
 
-    /** No service seen yet. */
+    /** Creates an instance without budgets. */
     public RetryBudgets(TimeSource time) {
         this.time = time;
     }
 
-    /** The budget of a service. */
+    /** Returns the budget of a service; creates it on first use. */
     public RetryBudget forService(String service) {
         return budgets.computeIfAbsent(service, s -> new RetryBudget(time, RETRY_RATIO, MIN_RETRIES, WINDOW_MILLIS));
     }
--- a/org.berylwick/src/org/berylwick/internal/retry/RetryRule.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/RetryRule.java
@@ -4,34 +4,34 @@
 import org.berylwick.lib.TimeSource;
 
 /**
- * Whether a request may be sent again.
+ * Decides whether a request may be retried.
  *
- * @param idempotent whether running it twice does no harm
- * @param replayable whether its body can be sent again
- * @param maxAttempts most attempts, the first included
- * @param deadline by when it must be answered
+ * @param idempotent whether the request may safely run more than once
+ * @param replayable whether the request body can be sent again
+ * @param maxAttempts maximum number of attempts, including the first
+ * @param deadline time by which the request must be answered
  */
 public record RetryRule(boolean idempotent, boolean replayable, int maxAttempts, Deadline deadline) {
     private static final long MAX_RESERVE_MILLIS = 500;
     private static final long RESERVE_DIVISOR = 10;
 
-    /** What is to be done after an attempt that brought no answer. */
+    /** Decision after an attempt that was refused or whose outcome is unknown. */
     public enum Verdict {
-        /** Send it again. */
+        /** The request is to be sent again. */
         RETRY,
-        /** It may have run, and must not run twice. */
+        /** The request may have run and is not idempotent. */
         UNSAFE,
-        /** Its body is gone. */
+        /** The request body is no longer available. */
         NOT_REPLAYABLE,
-        /** All attempts that the policy allows were made. */
+        /** The maximum number of attempts is reached. */
         NO_ATTEMPT_LEFT,
-        /** Its deadline has passed. */
+        /** The deadline has passed. */
         TOO_LATE,
-        /** The daemon has made its share of retries. */
+        /** The retry budget of the service is exhausted. */
         OVER_BUDGET
     }
 
-    /** Decides; the budget is asked last, and only a retry takes from it. */
+    /** Decides about a retry. The budget is checked last, so that only an actual retry is taken from it. */
     public Verdict decide(AttemptHistory history, RetryBudget budget, TimeSource time) {
         if (history.mayHaveRun() && !idempotent) {
             return Verdict.UNSAFE;
@@ -49,12 +49,12 @@
     }
 
     /**
-     * How long the next attempt may take until the head of its answer.
+     * Returns the time limit of the next attempt until the head of its response.
      *
-     * <p>An idempotent request with attempts left keeps a tenth of its time, at most half a second, for another member
-     * in case this one never answers. Not more: what is kept back is lost to a server that is slow but sound, and at
-     * every level of a chain of calls again. Any other attempt has all the time, since giving it up early gains
-     * nothing.
+     * <p>An idempotent request with attempts left reserves a tenth of its remaining time, at most half a second, for
+     * another member in case this one never responds. The reserve is small because it shortens the time of a server
+     * that is slow but healthy, again at every level of a chain of calls. Any other attempt gets all the remaining
+     * time, since giving it up early gains nothing.
      *
      * @return milliseconds, at least 1
      */
--- a/org.berylwick/src/org/berylwick/internal/retry/package-info.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/package-info.java
@@ -1,2 +1,2 @@
-/** Decides whether a request may be sent again, when, and how many such repeats a daemon may make in all. */
+/** Decides whether and when a request is retried, and limits the total number of retries of a daemon. */
 package org.berylwick.internal.retry;
