--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserFixture.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserFixture.java
@@ -20,7 +20,7 @@
 import org.berylwick.lib.TrafficClass;
 import org.berylwick.testing.ManualTimeSource;
 
-/** A chooser in makati with members that a test puts where it likes. */
+/** A chooser in the availability zone makati, with a manual clock and members that the test adds. */
 final class MemberChooserFixture {
     static final Place MAKATI = new Place("ncr", "makati");
     static final Place PASIG = new Place("ncr", "pasig");
@@ -50,7 +50,7 @@
         return add(instance, place, Member.State.UP, 1);
     }
 
-    /** Adds a member, or replaces the one of that name. */
+    /** Adds a member or replaces the one with the same instance name. */
     Member add(String instance, Place place, Member.State state, long incarnation) {
         Member m = new Member(
                 instance,
@@ -78,12 +78,12 @@
         return chooser.choose(view, newMatch(idempotent), tried);
     }
 
-    /** The chosen member, which there must be. */
+    /** Chooses a member; fails if none is eligible. */
     Member chooseMember(boolean idempotent) {
         return ((MemberChoice.Chosen) choose(idempotent, Set.of())).member();
     }
 
-    /** How often each instance is chosen. */
+    /** Chooses {@code times} times and returns how often each instance was chosen. */
     Map<String, Integer> countChoices(int times) {
         Map<String, Integer> choicesByInstance = new HashMap<>();
         for (int i = 0; i < times; i++) {
@@ -92,7 +92,7 @@
         return choicesByInstance;
     }
 
-    /** Requests begin at a member and stay there. */
+    /** Starts requests at a member that never end. */
     void startRequests(Member m, int requests) {
         for (int i = 0; i < requests; i++) {
             loads.begin(m);
--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserPropertyTest.java
@@ -21,7 +21,7 @@
 import org.berylwick.lib.Place;
 import org.berylwick.lib.RefusalReason;
 
-/** What holds for the choice of a member whatever is known of them. */
+/** Properties of the choice of a member for any states, loads and failures of the members. */
 class MemberChooserPropertyTest {
     private static final Place[] PLACES = {
         MemberChooserFixture.MAKATI, MemberChooserFixture.PASIG, MemberChooserFixture.CEBU
@@ -29,8 +29,8 @@
 
     @Property(seed = "20271", tries = 300)
     void membersInStateUpArePreferredToSuspectOnes(@ForAll long seed, @ForAll @IntRange(max = 9) int count) {
-        // Members in any state, some of which failed or refused the request. One that is up is preferred to one that
-        // is suspect; one that starts, leaves or is gone never gets the request.
+        // Members are in any state, and some have failed requests or have refused this one. A member that is up is
+        // preferred to a suspect one. A member that is starting, leaving or gone never gets the request.
         Random random = new Random(seed);
         MemberChooserFixture f = new MemberChooserFixture(seed);
         Set<String> tried = new HashSet<>();
@@ -71,8 +71,8 @@
     @Property(seed = "20272", tries = 150)
     void atLeastHalfOfServiceStaysInUseWhenRequestsToAnyMemberFail(
             @ForAll long seed, @ForAll @IntRange(min = 1, max = 12) int count) {
-        // This process itself is in trouble, so that requests to any member fail. However many it takes for broken, at
-        // least half of them keep getting requests, or the service would be gone for this process's callers.
+        // The fault is in this process, so requests to any member fail. No matter how many members look failed, at
+        // least half of them must keep getting requests, or the service is unavailable to the callers of this process.
         Random random = new Random(seed);
         MemberChooserFixture f = new MemberChooserFixture(seed);
         for (int i = 0; i < count; i++) {
--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -16,7 +16,7 @@
 import org.berylwick.lib.RefusalReason;
 import org.junit.jupiter.api.Test;
 
-/** Which member a request goes to: near, not loaded, not failing. */
+/** Tests that requests go to near members that are neither loaded nor failing. */
 class MemberChooserTest {
     private static final int CHOICES = 1_000;
 
@@ -31,8 +31,8 @@
 
     @Test
     void requestsSpillGraduallyBeforeLocalZoneIsFull() {
-        // A crowd in Makati fills the one member there. Before it is full some requests go to the next zone, and even
-        // when it is full some stay: had all of them gone over at once, the next zone would have been swamped.
+        // The only member in the local zone fills up. Some requests go to the next zone before it is full, and some
+        // stay even when it is full: sending all of them over at once would overload the next zone.
         Member near = f.add("near", MAKATI);
         f.add("there", PASIG);
         f.startRequests(near, 10);
@@ -63,8 +63,8 @@
 
     @Test
     void reportedLoadDecaysWithAge() {
-        // Another daemon's requests filled one member when it last replied. That was long ago: it may be idle by now,
-        // and unless some request goes there nobody will ever know.
+        // A member reported full load caused by other daemons in its last reply, and got no requests since. Without
+        // decay of the reported load it would never get a request again, even if it has long been idle.
         Member a = f.add("a", MAKATI);
         f.add("b", MAKATI);
         f.loads.begin(a).reportLoad(12);
@@ -85,9 +85,9 @@
 
     @Test
     void failingMemberIsEjectedAndProbedByOneRequestAtATime() {
-        // A backend server fails every request it gets, at once, so it always looks idle and draws ever more of them.
-        // After five it gets none. A second later one idempotent request at a time tries it; three good answers bring
-        // it back, and one bad one keeps it out for twice as long.
+        // A backend server that fails every request at once always looks idle and would attract ever more requests.
+        // After five failures it gets none. One second later it is probed by one idempotent request at a time. Three
+        // successes readmit it; one failure ejects it again for twice as long.
         Member bad = f.add("bad", MAKATI);
         f.add("good", MAKATI);
         f.failRequests(bad, EjectionState.FAILURES_TO_EJECT);
@@ -111,8 +111,8 @@
 
     @Test
     void probationExpiresWithoutIdempotentRequests() {
-        // Placement confirmations must not be used to try a doubtful member. Where nothing else is ever asked, the
-        // member would stay out for good; so its probation ends by itself.
+        // Non-idempotent requests must not be used as probes. In a service that gets no other requests, an ejected
+        // member would never be readmitted if its probation did not expire.
         Member bad = f.add("bad", MAKATI);
         f.add("good", MAKATI);
         f.failRequests(bad, EjectionState.FAILURES_TO_EJECT);
@@ -134,7 +134,7 @@
 
     @Test
     void memberMuchSlowerThanOthersIsEjected() {
-        // One of four answers each request, but after two seconds. Nothing fails, so only the time tells.
+        // One of four members responds successfully, but only after two seconds, so only its latency shows the fault.
         Member slow = f.add("slow", MAKATI);
         f.add("b", MAKATI);
         f.add("c", MAKATI);
@@ -175,8 +175,8 @@
 
     @Test
     void refutedSuspicionKeepsLoadRecord() {
-        // The network splits and heals. Every member was suspected, refutes it with the next incarnation, and is the
-        // same as before: what runs there and what failed there must not be forgotten.
+        // After a network partition every member refutes a suspicion with its next incarnation. It has not restarted,
+        // so its record of requests in flight and of failures must be kept.
         Member a = f.add("a", MAKATI);
         f.add("b", MAKATI);
         f.countChoices(1);
--- a/org.berylwick.test/tst/org/berylwick/internal/routing/package-info.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of how requests find a member. */
+/** Tests of choosing the member that receives a request. */
 package org.berylwick.internal.routing;
