--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterFixture.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterFixture.java
@@ -13,7 +13,7 @@
 import org.berylwick.testing.ManualAlarm;
 import org.berylwick.testing.ManualTimeSource;
 
-/** A limiter on a clock that stands still. */
+/** A limiter with a manual clock. */
 final class SlotLimiterFixture {
     final ManualTimeSource time = new ManualTimeSource();
     final ManualAlarm scheduler = new ManualAlarm(time);
@@ -29,7 +29,7 @@
         return limiter.acquire(trafficClass, Deadline.after(time, timeout));
     }
 
-    /** Asks for a slot that must be free. */
+    /** Acquires a slot; fails if none is granted at once. */
     Permit acquireNow(TrafficClass trafficClass, Duration timeout) {
         return permit(acquire(trafficClass, timeout)).orElseThrow();
     }
--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
@@ -25,7 +25,7 @@
 import org.berylwick.lib.Deadline;
 import org.berylwick.lib.TrafficClass;
 
-/** What holds for the slots whatever comes in whatever order. */
+/** Properties of the slot limiter for any order of operations. */
 class SlotLimiterPropertyTest {
     private static final int STEPS = 400;
     private static final TrafficClass[] CLASSES = TrafficClass.values();
@@ -33,8 +33,9 @@
     @Property(seed = "20261", tries = 150)
     void slotsAreCountedExactlyInAnyOrderOfOperations(
             @ForAll long seed, @ForAll @IntRange(min = 1, max = 16) int slots, @ForAll @IntRange(max = 20) int queue) {
-        // Requests come, end, are shed and given up while time passes and limits change, in any order. At no time may
-        // more slots be given than there are, and once every request is over none may be missing.
+        // Requests arrive, end, are shed and are cancelled while time passes and limits change, in any order. There
+        // must
+        // never be more slots in use than declared, and after all requests have ended no slot may be in use.
         Random random = new Random(seed);
         SlotLimiterFixture f = new SlotLimiterFixture(SlotLimits.ofAllClasses(slots, queue));
         List<CompletableFuture<Admission>> pending = new ArrayList<>();
@@ -76,9 +77,9 @@
 
     @Property(seed = "20262", tries = 60)
     void classBelowGuaranteeWaitsAtMostForOneBorrowedSlot(@ForAll long seed) {
-        // Every class asks far more than its share, bulk transfers last minutes, all others at most 100 ms. Whoever
-        // waits while its class holds less than its guarantee gets a slot as soon as what was lent has come back,
-        // which is within one of those 100 ms.
+        // Every class requests far more than its share. Bulk requests take minutes, all others at most 100 ms. A
+        // request that waits while its class is below its guarantee gets a slot as soon as a borrowed one is returned,
+        // which takes at most 100 ms.
         Random random = new Random(seed);
         SlotLimiterFixture f = new SlotLimiterFixture(SlotLimits.ofAllClasses(12, 48));
         List<Running> running = new ArrayList<>();
@@ -107,7 +108,7 @@
                 timeBelowGuarantee.merge(k, step, (a, b) -> belowGuarantee ? a.plus(b) : Duration.ZERO);
                 assertTrue(
                         timeBelowGuarantee.get(k).toMillis() <= 102,
-                        () -> k + " owed a slot for " + timeBelowGuarantee.get(k));
+                        () -> k + " waited below its guarantee for " + timeBelowGuarantee.get(k));
             }
         }
     }
--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
@@ -17,7 +17,7 @@
 import org.berylwick.lib.TrafficClass;
 import org.junit.jupiter.api.Test;
 
-/** Shares, early refusal, cancellation and the answer to a shedding backend server. */
+/** Tests shares, early refusal, cancellation and the reaction to a backend server that sheds requests. */
 class SlotLimiterTest {
     private static final Duration SHORT_HOLD = Duration.ofMillis(20);
     private static final Duration TIMEOUT = Duration.ofSeconds(2);
@@ -29,8 +29,8 @@
 
     @Test
     void lookupsDoNotStarveReads() {
-        // Before dawn a job sends lookups without end. They take every slot that is idle. Partners who then ask for
-        // availability get slots again as soon as those lookups end, although lookups keep asking.
+        // A batch job sends lookups continuously and takes every idle slot. Reads that arrive later must get slots as
+        // soon as these lookups end, although more lookups are waiting.
         List<Permit> lookups = acquireMany(TrafficClass.LOOKUP, SLOTS);
         List<CompletableFuture<Admission>> moreLookups = enqueueMany(TrafficClass.LOOKUP, 20);
         List<CompletableFuture<Admission>> reads = enqueueMany(TrafficClass.READ, 4);
@@ -42,8 +42,8 @@
 
     @Test
     void readsDoNotStarveLookups() {
-        // All slots serve customers and more customers wait. A lookup that a customer's page depends on still gets
-        // its share: the next slot is its own, before customers that came earlier and are more urgent.
+        // Reads take all slots and more reads wait. A lookup must still get the next free slot, before reads that
+        // arrived earlier and are more urgent, because lookups are below their guarantee.
         List<Permit> reads = acquireMany(TrafficClass.READ, SLOTS);
         enqueueMany(TrafficClass.READ, 20);
         CompletableFuture<Admission> lookup = f.acquire(TrafficClass.LOOKUP, TIMEOUT);
@@ -54,8 +54,8 @@
 
     @Test
     void bulkRequestsDoNotBorrowSlots() {
-        // Clinics start a dozen archive transfers while nobody else is there. Each lasts minutes, so a slot lent to
-        // one can't be had back. An order that comes a moment later finds its guaranteed slots free.
+        // A dozen bulk transfers arrive while the backend server is idle. Each takes minutes, so a slot lent to one is
+        // not returned in time. Confirmations that arrive shortly after must find their guaranteed slots free.
         List<CompletableFuture<Admission>> bulk = new ArrayList<>();
         for (int i = 0; i < SLOTS; i++) {
             bulk.add(f.acquire(TrafficClass.BULK, LONG_TIMEOUT));
@@ -88,8 +88,8 @@
 
     @Test
     void waitingRequestIsRefusedAtDeadlineWithoutReleasedSlot() {
-        // Every slot hangs and none comes back. The caller behind a waiting request wants to know when its time is
-        // up, not when a slot happens to be freed.
+        // All slots are in use and none is released. A waiting request must be refused when its deadline passes, not
+        // only when the next slot is released.
         acquireMany(TrafficClass.READ, SLOTS);
         CompletableFuture<Admission> waiting = f.acquire(TrafficClass.READ, TIMEOUT);
         f.scheduler.advance(TIMEOUT.minusMillis(1));
@@ -102,8 +102,9 @@
 
     @Test
     void requestThatCannotStartInTimeIsRefusedOnArrival() {
-        // Requests take 400 ms each, all slots are taken and two dozen wait: a newcomer would get its slot in about
-        // a second. One with 30 ms left is told so at once, with when to come back; a patient one waits.
+        // Requests take 400 ms each, all slots are in use and 24 requests wait, so a new request would get a slot
+        // after about one second. A request with 30 ms left is refused at once with a retry delay; one with a long
+        // deadline waits.
         List<Permit> earlierReads = acquireMany(TrafficClass.READ, SLOTS);
         f.scheduler.advance(Duration.ofMillis(400));
         earlierReads.forEach(Permit::close);
@@ -130,8 +131,9 @@
 
     @Test
     void slotGrantedToCancelledRequestIsReleased() {
-        // A slot comes free for the first waiter, whose continuation gives up the second one, which was given a slot
-        // by the same release. Nobody would ever close that permit; the slot must come back by itself.
+        // One change of limits grants slots to both waiting requests. The continuation of the first cancels the second
+        // before its future completes. Nobody would ever close the permit of the second, so the limiter must release
+        // it.
         Permit held = f.acquireNow(TrafficClass.READ, TIMEOUT);
         SlotLimits oneSlot = SlotLimits.ofAllClasses(1, QUEUE_LIMIT);
         f.limiter.setLimits(oneSlot);
@@ -157,8 +159,8 @@
 
     @Test
     void shedLowersUsableSlotsTemporarily() {
-        // A cold backend server sheds although slots are free by the declaration. Fewer are used at once, a burst of
-        // sheds counts once, and with time all of them come back, without a request that would have to ask for it.
+        // A cold backend server sheds requests although declared slots are free. The usable slots are lowered at once,
+        // only once per burst, and all are restored with time, even if no new request triggers it.
         List<Permit> reads = acquireMany(TrafficClass.READ, SLOTS);
         reads.get(0).closeAfterShed();
         reads.get(1).closeAfterShed();
--- a/org.berylwick.test/tst/org/berylwick/internal/limit/package-info.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of admission to the slots of a backend server. */
+/** Tests of the admission control of a backend server. */
 package org.berylwick.internal.limit;
