--- a/org.berylwick.test/tst/org/berylwick/internal/retry/RetryBudgetTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/retry/RetryBudgetTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.constraints.Size;
 import org.berylwick.testing.ManualTimeSource;
 
-/** How many retries a daemon makes in an outage. */
+/** Tests the limit on the number of retries in an outage. */
 class RetryBudgetTest {
     private static final double RETRY_RATIO = 0.2;
     private static final int MIN_RETRIES = 10;
@@ -31,11 +31,11 @@
             long now = time.nanoTime() / 1_000_000;
             budget.countRequest();
             requests.add(now);
-            // In an outage every request asks for as many retries as it can get.
+            // In an outage every request uses as many retries as the budget allows.
             while (budget.tryAcquireRetry()) {
                 retries.add(now);
             }
-            // A retry granted at the start of this window was counted against the requests of the window before it.
+            // A retry granted at the start of this window was charged against the requests of the window before it.
             removeUpTo(requests, now - 2 * WINDOW_MILLIS);
             removeUpTo(retries, now - WINDOW_MILLIS + BUCKET_MILLIS);
             assertTrue(
@@ -52,7 +52,7 @@
             budget.countRequest();
         }
         while (budget.tryAcquireRetry()) {
-            // Uses it up.
+            // Exhausts the budget.
         }
         time.advance(Duration.ofMillis(WINDOW_MILLIS + BUCKET_MILLIS));
         int granted = 0;
--- a/org.berylwick.test/tst/org/berylwick/internal/retry/RetryRuleTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/retry/RetryRuleTest.java
@@ -21,7 +21,7 @@
 import org.berylwick.lib.RefusalReason;
 import org.berylwick.testing.ManualTimeSource;
 
-/** Which requests may be sent again, and what is said of those that are given up. */
+/** Tests which requests may be retried, and the outcome reported for those that are not. */
 class RetryRuleTest {
     private final ManualTimeSource time = new ManualTimeSource();
 
@@ -86,7 +86,7 @@
             RetryRule rule = new RetryRule(true, true, 3, Deadline.afterMillis(time, left));
             left = rule.attemptTimeoutMillis(AttemptHistory.NONE, time);
         }
-        assertTrue(left >= millis / 3, left + " of " + millis);
+        assertTrue(left >= millis / 3, left + " ms left of " + millis);
     }
 
     @Property(seed = "4724")
@@ -95,7 +95,7 @@
         Backoff backoff = new Backoff(base, 2_000);
         long delay = backoff.delayMillis(round, new Random(round));
         long bound = Math.min(2_000, (long) base << Math.min(round, 30));
-        assertTrue(delay >= 0 && delay <= bound, delay + " of " + bound);
+        assertTrue(delay >= 0 && delay <= bound, delay + " ms, bound " + bound);
     }
 
     @Property(seed = "4725", tries = 20)
--- a/org.berylwick.test/tst/org/berylwick/internal/retry/package-info.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/retry/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the decisions about retries. */
+/** Tests of the decisions about retries and their limits. */
 package org.berylwick.internal.retry;
