--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -28,7 +28,10 @@
     /** Responses needed before a mean latency is compared with others, and between two comparisons. */
     private static final int LATENCY_SAMPLES_PER_CHECK = 20;
 
+    /** Members with enough responses that a comparison needs, including the compared one. */
     private static final int MIN_MEMBERS_TO_COMPARE = 3;
+
+    /** A mean latency is an outlier only if it exceeds the median of the other members by this factor. */
     private static final double SLOW_LATENCY_FACTOR = 5;
 
     /**
@@ -218,9 +221,9 @@
         if (mean > SLOW_LATENCY_FACTOR * median
                 && mean > median + SLOW_LATENCY_MARGIN.toNanos()
                 && candidate.ejectionStatus(time.nanoTime()) != EjectionState.Status.EJECTED) {
-            String detail = "mean time to response "
-                    + Duration.ofNanos((long) mean).toMillis() + " ms, median of other " + "members in ms: "
-                    + Duration.ofNanos((long) median).toMillis();
+            String detail =
+                    "mean time to response in ms: " + Duration.ofNanos((long) mean).toMillis()
+                            + ", median of other members: " + Duration.ofNanos((long) median).toMillis();
             reportEjection(candidate, candidate.eject(time.nanoTime()), detail);
         }
     }
