--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserPropertyTest.java
@@ -118,7 +118,7 @@
     }
 
     private static double keptShare(double load, double capacity, double fartherLoad, double fartherCapacity) {
-        Tier nearLoad = new Tier(Distance.ZONE, List.of(), load, capacity);
-        return Tiers.keptShare(nearLoad, List.of(new Tier(Distance.REGION, List.of(), fartherLoad, fartherCapacity)));
+        Tier nearTier = new Tier(Distance.ZONE, List.of(), load, capacity);
+        return Tiers.keptShare(nearTier, List.of(new Tier(Distance.REGION, List.of(), fartherLoad, fartherCapacity)));
     }
 }
