--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -221,9 +221,9 @@
         if (mean > SLOW_LATENCY_FACTOR * median
                 && mean > median + SLOW_LATENCY_MARGIN.toNanos()
                 && candidate.ejectionStatus(time.nanoTime()) != EjectionState.Status.EJECTED) {
-            String detail =
-                    "mean time to response in ms: " + Duration.ofNanos((long) mean).toMillis()
-                            + ", median of other members: " + Duration.ofNanos((long) median).toMillis();
+            String detail = "mean time to response in ms: "
+                    + Duration.ofNanos((long) mean).toMillis() + ", median of other members: "
+                    + Duration.ofNanos((long) median).toMillis();
             reportEjection(candidate, candidate.eject(time.nanoTime()), detail);
         }
     }
--- a/org.berylwick/src/org/berylwick/internal/routing/Tiers.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/Tiers.java
@@ -84,8 +84,7 @@
             return 1;
         }
         double pressure = Math.clamp((nearTier.utilization() - SPILL_THRESHOLD) / (1 - SPILL_THRESHOLD), 0, 1);
-        double gapFactor =
-                Math.clamp((nearTier.utilization() - load / capacity) / FULL_SPILL_UTILIZATION_GAP, 0, 1);
+        double gapFactor = Math.clamp((nearTier.utilization() - load / capacity) / FULL_SPILL_UTILIZATION_GAP, 0, 1);
         double fairShare = nearTier.capacity / (nearTier.capacity + capacity);
         return 1 - pressure * gapFactor * (1 - fairShare);
     }
