--- a/org.berylwick.bench/src/org/berylwick/bench/limits/ChoiceRun.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/limits/ChoiceRun.java
@@ -11,7 +11,7 @@
 import java.util.Random;
 import java.util.Set;
 import org.HdrHistogram.Histogram;
-import org.berylwick.internal.routing.Choice;
+import org.berylwick.internal.routing.MemberChoice;
 import org.berylwick.internal.routing.MemberChooser;
 import org.berylwick.internal.routing.PeerLoads;
 import org.berylwick.internal.routing.RouteMatch;
@@ -142,7 +142,7 @@
         view = new MembershipView(members);
         for (int i = 0; i < ZONES.size() * ENTRIES_PER_ZONE; i++) {
             MetricRegistry metrics = new MetricRegistry();
-            PeerLoads loads = new PeerLoads(() -> view, PeerLoads.OwnLoad.NONE, loop, metrics);
+            PeerLoads loads = new PeerLoads(() -> view, PeerLoads.LocalLoad.NONE, loop, metrics);
             entries.add(new Entry(place(i), loads, new MemberChooser(place(i), loads, loop, metrics, () -> random)));
         }
     }
@@ -211,7 +211,7 @@
                         int reported = server.load;
                         slot.orElseThrow().run();
                         loop.after(hop, () -> {
-                            attempt.report(reported);
+                            attempt.reportLoad(reported);
                             ended(server, attempt);
                             times.recordValue(loop.nanoTime() - began);
                         });
@@ -224,7 +224,7 @@
             failed++;
             attempt.failed("status 500");
         } else {
-            attempt.answered(true);
+            attempt.responseStarted(true);
         }
         attempt.close();
     }
@@ -253,8 +253,8 @@
     }
 
     private Server chosen(Entry entry) {
-        Choice choice = entry.chooser.choose(view, Matches.ANY, Set.of());
-        if (!(choice instanceof Choice.Chosen(Member member))) {
+        MemberChoice choice = entry.chooser.choose(view, Matches.ANY, Set.of());
+        if (!(choice instanceof MemberChoice.Chosen(Member member))) {
             throw new IllegalStateException("no member: " + choice);
         }
         return servers.stream().filter(s -> s.member.equals(member)).findFirst().orElseThrow();
--- a/org.berylwick.daemon/src/org/berylwick/daemon/admin/RouteExplainer.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/admin/RouteExplainer.java
@@ -72,10 +72,10 @@
         if (!route.brands().matches(brand.labels())) {
             return "not for this brand (its brands are '" + route.brands() + "')";
         }
-        if (!RoutingTable.isUnder(route.path(), request.getPath())) {
+        if (!RoutingTable.isPathUnder(route.path(), request.getPath())) {
             return "path " + request.getPath() + " is not under " + route.path();
         }
-        if (!RoutingTable.takes(route, request.getMethod())) {
+        if (!RoutingTable.acceptsMethod(route, request.getMethod())) {
             return "method " + request.getMethod() + " is not one of " + String.join(", ", route.methods());
         }
         return "takes it; the longest path goes first, then a route that names methods";
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarder.java
@@ -10,7 +10,7 @@
 import org.berylwick.internal.membership.MembershipTable;
 import org.berylwick.internal.retry.RetryBudget;
 import org.berylwick.internal.retry.RetryBudgets;
-import org.berylwick.internal.routing.Choice;
+import org.berylwick.internal.routing.MemberChoice;
 import org.berylwick.internal.routing.MemberChooser;
 import org.berylwick.internal.routing.PeerLoads;
 import org.berylwick.lib.Deadline;
@@ -105,7 +105,7 @@
                 if (status.isServerError()) {
                     load.failed("status " + status.code());
                 } else {
-                    load.answered(call.match().policy().trafficClass() != TrafficClass.BULK);
+                    load.responseStarted(call.match().policy().trafficClass() != TrafficClass.BULK);
                 }
             }
             case Outcome.RefusedNotRun<Answer>(RefusalReason reason, Optional<Long> retryAfter) -> {
@@ -113,12 +113,12 @@
                     load.failed(reason.word());
                 }
             }
-            case Outcome.Unknown<Answer>(String detail) -> load.unknown(detail, attemptMillis);
+            case Outcome.Unknown<Answer>(String detail) -> load.outcomeUnknown(detail, attemptMillis);
         }
     }
 
     /** Picks a member that was not tried yet. */
-    Choice choose(MembershipView members, Call call, Set<String> tried) {
+    MemberChoice choose(MembershipView members, Call call, Set<String> tried) {
         return chooser.choose(members, call.match(), tried);
     }
 
@@ -132,7 +132,7 @@
     }
 
     RetryBudget budgetFor(Call call) {
-        return budgets.of(call.match().service().name());
+        return budgets.forService(call.match().service().name());
     }
 
     CallMetrics metrics() {
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
@@ -10,11 +10,11 @@
 import org.berylwick.internal.event.CallEvent;
 import org.berylwick.internal.event.EventLog;
 import org.berylwick.internal.invariant.Invariant;
-import org.berylwick.internal.retry.AttemptLog;
+import org.berylwick.internal.retry.AttemptHistory;
 import org.berylwick.internal.retry.Backoff;
 import org.berylwick.internal.retry.RetryRule;
 import org.berylwick.internal.retry.RetryRule.Verdict;
-import org.berylwick.internal.routing.Choice;
+import org.berylwick.internal.routing.MemberChoice;
 import org.berylwick.lib.Member;
 import org.berylwick.lib.MembershipView;
 import org.berylwick.lib.Outcome;
@@ -36,7 +36,7 @@
     private final long startNanos;
     private final CompletableFuture<HttpResponse> result = new CompletableFuture<>();
     private final Set<String> tried = new HashSet<>();
-    private AttemptLog log = AttemptLog.NONE;
+    private AttemptHistory log = AttemptHistory.NONE;
     private int rounds;
     private volatile boolean cancelled;
     private volatile Attempt current;
@@ -83,9 +83,9 @@
 
     private void attempt(MembershipView members) {
         switch (forwarder.choose(members, call, tried)) {
-            case Choice.Chosen(Member member) -> attempt(member);
-            case Choice.AllTried(Member member) -> noMemberLeft();
-            case Choice.NoMember(RefusalReason reason) -> {
+            case MemberChoice.Chosen(Member member) -> attempt(member);
+            case MemberChoice.AllTried(Member member) -> noMemberLeft();
+            case MemberChoice.NoMember(RefusalReason reason) -> {
                 if (log.attempts() > 0) {
                     noMemberLeft();
                 } else {
@@ -96,11 +96,11 @@
     }
 
     private void attempt(Member member) {
-        boolean mayRun = !log.maybeRan() || call.match().policy().idempotent();
+        boolean mayRun = !log.mayHaveRun() || call.match().policy().idempotent();
         forwarder
                 .invariants()
                 .check(Invariant.AT_MOST_ONCE, mayRun, () -> "request " + call.requestId() + " is sent once too often");
-        Attempt begun = forwarder.send(call, member, rule.attemptMillis(log, forwarder.time()));
+        Attempt begun = forwarder.send(call, member, rule.attemptTimeoutMillis(log, forwarder.time()));
         current = begun;
         if (cancelled) {
             begun.cancel().run();
@@ -120,7 +120,7 @@
         log = log.plus(outcome);
         tried.add(member.instance());
         if (cancelled) {
-            giveUp(log.givenUp());
+            giveUp(log.finalOutcome());
             return;
         }
         Verdict verdict = rule.decide(log, forwarder.budgetFor(call), forwarder.time());
@@ -135,14 +135,14 @@
                     call.requestId(),
                     call.match().service().name());
         }
-        giveUp(log.givenUp());
+        giveUp(log.finalOutcome());
     }
 
     private void noMemberLeft() {
-        long pause = SAME_MEMBER.pauseMillis(rounds, ThreadLocalRandom.current());
+        long pause = SAME_MEMBER.delayMillis(rounds, ThreadLocalRandom.current());
         boolean inTime = call.deadline().remainingMillis(forwarder.time()) > pause;
         if (tried.isEmpty() || cancelled || !inTime) {
-            giveUp(log.givenUp());
+            giveUp(log.finalOutcome());
             return;
         }
         rounds++;
@@ -165,7 +165,7 @@
                         .invariants()
                         .check(
                                 Invariant.REFUSAL_TRUE,
-                                !log.maybeRan(),
+                                !log.mayHaveRun(),
                                 () -> "request " + call.requestId() + " may have run and is called not run");
                 result.complete(Problem.notRun(call.requestId(), reason, retryAfter));
             }
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
@@ -79,7 +79,7 @@
         Optional<RefusalReason> refusal =
                 cancelled ? Optional.of(RefusalReason.DEADLINE) : owner.refusal(owned.deadline());
         if (refusal.isPresent()) {
-            permit.unused();
+            permit.closeUnused();
             refuse(refusal.get());
             return;
         }
@@ -132,7 +132,7 @@
             return;
         }
         if (received.status().equals(HttpStatus.SERVICE_UNAVAILABLE) && received.contains(CallHeaders.SHED)) {
-            permit.shed();
+            permit.closeAfterShed();
             // Read to its end, so that the connection can be used again.
             split.body().subscribe();
             refuse(RefusalReason.SHED);
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
@@ -12,10 +12,10 @@
 import java.util.concurrent.CompletableFuture;
 import org.berylwick.internal.event.CallEvent;
 import org.berylwick.internal.event.EventLog;
-import org.berylwick.internal.retry.AttemptLog;
+import org.berylwick.internal.retry.AttemptHistory;
 import org.berylwick.internal.retry.RetryRule;
 import org.berylwick.internal.retry.RetryRule.Verdict;
-import org.berylwick.internal.routing.Choice;
+import org.berylwick.internal.routing.MemberChoice;
 import org.berylwick.lib.Deadline;
 import org.berylwick.lib.Member;
 import org.berylwick.lib.Outcome;
@@ -37,7 +37,7 @@
     private final long total;
     private long passed;
     private Member from;
-    private AttemptLog log = AttemptLog.NONE;
+    private AttemptHistory log = AttemptHistory.NONE;
     private Attempt current;
 
     private ResumableAnswer(Forwarder forwarder, Call call, String validator, long total, Member from) {
@@ -96,7 +96,8 @@
         headers.set(HttpHeaderNames.RANGE, "bytes=" + passed + "-");
         headers.set(HttpHeaderNames.IF_RANGE, validator);
         from = member.get();
-        current = forwarder.send(call.withHeaders(headers.build()), from, rule.attemptMillis(log, forwarder.time()));
+        current = forwarder.send(
+                call.withHeaders(headers.build()), from, rule.attemptTimeoutMillis(log, forwarder.time()));
         current.outcome().thenAccept(outcome -> {
             switch (outcome) {
                 case Outcome.Answered<Answer>(Answer answer) -> join(answer, cause, rest);
@@ -130,9 +131,9 @@
 
     private Optional<Member> otherMember() {
         return switch (forwarder.choose(forwarder.currentMembers(), call, Set.of(from.instance()))) {
-            case Choice.Chosen(Member member) -> Optional.of(member);
-            case Choice.AllTried(Member member) -> Optional.of(member);
-            case Choice.NoMember none -> Optional.empty();
+            case MemberChoice.Chosen(Member member) -> Optional.of(member);
+            case MemberChoice.AllTried(Member member) -> Optional.of(member);
+            case MemberChoice.NoMember none -> Optional.empty();
         };
     }
 
--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotFixture.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterFixture.java
@@ -13,35 +13,37 @@
 import org.berylwick.testing.ManualAlarm;
 import org.berylwick.testing.ManualTimeSource;
 
-/** A limiter on a clock that stands still. */
-final class SlotFixture {
+/** A limiter with a manual clock. */
+final class SlotLimiterFixture {
     final ManualTimeSource time = new ManualTimeSource();
-    final ManualAlarm alarm = new ManualAlarm(time);
+    final ManualAlarm scheduler = new ManualAlarm(time);
     final MetricRegistry metrics = new MetricRegistry();
     final Invariants invariants = new Invariants(metrics);
     final SlotLimiter limiter;
 
-    SlotFixture(SlotLimits limits) {
-        limiter = new SlotLimiter(time, alarm, metrics, invariants, limits);
+    SlotLimiterFixture(SlotLimits limits) {
+        limiter = new SlotLimiter(time, scheduler, metrics, invariants, limits);
     }
 
-    CompletableFuture<Admission> ask(TrafficClass trafficClass, Duration patience) {
-        return limiter.acquire(trafficClass, Deadline.after(time, patience));
+    CompletableFuture<Admission> acquire(TrafficClass trafficClass, Duration timeout) {
+        return limiter.acquire(trafficClass, Deadline.after(time, timeout));
     }
 
-    /** Asks for a slot that must be free. */
-    Permit take(TrafficClass trafficClass, Duration patience) {
-        return permit(ask(trafficClass, patience)).orElseThrow();
+    /** Acquires a slot; fails if none is granted at once. */
+    Permit acquireNow(TrafficClass trafficClass, Duration timeout) {
+        return permit(acquire(trafficClass, timeout)).orElseThrow();
     }
 
-    static Optional<Permit> permit(CompletableFuture<Admission> asked) {
-        return asked.isDone() && !asked.isCancelled() && asked.join() instanceof Admission.Admitted(Permit permit)
+    static Optional<Permit> permit(CompletableFuture<Admission> admission) {
+        return admission.isDone()
+                        && !admission.isCancelled()
+                        && admission.join() instanceof Admission.Admitted(Permit permit)
                 ? Optional.of(permit)
                 : Optional.empty();
     }
 
-    static boolean isRefused(CompletableFuture<Admission> asked) {
-        return asked.isDone() && !asked.isCancelled() && asked.join() instanceof Admission.Refused;
+    static boolean isRefused(CompletableFuture<Admission> admission) {
+        return admission.isDone() && !admission.isCancelled() && admission.join() instanceof Admission.Refused;
     }
 
     long breaches() {
--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
@@ -25,47 +25,49 @@
 import org.berylwick.lib.Deadline;
 import org.berylwick.lib.TrafficClass;
 
-/** What holds for the slots whatever comes in whatever order. */
+/** Properties of the slot limiter for any order of operations. */
 class SlotLimiterPropertyTest {
     private static final int STEPS = 400;
     private static final TrafficClass[] CLASSES = TrafficClass.values();
 
     @Property(seed = "20261", tries = 150)
-    void slotsAreCountedExactly(
+    void slotsAreCountedExactlyInAnyOrderOfOperations(
             @ForAll long seed, @ForAll @IntRange(min = 1, max = 16) int slots, @ForAll @IntRange(max = 20) int queue) {
-        // Requests come, end, are shed and given up while time passes and limits change, in any order. At no time may
-        // more slots be given than there are, and once every request is over none may be missing.
+        // Requests arrive, end, are shed and are cancelled while time passes and limits change, in any order. There
+        // must
+        // never be more slots in use than declared, and after all requests have ended no slot may be in use.
         Random random = new Random(seed);
-        SlotFixture f = new SlotFixture(SlotLimits.ofAllClasses(slots, queue));
-        List<CompletableFuture<Admission>> asked = new ArrayList<>();
+        SlotLimiterFixture f = new SlotLimiterFixture(SlotLimits.ofAllClasses(slots, queue));
+        List<CompletableFuture<Admission>> pending = new ArrayList<>();
         List<Permit> held = new ArrayList<>();
         int declared = slots;
         for (int i = 0; i < STEPS; i++) {
             int before = f.limiter.inUse();
             switch (random.nextInt(8)) {
-                case 0, 1, 2 -> asked.add(f.ask(CLASSES[random.nextInt(4)], Duration.ofMillis(random.nextInt(3_000))));
-                case 3, 4 -> remove(held, random).forEach(Permit::close);
-                case 5 -> remove(held, random).forEach(Permit::shed);
-                case 6 -> pick(asked, random).forEach(a -> a.cancel(false));
+                case 0, 1, 2 ->
+                    pending.add(f.acquire(CLASSES[random.nextInt(4)], Duration.ofMillis(random.nextInt(3_000))));
+                case 3, 4 -> removeRandom(held, random).forEach(Permit::close);
+                case 5 -> removeRandom(held, random).forEach(Permit::closeAfterShed);
+                case 6 -> pickRandom(pending, random).forEach(a -> a.cancel(false));
                 default -> {
                     if (random.nextInt(10) > 0) {
-                        f.alarm.advance(Duration.ofMillis(random.nextInt(300)));
+                        f.scheduler.advance(Duration.ofMillis(random.nextInt(300)));
                     } else {
                         declared = 1 + random.nextInt(16);
                         f.limiter.setLimits(SlotLimits.ofAllClasses(declared, random.nextInt(20)));
                     }
                 }
             }
-            asked.removeIf(a -> {
-                SlotFixture.permit(a).ifPresent(held::add);
+            pending.removeIf(a -> {
+                SlotLimiterFixture.permit(a).ifPresent(held::add);
                 return a.isDone();
             });
             assertEquals(held.size(), f.limiter.inUse());
-            assertEquals(asked.size(), f.limiter.waiting());
+            assertEquals(pending.size(), f.limiter.waiting());
             assertTrue(f.limiter.inUse() <= Math.max(before, declared));
             assertTrue(f.limiter.usableSlots() <= declared);
         }
-        asked.forEach(a -> a.cancel(false));
+        pending.forEach(a -> a.cancel(false));
         held.forEach(Permit::close);
         held.forEach(Permit::close);
         assertEquals(0, f.limiter.inUse());
@@ -74,78 +76,83 @@
     }
 
     @Property(seed = "20262", tries = 60)
-    void aClassBelowItsGuaranteeWaitsForOneShortRequestAtMost(@ForAll long seed) {
-        // Every class asks far more than its share, bulk transfers last minutes, all others at most 100 ms. Whoever
-        // waits while its class holds less than its guarantee gets a slot as soon as what was lent has come back,
-        // which is within one of those 100 ms.
+    void classBelowGuaranteeWaitsAtMostForOneBorrowedSlot(@ForAll long seed) {
+        // Every class requests far more than its share. Bulk requests take minutes, all others at most 100 ms. A
+        // request that waits while its class is below its guarantee gets a slot as soon as a borrowed one is returned,
+        // which takes at most 100 ms.
         Random random = new Random(seed);
-        SlotFixture f = new SlotFixture(SlotLimits.ofAllClasses(12, 48));
+        SlotLimiterFixture f = new SlotLimiterFixture(SlotLimits.ofAllClasses(12, 48));
         List<Running> running = new ArrayList<>();
         Map<TrafficClass, List<CompletableFuture<Admission>>> waiting = new EnumMap<>(TrafficClass.class);
-        Map<TrafficClass, Duration> below = new EnumMap<>(TrafficClass.class);
+        Map<TrafficClass, Duration> timeBelowGuarantee = new EnumMap<>(TrafficClass.class);
         Duration step = Duration.ofMillis(1);
         for (int i = 0; i < 3_000; i++) {
             boolean burst = i / 300 % 2 == 0;
             TrafficClass c = CLASSES[burst ? random.nextInt(4) : i / 600 % 4];
             if (random.nextInt(3) > 0) {
-                waiting.computeIfAbsent(c, x -> new ArrayList<>()).add(f.ask(c, Duration.ofHours(1)));
+                waiting.computeIfAbsent(c, x -> new ArrayList<>()).add(f.acquire(c, Duration.ofHours(1)));
             }
-            f.alarm.advance(step);
+            f.scheduler.advance(step);
             long now = f.time.nanoTime();
-            List<Running> over = running.stream().filter(r -> r.endsAt <= now).toList();
-            running.removeAll(over);
-            over.forEach(r -> r.permit.close());
+            List<Running> finished =
+                    running.stream().filter(r -> r.endsAtNanos <= now).toList();
+            running.removeAll(finished);
+            finished.forEach(r -> r.permit.close());
             waiting.forEach((k, list) -> list.removeIf(a -> {
-                SlotFixture.permit(a).ifPresent(p -> running.add(new Running(p, now + holdNanos(k, random))));
+                SlotLimiterFixture.permit(a).ifPresent(p -> running.add(new Running(p, now + holdNanos(k, random))));
                 return a.isDone();
             }));
             for (TrafficClass k : CLASSES) {
-                boolean owed =
+                boolean belowGuarantee =
                         !waiting.getOrDefault(k, List.of()).isEmpty() && f.limiter.inUse(k) < f.limiter.guarantee(k);
-                below.merge(k, step, (a, b) -> owed ? a.plus(b) : Duration.ZERO);
-                assertTrue(below.get(k).toMillis() <= 102, () -> k + " owed a slot for " + below.get(k));
+                timeBelowGuarantee.merge(k, step, (a, b) -> belowGuarantee ? a.plus(b) : Duration.ZERO);
+                assertTrue(
+                        timeBelowGuarantee.get(k).toMillis() <= 102,
+                        () -> k + " waited below its guarantee for " + timeBelowGuarantee.get(k));
             }
         }
     }
 
     @Property(seed = "20263", tries = 60)
-    void noSlotIsIdleWhileARequestWaitsThatMayHaveIt(@ForAll long seed) {
+    void noSlotStaysIdleWhileEligibleRequestWaits(@ForAll long seed) {
         Random random = new Random(seed);
-        SlotFixture f = new SlotFixture(SlotLimits.ofAllClasses(12, 48));
-        List<CompletableFuture<Admission>> asked = new ArrayList<>();
+        SlotLimiterFixture f = new SlotLimiterFixture(SlotLimits.ofAllClasses(12, 48));
+        List<CompletableFuture<Admission>> pending = new ArrayList<>();
         for (int i = 0; i < STEPS; i++) {
             if (random.nextInt(5) < 3) {
-                asked.add(f.ask(CLASSES[random.nextInt(3)], Duration.ofSeconds(5)));
+                pending.add(f.acquire(CLASSES[random.nextInt(3)], Duration.ofSeconds(5)));
             } else {
-                List<Permit> held = asked.stream()
-                        .flatMap(a -> SlotFixture.permit(a).stream())
+                List<Permit> held = pending.stream()
+                        .flatMap(a -> SlotLimiterFixture.permit(a).stream())
                         .toList();
-                pick(held, random).forEach(Permit::close);
+                pickRandom(held, random).forEach(Permit::close);
             }
-            f.alarm.advance(Duration.ofMillis(random.nextInt(20)));
+            f.scheduler.advance(Duration.ofMillis(random.nextInt(20)));
             boolean idle = f.limiter.inUse() < 12;
             assertTrue(!idle || f.limiter.waiting() == 0);
         }
     }
 
     @Property(seed = "20264", tries = 300)
-    void sharesNeverExceedThePlacesAndLeaveNoClassOut(
-            @ForAll @IntRange(min = 1, max = 200) int places, @ForAll @IntRange(min = 1, max = 15) int chosen) {
-        List<TrafficClass> classes =
-                Stream.of(CLASSES).filter(c -> (chosen >> c.ordinal() & 1) == 1).toList();
-        ClassShares shares = ClassShares.divide(places, Set.copyOf(classes));
-        assertTrue(shares.total() <= places);
-        long without = classes.stream().filter(c -> shares.guarantee(c) == 0).count();
-        assertEquals(Math.max(0, classes.size() - places), without);
+    void sharesFitCapacityAndGiveEveryClassOneIfPossible(
+            @ForAll @IntRange(min = 1, max = 200) int capacity, @ForAll @IntRange(min = 1, max = 15) int classMask) {
+        List<TrafficClass> classes = Stream.of(CLASSES)
+                .filter(c -> (classMask >> c.ordinal() & 1) == 1)
+                .toList();
+        TrafficClassShares shares = TrafficClassShares.divide(capacity, Set.copyOf(classes));
+        assertTrue(shares.total() <= capacity);
+        long classesWithoutShare =
+                classes.stream().filter(c -> shares.guarantee(c) == 0).count();
+        assertEquals(Math.max(0, classes.size() - capacity), classesWithoutShare);
     }
 
     @Example
-    void slotsAreExactWhenManyThreadsAskReleaseAndGiveUp() throws Exception {
-        SlotFixture f = new SlotFixture(SlotLimits.ofAllClasses(5, 8));
+    void slotsAreCountedExactlyUnderConcurrentUse() throws Exception {
+        SlotLimiterFixture f = new SlotLimiterFixture(SlotLimits.ofAllClasses(5, 8));
         try (ExecutorService threads = Executors.newFixedThreadPool(6)) {
             List<Future<?>> done = new ArrayList<>();
             for (int t = 0; t < 6; t++) {
-                done.add(threads.submit(() -> hammer(f)));
+                done.add(threads.submit(() -> acquireAndReleaseRepeatedly(f)));
             }
             for (Future<?> d : done) {
                 d.get();
@@ -156,15 +163,15 @@
         assertEquals(0, f.breaches());
     }
 
-    private static void hammer(SlotFixture f) {
+    private static void acquireAndReleaseRepeatedly(SlotLimiterFixture f) {
         for (int i = 0; i < 5_000; i++) {
             ThreadLocalRandom random = ThreadLocalRandom.current();
-            CompletableFuture<Admission> asked =
+            CompletableFuture<Admission> pending =
                     f.limiter.acquire(CLASSES[random.nextInt(4)], Deadline.after(f.time, Duration.ofSeconds(1)));
-            if (random.nextBoolean() && asked.cancel(false)) {
+            if (random.nextBoolean() && pending.cancel(false)) {
                 continue;
             }
-            asked.thenAccept(a -> {
+            pending.thenAccept(a -> {
                 if (a instanceof Admission.Admitted(Permit permit)) {
                     permit.close();
                 }
@@ -172,7 +179,7 @@
         }
     }
 
-    private record Running(Permit permit, long endsAt) {}
+    private record Running(Permit permit, long endsAtNanos) {}
 
     private static long holdNanos(TrafficClass c, Random random) {
         return c == TrafficClass.BULK
@@ -180,13 +187,13 @@
                 : Duration.ofMillis(1 + random.nextInt(100)).toNanos();
     }
 
-    private static List<Permit> remove(List<Permit> from, Random random) {
-        List<Permit> picked = pick(from, random);
+    private static List<Permit> removeRandom(List<Permit> from, Random random) {
+        List<Permit> picked = pickRandom(from, random);
         from.removeAll(picked);
         return picked;
     }
 
-    private static <T> List<T> pick(List<T> from, Random random) {
+    private static <T> List<T> pickRandom(List<T> from, Random random) {
         if (from.isEmpty()) {
             return List.of();
         }
--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterTest.java
@@ -1,7 +1,7 @@
 package org.berylwick.internal.limit;
 
-import static org.berylwick.internal.limit.SlotFixture.isRefused;
-import static org.berylwick.internal.limit.SlotFixture.permit;
+import static org.berylwick.internal.limit.SlotLimiterFixture.isRefused;
+import static org.berylwick.internal.limit.SlotLimiterFixture.permit;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -17,127 +17,130 @@
 import org.berylwick.lib.TrafficClass;
 import org.junit.jupiter.api.Test;
 
-/** Shares, early refusal, cancellation and the answer to a shedding backend server. */
+/** Tests shares, early refusal, cancellation and the reaction to a backend server that sheds requests. */
 class SlotLimiterTest {
-    private static final Duration SHORT = Duration.ofMillis(20);
-    private static final Duration PATIENCE = Duration.ofSeconds(2);
-    private static final Duration MINUTES = Duration.ofMinutes(20);
+    private static final Duration SHORT_HOLD = Duration.ofMillis(20);
+    private static final Duration TIMEOUT = Duration.ofSeconds(2);
+    private static final Duration LONG_TIMEOUT = Duration.ofMinutes(20);
     private static final int SLOTS = 12;
-    private static final int QUEUE = 48;
+    private static final int QUEUE_LIMIT = 48;
 
-    private final SlotFixture f = new SlotFixture(SlotLimits.ofAllClasses(SLOTS, QUEUE));
+    private final SlotLimiterFixture f = new SlotLimiterFixture(SlotLimits.ofAllClasses(SLOTS, QUEUE_LIMIT));
 
     @Test
-    void lookupsDoNotPushReadsOut() {
-        // Before dawn a job sends lookups without end. They take every slot that is idle. Partners who then ask for
-        // availability get slots again as soon as those lookups end, although lookups keep asking.
-        List<Permit> lookups = takeAll(TrafficClass.LOOKUP, SLOTS);
-        List<CompletableFuture<Admission>> more = askMany(TrafficClass.LOOKUP, 20);
-        List<CompletableFuture<Admission>> reads = askMany(TrafficClass.READ, 4);
-        f.alarm.advance(SHORT);
+    void lookupsDoNotStarveReads() {
+        // A batch job sends lookups continuously and takes every idle slot. Reads that arrive later must get slots as
+        // soon as these lookups end, although more lookups are waiting.
+        List<Permit> lookups = acquireMany(TrafficClass.LOOKUP, SLOTS);
+        List<CompletableFuture<Admission>> moreLookups = enqueueMany(TrafficClass.LOOKUP, 20);
+        List<CompletableFuture<Admission>> reads = enqueueMany(TrafficClass.READ, 4);
+        f.scheduler.advance(SHORT_HOLD);
         lookups.forEach(Permit::close);
         assertTrue(reads.stream().allMatch(r -> permit(r).isPresent()));
-        assertTrue(more.stream().anyMatch(m -> permit(m).isPresent()));
+        assertTrue(moreLookups.stream().anyMatch(m -> permit(m).isPresent()));
     }
 
     @Test
-    void readsDoNotStallLookups() {
-        // All slots serve customers and more customers wait. A lookup that a customer's page depends on still gets
-        // its share: the next slot is its own, before customers that came earlier and are more urgent.
-        List<Permit> reads = takeAll(TrafficClass.READ, SLOTS);
-        askMany(TrafficClass.READ, 20);
-        CompletableFuture<Admission> lookup = f.ask(TrafficClass.LOOKUP, PATIENCE);
-        f.alarm.advance(SHORT);
+    void readsDoNotStarveLookups() {
+        // Reads take all slots and more reads wait. A lookup must still get the next free slot, before reads that
+        // arrived earlier and are more urgent, because lookups are below their guarantee.
+        List<Permit> reads = acquireMany(TrafficClass.READ, SLOTS);
+        enqueueMany(TrafficClass.READ, 20);
+        CompletableFuture<Admission> lookup = f.acquire(TrafficClass.LOOKUP, TIMEOUT);
+        f.scheduler.advance(SHORT_HOLD);
         reads.getFirst().close();
         assertTrue(permit(lookup).isPresent());
     }
 
     @Test
-    void transfersOfMinutesCannotHoldEverySlot() {
-        // Clinics start a dozen archive transfers while nobody else is there. Each lasts minutes, so a slot lent to
-        // one can't be had back. An order that comes a moment later finds its guaranteed slots free.
+    void bulkRequestsDoNotBorrowSlots() {
+        // A dozen bulk transfers arrive while the backend server is idle. Each takes minutes, so a slot lent to one is
+        // not returned in time. Confirmations that arrive shortly after must find their guaranteed slots free.
         List<CompletableFuture<Admission>> bulk = new ArrayList<>();
         for (int i = 0; i < SLOTS; i++) {
-            bulk.add(f.ask(TrafficClass.BULK, MINUTES));
+            bulk.add(f.acquire(TrafficClass.BULK, LONG_TIMEOUT));
         }
         assertEquals(2, f.limiter.inUse(TrafficClass.BULK));
         for (int i = 0; i < 4; i++) {
-            assertTrue(permit(f.ask(TrafficClass.CONFIRMATION, PATIENCE)).isPresent());
+            assertTrue(permit(f.acquire(TrafficClass.CONFIRMATION, TIMEOUT)).isPresent());
         }
         assertEquals(2, bulk.stream().filter(b -> permit(b).isPresent()).count());
     }
 
     @Test
-    void aServiceOfTransfersOnlyUsesEverySlotForThem() {
-        SlotFixture artvault = new SlotFixture(new SlotLimits(SLOTS, QUEUE, Set.of(TrafficClass.BULK)));
+    void serviceWithOnlyBulkRequestsUsesAllSlotsForThem() {
+        SlotLimiterFixture bulkOnly =
+                new SlotLimiterFixture(new SlotLimits(SLOTS, QUEUE_LIMIT, Set.of(TrafficClass.BULK)));
         for (int i = 0; i < SLOTS; i++) {
-            artvault.take(TrafficClass.BULK, MINUTES);
+            bulkOnly.acquireNow(TrafficClass.BULK, LONG_TIMEOUT);
         }
-        assertEquals(SLOTS, artvault.limiter.inUse());
+        assertEquals(SLOTS, bulkOnly.limiter.inUse());
     }
 
     @Test
-    void aClassMeasuredToBeSlowBorrowsNoMore() {
-        Permit slow = f.take(TrafficClass.READ, MINUTES);
-        f.alarm.advance(Duration.ofSeconds(5));
+    void classWithLongHoldTimeDoesNotBorrow() {
+        Permit slow = f.acquireNow(TrafficClass.READ, LONG_TIMEOUT);
+        f.scheduler.advance(Duration.ofSeconds(5));
         slow.close();
-        askMany(TrafficClass.READ, SLOTS);
+        enqueueMany(TrafficClass.READ, SLOTS);
         assertEquals(f.limiter.guarantee(TrafficClass.READ), f.limiter.inUse(TrafficClass.READ));
     }
 
     @Test
-    void aWaiterIsRefusedWhenItsTimeIsUpThoughNoSlotComesFree() {
-        // Every slot hangs and none comes back. The caller behind a waiting request wants to know when its time is
-        // up, not when a slot happens to be freed.
-        takeAll(TrafficClass.READ, SLOTS);
-        CompletableFuture<Admission> waiting = f.ask(TrafficClass.READ, PATIENCE);
-        f.alarm.advance(PATIENCE.minusMillis(1));
+    void waitingRequestIsRefusedAtDeadlineWithoutReleasedSlot() {
+        // All slots are in use and none is released. A waiting request must be refused when its deadline passes, not
+        // only when the next slot is released.
+        acquireMany(TrafficClass.READ, SLOTS);
+        CompletableFuture<Admission> waiting = f.acquire(TrafficClass.READ, TIMEOUT);
+        f.scheduler.advance(TIMEOUT.minusMillis(1));
         assertFalse(waiting.isDone());
-        f.alarm.advance(Duration.ofMillis(1));
+        f.scheduler.advance(Duration.ofMillis(1));
         assertTrue(isRefused(waiting));
         assertEquals(RefusalReason.DEADLINE, ((Admission.Refused) waiting.join()).reason());
         assertEquals(0, f.limiter.waiting());
     }
 
     @Test
-    void aRequestThatCannotBeServedInTimeIsRefusedOnArrival() {
-        // Requests take 400 ms each, all slots are taken and two dozen wait: a newcomer would get its slot in about
-        // a second. One with 30 ms left is told so at once, with when to come back; a patient one waits.
-        List<Permit> measured = takeAll(TrafficClass.READ, SLOTS);
-        f.alarm.advance(Duration.ofMillis(400));
-        measured.forEach(Permit::close);
-        takeAll(TrafficClass.READ, SLOTS);
-        askMany(TrafficClass.READ, 24);
-        CompletableFuture<Admission> patient = f.ask(TrafficClass.READ, Duration.ofMinutes(1));
-        CompletableFuture<Admission> hasty = f.ask(TrafficClass.READ, Duration.ofMillis(30));
-        assertFalse(patient.isDone());
-        assertTrue(isRefused(hasty));
-        Admission.Refused refusal = (Admission.Refused) hasty.join();
+    void requestThatCannotStartInTimeIsRefusedOnArrival() {
+        // Requests take 400 ms each, all slots are in use and 24 requests wait, so a new request would get a slot
+        // after about one second. A request with 30 ms left is refused at once with a retry delay; one with a long
+        // deadline waits.
+        List<Permit> earlierReads = acquireMany(TrafficClass.READ, SLOTS);
+        f.scheduler.advance(Duration.ofMillis(400));
+        earlierReads.forEach(Permit::close);
+        acquireMany(TrafficClass.READ, SLOTS);
+        enqueueMany(TrafficClass.READ, 24);
+        CompletableFuture<Admission> longDeadline = f.acquire(TrafficClass.READ, Duration.ofMinutes(1));
+        CompletableFuture<Admission> shortDeadline = f.acquire(TrafficClass.READ, Duration.ofMillis(30));
+        assertFalse(longDeadline.isDone());
+        assertTrue(isRefused(shortDeadline));
+        Admission.Refused refusal = (Admission.Refused) shortDeadline.join();
         assertEquals(RefusalReason.OVERLOADED, refusal.reason());
         assertTrue(refusal.retryAfterMillis() > 0);
     }
 
     @Test
-    void aCancelledWaiterLeavesItsPlaceAtOnce() {
-        takeAll(TrafficClass.READ, SLOTS);
-        List<CompletableFuture<Admission>> waiting = askMany(TrafficClass.READ, QUEUE);
-        assertTrue(isRefused(f.ask(TrafficClass.READ, PATIENCE)));
+    void cancelledRequestLeavesQueueAtOnce() {
+        acquireMany(TrafficClass.READ, SLOTS);
+        List<CompletableFuture<Admission>> waiting = enqueueMany(TrafficClass.READ, QUEUE_LIMIT);
+        assertTrue(isRefused(f.acquire(TrafficClass.READ, TIMEOUT)));
         waiting.get(7).cancel(false);
-        assertEquals(QUEUE - 1, f.limiter.waiting());
-        assertFalse(f.ask(TrafficClass.READ, PATIENCE).isDone());
+        assertEquals(QUEUE_LIMIT - 1, f.limiter.waiting());
+        assertFalse(f.acquire(TrafficClass.READ, TIMEOUT).isDone());
     }
 
     @Test
-    void aSlotGivenToACancelledWaiterIsNotLost() {
-        // A slot comes free for the first waiter, whose continuation gives up the second one, which was given a slot
-        // by the same release. Nobody would ever close that permit; the slot must come back by itself.
-        Permit held = f.take(TrafficClass.READ, PATIENCE);
-        SlotLimits one = SlotLimits.ofAllClasses(1, QUEUE);
-        f.limiter.setLimits(one);
-        CompletableFuture<Admission> first = f.ask(TrafficClass.READ, PATIENCE);
-        CompletableFuture<Admission> second = f.ask(TrafficClass.READ, PATIENCE.plusSeconds(1));
+    void slotGrantedToCancelledRequestIsReleased() {
+        // One change of limits grants slots to both waiting requests. The continuation of the first cancels the second
+        // before its future completes. Nobody would ever close the permit of the second, so the limiter must release
+        // it.
+        Permit held = f.acquireNow(TrafficClass.READ, TIMEOUT);
+        SlotLimits oneSlot = SlotLimits.ofAllClasses(1, QUEUE_LIMIT);
+        f.limiter.setLimits(oneSlot);
+        CompletableFuture<Admission> first = f.acquire(TrafficClass.READ, TIMEOUT);
+        CompletableFuture<Admission> second = f.acquire(TrafficClass.READ, TIMEOUT.plusSeconds(1));
         first.thenAccept(a -> second.cancel(false));
-        f.limiter.setLimits(SlotLimits.ofAllClasses(3, QUEUE));
+        f.limiter.setLimits(SlotLimits.ofAllClasses(3, QUEUE_LIMIT));
         assertTrue(second.isCancelled());
         permit(first).orElseThrow().close();
         held.close();
@@ -145,54 +148,54 @@
     }
 
     @Test
-    void aFullQueueMakesRoomForAClassThatIsOwedAPlace() {
-        takeAll(TrafficClass.LOOKUP, SLOTS);
-        List<CompletableFuture<Admission>> lookups = askMany(TrafficClass.LOOKUP, QUEUE);
-        CompletableFuture<Admission> order = f.ask(TrafficClass.CONFIRMATION, PATIENCE);
-        assertFalse(order.isDone());
-        assertEquals(1, lookups.stream().filter(SlotFixture::isRefused).count());
-        assertEquals(QUEUE, f.limiter.waiting());
+    void fullQueueEvictsBorrowerForClassBelowGuarantee() {
+        acquireMany(TrafficClass.LOOKUP, SLOTS);
+        List<CompletableFuture<Admission>> lookups = enqueueMany(TrafficClass.LOOKUP, QUEUE_LIMIT);
+        CompletableFuture<Admission> confirmation = f.acquire(TrafficClass.CONFIRMATION, TIMEOUT);
+        assertFalse(confirmation.isDone());
+        assertEquals(1, lookups.stream().filter(SlotLimiterFixture::isRefused).count());
+        assertEquals(QUEUE_LIMIT, f.limiter.waiting());
     }
 
     @Test
-    void aShedLowersTheSlotsForAWhile() {
-        // A cold backend server sheds although slots are free by the declaration. Fewer are used at once, a burst of
-        // sheds counts once, and with time all of them come back, without a request that would have to ask for it.
-        List<Permit> reads = takeAll(TrafficClass.READ, SLOTS);
-        reads.get(0).shed();
-        reads.get(1).shed();
+    void shedLowersUsableSlotsTemporarily() {
+        // A cold backend server sheds requests although declared slots are free. The usable slots are lowered at once,
+        // only once per burst, and all are restored with time, even if no new request triggers it.
+        List<Permit> reads = acquireMany(TrafficClass.READ, SLOTS);
+        reads.get(0).closeAfterShed();
+        reads.get(1).closeAfterShed();
         assertEquals(8, f.limiter.usableSlots());
-        CompletableFuture<Admission> waiting = f.ask(TrafficClass.READ, Duration.ofSeconds(30));
+        CompletableFuture<Admission> waiting = f.acquire(TrafficClass.READ, Duration.ofSeconds(30));
         assertFalse(waiting.isDone());
-        f.alarm.advance(Duration.ofMillis(750));
+        f.scheduler.advance(Duration.ofMillis(750));
         assertTrue(permit(waiting).isPresent());
-        f.alarm.advance(Duration.ofMinutes(1));
-        f.ask(TrafficClass.READ, PATIENCE);
+        f.scheduler.advance(Duration.ofMinutes(1));
+        f.acquire(TrafficClass.READ, TIMEOUT);
         assertEquals(SLOTS, f.limiter.usableSlots());
     }
 
     @Test
-    void aBackendServerThatShedsEverythingKeepsAFewSlotsForProbes() {
+    void usableSlotsNeverFallBelowMinimum() {
         for (int i = 0; i < 50; i++) {
-            f.take(TrafficClass.READ, PATIENCE).shed();
-            f.alarm.advance(UsableSlots.LOWER_PAUSE);
+            f.acquireNow(TrafficClass.READ, TIMEOUT).closeAfterShed();
+            f.scheduler.advance(UsableSlots.MIN_LOWER_INTERVAL);
         }
         assertEquals(3, f.limiter.usableSlots());
     }
 
-    private List<Permit> takeAll(TrafficClass trafficClass, int count) {
+    private List<Permit> acquireMany(TrafficClass trafficClass, int count) {
         List<Permit> permits = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            permits.add(f.take(trafficClass, PATIENCE));
+            permits.add(f.acquireNow(trafficClass, TIMEOUT));
         }
         return permits;
     }
 
-    private List<CompletableFuture<Admission>> askMany(TrafficClass trafficClass, int count) {
-        List<CompletableFuture<Admission>> asked = new ArrayList<>();
+    private List<CompletableFuture<Admission>> enqueueMany(TrafficClass trafficClass, int count) {
+        List<CompletableFuture<Admission>> pending = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            asked.add(f.ask(trafficClass, PATIENCE));
+            pending.add(f.acquire(trafficClass, TIMEOUT));
         }
-        return asked;
+        return pending;
     }
 }
--- a/org.berylwick.test/tst/org/berylwick/internal/retry/RetryBudgetTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/retry/RetryBudgetTest.java
@@ -12,57 +12,57 @@
 import net.jqwik.api.constraints.Size;
 import org.berylwick.testing.ManualTimeSource;
 
-/** How many retries a daemon makes in an outage. */
+/** Tests the limit on the number of retries in an outage. */
 class RetryBudgetTest {
-    private static final double SHARE = 0.2;
-    private static final int FLOOR = 10;
+    private static final double RETRY_RATIO = 0.2;
+    private static final int MIN_RETRIES = 10;
     private static final long WINDOW_MILLIS = 10_000;
     private static final long BUCKET_MILLIS = WINDOW_MILLIS / 10;
 
     @Property(seed = "4711", tries = 300)
-    void retriesOfAnyWindowStayUnderTheShareOfTheRequestsThatLedToThem(
-            @ForAll @Size(min = 1, max = 400) List<@IntRange(max = 500) Integer> pauses) {
+    void retriesInAnyWindowStayWithinRatioOfRequests(
+            @ForAll @Size(min = 1, max = 400) List<@IntRange(max = 500) Integer> gapsMillis) {
         ManualTimeSource time = new ManualTimeSource();
-        RetryBudget budget = new RetryBudget(time, SHARE, FLOOR, WINDOW_MILLIS);
+        RetryBudget budget = new RetryBudget(time, RETRY_RATIO, MIN_RETRIES, WINDOW_MILLIS);
         Deque<Long> requests = new ArrayDeque<>();
         Deque<Long> retries = new ArrayDeque<>();
-        for (int pause : pauses) {
-            time.advance(Duration.ofMillis(pause));
+        for (int gapMillis : gapsMillis) {
+            time.advance(Duration.ofMillis(gapMillis));
             long now = time.nanoTime() / 1_000_000;
             budget.countRequest();
             requests.add(now);
-            // In an outage every request asks for as many retries as it can get.
-            while (budget.tryRetry()) {
+            // In an outage every request uses as many retries as the budget allows.
+            while (budget.tryAcquireRetry()) {
                 retries.add(now);
             }
-            // A retry granted at the start of this window was counted against the requests of the window before it.
-            forgetBefore(requests, now - 2 * WINDOW_MILLIS);
-            forgetBefore(retries, now - WINDOW_MILLIS + BUCKET_MILLIS);
+            // A retry granted at the start of this window was charged against the requests of the window before it.
+            removeUpTo(requests, now - 2 * WINDOW_MILLIS);
+            removeUpTo(retries, now - WINDOW_MILLIS + BUCKET_MILLIS);
             assertTrue(
-                    retries.size() <= FLOOR + SHARE * requests.size(),
+                    retries.size() <= MIN_RETRIES + RETRY_RATIO * requests.size(),
                     retries.size() + " retries for " + requests.size() + " requests");
         }
     }
 
     @Property(seed = "4712", tries = 100)
-    void aBudgetUsedUpIsWholeAgainAfterAWindow(@ForAll @IntRange(min = 1, max = 1_000) int requests) {
+    void exhaustedBudgetIsRestoredAfterOneWindow(@ForAll @IntRange(min = 1, max = 1_000) int requests) {
         ManualTimeSource time = new ManualTimeSource();
-        RetryBudget budget = new RetryBudget(time, SHARE, FLOOR, WINDOW_MILLIS);
+        RetryBudget budget = new RetryBudget(time, RETRY_RATIO, MIN_RETRIES, WINDOW_MILLIS);
         for (int i = 0; i < requests; i++) {
             budget.countRequest();
         }
-        while (budget.tryRetry()) {
-            // Uses it up.
+        while (budget.tryAcquireRetry()) {
+            // Exhausts the budget.
         }
         time.advance(Duration.ofMillis(WINDOW_MILLIS + BUCKET_MILLIS));
         int granted = 0;
-        while (budget.tryRetry()) {
+        while (budget.tryAcquireRetry()) {
             granted++;
         }
-        assertTrue(granted == FLOOR, "granted " + granted);
+        assertTrue(granted == MIN_RETRIES, "granted " + granted);
     }
 
-    private static void forgetBefore(Deque<Long> times, long bound) {
+    private static void removeUpTo(Deque<Long> times, long bound) {
         while (!times.isEmpty() && times.peek() <= bound) {
             times.remove();
         }
--- a/org.berylwick.test/tst/org/berylwick/internal/retry/RetryRuleTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/retry/RetryRuleTest.java
@@ -21,7 +21,7 @@
 import org.berylwick.lib.RefusalReason;
 import org.berylwick.testing.ManualTimeSource;
 
-/** Which requests may be sent again, and what is said of those that are given up. */
+/** Tests which requests may be retried, and the outcome reported for those that are not. */
 class RetryRuleTest {
     private final ManualTimeSource time = new ManualTimeSource();
 
@@ -33,79 +33,82 @@
         return Arbitraries.oneOf(refused, unknown).list().ofMaxSize(8);
     }
 
-    private static AttemptLog logOf(List<Outcome<String>> outcomes) {
-        AttemptLog log = AttemptLog.NONE;
+    private static AttemptHistory historyOf(List<Outcome<String>> outcomes) {
+        AttemptHistory history = AttemptHistory.NONE;
         for (Outcome<String> o : outcomes) {
-            log = log.plus(o);
+            history = history.plus(o);
         }
-        return log;
+        return history;
     }
 
     @Property(seed = "4721")
-    void oneUnknownOutcomeMakesTheWholeRequestUnknown(@ForAll("failures") List<Outcome<String>> outcomes) {
+    void oneUnknownAttemptMakesRequestOutcomeUnknown(@ForAll("failures") List<Outcome<String>> outcomes) {
         boolean anyUnknown = outcomes.stream().anyMatch(o -> o instanceof Outcome.Unknown<String>);
-        Outcome<String> said = logOf(outcomes).givenUp();
-        assertEquals(anyUnknown, said instanceof Outcome.Unknown<String>, said.toString());
+        Outcome<String> outcome = historyOf(outcomes).finalOutcome();
+        assertEquals(anyUnknown, outcome instanceof Outcome.Unknown<String>, outcome.toString());
     }
 
     @Property(seed = "4722")
-    void aNonIdempotentRequestThatMayHaveRunIsNeverSentAgain(
+    void nonIdempotentRequestThatMayHaveRunIsNotRetried(
             @ForAll("failures") List<Outcome<String>> outcomes, @ForAll @IntRange(min = 1, max = 9) int maxAttempts) {
         RetryRule rule = new RetryRule(false, true, maxAttempts, Deadline.afterMillis(time, 1_000));
-        AttemptLog log = AttemptLog.NONE;
+        AttemptHistory history = AttemptHistory.NONE;
         for (Outcome<String> o : outcomes) {
-            log = log.plus(o);
-            Verdict verdict = rule.decide(log, unlimited(), time);
-            if (log.maybeRan()) {
+            history = history.plus(o);
+            Verdict verdict = rule.decide(history, unlimited(), time);
+            if (history.mayHaveRun()) {
                 assertEquals(Verdict.UNSAFE, verdict);
             }
         }
     }
 
     @Property(seed = "4723")
-    void noRetryOutlivesTheDeadlineOrTheAttempts(
+    void noRetryAfterDeadlineOrLastAttempt(
             @ForAll("failures") List<Outcome<String>> outcomes,
             @ForAll @IntRange(min = 1, max = 5) int maxAttempts,
             @ForAll @IntRange(max = 2_000) int elapsedMillis) {
         RetryRule rule = new RetryRule(true, true, maxAttempts, Deadline.afterMillis(time, 1_000));
         time.advance(Duration.ofMillis(elapsedMillis));
-        AttemptLog log = logOf(outcomes);
-        Verdict verdict = rule.decide(log, unlimited(), time);
-        if (elapsedMillis >= 1_000 || log.attempts() >= maxAttempts) {
+        AttemptHistory history = historyOf(outcomes);
+        Verdict verdict = rule.decide(history, unlimited(), time);
+        if (elapsedMillis >= 1_000 || history.attempts() >= maxAttempts) {
             assertNotEquals(Verdict.RETRY, verdict);
         }
         if (elapsedMillis < 1_000) {
-            assertTrue(rule.attemptMillis(log, time) <= 1_000 - elapsedMillis);
+            assertTrue(rule.attemptTimeoutMillis(history, time) <= 1_000 - elapsedMillis);
         }
     }
 
     @Property(seed = "4726")
-    void aChainOfCallsTenDeepKeepsAThirdOfItsTime(@ForAll @IntRange(min = 1_000, max = 60_000) int millis) {
+    void chainOfTenCallsKeepsOneThirdOfItsTime(@ForAll @IntRange(min = 1_000, max = 60_000) int millis) {
         long left = millis;
         for (int depth = 0; depth < 10; depth++) {
             RetryRule rule = new RetryRule(true, true, 3, Deadline.afterMillis(time, left));
-            left = rule.attemptMillis(AttemptLog.NONE, time);
+            left = rule.attemptTimeoutMillis(AttemptHistory.NONE, time);
         }
-        assertTrue(left >= millis / 3, left + " of " + millis);
+        assertTrue(left >= millis / 3, left + " ms left of " + millis);
     }
 
     @Property(seed = "4724")
-    void pausesStayWithinTheirBounds(
+    void backoffDelayStaysWithinBounds(
             @ForAll @IntRange(max = 100) int round, @ForAll @IntRange(min = 1, max = 1_000) int base) {
         Backoff backoff = new Backoff(base, 2_000);
-        long pause = backoff.pauseMillis(round, new Random(round));
+        long delay = backoff.delayMillis(round, new Random(round));
         long bound = Math.min(2_000, (long) base << Math.min(round, 30));
-        assertTrue(pause >= 0 && pause <= bound, pause + " of " + bound);
+        assertTrue(delay >= 0 && delay <= bound, delay + " ms, bound " + bound);
     }
 
     @Property(seed = "4725", tries = 20)
-    void aBodyThatIsGoneOrABudgetThatIsUsedUpEndsTheRequest(@ForAll boolean idempotent) {
-        AttemptLog refused = AttemptLog.NONE.plus(new Outcome.RefusedNotRun<>(RefusalReason.SHED, Optional.of(1_000L)));
-        Deadline by = Deadline.afterMillis(time, 1_000);
-        RetryBudget none = new RetryBudget(time, 0, 0, 1_000);
-        assertEquals(Verdict.NOT_REPLAYABLE, new RetryRule(idempotent, false, 3, by).decide(refused, none, time));
-        assertEquals(Verdict.OVER_BUDGET, new RetryRule(idempotent, true, 3, by).decide(refused, none, time));
-        assertInstanceOf(Outcome.RefusedNotRun.class, refused.givenUp());
+    void unreplayableBodyOrExhaustedBudgetPreventsRetry(@ForAll boolean idempotent) {
+        AttemptHistory refused =
+                AttemptHistory.NONE.plus(new Outcome.RefusedNotRun<>(RefusalReason.SHED, Optional.of(1_000L)));
+        Deadline deadline = Deadline.afterMillis(time, 1_000);
+        RetryBudget exhausted = new RetryBudget(time, 0, 0, 1_000);
+        assertEquals(
+                Verdict.NOT_REPLAYABLE, new RetryRule(idempotent, false, 3, deadline).decide(refused, exhausted, time));
+        assertEquals(
+                Verdict.OVER_BUDGET, new RetryRule(idempotent, true, 3, deadline).decide(refused, exhausted, time));
+        assertInstanceOf(Outcome.RefusedNotRun.class, refused.finalOutcome());
     }
 
     private RetryBudget unlimited() {
--- a/org.berylwick.test/tst/org/berylwick/internal/routing/ChoiceFixture.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserFixture.java
@@ -20,8 +20,8 @@
 import org.berylwick.lib.TrafficClass;
 import org.berylwick.testing.ManualTimeSource;
 
-/** A chooser in makati with members that a test puts where it likes. */
-final class ChoiceFixture {
+/** A chooser in the availability zone makati, with a manual clock and members that the test adds. */
+final class MemberChooserFixture {
     static final Place MAKATI = new Place("ncr", "makati");
     static final Place PASIG = new Place("ncr", "pasig");
     static final Place CEBU = new Place("visayas", "cebu");
@@ -36,13 +36,13 @@
     final MemberChooser chooser;
     private MembershipView view = MembershipView.EMPTY;
 
-    ChoiceFixture() {
+    MemberChooserFixture() {
         this(7);
     }
 
-    ChoiceFixture(long seed) {
+    MemberChooserFixture(long seed) {
         Random random = new Random(seed);
-        loads = new PeerLoads(() -> view, PeerLoads.OwnLoad.NONE, time, metrics);
+        loads = new PeerLoads(() -> view, PeerLoads.LocalLoad.NONE, time, metrics);
         chooser = new MemberChooser(MAKATI, loads, time, metrics, () -> random);
     }
 
@@ -50,7 +50,7 @@
         return add(instance, place, Member.State.UP, 1);
     }
 
-    /** Adds a member, or replaces the one of that name. */
+    /** Adds a member or replaces the one with the same instance name. */
     Member add(String instance, Place place, Member.State state, long incarnation) {
         Member m = new Member(
                 instance,
@@ -74,32 +74,32 @@
         view = new MembershipView(members);
     }
 
-    Choice choose(boolean idempotent, Set<String> tried) {
-        return chooser.choose(view, match(idempotent), tried);
+    MemberChoice choose(boolean idempotent, Set<String> tried) {
+        return chooser.choose(view, newMatch(idempotent), tried);
     }
 
-    /** The chosen member, which there must be. */
-    Member chosen(boolean idempotent) {
-        return ((Choice.Chosen) choose(idempotent, Set.of())).member();
+    /** Chooses a member; fails if none is eligible. */
+    Member chooseMember(boolean idempotent) {
+        return ((MemberChoice.Chosen) choose(idempotent, Set.of())).member();
     }
 
-    /** How often each instance is chosen. */
-    Map<String, Integer> draw(int times) {
-        Map<String, Integer> drawn = new HashMap<>();
+    /** Chooses {@code times} times and returns how often each instance was chosen. */
+    Map<String, Integer> countChoices(int times) {
+        Map<String, Integer> choicesByInstance = new HashMap<>();
         for (int i = 0; i < times; i++) {
-            drawn.merge(chosen(false).instance(), 1, Integer::sum);
+            choicesByInstance.merge(chooseMember(false).instance(), 1, Integer::sum);
         }
-        return drawn;
+        return choicesByInstance;
     }
 
-    /** Requests begin at a member and stay there. */
-    void occupy(Member m, int requests) {
+    /** Starts requests at a member that never end. */
+    void startRequests(Member m, int requests) {
         for (int i = 0; i < requests; i++) {
             loads.begin(m);
         }
     }
 
-    void fail(Member m, int times) {
+    void failRequests(Member m, int times) {
         for (int i = 0; i < times; i++) {
             try (PeerLoads.Attempt a = loads.begin(m)) {
                 a.failed("refused");
@@ -107,7 +107,7 @@
         }
     }
 
-    private static RouteMatch match(boolean idempotent) {
+    private static RouteMatch newMatch(boolean idempotent) {
         Brand brand = new Brand("b", List.of("b.example"), Labels.EMPTY, Map.of());
         Route route = new Route("r", Labels.EMPTY, Selector.parse(""), "/", List.of(), SERVICE, Selector.parse(""));
         Policy policy = new Policy(
--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -1,8 +1,8 @@
 package org.berylwick.internal.routing;
 
-import static org.berylwick.internal.routing.ChoiceFixture.CEBU;
-import static org.berylwick.internal.routing.ChoiceFixture.MAKATI;
-import static org.berylwick.internal.routing.ChoiceFixture.PASIG;
+import static org.berylwick.internal.routing.MemberChooserFixture.CEBU;
+import static org.berylwick.internal.routing.MemberChooserFixture.MAKATI;
+import static org.berylwick.internal.routing.MemberChooserFixture.PASIG;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
@@ -16,219 +16,223 @@
 import org.berylwick.lib.RefusalReason;
 import org.junit.jupiter.api.Test;
 
-/** Which member a request goes to: near, not loaded, not failing. */
+/** Tests that requests go to near members that are neither loaded nor failing. */
 class MemberChooserTest {
-    private static final int DRAWS = 1_000;
+    private static final int CHOICES = 1_000;
 
-    private final ChoiceFixture f = new ChoiceFixture();
+    private final MemberChooserFixture f = new MemberChooserFixture();
 
     @Test
-    void theOwnZoneIsUsedWhileItHasRoom() {
+    void localZoneIsUsedWhileBelowSpillThreshold() {
         f.add("near", MAKATI);
         f.add("far", PASIG);
-        assertEquals(Map.of("near", DRAWS), f.draw(DRAWS));
+        assertEquals(Map.of("near", CHOICES), f.countChoices(CHOICES));
     }
 
     @Test
-    void aFillingZonePassesSomeRequestsOnBeforeItIsFull() {
-        // A crowd in Makati fills the one member there. Before it is full some requests go to the next zone, and even
-        // when it is full some stay: had all of them gone over at once, the next zone would have been swamped.
+    void requestsSpillGraduallyBeforeLocalZoneIsFull() {
+        // The only member in the local zone fills up. Some requests go to the next zone before it is full, and some
+        // stay even when it is full: sending all of them over at once would overload the next zone.
         Member near = f.add("near", MAKATI);
         f.add("there", PASIG);
-        f.occupy(near, 10);
-        int spilled = f.draw(DRAWS).getOrDefault("there", 0);
-        assertTrue(spilled > DRAWS / 10 && spilled < DRAWS / 2, "spilled " + spilled);
-        f.occupy(near, 4);
-        int more = f.draw(DRAWS).getOrDefault("there", 0);
-        assertTrue(more > spilled && more < DRAWS * 6 / 10, "spilled " + more);
+        f.startRequests(near, 10);
+        int spilled = f.countChoices(CHOICES).getOrDefault("there", 0);
+        assertTrue(spilled > CHOICES / 10 && spilled < CHOICES / 2, "spilled " + spilled);
+        f.startRequests(near, 4);
+        int spilledWhenFull = f.countChoices(CHOICES).getOrDefault("there", 0);
+        assertTrue(spilledWhenFull > spilled && spilledWhenFull < CHOICES * 6 / 10, "spilled " + spilledWhenFull);
     }
 
     @Test
-    void aFullZoneKeepsItsRequestsWhenTheOthersAreAsFull() {
+    void fullZoneKeepsRequestsWhenOtherZonesAreAsFull() {
         Member near = f.add("near", MAKATI);
         Member there = f.add("there", PASIG);
-        f.occupy(near, 12);
-        f.occupy(there, 12);
-        assertEquals(Map.of("near", DRAWS), f.draw(DRAWS));
+        f.startRequests(near, 12);
+        f.startRequests(there, 12);
+        assertEquals(Map.of("near", CHOICES), f.countChoices(CHOICES));
     }
 
     @Test
-    void anotherRegionComesAfterTheOwnOne() {
+    void otherRegionIsNotUsedWhileLocalRegionHasCapacity() {
         Member near = f.add("near", MAKATI);
         f.add("region", PASIG);
         f.add("far", CEBU);
-        f.occupy(near, 12);
-        assertFalse(f.draw(DRAWS).containsKey("far"));
+        f.startRequests(near, 12);
+        assertFalse(f.countChoices(CHOICES).containsKey("far"));
     }
 
     @Test
-    void aReportedLoadFadesWithTime() {
-        // Another daemon's requests filled one member when it last replied. That was long ago: it may be idle by now,
-        // and unless some request goes there nobody will ever know.
+    void reportedLoadDecaysWithAge() {
+        // A member reported full load caused by other daemons in its last reply, and got no requests since. Without
+        // decay of the reported load it would never get a request again, even if it has long been idle.
         Member a = f.add("a", MAKATI);
         f.add("b", MAKATI);
-        f.loads.begin(a).report(12);
-        assertTrue(f.draw(DRAWS).getOrDefault("a", 0) == 0);
-        f.time.advance(MemberRecord.REPORT_LIFE);
+        f.loads.begin(a).reportLoad(12);
+        assertTrue(f.countChoices(CHOICES).getOrDefault("a", 0) == 0);
+        f.time.advance(MemberLoadRecord.LOAD_REPORT_EXPIRY);
         Member b = f.members.get(1);
-        f.occupy(b, 2);
-        assertTrue(f.draw(DRAWS).getOrDefault("a", 0) > DRAWS / 2);
+        f.startRequests(b, 2);
+        assertTrue(f.countChoices(CHOICES).getOrDefault("a", 0) > CHOICES / 2);
     }
 
     @Test
-    void ownRequestsAreNotCountedTwiceWhenTheyAreReported() {
+    void localRequestsInReportedLoadAreNotCountedTwice() {
         Member a = f.add("a", MAKATI);
-        f.occupy(a, 4);
-        f.loads.begin(a).report(5);
+        f.startRequests(a, 4);
+        f.loads.begin(a).reportLoad(5);
         assertEquals(5, f.loads.record(a).load(f.time.nanoTime()));
     }
 
     @Test
-    void aMemberThatFailsIsLeftOutAndAskedBackByOneRequestAtATime() {
-        // A backend server fails every request it gets, at once, so it always looks idle and draws ever more of them.
-        // After five it gets none. A second later one idempotent request at a time tries it; three good answers bring
-        // it back, and one bad one keeps it out for twice as long.
+    void failingMemberIsEjectedAndProbedByOneRequestAtATime() {
+        // A backend server that fails every request at once always looks idle and would attract ever more requests.
+        // After five failures it gets none. One second later it is probed by one idempotent request at a time. Three
+        // successes readmit it; one failure ejects it again for twice as long.
         Member bad = f.add("bad", MAKATI);
         f.add("good", MAKATI);
-        f.fail(bad, Ejection.FAILURES_TO_EJECT);
-        assertEquals(Map.of("good", DRAWS), f.draw(DRAWS));
-        f.time.advance(Ejection.FIRST_BACKOFF);
-        assertEquals(Map.of("good", DRAWS), f.draw(DRAWS));
-        assertEquals("bad", f.chosen(true).instance());
+        f.failRequests(bad, EjectionState.FAILURES_TO_EJECT);
+        assertEquals(Map.of("good", CHOICES), f.countChoices(CHOICES));
+        f.time.advance(EjectionState.INITIAL_BACKOFF);
+        assertEquals(Map.of("good", CHOICES), f.countChoices(CHOICES));
+        assertEquals("bad", f.chooseMember(true).instance());
         try (PeerLoads.Attempt probe = f.loads.begin(bad)) {
-            assertEquals("good", f.chosen(true).instance());
+            assertEquals("good", f.chooseMember(true).instance());
             probe.failed("again");
         }
-        f.time.advance(Ejection.FIRST_BACKOFF.multipliedBy(2).minusMillis(1));
-        assertEquals("good", f.chosen(true).instance());
+        f.time.advance(EjectionState.INITIAL_BACKOFF.multipliedBy(2).minusMillis(1));
+        assertEquals("good", f.chooseMember(true).instance());
         f.time.advance(Duration.ofMillis(1));
-        for (int i = 0; i < Ejection.SUCCESSES_TO_RETURN; i++) {
-            assertEquals("bad", f.chosen(true).instance());
-            answer(bad, Duration.ZERO);
+        for (int i = 0; i < EjectionState.SUCCESSES_TO_RETURN; i++) {
+            assertEquals("bad", f.chooseMember(true).instance());
+            respond(bad, Duration.ZERO);
         }
-        assertTrue(f.draw(DRAWS).containsKey("bad"));
+        assertTrue(f.countChoices(CHOICES).containsKey("bad"));
     }
 
     @Test
-    void aServiceWithoutIdempotentRequestsGetsItsMembersBackToo() {
-        // Placement confirmations must not be used to try a doubtful member. Where nothing else is ever asked, the
-        // member would stay out for good; so its probation ends by itself.
+    void probationExpiresWithoutIdempotentRequests() {
+        // Non-idempotent requests must not be used as probes. In a service that gets no other requests, an ejected
+        // member would never be readmitted if its probation did not expire.
         Member bad = f.add("bad", MAKATI);
         f.add("good", MAKATI);
-        f.fail(bad, Ejection.FAILURES_TO_EJECT);
-        f.time.advance(Ejection.FIRST_BACKOFF.plus(Ejection.LONGEST_PROBATION));
-        assertTrue(f.draw(DRAWS).containsKey("bad"));
+        f.failRequests(bad, EjectionState.FAILURES_TO_EJECT);
+        f.time.advance(EjectionState.INITIAL_BACKOFF.plus(EjectionState.MAX_PROBATION));
+        assertTrue(f.countChoices(CHOICES).containsKey("bad"));
     }
 
     @Test
-    void callersInAHurryDoNotEjectAnyone() {
+    void timeoutsOfVeryShortDeadlinesDoNotEject() {
         Member a = f.add("a", MAKATI);
         f.add("b", MAKATI);
-        for (int i = 0; i < DRAWS; i++) {
+        for (int i = 0; i < CHOICES; i++) {
             try (PeerLoads.Attempt attempt = f.loads.begin(a)) {
-                attempt.unknown("no answer in time", 5);
+                attempt.outcomeUnknown("no answer in time", 5);
             }
         }
-        assertEquals(Ejection.Standing.WELL, f.loads.record(a).standing(f.time.nanoTime()));
+        assertEquals(EjectionState.Status.HEALTHY, f.loads.record(a).ejectionStatus(f.time.nanoTime()));
     }
 
     @Test
-    void aMemberMuchSlowerThanTheOthersIsLeftOut() {
-        // One of four answers each request, but after two seconds. Nothing fails, so only the time tells.
+    void memberMuchSlowerThanOthersIsEjected() {
+        // One of four members responds successfully, but only after two seconds, so only its latency shows the fault.
         Member slow = f.add("slow", MAKATI);
         f.add("b", MAKATI);
         f.add("c", MAKATI);
         f.add("d", MAKATI);
         for (int i = 0; i < 40; i++) {
-            f.members.forEach(m -> answer(m, Duration.ofMillis(m == slow ? 2_000 : 20)));
+            f.members.forEach(m -> respond(m, Duration.ofMillis(m == slow ? 2_000 : 20)));
         }
-        assertFalse(f.draw(DRAWS).containsKey("slow"));
+        assertFalse(f.countChoices(CHOICES).containsKey("slow"));
     }
 
     @Test
-    void aDistantMemberIsNotCalledSlow() {
+    void memberInOtherRegionIsNotEjectedAsSlow() {
         Member far = f.add("far", CEBU);
         f.add("b", MAKATI);
         f.add("c", MAKATI);
         f.add("d", MAKATI);
         for (int i = 0; i < 40; i++) {
-            f.members.forEach(m -> answer(m, Duration.ofMillis(m == far ? 200 : 1)));
+            f.members.forEach(m -> respond(m, Duration.ofMillis(m == far ? 200 : 1)));
         }
-        assertEquals(Ejection.Standing.WELL, f.loads.record(far).standing(f.time.nanoTime()));
+        assertEquals(EjectionState.Status.HEALTHY, f.loads.record(far).ejectionStatus(f.time.nanoTime()));
     }
 
     @Test
-    void aNewIncarnationGetsItsShareLittleByLittle() {
+    void restartedMemberGetsItsShareGradually() {
         for (String name : new String[] {"a", "b", "c", "d"}) {
             f.add(name, MAKATI);
         }
-        f.draw(1);
+        f.countChoices(1);
         f.add("d", MAKATI, Member.State.UP, 60_000);
-        int cold = f.draw(DRAWS).getOrDefault("d", 0);
-        f.time.advance(MemberRecord.SLOW_START.dividedBy(2));
-        int warmer = f.draw(DRAWS).getOrDefault("d", 0);
-        f.time.advance(MemberRecord.SLOW_START);
-        int warm = f.draw(DRAWS).getOrDefault("d", 0);
-        assertTrue(cold > 0 && cold < DRAWS / 8, "cold " + cold);
+        int cold = f.countChoices(CHOICES).getOrDefault("d", 0);
+        f.time.advance(MemberLoadRecord.SLOW_START_DURATION.dividedBy(2));
+        int warmer = f.countChoices(CHOICES).getOrDefault("d", 0);
+        f.time.advance(MemberLoadRecord.SLOW_START_DURATION);
+        int warm = f.countChoices(CHOICES).getOrDefault("d", 0);
+        assertTrue(cold > 0 && cold < CHOICES / 8, "cold " + cold);
         assertTrue(warmer > cold && warm > warmer, cold + " " + warmer + " " + warm);
     }
 
     @Test
-    void aRefutedSuspicionIsNotAStart() {
-        // The network splits and heals. Every member was suspected, refutes it with the next incarnation, and is the
-        // same as before: what runs there and what failed there must not be forgotten.
+    void refutedSuspicionKeepsLoadRecord() {
+        // After a network partition every member refutes a suspicion with its next incarnation. It has not restarted,
+        // so its record of requests in flight and of failures must be kept.
         Member a = f.add("a", MAKATI);
         f.add("b", MAKATI);
-        f.draw(1);
-        f.occupy(a, 3);
-        f.fail(a, Ejection.FAILURES_TO_EJECT);
+        f.countChoices(1);
+        f.startRequests(a, 3);
+        f.failRequests(a, EjectionState.FAILURES_TO_EJECT);
         Member refuted = f.add("a", MAKATI, Member.State.UP, 2);
-        f.draw(1);
+        f.countChoices(1);
         assertEquals(3, f.loads.record(refuted).inFlight());
-        assertEquals(Ejection.Standing.EJECTED, f.loads.record(refuted).standing(f.time.nanoTime()));
+        assertEquals(EjectionState.Status.EJECTED, f.loads.record(refuted).ejectionStatus(f.time.nanoTime()));
     }
 
     @Test
-    void aNewProcessDoesNotTakeEverybodyElseForNew() {
+    void membersKnownAtProcessStartHaveFullWeight() {
         Member a = f.add("a", MAKATI);
-        f.draw(1);
+        f.countChoices(1);
         assertEquals(1, f.loads.record(a).weight(f.time.nanoTime()));
     }
 
     @Test
-    void whoIsGoneIsForgotten() {
+    void loadRecordOfRemovedMemberIsDropped() {
         Member a = f.add("a", MAKATI);
         f.add("b", MAKATI);
-        f.draw(1);
+        f.countChoices(1);
         assertEquals(2, f.loads.size());
         f.remove(a);
-        f.draw(1);
+        f.countChoices(1);
         assertEquals(1, f.loads.size());
     }
 
     @Test
-    void aServiceOfStartingMembersSaysSo() {
+    void serviceWithOnlyStartingMembersReportsStarting() {
         f.add("a", MAKATI, Member.State.STARTING, 1);
         f.add("b", PASIG, Member.State.STARTING, 1);
-        assertEquals(new Choice.NoMember(RefusalReason.STARTING), f.choose(true, Set.of()));
+        assertEquals(new MemberChoice.NoMember(RefusalReason.STARTING), f.choose(true, Set.of()));
     }
 
     @Test
-    void aMemberThatRefusedIsAskedAgainOnlyAfterAllOthers() {
+    void refusingMemberIsTriedAgainOnlyAfterAllOthers() {
         f.add("a", MAKATI);
         f.add("b", PASIG);
         f.add("c", CEBU);
         assertNotEquals(
-                "a", ((Choice.Chosen) f.choose(true, Set.of("a"))).member().instance());
+                "a",
+                ((MemberChoice.Chosen) f.choose(true, Set.of("a"))).member().instance());
         assertEquals(
-                "c", ((Choice.Chosen) f.choose(true, Set.of("a", "b"))).member().instance());
-        assertInstanceOf(Choice.AllTried.class, f.choose(true, Set.of("a", "b", "c")));
+                "c",
+                ((MemberChoice.Chosen) f.choose(true, Set.of("a", "b")))
+                        .member()
+                        .instance());
+        assertInstanceOf(MemberChoice.AllTried.class, f.choose(true, Set.of("a", "b", "c")));
     }
 
-    private void answer(Member m, Duration after) {
+    private void respond(Member m, Duration after) {
         try (PeerLoads.Attempt a = f.loads.begin(m)) {
             f.time.advance(after);
-            a.answered(true);
+            a.responseStarted(true);
         }
     }
 }
--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -19,218 +19,221 @@
 import org.berylwick.lib.TrafficClass;
 
 /**
- * Counts the slots of one backend server exactly and holds a short queue for them.
+ * Limits the concurrent requests of one backend server to its slots and keeps a short queue of requests that wait for
+ * one.
  *
- * <p>Each traffic class that the configuration brings to the service has a guaranteed share of the slots and of the
- * queue. Idle slots are lent, but only to classes that are known to give them back within
- * {@link ClassQueue#LENDING_BOUND}: a class below its guarantee waits at most for one such request. A free slot goes
- * first to the class that is furthest below its guarantee, then to the most urgent class; within a class to the request
- * that must start first. Who can't be served in time is refused as soon as that is known.
+ * <p>Each traffic class that the configuration routes to the service has a guaranteed share of the slots and of the
+ * queue. Idle slots are lent, but only to classes that are known to return them within
+ * {@link TrafficClassQueue#MAX_HOLD_TIME_TO_BORROW}: a class below its guarantee waits for at most one such request. A
+ * free slot goes first to the class that is furthest below its guarantee, then to the most urgent class; within a class
+ * to the request that must start first. A request that can't be served in time is refused as soon as that is known.
  *
- * <p>Safe for use from any thread. Futures complete outside the lock, on the thread that freed the slot.
+ * <p>Thread-safe. Futures complete outside the lock, on the thread whose call or task decided about the request.
  */
 public final class SlotLimiter {
     private static final EventLog EVENTS = new EventLog(SlotLimiter.class);
-    private static final Duration LONGEST_RETRY_AFTER = Duration.ofSeconds(30);
-    private static final Duration UNMEASURED_RETRY_AFTER = Duration.ofSeconds(1);
+    private static final Duration MAX_RETRY_AFTER = Duration.ofSeconds(30);
+    private static final Duration DEFAULT_RETRY_AFTER = Duration.ofSeconds(1);
 
     private final TimeSource time;
-    private final Alarm alarm;
+    private final Scheduler scheduler;
     private final SlotMetrics metrics;
     private final Invariants invariants;
-    private final Map<TrafficClass, ClassQueue> classes = new EnumMap<>(TrafficClass.class);
-    private final UsableSlots usable;
+    private final Map<TrafficClass, TrafficClassQueue> classes = new EnumMap<>(TrafficClass.class);
+    private final UsableSlots usableSlots;
     private SlotLimits limits;
-    private ClassShares slotShares;
-    private ClassShares queueShares;
+    private TrafficClassShares slotShares;
+    private TrafficClassShares queueShares;
     private int inUse;
     private int waiting;
-    private long sequence;
-    private Optional<Deadline> armed = Optional.empty();
+    private long nextSequence;
+    private Optional<Deadline> scheduledWakeUp = Optional.empty();
 
-    /** What became of asking for a slot. */
+    /** Result of a request for a slot. */
     public sealed interface Admission {
         /** A slot is held until the permit is closed. */
         record Admitted(Permit permit) implements Admission {}
 
         /**
-         * Nothing is held and the request was not run.
+         * No slot is held and the request was not run.
          *
-         * @param reason for the caller
-         * @param retryAfterMillis when a slot is likely to be free, by the measured pace
+         * @param reason reason to report to the caller
+         * @param retryAfterMillis time after which a slot is likely to be free, according to the mean hold time
          */
         record Refused(RefusalReason reason, long retryAfterMillis) implements Admission {}
     }
 
-    /** Holds one slot; only the first way of closing it counts, later ones do no harm. */
+    /** Holds one slot; only the first call of one of its methods has an effect. */
     public final class Permit implements AutoCloseable {
-        private final AtomicBoolean held = new AtomicBoolean(true);
+        private final AtomicBoolean open = new AtomicBoolean(true);
         private final TrafficClass trafficClass;
-        private final long sinceNanos;
+        private final long acquiredAtNanos;
 
-        private Permit(TrafficClass trafficClass, long sinceNanos) {
+        private Permit(TrafficClass trafficClass, long acquiredAtNanos) {
             this.trafficClass = trafficClass;
-            this.sinceNanos = sinceNanos;
+            this.acquiredAtNanos = acquiredAtNanos;
         }
 
-        /** Frees the slot after a request. */
+        /** Releases the slot after a request and records the hold time. */
         @Override
         public void close() {
-            if (held.compareAndSet(true, false)) {
-                release(trafficClass, Optional.of(sinceNanos));
+            if (open.compareAndSet(true, false)) {
+                release(trafficClass, Optional.of(acquiredAtNanos));
             }
         }
 
-        /** Frees the slot of a request that the backend server shed, and asks less of it for a while. */
-        public void shed() {
-            if (held.compareAndSet(true, false)) {
-                lower();
+        /** Releases the slot of a request that the backend server shed, and lowers its usable slots temporarily. */
+        public void closeAfterShed() {
+            if (open.compareAndSet(true, false)) {
+                lowerUsableSlots();
                 release(trafficClass, Optional.empty());
             }
         }
 
-        /** Frees the slot of a request that was not sent after all; it tells nothing of the pace. */
-        public void unused() {
-            if (held.compareAndSet(true, false)) {
+        /** Releases the slot of a request that was not sent; its hold time is not recorded. */
+        public void closeUnused() {
+            if (open.compareAndSet(true, false)) {
                 release(trafficClass, Optional.empty());
             }
         }
     }
 
-    private record Decision(Waiter waiter, Admission admission) {}
+    private record Decision(SlotRequest request, Admission admission) {}
 
-    /** A limiter with all slots free. */
+    /** Creates a limiter with all slots free. */
     public SlotLimiter(
-            TimeSource time, Alarm alarm, MetricRegistry registry, Invariants invariants, SlotLimits limits) {
+            TimeSource time, Scheduler scheduler, MetricRegistry registry, Invariants invariants, SlotLimits limits) {
         this.time = time;
-        this.alarm = alarm;
+        this.scheduler = scheduler;
         this.invariants = invariants;
         this.limits = limits;
         metrics = new SlotMetrics(registry);
-        usable = new UsableSlots(limits.slots());
+        usableSlots = new UsableSlots(limits.slots());
         for (TrafficClass c : TrafficClass.values()) {
-            ClassQueue queue = new ClassQueue(c);
+            TrafficClassQueue queue = new TrafficClassQueue(c);
             classes.put(c, queue);
             metrics.gauge(SlotMetrics.IN_USE + c, queue::inUse);
             metrics.gauge(SlotMetrics.WAITING + c, queue::waiting);
         }
-        metrics.gauge(SlotMetrics.DECLARED, usable::declared);
-        metrics.gauge(SlotMetrics.USABLE, usable::usable);
-        divide();
+        metrics.gauge(SlotMetrics.DECLARED, usableSlots::declared);
+        metrics.gauge(SlotMetrics.USABLE, usableSlots::usable);
+        recomputeShares();
     }
 
-    /** Takes over the limits in force; requests already admitted keep their slots. */
-    public void setLimits(SlotLimits inForce) {
+    /** Applies new limits; requests that were already admitted keep their slots. */
+    public void setLimits(SlotLimits newLimits) {
         List<Decision> decisions = new ArrayList<>();
         synchronized (this) {
-            limits = inForce;
-            usable.declare(inForce.slots());
-            divide();
-            prune(decisions);
+            limits = newLimits;
+            usableSlots.setDeclared(newLimits.slots());
+            recomputeShares();
+            refuseUnservable(decisions);
             dispatch(decisions);
         }
-        finish(decisions);
+        completeAll(decisions);
     }
 
     /**
-     * Asks for a slot.
+     * Requests a slot.
      *
-     * @return completes when a slot is held or refused; cancelling it gives up the place in the queue at once
+     * @return completes when a slot is granted or refused; cancelling it removes the request from the queue at once
      */
     public CompletableFuture<Admission> acquire(TrafficClass trafficClass, Deadline deadline) {
         List<Decision> decisions = new ArrayList<>(1);
-        Waiter waiter;
+        SlotRequest request;
         synchronized (this) {
             long now = time.nanoTime();
-            ClassQueue queue = classes.get(trafficClass);
-            waiter = new Waiter(trafficClass, deadline, sequence++, now, queue.meanHoldNanos(), this::leave);
-            raise(decisions);
+            TrafficClassQueue queue = classes.get(trafficClass);
+            request = new SlotRequest(
+                    trafficClass, deadline, nextSequence++, now, queue.meanHoldNanos(), this::removeCancelled);
+            raiseUsableSlots(decisions);
             if (deadline.isPast(time)) {
-                decisions.add(refuse(waiter, RefusalCause.EXPIRED));
-            } else if (mayHold(queue)) {
-                decisions.add(admit(waiter));
+                decisions.add(refuse(request, RefusalCause.EXPIRED));
+            } else if (mayAcquire(queue)) {
+                decisions.add(admit(request));
             } else {
-                enqueue(queue, waiter, decisions);
+                enqueue(queue, request, decisions);
             }
         }
-        finish(decisions);
-        return waiter;
+        completeAll(decisions);
+        return request;
     }
 
-    /** Slots held now. */
+    /** Number of slots in use. */
     public synchronized int inUse() {
         return inUse;
     }
 
     /**
-     * How loaded the backend server is, to tell others: requests that hold slots or wait, scaled so that it reaches the
-     * declared slots when the usable ones are taken.
+     * The load of the backend server, as reported to other daemons: requests that hold slots or wait, scaled so that
+     * the load equals the declared slots when all usable slots are in use.
      *
-     * <p>A backend server that sheds holds few requests; unscaled, that would draw more of them to it.
+     * <p>A backend server that sheds requests holds few of them; without scaling it would look idle and attract more.
      */
     public synchronized int load() {
-        return (inUse + waiting) * usable.declared() / usable.usable();
+        return (inUse + waiting) * usableSlots.declared() / usableSlots.usable();
     }
 
-    /** Slots held now by one class. */
+    /** Number of slots in use by one class. */
     public synchronized int inUse(TrafficClass trafficClass) {
         return classes.get(trafficClass).inUse();
     }
 
-    /** Requests waiting now. */
+    /** Number of waiting requests. */
     public synchronized int waiting() {
         return waiting;
     }
 
-    /** Slots that the backend server takes at present, at most those declared. */
+    /** Number of slots that may currently be used, at most the declared ones. */
     public synchronized int usableSlots() {
-        return usable.usable();
+        return usableSlots.usable();
     }
 
-    /** Slots that a class can always have at present. */
+    /** Number of slots currently guaranteed to a class. */
     public synchronized int guarantee(TrafficClass trafficClass) {
         return slotShares.guarantee(trafficClass);
     }
 
-    private void enqueue(ClassQueue queue, Waiter waiter, List<Decision> decisions) {
-        long untilStart = waiter.startByNanos() - time.nanoTime();
-        if (untilStart < queue.waitNanos(queue.ahead(waiter), slotShares.guarantee(waiter.trafficClass()))) {
-            decisions.add(refuse(waiter, RefusalCause.TOO_SLOW));
+    private void enqueue(TrafficClassQueue queue, SlotRequest request, List<Decision> decisions) {
+        long untilStart = request.startByNanos() - time.nanoTime();
+        if (untilStart
+                < queue.estimateWaitNanos(queue.countAhead(request), slotShares.guarantee(request.trafficClass()))) {
+            decisions.add(refuse(request, RefusalCause.TOO_SLOW));
             return;
         }
         if (waiting >= limits.queueLimit()) {
-            Optional<Waiter> evicted = evictFor(queue);
+            Optional<SlotRequest> evicted = evictBorrowerFor(queue);
             if (evicted.isEmpty()) {
-                decisions.add(refuse(waiter, RefusalCause.QUEUE_FULL));
+                decisions.add(refuse(request, RefusalCause.QUEUE_FULL));
                 return;
             }
             decisions.add(refuse(evicted.get(), RefusalCause.EVICTED));
         }
-        queue.add(waiter);
+        queue.add(request);
         waiting++;
-        arm();
+        scheduleWakeUp();
     }
 
-    /** Makes room for a class below its share of the queue by taking a place that another class only borrowed. */
-    private Optional<Waiter> evictFor(ClassQueue queue) {
+    /** Makes room for a class below its share of the queue by evicting a request of a class above its share. */
+    private Optional<SlotRequest> evictBorrowerFor(TrafficClassQueue queue) {
         if (queue.waiting() >= queueShares.guarantee(queue.trafficClass())) {
             return Optional.empty();
         }
-        Optional<ClassQueue> from = Optional.empty();
-        int most = 0;
-        for (ClassQueue q : classes.values()) {
+        Optional<TrafficClassQueue> mostBorrowed = Optional.empty();
+        int maxBorrowed = 0;
+        for (TrafficClassQueue q : classes.values()) {
             int borrowed = q.waiting() - queueShares.guarantee(q.trafficClass());
-            if (borrowed > 0 && borrowed >= most) {
-                most = borrowed;
-                from = Optional.of(q);
+            if (borrowed > 0 && borrowed >= maxBorrowed) {
+                maxBorrowed = borrowed;
+                mostBorrowed = Optional.of(q);
             }
         }
-        from.ifPresent(q -> waiting--);
-        return from.map(ClassQueue::takeLast);
+        mostBorrowed.ifPresent(q -> waiting--);
+        return mostBorrowed.map(TrafficClassQueue::pollLast);
     }
 
-    private boolean mayHold(ClassQueue queue) {
-        if (inUse >= usable.usable()) {
+    private boolean mayAcquire(TrafficClassQueue queue) {
+        if (inUse >= usableSlots.usable()) {
             return false;
         }
         int guarantee = slotShares.guarantee(queue.trafficClass());
@@ -238,178 +241,183 @@
             return true;
         }
         if (guarantee == 0 && queue.inUse() == 0) {
-            // With fewer slots than classes somebody has no guarantee; one slot keeps it from waiting for ever.
+            // With fewer slots than classes some class has no guarantee. Granting it one slot prevents starvation.
             return true;
         }
-        int owed = 0;
-        for (ClassQueue q : classes.values()) {
-            owed += q == queue ? q.inUse() : Math.max(q.inUse(), slotShares.guarantee(q.trafficClass()));
+        int reserved = 0;
+        for (TrafficClassQueue q : classes.values()) {
+            reserved += q == queue ? q.inUse() : Math.max(q.inUse(), slotShares.guarantee(q.trafficClass()));
         }
-        return owed < usable.usable();
+        return reserved < usableSlots.usable();
     }
 
-    private Optional<ClassQueue> next() {
-        Optional<ClassQueue> neediest = Optional.empty();
-        for (ClassQueue q : classes.values()) {
+    private Optional<TrafficClassQueue> nextClassToServe() {
+        Optional<TrafficClassQueue> furthestBelowGuarantee = Optional.empty();
+        for (TrafficClassQueue q : classes.values()) {
             if (q.waiting() > 0
                     && q.inUse() < slotShares.guarantee(q.trafficClass())
-                    && (neediest.isEmpty() || filled(q) < filled(neediest.get()))) {
-                neediest = Optional.of(q);
+                    && (furthestBelowGuarantee.isEmpty()
+                            || guaranteeUtilization(q) < guaranteeUtilization(furthestBelowGuarantee.get()))) {
+                furthestBelowGuarantee = Optional.of(q);
             }
         }
-        if (neediest.isPresent()) {
-            return neediest.filter(this::mayHold);
+        if (furthestBelowGuarantee.isPresent()) {
+            return furthestBelowGuarantee.filter(this::mayAcquire);
         }
         return classes.values().stream()
-                .filter(q -> q.waiting() > 0 && mayHold(q))
+                .filter(q -> q.waiting() > 0 && mayAcquire(q))
                 .findFirst();
     }
 
-    private double filled(ClassQueue queue) {
+    private double guaranteeUtilization(TrafficClassQueue queue) {
         return (double) queue.inUse() / slotShares.guarantee(queue.trafficClass());
     }
 
     private void dispatch(List<Decision> decisions) {
-        for (Optional<ClassQueue> q = next(); q.isPresent(); q = next()) {
-            Waiter w = q.get().takeFirst();
+        for (Optional<TrafficClassQueue> q = nextClassToServe(); q.isPresent(); q = nextClassToServe()) {
+            SlotRequest request = q.get().pollFirst();
             waiting--;
-            if (w.startByNanos() - time.nanoTime() <= 0) {
-                decisions.add(refuse(w, RefusalCause.EXPIRED));
+            if (request.startByNanos() - time.nanoTime() <= 0) {
+                decisions.add(refuse(request, RefusalCause.EXPIRED));
                 continue;
             }
-            metrics.waited(w.trafficClass(), time.nanoTime() - w.arrivedAtNanos());
-            decisions.add(admit(w));
+            metrics.waited(request.trafficClass(), time.nanoTime() - request.arrivedAtNanos());
+            decisions.add(admit(request));
         }
-        arm();
+        scheduleWakeUp();
     }
 
-    private Decision admit(Waiter waiter) {
+    private Decision admit(SlotRequest request) {
         inUse++;
-        classes.get(waiter.trafficClass()).take();
-        metrics.admitted(waiter.trafficClass());
-        int sum = classes.values().stream().mapToInt(ClassQueue::inUse).sum();
-        int held = inUse;
+        classes.get(request.trafficClass()).acquireSlot();
+        metrics.admitted(request.trafficClass());
+        int heldByClass =
+                classes.values().stream().mapToInt(TrafficClassQueue::inUse).sum();
+        int heldSlots = inUse;
         invariants.check(
                 Invariant.SLOTS_EXACT,
-                held <= limits.slots() && sum == held,
-                () -> held + " held, " + sum + " by class, of " + limits.slots());
-        return new Decision(waiter, new Admission.Admitted(new Permit(waiter.trafficClass(), time.nanoTime())));
+                heldSlots <= limits.slots() && heldByClass == heldSlots,
+                () -> heldSlots + " slots in use, sum over classes " + heldByClass + ", declared " + limits.slots());
+        return new Decision(request, new Admission.Admitted(new Permit(request.trafficClass(), time.nanoTime())));
     }
 
-    private Decision refuse(Waiter waiter, RefusalCause cause) {
-        metrics.refused(waiter.trafficClass(), cause);
-        RefusalReason reason = waiter.deadline().isPast(time) ? RefusalReason.DEADLINE : RefusalReason.OVERLOADED;
-        return new Decision(waiter, new Admission.Refused(reason, retryAfterMillis(waiter.trafficClass())));
+    private Decision refuse(SlotRequest request, RefusalCause cause) {
+        metrics.refused(request.trafficClass(), cause);
+        RefusalReason reason = request.deadline().isPast(time) ? RefusalReason.DEADLINE : RefusalReason.OVERLOADED;
+        return new Decision(request, new Admission.Refused(reason, retryAfterMillis(request.trafficClass())));
     }
 
     private long retryAfterMillis(TrafficClass trafficClass) {
-        ClassQueue queue = classes.get(trafficClass);
+        TrafficClassQueue queue = classes.get(trafficClass);
         if (queue.meanHoldNanos() == 0) {
-            return UNMEASURED_RETRY_AFTER.toMillis();
+            return DEFAULT_RETRY_AFTER.toMillis();
         }
-        long nanos = queue.waitNanos(queue.waiting(), slotShares.guarantee(trafficClass));
-        return Math.clamp(Duration.ofNanos(nanos).toMillis(), 1, LONGEST_RETRY_AFTER.toMillis());
+        long nanos = queue.estimateWaitNanos(queue.waiting(), slotShares.guarantee(trafficClass));
+        return Math.clamp(Duration.ofNanos(nanos).toMillis(), 1, MAX_RETRY_AFTER.toMillis());
     }
 
-    private void release(TrafficClass trafficClass, Optional<Long> sinceNanos) {
+    private void release(TrafficClass trafficClass, Optional<Long> acquiredAtNanos) {
         List<Decision> decisions = new ArrayList<>(1);
         synchronized (this) {
-            ClassQueue queue = classes.get(trafficClass);
-            queue.giveBack();
+            TrafficClassQueue queue = classes.get(trafficClass);
+            queue.releaseSlot();
             inUse--;
-            sinceNanos.ifPresent(since -> queue.held(time.nanoTime() - since));
-            raise(decisions);
+            acquiredAtNanos.ifPresent(acquiredAt -> queue.recordHoldTime(time.nanoTime() - acquiredAt));
+            raiseUsableSlots(decisions);
             dispatch(decisions);
         }
-        finish(decisions);
+        completeAll(decisions);
     }
 
-    private void lower() {
+    private void lowerUsableSlots() {
         List<Decision> decisions = new ArrayList<>();
         synchronized (this) {
             metrics.shed();
-            int before = usable.usable();
-            if (usable.lower(time.nanoTime())) {
-                EVENTS.log(CallEvent.SLOTS_LOWERED, before, usable.usable(), usable.declared());
-                divide();
-                prune(decisions);
+            int before = usableSlots.usable();
+            if (usableSlots.lower(time.nanoTime())) {
+                EVENTS.log(CallEvent.SLOTS_LOWERED, before, usableSlots.usable(), usableSlots.declared());
+                recomputeShares();
+                refuseUnservable(decisions);
             }
         }
-        finish(decisions);
+        completeAll(decisions);
     }
 
-    private void raise(List<Decision> decisions) {
-        if (!usable.raise(time.nanoTime())) {
+    private void raiseUsableSlots(List<Decision> decisions) {
+        if (!usableSlots.raise(time.nanoTime())) {
             return;
         }
-        if (usable.usable() == usable.declared()) {
-            EVENTS.log(CallEvent.SLOTS_RESTORED, usable.declared());
+        if (usableSlots.usable() == usableSlots.declared()) {
+            EVENTS.log(CallEvent.SLOTS_RESTORED, usableSlots.declared());
         }
-        divide();
+        recomputeShares();
         dispatch(decisions);
     }
 
-    private void divide() {
-        slotShares = ClassShares.divide(usable.usable(), limits.classes());
-        queueShares = ClassShares.divide(limits.queueLimit(), limits.classes());
+    private void recomputeShares() {
+        slotShares = TrafficClassShares.divide(usableSlots.usable(), limits.classes());
+        queueShares = TrafficClassShares.divide(limits.queueLimit(), limits.classes());
     }
 
-    private void prune(List<Decision> decisions) {
-        for (ClassQueue q : classes.values()) {
-            q.prune(time.nanoTime(), slotShares.guarantee(q.trafficClass()), w -> {
+    private void refuseUnservable(List<Decision> decisions) {
+        for (TrafficClassQueue q : classes.values()) {
+            q.removeUnservable(time.nanoTime(), slotShares.guarantee(q.trafficClass()), request -> {
                 waiting--;
-                boolean late = w.startByNanos() - time.nanoTime() <= 0;
-                decisions.add(refuse(w, late ? RefusalCause.EXPIRED : RefusalCause.TOO_SLOW));
+                boolean expired = request.startByNanos() - time.nanoTime() <= 0;
+                decisions.add(refuse(request, expired ? RefusalCause.EXPIRED : RefusalCause.TOO_SLOW));
             });
         }
     }
 
-    private synchronized void leave(Waiter waiter) {
-        if (classes.get(waiter.trafficClass()).remove(waiter)) {
+    private synchronized void removeCancelled(SlotRequest request) {
+        if (classes.get(request.trafficClass()).remove(request)) {
             waiting--;
-            metrics.cancelled(waiter.trafficClass());
+            metrics.cancelled(request.trafficClass());
         }
     }
 
-    /** Sees to it that a waiter whose time is up is refused then, not when the next slot happens to come free. */
-    private void arm() {
+    /**
+     * Schedules the next check of the queue, so that a request is refused when its latest start time passes and not
+     * only when the next slot is released.
+     */
+    private void scheduleWakeUp() {
         if (waiting == 0) {
             return;
         }
-        Optional<Deadline> next = usable.nextRaise();
-        for (ClassQueue q : classes.values()) {
+        Optional<Deadline> earliest = usableSlots.nextRaise();
+        for (TrafficClassQueue q : classes.values()) {
             if (q.waiting() > 0) {
-                Deadline start = new Deadline(q.first().orElseThrow().startByNanos());
-                next = Optional.of(next.map(start::earlier).orElse(start));
+                Deadline start = new Deadline(q.peekFirst().orElseThrow().startByNanos());
+                earliest = Optional.of(earliest.map(start::earlier).orElse(start));
             }
         }
-        Deadline at = next.orElseThrow();
-        if (armed.isPresent() && armed.get().atNanos() - at.atNanos() <= 0) {
+        Deadline wakeUpAt = earliest.orElseThrow();
+        if (scheduledWakeUp.isPresent() && scheduledWakeUp.get().atNanos() - wakeUpAt.atNanos() <= 0) {
             return;
         }
-        armed = next;
-        alarm.at(at, () -> wake(at));
+        scheduledWakeUp = earliest;
+        scheduler.schedule(wakeUpAt, () -> onWakeUp(wakeUpAt));
     }
 
-    private void wake(Deadline at) {
+    private void onWakeUp(Deadline wakeUpAt) {
         List<Decision> decisions = new ArrayList<>();
         synchronized (this) {
-            if (armed.filter(at::equals).isPresent()) {
-                armed = Optional.empty();
+            if (scheduledWakeUp.filter(wakeUpAt::equals).isPresent()) {
+                scheduledWakeUp = Optional.empty();
             }
-            raise(decisions);
-            prune(decisions);
+            raiseUsableSlots(decisions);
+            refuseUnservable(decisions);
             dispatch(decisions);
         }
-        finish(decisions);
+        completeAll(decisions);
     }
 
-    private void finish(List<Decision> decisions) {
+    private void completeAll(List<Decision> decisions) {
         for (Decision d : decisions) {
-            boolean taken = d.waiter().complete(d.admission());
-            // Cancelled between the decision and here: the slot that nobody will use goes back.
-            if (!taken && d.admission() instanceof Admission.Admitted(Permit permit)) {
-                permit.unused();
+            boolean completed = d.request().complete(d.admission());
+            // The request was cancelled after the decision; its slot would otherwise never be released.
+            if (!completed && d.admission() instanceof Admission.Admitted(Permit permit)) {
+                permit.closeUnused();
             }
         }
     }
--- a/org.berylwick/src/org/berylwick/internal/limit/Waiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotRequest.java
@@ -5,35 +5,37 @@
 import org.berylwick.lib.Deadline;
 import org.berylwick.lib.TrafficClass;
 
-/** A request that asked for a slot; cancelling it takes it out of the queue at once. */
-final class Waiter extends CompletableFuture<SlotLimiter.Admission> {
+/** A request for a slot; cancelling it removes it from the queue at once. */
+final class SlotRequest extends CompletableFuture<SlotLimiter.Admission> {
     private final TrafficClass trafficClass;
     private final Deadline deadline;
     private final long sequence;
     private final long arrivedAtNanos;
     private final long startByNanos;
-    private final Consumer<Waiter> onCancel;
+    private final Consumer<SlotRequest> onCancel;
 
     /**
-     * A request.
+     * Creates a request.
      *
-     * @param typicalHoldNanos how long such requests run
+     * @param meanHoldNanos mean time for which requests of this class hold their slot
+     * @param onCancel called when the request is cancelled
      */
-    Waiter(
+    SlotRequest(
             TrafficClass trafficClass,
             Deadline deadline,
             long sequence,
             long nowNanos,
-            long typicalHoldNanos,
-            Consumer<Waiter> onCancel) {
+            long meanHoldNanos,
+            Consumer<SlotRequest> onCancel) {
         this.trafficClass = trafficClass;
         this.deadline = deadline;
         this.sequence = sequence;
         this.arrivedAtNanos = nowNanos;
         this.onCancel = onCancel;
-        // Started any later it would most likely be cut by its deadline, having used the slot for nothing. Half the
-        // typical time, and never more than half of what remains: sizes within a class differ widely.
-        long margin = Math.min(typicalHoldNanos / 2, (deadline.atNanos() - nowNanos) / 2);
+        // A request that starts later would most likely exceed its deadline and waste the slot. The margin is only
+        // half the mean hold time, and at most half of the remaining time, because run times differ widely within a
+        // class.
+        long margin = Math.min(meanHoldNanos / 2, (deadline.atNanos() - nowNanos) / 2);
         this.startByNanos = deadline.atNanos() - Math.max(0, margin);
     }
 
@@ -53,7 +55,7 @@
         return arrivedAtNanos;
     }
 
-    /** The latest time at which starting it makes sense. */
+    /** Latest time at which the request is still started. */
     long startByNanos() {
         return startByNanos;
     }
--- a/org.berylwick/src/org/berylwick/internal/limit/ClassShares.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/TrafficClassShares.java
@@ -8,56 +8,57 @@
 import org.berylwick.lib.TrafficClass;
 
 /**
- * How many of a number of places each traffic class can always have; together never more than there are.
+ * Guaranteed shares of the traffic classes in a capacity, such as slots or queue entries; never more than the capacity
+ * in total.
  *
- * <p>With at least as many places as classes, each of the given classes has one or more. With fewer, the less urgent
- * classes go without.
+ * <p>If the capacity is at least the number of classes, each class has a share of at least one. Otherwise the less
+ * urgent classes have none.
  */
-final class ClassShares {
+final class TrafficClassShares {
     private final Map<TrafficClass, Integer> guarantees = new EnumMap<>(TrafficClass.class);
 
-    private ClassShares() {}
+    private TrafficClassShares() {}
 
     /**
-     * Divides places by weight.
+     * Divides a capacity by the weights of the classes.
      *
-     * @param places to divide
-     * @param classes which have a share
+     * @param capacity number of units to divide
+     * @param classes classes that get a share
      */
-    static ClassShares divide(int places, Set<TrafficClass> classes) {
-        ClassShares shares = new ClassShares();
-        int weights = classes.stream().mapToInt(ClassShares::weight).sum();
+    static TrafficClassShares divide(int capacity, Set<TrafficClass> classes) {
+        TrafficClassShares shares = new TrafficClassShares();
+        int totalWeight = classes.stream().mapToInt(TrafficClassShares::weight).sum();
         for (TrafficClass c : TrafficClass.values()) {
-            shares.guarantees.put(c, classes.contains(c) ? places * weight(c) / weights : 0);
+            shares.guarantees.put(c, classes.contains(c) ? capacity * weight(c) / totalWeight : 0);
         }
         for (TrafficClass c : TrafficClass.values()) {
             if (classes.contains(c) && shares.guarantee(c) == 0) {
-                shares.grantOne(c, places);
+                shares.grantMinimum(c, capacity);
             }
         }
         return shares;
     }
 
-    /** Places that the class can always have. */
+    /** Units guaranteed to the class. */
     int guarantee(TrafficClass c) {
         return guarantees.get(c);
     }
 
-    /** Places that any class can always have, all together. */
+    /** Sum of the guarantees of all classes. */
     int total() {
         return guarantees.values().stream().mapToInt(Integer::intValue).sum();
     }
 
-    private void grantOne(TrafficClass c, int places) {
-        if (total() < places) {
+    private void grantMinimum(TrafficClass c, int capacity) {
+        if (total() < capacity) {
             guarantees.put(c, 1);
             return;
         }
-        Optional<TrafficClass> richest = guarantees.entrySet().stream()
+        Optional<TrafficClass> largest = guarantees.entrySet().stream()
                 .filter(e -> e.getValue() > 1)
                 .max(Comparator.comparingInt(Map.Entry::getValue))
                 .map(Map.Entry::getKey);
-        richest.ifPresent(r -> {
+        largest.ifPresent(r -> {
             guarantees.merge(r, -1, Integer::sum);
             guarantees.put(c, 1);
         });
--- a/org.berylwick/src/org/berylwick/internal/retry/RetryBudget.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/RetryBudget.java
@@ -3,17 +3,17 @@
 import org.berylwick.lib.TimeSource;
 
 /**
- * Bounds retries to a share of the requests of the last seconds.
+ * Limits retries to a ratio of the requests in a sliding window.
  *
- * <p>In an outage every request fails, and without a bound each of them would arrive several times at servers that are
- * overloaded already. A small floor lets a service with few requests retry at all. Any thread may use it.
+ * <p>In an outage every request fails, and without a limit each of them would be sent several times to servers that are
+ * already overloaded. A small minimum allows retries for services with few requests. Thread-safe.
  */
 public final class RetryBudget {
     private static final int BUCKETS = 10;
 
     private final TimeSource time;
-    private final double share;
-    private final int floor;
+    private final double retryRatio;
+    private final int minRetries;
     private final long bucketNanos;
     private final long originNanos;
     private final long[] requests = new long[BUCKETS];
@@ -21,44 +21,44 @@
     private long newestBucket;
 
     /**
-     * A budget with no request seen yet.
+     * Creates a budget without requests.
      *
-     * @param share retries allowed for each request of the window
-     * @param floor retries allowed in a window whatever the number of requests
+     * @param retryRatio retries allowed per request in the window
+     * @param minRetries retries allowed in a window in addition, regardless of the number of requests
      * @param windowMillis length of the window
      */
-    public RetryBudget(TimeSource time, double share, int floor, long windowMillis) {
+    public RetryBudget(TimeSource time, double retryRatio, int minRetries, long windowMillis) {
         this.time = time;
-        this.share = share;
-        this.floor = floor;
+        this.retryRatio = retryRatio;
+        this.minRetries = minRetries;
         this.bucketNanos = Math.max(1, windowMillis * 1_000_000L / BUCKETS);
         this.originNanos = time.nanoTime();
     }
 
-    /** Notes a request, once however often it is sent. */
+    /** Counts a request; to be called once per request, not per attempt. */
     public synchronized void countRequest() {
-        requests[currentSlot()]++;
+        requests[currentBucketIndex()]++;
     }
 
-    /** Takes one retry out of the budget if there is one left. */
-    public synchronized boolean tryRetry() {
-        int slot = currentSlot();
-        if (sum(retries) + 1 > floor + share * sum(requests)) {
+    /** Takes one retry from the budget; returns false if none is left. */
+    public synchronized boolean tryAcquireRetry() {
+        int index = currentBucketIndex();
+        if (sum(retries) + 1 > minRetries + retryRatio * sum(requests)) {
             return false;
         }
-        retries[slot]++;
+        retries[index]++;
         return true;
     }
 
-    private int currentSlot() {
+    private int currentBucketIndex() {
         long bucket = (time.nanoTime() - originNanos) / bucketNanos;
-        long stale = Math.min(BUCKETS, bucket - newestBucket);
-        for (long i = 1; i <= stale; i++) {
-            int slot = (int) ((newestBucket + i) % BUCKETS);
-            requests[slot] = 0;
-            retries[slot] = 0;
+        long expiredBuckets = Math.min(BUCKETS, bucket - newestBucket);
+        for (long i = 1; i <= expiredBuckets; i++) {
+            int index = (int) ((newestBucket + i) % BUCKETS);
+            requests[index] = 0;
+            retries[index] = 0;
         }
-        if (stale > 0) {
+        if (expiredBuckets > 0) {
             newestBucket = bucket;
         }
         return (int) (newestBucket % BUCKETS);
--- a/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import java.util.function.Supplier;
 import java.util.random.RandomGenerator;
-import org.berylwick.internal.routing.Ejection.Standing;
+import org.berylwick.internal.routing.EjectionState.Status;
 import org.berylwick.internal.routing.Tiers.Distance;
 import org.berylwick.internal.routing.Tiers.Tier;
 import org.berylwick.lib.Member;
@@ -23,162 +23,171 @@
 import org.berylwick.lib.TimeSource;
 
 /**
- * Picks the member that a request goes to: the less loaded of two random ones, nearest place first.
+ * Chooses the member that receives a request: nearest place first, and there the less loaded of two randomly drawn
+ * members.
  *
- * <p>Members that failed requests are left out for a while, but never more than half of a service. Those that didn't
- * answer the membership's probes are used when no other is left, those that start or leave never. Any thread may
- * choose.
+ * <p>Members whose requests failed are excluded temporarily, but never more than half of a service. Suspect members,
+ * which didn't answer the probes of the membership protocol, are used only if no other is available. Members that are
+ * starting or leaving are never used. Thread-safe.
  */
 public final class MemberChooser {
-    private final Place own;
+    private final Place localPlace;
     private final PeerLoads loads;
     private final TimeSource time;
-    private final Supplier<RandomGenerator> random;
-    private final Map<Distance, Counter> chosen = new EnumMap<>(Distance.class);
+    private final Supplier<RandomGenerator> randomSource;
+    private final Map<Distance, Counter> chosenByDistance = new EnumMap<>(Distance.class);
     private final Counter probes;
     private final Counter lastResort;
 
     /**
-     * A chooser.
+     * Creates a chooser.
      *
-     * @param own where this process runs
-     * @param random asked for a source at each choice, on the thread that chooses
+     * @param localPlace place of this process
+     * @param randomSource supplies the random generator; called for each random draw on the choosing thread
      */
     public MemberChooser(
-            Place own, PeerLoads loads, TimeSource time, MetricRegistry metrics, Supplier<RandomGenerator> random) {
-        this.own = own;
+            Place localPlace,
+            PeerLoads loads,
+            TimeSource time,
+            MetricRegistry metrics,
+            Supplier<RandomGenerator> randomSource) {
+        this.localPlace = localPlace;
         this.loads = loads;
         this.time = time;
-        this.random = random;
+        this.randomSource = randomSource;
         for (Distance d : Distance.values()) {
-            chosen.put(d, metrics.counter(ChoiceMetrics.CHOSEN + d));
+            chosenByDistance.put(d, metrics.counter(ChoiceMetrics.CHOSEN + d));
         }
         probes = metrics.counter(ChoiceMetrics.PROBES);
         lastResort = metrics.counter(ChoiceMetrics.LAST_RESORT);
     }
 
     /**
-     * Picks a member.
+     * Chooses a member for one attempt of a request.
      *
-     * @param tried instances that refused this request already
+     * @param tried instances that have already refused this request
      */
-    public Choice choose(MembershipView members, RouteMatch match, Set<String> tried) {
-        loads.follow();
-        long now = time.nanoTime();
+    public MemberChoice choose(MembershipView members, RouteMatch match, Set<String> tried) {
+        loads.updateMembers();
+        long nowNanos = time.nanoTime();
         List<Member> selected = members.ofService(match.route().service()).stream()
                 .filter(m -> match.route().servers().matches(m.labels()))
                 .toList();
         List<Member> up = inState(selected, Member.State.UP);
-        List<Member> fresh = without(up, tried);
+        List<Member> untried = without(up, tried);
         if (match.policy().idempotent()) {
             Optional<Member> probe =
-                    fresh.stream().filter(m -> awaitsProbe(m, now)).findFirst();
+                    untried.stream().filter(m -> isDueForProbe(m, nowNanos)).findFirst();
             if (probe.isPresent()) {
                 probes.inc();
-                return choice(probe.get());
+                return countChosen(probe.get());
             }
         }
-        List<Member> well = without(fresh, leftOut(up, now));
-        if (!well.isEmpty()) {
-            return choice(nearest(well, now));
+        List<Member> preferred = without(untried, findExcluded(up, nowNanos));
+        if (!preferred.isEmpty()) {
+            return countChosen(chooseByDistance(preferred, nowNanos));
         }
         List<Member> suspects = inState(selected, Member.State.SUSPECT);
-        for (List<Member> rest : List.of(fresh, without(suspects, tried))) {
-            if (!rest.isEmpty()) {
+        for (List<Member> fallbacks : List.of(untried, without(suspects, tried))) {
+            if (!fallbacks.isEmpty()) {
                 lastResort.inc();
-                return choice(lessLoadedOfTwo(rest, now));
+                return countChosen(lessLoadedOfTwo(fallbacks, nowNanos));
             }
         }
-        for (List<Member> again : List.of(up, suspects)) {
-            if (!again.isEmpty()) {
-                return new Choice.AllTried(lessLoadedOfTwo(again, now));
+        for (List<Member> alreadyTried : List.of(up, suspects)) {
+            if (!alreadyTried.isEmpty()) {
+                return new MemberChoice.AllTried(lessLoadedOfTwo(alreadyTried, nowNanos));
             }
         }
-        return new Choice.NoMember(reasonFor(selected));
+        return new MemberChoice.NoMember(noMemberReason(selected));
     }
 
-    private Choice choice(Member m) {
-        chosen.get(Tiers.distance(own, m.place())).inc();
-        return new Choice.Chosen(m);
+    private MemberChoice countChosen(Member m) {
+        chosenByDistance.get(Tiers.distance(localPlace, m.place())).inc();
+        return new MemberChoice.Chosen(m);
     }
 
-    private boolean awaitsProbe(Member m, long now) {
-        MemberRecord r = loads.record(m);
-        return r.standing(now) == Standing.PROBATION && r.inFlight() == 0;
+    private boolean isDueForProbe(Member m, long nowNanos) {
+        MemberLoadRecord loadRecord = loads.record(m);
+        return loadRecord.ejectionStatus(nowNanos) == Status.PROBATION && loadRecord.inFlight() == 0;
     }
 
     /**
-     * The instances that are not to be used now.
+     * Returns the instances that are not healthy and are therefore not to be used now.
      *
-     * <p>What looks like failing members may be this process's own trouble. At most half of a service, and of its
-     * members in an availability zone the larger half, is left out, so that a wrong signal can't empty it.
+     * <p>Failures may be caused by this process itself rather than by the members. So that a false signal can't remove
+     * all members, at most half of a service (rounded down) and at most half of its members in one availability zone
+     * (rounded up) are excluded.
      */
-    private Set<String> leftOut(List<Member> up, long now) {
+    private Set<String> findExcluded(List<Member> up, long nowNanos) {
         List<Member> failing = up.stream()
-                .filter(m -> loads.record(m).standing(now) != Standing.WELL)
-                .sorted(Comparator.<Member, Standing>comparing(
-                                m -> loads.record(m).standing(now))
+                .filter(m -> loads.record(m).ejectionStatus(nowNanos) != Status.HEALTHY)
+                .sorted(Comparator.<Member, Status>comparing(
+                                m -> loads.record(m).ejectionStatus(nowNanos))
                         .reversed()
                         .thenComparing(Member::instance))
                 .toList();
         if (failing.isEmpty()) {
             return Set.of();
         }
-        Set<String> out = new HashSet<>();
-        Map<Place, Integer> outByPlace = new HashMap<>();
+        Set<String> excluded = new HashSet<>();
+        Map<Place, Integer> excludedByPlace = new HashMap<>();
         for (Member m : failing) {
             long inPlace = up.stream().filter(o -> o.place().equals(m.place())).count();
-            int outThere = outByPlace.getOrDefault(m.place(), 0);
-            if (out.size() < up.size() / 2 && outThere < (inPlace + 1) / 2) {
-                out.add(m.instance());
-                outByPlace.put(m.place(), outThere + 1);
+            int excludedInPlace = excludedByPlace.getOrDefault(m.place(), 0);
+            if (excluded.size() < up.size() / 2 && excludedInPlace < (inPlace + 1) / 2) {
+                excluded.add(m.instance());
+                excludedByPlace.put(m.place(), excludedInPlace + 1);
             }
         }
-        return out;
+        return excluded;
     }
 
-    private Member nearest(List<Member> members, long now) {
-        List<Tier> tiers = Tiers.of(own, members, loads, now);
+    private Member chooseByDistance(List<Member> members, long nowNanos) {
+        List<Tier> tiers = Tiers.of(localPlace, members, loads, nowNanos);
         for (int i = 0; i < tiers.size() - 1; i++) {
-            double stay = Tiers.stayShare(tiers.get(i), tiers.subList(i + 1, tiers.size()));
-            if (stay >= 1 || random.get().nextDouble() < stay) {
-                return lessLoadedOfTwo(tiers.get(i).members(), now);
+            double keptShare = Tiers.keptShare(tiers.get(i), tiers.subList(i + 1, tiers.size()));
+            if (keptShare >= 1 || randomSource.get().nextDouble() < keptShare) {
+                return lessLoadedOfTwo(tiers.get(i).members(), nowNanos);
             }
         }
-        return lessLoadedOfTwo(tiers.getLast().members(), now);
+        return lessLoadedOfTwo(tiers.getLast().members(), nowNanos);
     }
 
-    private Member lessLoadedOfTwo(List<Member> members, long now) {
+    private Member lessLoadedOfTwo(List<Member> members, long nowNanos) {
         if (members.size() == 1) {
             return members.getFirst();
         }
-        Member a = byWeight(members, now);
-        Member b = byWeight(members.stream().filter(m -> m != a).toList(), now);
-        return fullness(a, now) <= fullness(b, now) ? a : b;
+        Member a = drawByWeight(members, nowNanos);
+        Member b = drawByWeight(members.stream().filter(m -> m != a).toList(), nowNanos);
+        return utilization(a, nowNanos) <= utilization(b, nowNanos) ? a : b;
     }
 
-    /** A new member's caches are cold; it is drawn less often until it had time to warm up. */
-    private Member byWeight(List<Member> members, long now) {
+    /**
+     * Draws a member at random in proportion to its weight. The caches of a new member are cold, so it has a lower
+     * weight until it has had time to warm up.
+     */
+    private Member drawByWeight(List<Member> members, long nowNanos) {
         double total = 0;
         for (Member m : members) {
-            total += weight(m, now);
+            total += weight(m, nowNanos);
         }
-        double at = random.get().nextDouble() * total;
+        double remaining = randomSource.get().nextDouble() * total;
         for (Member m : members) {
-            at -= weight(m, now);
-            if (at < 0) {
+            remaining -= weight(m, nowNanos);
+            if (remaining < 0) {
                 return m;
             }
         }
         return members.getLast();
     }
 
-    private double weight(Member m, long now) {
-        return Math.max(1, m.slots()) * loads.record(m).weight(now);
+    private double weight(Member m, long nowNanos) {
+        return Math.max(1, m.slots()) * loads.record(m).weight(nowNanos);
     }
 
-    private double fullness(Member m, long now) {
-        return (loads.record(m).load(now) + 1) / Math.max(1, m.slots());
+    private double utilization(Member m, long nowNanos) {
+        return (loads.record(m).load(nowNanos) + 1) / Math.max(1, m.slots());
     }
 
     private static List<Member> inState(List<Member> members, Member.State state) {
@@ -192,7 +201,7 @@
         return members.stream().filter(m -> !instances.contains(m.instance())).toList();
     }
 
-    private static RefusalReason reasonFor(List<Member> members) {
+    private static RefusalReason noMemberReason(List<Member> members) {
         List<Member.State> states = new ArrayList<>();
         members.forEach(m -> states.add(m.state()));
         if (states.contains(Member.State.STARTING)) {
--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -17,167 +17,180 @@
 import org.berylwick.lib.TimeSource;
 
 /**
- * What this process knows of each member from the requests that it sent there: how loaded, how quick, how reliable.
+ * Load, latency and failures of each member, as observed by the requests that this process sent to it.
  *
- * <p>No health or load endpoint is asked: those lag and mislead, and a request's own fate doesn't. Any thread may use
- * it.
+ * <p>No health or load endpoint is queried: their values lag and can be wrong, unlike the outcome of actual requests.
+ * Thread-safe.
  */
 public final class PeerLoads {
     private static final EventLog EVENTS = new EventLog(PeerLoads.class);
 
-    /** Answers needed before a mean time is judged, and between two judgements. */
-    private static final int LATENCIES_TO_JUDGE = 20;
+    /** Responses needed before a mean latency is compared with others, and between two comparisons. */
+    private static final int LATENCY_SAMPLES_PER_CHECK = 20;
 
-    private static final int MEMBERS_TO_COMPARE = 3;
-    private static final double SLOW_FACTOR = 5;
+    /** Members with enough responses that a comparison needs, including the compared one. */
+    private static final int MIN_MEMBERS_TO_COMPARE = 3;
 
-    /** A mean this much above the others' is never an outlier: scheduling and distance do that. */
-    private static final Duration SLOW_MARGIN = Duration.ofMillis(100);
+    /** A mean latency is an outlier only if it exceeds the median of the other members by this factor. */
+    private static final double SLOW_LATENCY_FACTOR = 5;
 
-    private static final Duration FAIR_TIME = Duration.ofMillis(100);
+    /**
+     * A mean latency is an outlier only if it exceeds the median of the other members by more than this. Scheduling
+     * delays and network distance cause smaller differences.
+     */
+    private static final Duration SLOW_LATENCY_MARGIN = Duration.ofMillis(100);
+
+    /** An unknown outcome counts as a failure only if the member had at least this time to start a response. */
+    private static final Duration MIN_TIMEOUT_COUNTED_AS_FAILURE = Duration.ofMillis(100);
 
     private final TimeSource time;
-    private final Map<String, MemberRecord> records = new ConcurrentHashMap<>();
+    private final Map<String, MemberLoadRecord> recordsByInstance = new ConcurrentHashMap<>();
     private final Set<String> knownServices = ConcurrentHashMap.newKeySet();
     private final Counter ejections;
-    private final Counter returns;
-    private final Supplier<MembershipView> members;
-    private final OwnLoad own;
-    private volatile MembershipView followed = MembershipView.EMPTY;
+    private final Counter readmissions;
+    private final Supplier<MembershipView> currentView;
+    private final LocalLoad localLoad;
+    private volatile MembershipView appliedView = MembershipView.EMPTY;
 
     /**
-     * The load of the backend server in the same VM, which needs no report.
+     * The load of the backend server in the same VM, which is read directly instead of being reported.
      *
-     * @param instance the own instance
-     * @param load requests there now
+     * @param instance instance of this process
+     * @param load returns the current load of the backend server
      */
-    public record OwnLoad(String instance, IntSupplier load) {
-        /** Of a process without a backend server. */
-        public static final OwnLoad NONE = new OwnLoad("", () -> 0);
+    public record LocalLoad(String instance, IntSupplier load) {
+        /** For a process without a backend server. */
+        public static final LocalLoad NONE = new LocalLoad("", () -> 0);
     }
 
     /**
-     * Knows nothing yet.
+     * Creates an instance without any records.
      *
-     * @param members the view as of now
+     * @param currentView supplies the current membership view
      */
-    public PeerLoads(Supplier<MembershipView> members, OwnLoad own, TimeSource time, MetricRegistry metrics) {
-        this.own = own;
-        this.members = members;
+    public PeerLoads(
+            Supplier<MembershipView> currentView, LocalLoad localLoad, TimeSource time, MetricRegistry metrics) {
+        this.localLoad = localLoad;
+        this.currentView = currentView;
         this.time = time;
         ejections = metrics.counter(ChoiceMetrics.EJECTIONS);
-        returns = metrics.counter(ChoiceMetrics.RETURNS);
+        readmissions = metrics.counter(ChoiceMetrics.RETURNS);
     }
 
-    /** A request goes out; the returned attempt takes in what becomes of it. */
+    /** Records that a request is sent to a member; the returned attempt records its outcome. */
     public Attempt begin(Member member) {
-        MemberRecord record = record(member);
-        record.begin();
+        MemberLoadRecord record = record(member);
+        record.beginRequest();
         return new Attempt(record, time.nanoTime());
     }
 
-    /** Requests at a member, as far as known here. */
+    /** Estimated number of requests at a member. */
     public double load(Member member) {
         return record(member).load(time.nanoTime());
     }
 
-    /** One request sent to a member; safe to end more than once. */
+    /** One request sent to a member; closing it more than once has no effect. */
     public final class Attempt implements AutoCloseable {
-        private final MemberRecord record;
-        private final long sinceNanos;
-        private boolean ended;
+        private final MemberLoadRecord record;
+        private final long startedAtNanos;
+        private boolean closed;
 
-        private Attempt(MemberRecord record, long sinceNanos) {
+        private Attempt(MemberLoadRecord record, long startedAtNanos) {
             this.record = record;
-            this.sinceNanos = sinceNanos;
+            this.startedAtNanos = startedAtNanos;
         }
 
-        /** The reply carried the load at its owner. */
-        public void report(int load) {
-            record.report(load, time.nanoTime());
+        /** Records the load of the member that its reply carried. */
+        public void reportLoad(int load) {
+            record.reportLoad(load, time.nanoTime());
         }
 
-        /** The answer began; a class whose answers differ widely in time doesn't count for speed. */
-        public void answered(boolean comparable) {
-            if (record.succeeded(time.nanoTime())) {
-                returns.inc();
+        /**
+         * Records that the response started, which counts as a success.
+         *
+         * @param comparableLatency false for traffic classes with widely varying latency, which are not compared
+         */
+        public void responseStarted(boolean comparableLatency) {
+            if (record.recordSuccess(time.nanoTime())) {
+                readmissions.inc();
                 EVENTS.log(
                         CallEvent.MEMBER_RETURNED,
                         record.member().instance(),
                         record.member().service());
             }
-            if (comparable && record.latency(time.nanoTime() - sinceNanos) % LATENCIES_TO_JUDGE == 0) {
-                judge(record);
+            if (comparableLatency
+                    && record.recordLatency(time.nanoTime() - startedAtNanos) % LATENCY_SAMPLES_PER_CHECK == 0) {
+                ejectIfSlow(record);
             }
         }
 
-        /** The member could not be reached, or answered with an error of its own. */
+        /** Records that the member could not be reached or responded with a server error. */
         public void failed(String detail) {
-            record.failed(time.nanoTime()).ifPresent(backoff -> noteEjection(record, backoff, detail));
+            record.recordFailure(time.nanoTime()).ifPresent(backoff -> reportEjection(record, backoff, detail));
         }
 
         /**
-         * What became of the request is unknown, as no answer began in time or its connection was lost.
+         * Records that the outcome is unknown because no response started in time or the connection was lost.
          *
-         * <p>Counts as a failure only if the member had a fair time: callers with very short deadlines would otherwise
-         * have every member ejected.
+         * <p>Counts as a failure only if the member had enough time to respond. Otherwise callers with very short
+         * deadlines would cause every member to be ejected.
          *
-         * @param allowedMillis by which the answer had to begin
+         * @param allowedMillis time within which the response had to start
          */
-        public void unknown(String detail, long allowedMillis) {
-            if (allowedMillis >= FAIR_TIME.toMillis()) {
+        public void outcomeUnknown(String detail, long allowedMillis) {
+            if (allowedMillis >= MIN_TIMEOUT_COUNTED_AS_FAILURE.toMillis()) {
                 failed(detail);
             }
         }
 
-        /** The request is over, its answer's end included. */
+        /** Records the end of the request, after the end of its response. */
         @Override
         public synchronized void close() {
-            if (!ended) {
-                ended = true;
-                record.end();
+            if (!closed) {
+                closed = true;
+                record.endRequest();
             }
         }
     }
 
-    /** What is known of a member; a record is made where there is none. */
-    MemberRecord record(Member member) {
-        MemberRecord known = records.get(member.instance());
-        if (known != null && known.isOf(member)) {
+    /** Returns the record of a member; creates one if there is none. */
+    MemberLoadRecord record(Member member) {
+        MemberLoadRecord known = recordsByInstance.get(member.instance());
+        if (known != null && known.isSameStart(member)) {
             return known;
         }
-        boolean appeared = knownServices.contains(member.service());
-        return records.compute(member.instance(), (instance, old) -> {
-            // A request that pinned an older view may name an incarnation that was replaced since.
+        boolean serviceWasKnown = knownServices.contains(member.service());
+        return recordsByInstance.compute(member.instance(), (instance, old) -> {
+            // A request that holds an older membership view may refer to an incarnation that has been replaced.
             if (old != null && old.member().incarnation() >= member.incarnation()) {
                 return old;
             }
-            Optional<Long> coldSince = appeared ? Optional.of(time.nanoTime()) : Optional.empty();
-            Optional<IntSupplier> exactLoad =
-                    own.instance().equals(instance) ? Optional.of(own.load()) : Optional.empty();
-            return new MemberRecord(member, coldSince, exactLoad);
+            Optional<Long> appearedAtNanos = serviceWasKnown ? Optional.of(time.nanoTime()) : Optional.empty();
+            Optional<IntSupplier> loadIfLocal =
+                    localLoad.instance().equals(instance) ? Optional.of(localLoad.load()) : Optional.empty();
+            return new MemberLoadRecord(member, appearedAtNanos, loadIfLocal);
         });
     }
 
     /**
-     * Takes over the membership as of now: forgets who is gone, and notes who is new.
+     * Applies the current membership view: drops the records of removed members and creates those of new ones.
      *
-     * <p>Members that were there when this process first heard of their service count as warm: it is this process that
-     * is new, not they.
+     * <p>Members that existed when this process first saw their service get full weight at once: this process may be
+     * new, but they are not.
      */
-    void follow() {
-        if (members.get() != followed) {
-            catchUp();
+    void updateMembers() {
+        if (currentView.get() != appliedView) {
+            applyCurrentView();
         }
     }
 
-    private synchronized void catchUp() {
-        MembershipView view = members.get();
-        if (view == followed) {
+    private synchronized void applyCurrentView() {
+        MembershipView view = currentView.get();
+        if (view == appliedView) {
             return;
         }
-        followed = view;
-        records.keySet().removeIf(instance -> view.find(instance).isEmpty());
+        appliedView = view;
+        recordsByInstance.keySet().removeIf(instance -> view.find(instance).isEmpty());
         for (Member m : view.all()) {
             if (m.state() == Member.State.UP) {
                 record(m);
@@ -186,36 +199,36 @@
         view.all().forEach(m -> knownServices.add(m.service()));
     }
 
-    /** Members that something is known of. */
+    /** Number of members that have a record. */
     int size() {
-        return records.size();
+        return recordsByInstance.size();
     }
 
-    private void judge(MemberRecord suspect) {
-        Member m = suspect.member();
-        List<Double> others = records.values().stream()
-                .filter(r -> r != suspect
+    private void ejectIfSlow(MemberLoadRecord candidate) {
+        Member m = candidate.member();
+        List<Double> otherMeans = recordsByInstance.values().stream()
+                .filter(r -> r != candidate
                         && r.member().service().equals(m.service())
                         && r.member().place().region().equals(m.place().region()))
-                .flatMap(r -> r.latencyNanos(LATENCIES_TO_JUDGE).stream())
+                .flatMap(r -> r.meanLatencyNanos(LATENCY_SAMPLES_PER_CHECK).stream())
                 .sorted()
                 .toList();
-        if (others.size() < MEMBERS_TO_COMPARE - 1) {
+        if (otherMeans.size() < MIN_MEMBERS_TO_COMPARE - 1) {
             return;
         }
-        double median = others.get(others.size() / 2);
-        double mean = suspect.latencyNanos(LATENCIES_TO_JUDGE).orElse(0.0);
-        if (mean > SLOW_FACTOR * median
-                && mean > median + SLOW_MARGIN.toNanos()
-                && suspect.standing(time.nanoTime()) != Ejection.Standing.EJECTED) {
-            String detail =
-                    "answers begin after " + Duration.ofNanos((long) mean).toMillis() + " ms, those of others "
-                            + "after " + Duration.ofNanos((long) median).toMillis();
-            noteEjection(suspect, suspect.eject(time.nanoTime()), detail);
+        double median = otherMeans.get(otherMeans.size() / 2);
+        double mean = candidate.meanLatencyNanos(LATENCY_SAMPLES_PER_CHECK).orElse(0.0);
+        if (mean > SLOW_LATENCY_FACTOR * median
+                && mean > median + SLOW_LATENCY_MARGIN.toNanos()
+                && candidate.ejectionStatus(time.nanoTime()) != EjectionState.Status.EJECTED) {
+            String detail = "mean time to response in ms: "
+                    + Duration.ofNanos((long) mean).toMillis() + ", median of other members: "
+                    + Duration.ofNanos((long) median).toMillis();
+            reportEjection(candidate, candidate.eject(time.nanoTime()), detail);
         }
     }
 
-    private void noteEjection(MemberRecord record, Duration backoff, String detail) {
+    private void reportEjection(MemberLoadRecord record, Duration backoff, String detail) {
         ejections.inc();
         Member m = record.member();
         EVENTS.log(CallEvent.MEMBER_EJECTED, m.instance(), m.service(), backoff.toMillis(), detail);
--- a/org.berylwick/src/org/berylwick/internal/routing/RoutingTable.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/RoutingTable.java
@@ -13,29 +13,32 @@
 import org.berylwick.lib.Route;
 import org.berylwick.lib.ServiceSpec;
 
-/** Routes of each brand in the order they are tried: longest path first, then those naming methods. */
+/**
+ * The routes of each host in matching order: longest path first, then routes restricted to certain methods before
+ * routes for all methods, then by name.
+ */
 public final class RoutingTable {
     private static final Comparator<RouteMatch> MOST_SPECIFIC_FIRST = Comparator.<RouteMatch>comparingInt(
                     m -> -m.route().path().length())
             .thenComparing(m -> m.route().methods().isEmpty())
             .thenComparing(m -> m.route().name());
 
-    private final Map<String, List<RouteMatch>> byHost;
+    private final Map<String, List<RouteMatch>> matchesByHost;
 
-    private RoutingTable(Map<String, List<RouteMatch>> byHost) {
-        this.byHost = byHost;
+    private RoutingTable(Map<String, List<RouteMatch>> matchesByHost) {
+        this.matchesByHost = matchesByHost;
     }
 
-    /** Compiles a configuration that was validated; a route without service or policy is left out. */
+    /** Compiles a validated configuration; a route without a service or policy is left out. */
     public static RoutingTable compile(Configuration configuration) {
-        Map<String, List<RouteMatch>> hosts = new HashMap<>();
+        Map<String, List<RouteMatch>> matchesByHost = new HashMap<>();
         for (Brand brand : configuration.brands().values()) {
             List<RouteMatch> matches = routesOf(configuration, brand);
             for (String host : brand.hosts()) {
-                hosts.put(host.toLowerCase(Locale.ROOT), matches);
+                matchesByHost.put(host.toLowerCase(Locale.ROOT), matches);
             }
         }
-        return new RoutingTable(Map.copyOf(hosts));
+        return new RoutingTable(Map.copyOf(matchesByHost));
     }
 
     private static List<RouteMatch> routesOf(Configuration configuration, Brand brand) {
@@ -54,7 +57,7 @@
         return List.copyOf(matches);
     }
 
-    /** The policy with the highest priority among those that select this route of this brand. */
+    /** Returns the policy with the highest priority among those that select this route and this brand. */
     public static Optional<Policy> policyOf(Configuration configuration, Brand brand, Route route) {
         return configuration.policies().values().stream()
                 .filter(p -> p.routes().matches(route.labels()) && p.brands().matches(brand.labels()))
@@ -62,37 +65,37 @@
     }
 
     /**
-     * Finds what a request meets.
+     * Finds the route that matches a request, with its brand, policy and service.
      *
-     * @param host the authority without port, any case
+     * @param host the authority without port, in any letter case
      * @param method the request method
      * @param path the path without query
      */
     public Optional<RouteMatch> find(String host, String method, String path) {
-        List<RouteMatch> matches = byHost.get(host);
+        List<RouteMatch> matches = matchesByHost.get(host);
         if (matches == null) {
-            matches = byHost.getOrDefault(host.toLowerCase(Locale.ROOT), List.of());
+            matches = matchesByHost.getOrDefault(host.toLowerCase(Locale.ROOT), List.of());
         }
         for (RouteMatch m : matches) {
-            if (isUnder(m.route().path(), path) && takes(m.route(), method)) {
+            if (isPathUnder(m.route().path(), path) && acceptsMethod(m.route(), method)) {
                 return Optional.of(m);
             }
         }
         return Optional.empty();
     }
 
-    /** Tells whether any brand has this host. */
+    /** Returns whether a brand has this host. */
     public boolean hasHost(String host) {
-        return byHost.containsKey(host.toLowerCase(Locale.ROOT));
+        return matchesByHost.containsKey(host.toLowerCase(Locale.ROOT));
     }
 
-    /** Tells whether a route takes the request method. */
-    public static boolean takes(Route route, String method) {
+    /** Returns whether a route accepts the request method; a route without methods accepts all. */
+    public static boolean acceptsMethod(Route route, String method) {
         return route.methods().isEmpty() || route.methods().contains(method);
     }
 
-    /** Tells whether {@code path} is {@code prefix} or lies below it, by whole segments. */
-    public static boolean isUnder(String prefix, String path) {
+    /** Returns whether {@code path} equals {@code prefix} or is below it, compared by whole path segments. */
+    public static boolean isPathUnder(String prefix, String path) {
         if (!path.startsWith(prefix)) {
             return false;
         }
--- a/org.berylwick/src/org/berylwick/internal/routing/Tiers.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/Tiers.java
@@ -6,52 +6,56 @@
 import org.berylwick.lib.Place;
 
 /**
- * Members by distance, and which share of requests stays near.
+ * Groups members by distance and computes which share of requests is kept in a nearer tier.
  *
- * <p>Requests go on to the next tier before the nearer one is full, the more of them the fuller it is, and only as far
- * as the next one is less full.
+ * <p>Requests spill over to farther tiers before the nearer one is full. The share that spills over grows with the
+ * utilization of the nearer tier and with its difference to the utilization of the farther ones.
  */
 final class Tiers {
-    /** Part of its slots in use from which a tier passes requests on. */
-    static final double SPILL_FROM = 0.6;
+    /** Utilization above which a tier spills requests over. */
+    static final double SPILL_THRESHOLD = 0.6;
 
-    /** Difference in fullness at which the whole pressure counts; at less, requests would only swap places. */
-    private static final double FULL_RELIEF = 0.25;
+    /**
+     * Difference in utilization from which spillover is not reduced. With smaller differences it is reduced in
+     * proportion, as tiers of similar utilization would only exchange requests.
+     */
+    private static final double FULL_SPILL_UTILIZATION_GAP = 0.25;
 
-    /** Own availability zone, own region, anywhere else. */
+    /** Distance of a member from this process. */
     enum Distance {
         /** Same region and availability zone. */
         ZONE,
-        /** Same region. */
+        /** Same region, another availability zone. */
         REGION,
         /** Another region. */
         FAR
     }
 
-    /** Members at one distance; never empty. */
+    /** Members at one distance, at least one, with the sums of their loads and of their weighted slots. */
     record Tier(Distance distance, List<Member> members, double load, double capacity) {
-        double fullness() {
+        double utilization() {
             return load / capacity;
         }
     }
 
     private Tiers() {}
 
-    static Distance distance(Place own, Place other) {
-        if (!own.region().equals(other.region())) {
+    static Distance distance(Place localPlace, Place other) {
+        if (!localPlace.region().equals(other.region())) {
             return Distance.FAR;
         }
-        return own.availabilityZone().equals(other.availabilityZone()) ? Distance.ZONE : Distance.REGION;
+        return localPlace.availabilityZone().equals(other.availabilityZone()) ? Distance.ZONE : Distance.REGION;
     }
 
-    /** Sorts members into tiers, nearest first, without empty ones. */
-    static List<Tier> of(Place own, List<Member> members, PeerLoads loads, long nowNanos) {
+    /** Groups members into tiers, nearest first, without empty tiers. */
+    static List<Tier> of(Place localPlace, List<Member> members, PeerLoads loads, long nowNanos) {
         List<Tier> tiers = new ArrayList<>(Distance.values().length);
         for (Distance d : Distance.values()) {
-            List<Member> at =
-                    members.stream().filter(m -> distance(own, m.place()) == d).toList();
-            if (!at.isEmpty()) {
-                tiers.add(tier(d, at, loads, nowNanos));
+            List<Member> membersAtDistance = members.stream()
+                    .filter(m -> distance(localPlace, m.place()) == d)
+                    .toList();
+            if (!membersAtDistance.isEmpty()) {
+                tiers.add(tier(d, membersAtDistance, loads, nowNanos));
             }
         }
         return tiers;
@@ -61,27 +65,27 @@
         double load = 0;
         double capacity = 0;
         for (Member m : members) {
-            MemberRecord r = loads.record(m);
-            load += r.load(nowNanos);
-            capacity += Math.max(1, m.slots()) * r.weight(nowNanos);
+            MemberLoadRecord loadRecord = loads.record(m);
+            load += loadRecord.load(nowNanos);
+            capacity += Math.max(1, m.slots()) * loadRecord.weight(nowNanos);
         }
         return new Tier(distance, members, load, capacity);
     }
 
-    /** The share of requests that stays in {@code here} with {@code beyond} to go on to. */
-    static double stayShare(Tier here, List<Tier> beyond) {
+    /** Returns the share of requests kept in {@code nearTier}; the rest spills over to {@code fartherTiers}. */
+    static double keptShare(Tier nearTier, List<Tier> fartherTiers) {
         double load = 0;
         double capacity = 0;
-        for (Tier t : beyond) {
+        for (Tier t : fartherTiers) {
             load += t.load;
             capacity += t.capacity;
         }
         if (capacity == 0) {
             return 1;
         }
-        double pressure = Math.clamp((here.fullness() - SPILL_FROM) / (1 - SPILL_FROM), 0, 1);
-        double relief = Math.clamp((here.fullness() - load / capacity) / FULL_RELIEF, 0, 1);
-        double fairShare = here.capacity / (here.capacity + capacity);
-        return 1 - pressure * relief * (1 - fairShare);
+        double pressure = Math.clamp((nearTier.utilization() - SPILL_THRESHOLD) / (1 - SPILL_THRESHOLD), 0, 1);
+        double gapFactor = Math.clamp((nearTier.utilization() - load / capacity) / FULL_SPILL_UTILIZATION_GAP, 0, 1);
+        double fairShare = nearTier.capacity / (nearTier.capacity + capacity);
+        return 1 - pressure * gapFactor * (1 - fairShare);
     }
 }
