--- a/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
@@ -40,7 +40,7 @@
     }
 
     private void unreachable(String instance) {
-        detector.unreachable(table.view().find(instance).orElseThrow()).ifPresent(this::merge);
+        detector.probeFailed(table.view().find(instance).orElseThrow()).ifPresent(this::merge);
     }
 
     private Member.State state(String instance) {
--- a/org.berylwick/src/org/berylwick/internal/membership/FailureDetector.java
+++ b/org.berylwick/src/org/berylwick/internal/membership/FailureDetector.java
@@ -45,7 +45,7 @@
      *
      * @return the record to merge and spread; empty if nothing is to be told
      */
-    public Optional<Member> unreachable(Member member) {
+    public Optional<Member> probeFailed(Member member) {
         return switch (member.state()) {
             case GONE, SUSPECT -> Optional.empty();
             // It takes no work already, so no one need be told until it is given up.
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -361,7 +361,7 @@
         if (now.isEmpty() || now.get().incarnation() != probed.incarnation()) {
             return;
         }
-        detector.unreachable(now.get()).ifPresent(suspect -> {
+        detector.probeFailed(now.get()).ifPresent(suspect -> {
             metrics.suspected.inc();
             gossip.merge(List.of(suspect), null);
         });
