--- a/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
@@ -30,7 +30,7 @@
     }
 
     private void merge(Member record) {
-        table.mergeAll(List.of(record)).forEach(detector::changed);
+        table.mergeAll(List.of(record)).forEach(detector::recordChanged);
     }
 
     private void membersUp(String... instances) {
--- a/org.berylwick/src/org/berylwick/internal/membership/FailureDetector.java
+++ b/org.berylwick/src/org/berylwick/internal/membership/FailureDetector.java
@@ -58,7 +58,7 @@
     }
 
     /** A member's record changed to {@code member}. */
-    public void changed(Member member) {
+    public void recordChanged(Member member) {
         String instance = member.instance();
         switch (member.state()) {
             case SUSPECT -> {
--- a/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
@@ -78,7 +78,7 @@
         others.add(self.current());
         List<Member> changed = table.mergeAll(others);
         for (Member m : changed) {
-            detector.changed(m);
+            detector.recordChanged(m);
             log(before.find(m.instance()), m);
             pass(before.find(m.instance()), m, source);
         }
