--- a/org.berylwick/src/org/berylwick/internal/membership/FailureDetector.java
+++ b/org.berylwick/src/org/berylwick/internal/membership/FailureDetector.java
@@ -50,7 +50,7 @@
             case GONE, SUSPECT -> Optional.empty();
             // It takes no work already, so no one need be told until it is given up.
             case LEAVING -> {
-                suspect(member);
+                startSuspicion(member);
                 yield Optional.empty();
             }
             case STARTING, UP -> Optional.of(member.withState(Member.State.SUSPECT));
@@ -63,7 +63,7 @@
         switch (member.state()) {
             case SUSPECT -> {
                 tombstones.remove(instance);
-                suspect(member);
+                startSuspicion(member);
             }
             case GONE -> {
                 suspicions.remove(instance);
@@ -77,7 +77,7 @@
         }
     }
 
-    private void suspect(Member member) {
+    private void startSuspicion(Member member) {
         Pending known = suspicions.get(member.instance());
         if (known == null || known.incarnation() < member.incarnation()) {
             suspicions.put(
