--- a/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
@@ -49,7 +49,7 @@
 
     private void pass(long millis) {
         time.advance(Duration.ofMillis(millis));
-        detector.expired(table.view()).forEach(this::merge);
+        detector.removeExpiredSuspicions(table.view()).forEach(this::merge);
     }
 
     @Test
--- a/org.berylwick/src/org/berylwick/internal/membership/FailureDetector.java
+++ b/org.berylwick/src/org/berylwick/internal/membership/FailureDetector.java
@@ -91,7 +91,7 @@
      * <p>None while more than half of those not gone are suspected: a daemon cut off from the others would otherwise
      * give up everybody and have nobody left to send requests to. The suspected are still used when no other is left.
      */
-    public List<Member> expired(MembershipView view) {
+    public List<Member> removeExpiredSuspicions(MembershipView view) {
         long alive =
                 view.all().stream().filter(m -> m.state() != Member.State.GONE).count();
         if (suspicions.size() * 2L > alive) {
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -309,7 +309,7 @@
         Member me = self.current();
         gossip.merge(List.of(), null);
         links.dropSilent().forEach(l -> l.peer.or(() -> memberAt(l.address)).ifPresent(this::doubt));
-        gossip.merge(detector.expired(table.view()), null);
+        gossip.merge(detector.removeExpiredSuspicions(table.view()), null);
         detector.forgettable().forEach(table::forget);
         links.reconcile(choose(me)).forEach(this::hello);
         // Who was refused or found nobody tries the same addresses again, each after its own wait.
