--- a/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
@@ -62,7 +62,7 @@
         pass(1);
         assertEquals(Member.State.GONE, state("a"));
         pass(TOMBSTONE_MILLIS);
-        assertEquals(List.of("a"), detector.forgettable());
+        assertEquals(List.of("a"), detector.removeExpiredTombstones());
     }
 
     @Test
--- a/org.berylwick/src/org/berylwick/internal/membership/FailureDetector.java
+++ b/org.berylwick/src/org/berylwick/internal/membership/FailureDetector.java
@@ -113,7 +113,7 @@
     }
 
     /** The members whose tombstones may be dropped now. */
-    public List<String> forgettable() {
+    public List<String> removeExpiredTombstones() {
         List<String> names = new ArrayList<>();
         tombstones.entrySet().removeIf(e -> {
             boolean past = e.getValue().until().isPast(time);
