--- a/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
@@ -105,7 +105,7 @@
         }
         Member joined = MemberMerge.join(refuted.get(), claim);
         assertEquals(refuted.get(), joined);
-        assertEquals(OptionalLong.empty(), FailureDetector.refute(refuted.get(), claim));
+        assertEquals(OptionalLong.empty(), FailureDetector.refutingIncarnation(refuted.get(), claim));
     }
 
     @Property(seed = "5")
@@ -120,7 +120,7 @@
     }
 
     private static Optional<Member> refuted(Member self, Member claim) {
-        OptionalLong incarnation = FailureDetector.refute(self, claim);
+        OptionalLong incarnation = FailureDetector.refutingIncarnation(self, claim);
         return incarnation.isEmpty()
                 ? Optional.empty()
                 : Optional.of(new Member(
--- a/org.berylwick/src/org/berylwick/internal/membership/FailureDetector.java
+++ b/org.berylwick/src/org/berylwick/internal/membership/FailureDetector.java
@@ -130,7 +130,7 @@
      *
      * @return the incarnation to go on with; empty if nothing need be refuted
      */
-    public static OptionalLong refute(Member self, Member claim) {
+    public static OptionalLong refutingIncarnation(Member self, Member claim) {
         boolean ahead = claim.incarnation() > self.incarnation();
         boolean accused = claim.incarnation() == self.incarnation()
                 && (claim.state() == Member.State.SUSPECT || claim.state() == Member.State.GONE)
--- a/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
@@ -100,7 +100,7 @@
     }
 
     private void refute(Member claim) {
-        FailureDetector.refute(self.current(), claim).ifPresent(incarnation -> {
+        FailureDetector.refutingIncarnation(self.current(), claim).ifPresent(incarnation -> {
             self.refute(incarnation);
             metrics.refuted.inc();
             EVENTS.log(MembershipEvent.REFUTED, claim.state(), incarnation);
