--- a/org.berylwick/src/org/berylwick/internal/membership/FailureDetector.java
+++ b/org.berylwick/src/org/berylwick/internal/membership/FailureDetector.java
@@ -23,10 +23,10 @@
     private final TimeSource time;
     private final long suspicionMillis;
     private final long tombstoneMillis;
-    private final Map<String, Pending> suspicions = new HashMap<>();
-    private final Map<String, Pending> tombstones = new HashMap<>();
+    private final Map<String, Timeout> suspicions = new HashMap<>();
+    private final Map<String, Timeout> tombstones = new HashMap<>();
 
-    private record Pending(long incarnation, Deadline until) {}
+    private record Timeout(long incarnation, Deadline until) {}
 
     /**
      * Nothing suspected.
@@ -68,7 +68,7 @@
             case GONE -> {
                 suspicions.remove(instance);
                 tombstones.putIfAbsent(
-                        instance, new Pending(member.incarnation(), Deadline.afterMillis(time, tombstoneMillis)));
+                        instance, new Timeout(member.incarnation(), Deadline.afterMillis(time, tombstoneMillis)));
             }
             case STARTING, UP, LEAVING -> {
                 suspicions.remove(instance);
@@ -78,10 +78,10 @@
     }
 
     private void startSuspicion(Member member) {
-        Pending known = suspicions.get(member.instance());
+        Timeout known = suspicions.get(member.instance());
         if (known == null || known.incarnation() < member.incarnation()) {
             suspicions.put(
-                    member.instance(), new Pending(member.incarnation(), Deadline.afterMillis(time, suspicionMillis)));
+                    member.instance(), new Timeout(member.incarnation(), Deadline.afterMillis(time, suspicionMillis)));
         }
     }
 
@@ -98,9 +98,9 @@
             return List.of();
         }
         List<Member> gone = new ArrayList<>();
-        Iterator<Map.Entry<String, Pending>> i = suspicions.entrySet().iterator();
+        Iterator<Map.Entry<String, Timeout>> i = suspicions.entrySet().iterator();
         while (i.hasNext()) {
-            Map.Entry<String, Pending> e = i.next();
+            Map.Entry<String, Timeout> e = i.next();
             if (!e.getValue().until().isPast(time)) {
                 continue;
             }
