--- a/org.berylwick/src/org/berylwick/internal/membership/FailureDetector.java
+++ b/org.berylwick/src/org/berylwick/internal/membership/FailureDetector.java
@@ -26,7 +26,7 @@
     private final Map<String, Timeout> suspicions = new HashMap<>();
     private final Map<String, Timeout> tombstones = new HashMap<>();
 
-    private record Timeout(long incarnation, Deadline until) {}
+    private record Timeout(long incarnation, Deadline deadline) {}
 
     /**
      * Nothing suspected.
@@ -101,7 +101,7 @@
         Iterator<Map.Entry<String, Timeout>> i = suspicions.entrySet().iterator();
         while (i.hasNext()) {
             Map.Entry<String, Timeout> e = i.next();
-            if (!e.getValue().until().isPast(time)) {
+            if (!e.getValue().deadline().isPast(time)) {
                 continue;
             }
             i.remove();
@@ -116,7 +116,7 @@
     public List<String> removeExpiredTombstones() {
         List<String> names = new ArrayList<>();
         tombstones.entrySet().removeIf(e -> {
-            boolean past = e.getValue().until().isPast(time);
+            boolean past = e.getValue().deadline().isPast(time);
             if (past) {
                 names.add(e.getKey());
             }
