--- a/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
@@ -103,7 +103,7 @@
         if (refuted.isEmpty()) {
             return;
         }
-        Member joined = MemberMerge.join(refuted.get(), claim);
+        Member joined = MemberMerge.merge(refuted.get(), claim);
         assertEquals(refuted.get(), joined);
         assertEquals(OptionalLong.empty(), FailureDetector.refutingIncarnation(refuted.get(), claim));
     }
--- a/org.berylwick.test/tst/org/berylwick/internal/membership/MembershipMergeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/MembershipMergeTest.java
@@ -46,9 +46,9 @@
         Member a = sameInstance(x);
         Member b = sameInstance(y);
         Member c = sameInstance(z);
-        assertEquals(MemberMerge.join(a, b), MemberMerge.join(b, a));
-        assertEquals(MemberMerge.join(MemberMerge.join(a, b), c), MemberMerge.join(a, MemberMerge.join(b, c)));
-        assertEquals(a, MemberMerge.join(a, a));
+        assertEquals(MemberMerge.merge(a, b), MemberMerge.merge(b, a));
+        assertEquals(MemberMerge.merge(MemberMerge.merge(a, b), c), MemberMerge.merge(a, MemberMerge.merge(b, c)));
+        assertEquals(a, MemberMerge.merge(a, a));
     }
 
     @Property(seed = "5")
--- a/org.berylwick/src/org/berylwick/internal/membership/MemberMerge.java
+++ b/org.berylwick/src/org/berylwick/internal/membership/MemberMerge.java
@@ -22,7 +22,7 @@
     private MemberMerge() {}
 
     /** The record that both {@code a} and {@code b} amount to. */
-    static Member join(Member a, Member b) {
+    static Member merge(Member a, Member b) {
         if (a.incarnation() != b.incarnation()) {
             return a.incarnation() > b.incarnation() ? a : b;
         }
--- a/org.berylwick/src/org/berylwick/internal/membership/MembershipTable.java
+++ b/org.berylwick/src/org/berylwick/internal/membership/MembershipTable.java
@@ -73,7 +73,7 @@
             if (known == null && record.state() == Member.State.GONE) {
                 continue;
             }
-            Member joined = known == null ? record : MemberMerge.join(known, record);
+            Member joined = known == null ? record : MemberMerge.merge(known, record);
             if (!joined.equals(known)) {
                 replace(known, joined);
                 changed.add(joined);
