--- a/org.berylwick/src/org/berylwick/internal/membership/MembershipTable.java
+++ b/org.berylwick/src/org/berylwick/internal/membership/MembershipTable.java
@@ -25,7 +25,7 @@
     private long versionsHash;
 
     /** What became of a merged record. */
-    public enum Merge {
+    public enum MergeResult {
         /** The view changed. */
         CHANGED,
         /** The record was old news. */
@@ -56,8 +56,8 @@
     }
 
     /** Takes in one record. */
-    public Merge merge(Member record) {
-        return mergeAll(List.of(record)).isEmpty() ? Merge.UNCHANGED : Merge.CHANGED;
+    public MergeResult merge(Member record) {
+        return mergeAll(List.of(record)).isEmpty() ? MergeResult.UNCHANGED : MergeResult.CHANGED;
     }
 
     /**
