--- a/org.berylwick.daemon/src/org/berylwick/daemon/duty/MembershipWatch.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/duty/MembershipWatch.java
@@ -81,7 +81,7 @@
 
     private void merge(StoredObject object) {
         if (object.deleted()) {
-            table.forget(object.key().path().substring(PREFIX.length()));
+            table.remove(object.key().path().substring(PREFIX.length()));
             return;
         }
         switch (ConfigurationCodec.decode(object.value(), Member.class)) {
--- a/org.berylwick/src/org/berylwick/internal/membership/MembershipTable.java
+++ b/org.berylwick/src/org/berylwick/internal/membership/MembershipTable.java
@@ -86,7 +86,7 @@
     }
 
     /** Drops an instance. */
-    public synchronized void forget(String instance) {
+    public synchronized void remove(String instance) {
         Member known = members.remove(instance);
         if (known != null) {
             count(known);
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -310,7 +310,7 @@
         gossip.merge(List.of(), null);
         links.dropSilent().forEach(l -> l.peer.or(() -> memberAt(l.address)).ifPresent(this::doubt));
         gossip.merge(detector.removeExpiredSuspicions(table.view()), null);
-        detector.removeExpiredTombstones().forEach(table::forget);
+        detector.removeExpiredTombstones().forEach(table::remove);
         links.reconcile(choose(me)).forEach(this::hello);
         // Who was refused or found nobody tries the same addresses again, each after its own wait.
         if (links.open().isEmpty()) {
