--- a/org.berylwick/src/org/berylwick/internal/membership/MembershipTable.java
+++ b/org.berylwick/src/org/berylwick/internal/membership/MembershipTable.java
@@ -89,21 +89,21 @@
     public synchronized void remove(String instance) {
         Member known = members.remove(instance);
         if (known != null) {
-            count(known);
+            toggleInHashes(known);
             view = new MembershipView(members.values());
         }
     }
 
     private void replace(Member known, Member now) {
         if (known != null) {
-            count(known);
+            toggleInHashes(known);
         }
-        count(now);
+        toggleInHashes(now);
         members.put(now.instance(), now);
     }
 
     /** Counts a record in, or, the second time, out: exclusive or is its own inverse. */
-    private void count(Member member) {
+    private void toggleInHashes(Member member) {
         if (member.state() == Member.State.GONE) {
             return;
         }
