--- a/org.berylwick.daemon/src/org/berylwick/daemon/duty/ReaderRole.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/duty/ReaderRole.java
@@ -135,7 +135,7 @@
         List<String> zone = table.view().all().stream()
                 .filter(m -> m.place().equals(settings.place()))
                 .filter(m -> m.state() == Member.State.UP || m.state() == Member.State.STARTING)
-                .sorted(Comparator.comparingLong(m -> MemberHash.of(m.instance())))
+                .sorted(Comparator.comparingLong(m -> MemberHash.ofText(m.instance())))
                 .map(Member::instance)
                 .toList();
         int rank = zone.indexOf(settings.instance());
--- a/org.berylwick/src/org/berylwick/internal/membership/MemberHash.java
+++ b/org.berylwick/src/org/berylwick/internal/membership/MemberHash.java
@@ -12,21 +12,21 @@
 
     /** Stands for one incarnation of an instance. */
     public static long ofIncarnation(Member member) {
-        return of(member.instance() + '|' + member.incarnation());
+        return ofText(member.instance() + '|' + member.incarnation());
     }
 
     /** Stands for a record's state, leaving out the version in force. */
     public static long ofState(Member member) {
-        return of(member.instance() + '|' + member.incarnation() + '|' + member.state());
+        return ofText(member.instance() + '|' + member.incarnation() + '|' + member.state());
     }
 
     /** Stands for the version in force at a member. */
     public static long ofVersion(Member member) {
-        return of(member.instance() + '|' + member.incarnation() + "|v" + member.version());
+        return ofText(member.instance() + '|' + member.incarnation() + "|v" + member.version());
     }
 
     /** The first 64 bits of the SHA-256 of {@code text}. */
-    public static long of(String text) {
+    public static long ofText(String text) {
         try {
             byte[] hash = MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8));
             return ByteBuffer.wrap(hash).getLong();
--- a/org.berylwick/src/org/berylwick/internal/spread/PeerChooser.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/PeerChooser.java
@@ -28,7 +28,7 @@
 
     private record Placed(Member member, long hash) {
         private static Placed of(Member member) {
-            return new Placed(member, MemberHash.of(member.instance()));
+            return new Placed(member, MemberHash.ofText(member.instance()));
         }
     }
 
@@ -75,6 +75,6 @@
         return live.stream()
                 .filter(m -> !chosen.containsKey(m.instance()))
                 .filter(wanted)
-                .max(Comparator.comparingLong(m -> MemberHash.of(self.instance() + '>' + m.instance())));
+                .max(Comparator.comparingLong(m -> MemberHash.ofText(self.instance() + '>' + m.instance())));
     }
 }
