--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimsTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimsTest.java
@@ -58,7 +58,7 @@
         private final AtomicInteger finalFates = new AtomicInteger();
     }
 
-    private void client(KeyClaims claims, Random fates, Tally tally) {
+    private void client(KeyClaimStore claims, Random fates, Tally tally) {
         for (int i = 0; i < REQUESTS_EACH; i++) {
             switch (claims.claim(request(), farOff)) {
                 case ClaimOutcome.Granted(KeyClaim claim) -> {
@@ -77,7 +77,7 @@
         }
     }
 
-    private boolean run(KeyClaims claims, KeyClaim claim, Fate fate, Tally tally) {
+    private boolean run(KeyClaimStore claims, KeyClaim claim, Fate fate, Tally tally) {
         if (fate != Fate.NOT_RUN) {
             tally.finalFates.incrementAndGet();
         }
@@ -99,7 +99,7 @@
         return true;
     }
 
-    private void settle(KeyClaims claims, KeyClaim claim, Settlement settlement) {
+    private void settle(KeyClaimStore claims, KeyClaim claim, Settlement settlement) {
         for (int i = 0; i < SETTLE_ATTEMPTS; i++) {
             switch (claims.settle(claim, settlement, farOff)) {
                 case SettleOutcome.Settled() -> {
@@ -126,7 +126,7 @@
         List<AssertionError> failures = new ArrayList<>();
         List<Runnable> clients = new ArrayList<>();
         for (int i = 0; i < CLAIMANTS; i++) {
-            KeyClaims claims = new KeyClaims(interleaved.store(), "daemon-" + i, time);
+            KeyClaimStore claims = new KeyClaimStore(interleaved.store(), "daemon-" + i, time);
             Random fates = new Random(random.nextLong());
             clients.add(() -> {
                 try {
@@ -140,7 +140,7 @@
         assertEquals(List.of(), failures);
         assertTrue(tally.finalFates.get() <= 1, "requests let run: " + tally.finalFates);
         assertTrue(tally.runs.get() <= 1, "runs: " + tally.runs);
-        ClaimOutcome last = new KeyClaims(interleaved.store(), "last", time).claim(request(), farOff);
+        ClaimOutcome last = new KeyClaimStore(interleaved.store(), "last", time).claim(request(), farOff);
         if (tally.finalFates.get() == 0) {
             assertInstanceOf(ClaimOutcome.Granted.class, last);
             return;
@@ -155,7 +155,7 @@
     @Test
     void aKeyIsFreeAgainAfterTheRetentionAndItsRecordIsGone() {
         MemoryStore store = new MemoryStore(time);
-        KeyClaims claims = new KeyClaims(store, "daemon", time);
+        KeyClaimStore claims = new KeyClaimStore(store, "daemon", time);
         assertInstanceOf(ClaimOutcome.Granted.class, claims.claim(request(), farOff));
         time.advance(Duration.ofMillis(KeySlot.RETENTION_MILLIS));
         assertInstanceOf(ClaimOutcome.Taken.class, claims.claim(request(), farOff));
@@ -212,7 +212,7 @@
                 return Optional.of(new StoreError.Unavailable("out"));
             }
         });
-        KeyClaims claims = new KeyClaims(store, "daemon", time);
+        KeyClaimStore claims = new KeyClaimStore(store, "daemon", time);
         ClaimOutcome.Refused refused = assertInstanceOf(ClaimOutcome.Refused.class, claims.claim(request(), farOff));
         KeyClaim toRelease = refused.toRelease().orElseThrow();
         assertEquals(new SettleOutcome.Settled(), claims.settle(toRelease, new Settlement.Release(), farOff));
@@ -227,7 +227,7 @@
         byte[] damaged = {'?'};
         store.put(KEY.slot(), damaged, new Precondition.None(), farOff);
         ClaimOutcome.Refused refused = assertInstanceOf(
-                ClaimOutcome.Refused.class, new KeyClaims(store, "daemon", time).claim(request(), farOff));
+                ClaimOutcome.Refused.class, new KeyClaimStore(store, "daemon", time).claim(request(), farOff));
         assertInstanceOf(ClaimError.Unreadable.class, refused.error());
         assertEquals(1, value(store.get(KEY.slot(), farOff)).orElseThrow().value().length);
     }
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaims.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
@@ -22,7 +22,7 @@
  *
  * <p>All calls block; any thread may call.
  */
-public final class KeyClaims {
+public final class KeyClaimStore {
     private static final int MAX_ROUNDS = 16;
     // One call that goes unanswered must leave time for the read that settles it.
     private static final long CALL_MILLIS = 500;
@@ -39,7 +39,7 @@
      * @param store stays the caller's to close
      * @param claimant instance name of the daemon
      */
-    public KeyClaims(PlatformStore store, String claimant, TimeSource time) {
+    public KeyClaimStore(PlatformStore store, String claimant, TimeSource time) {
         this.store = store;
         this.claimant = claimant;
         this.time = time;
@@ -159,7 +159,7 @@
     private Result<SlotImage, ClaimError> read(KeyId key, Deadline deadline) {
         return store.get(key.slot(), callDeadline(deadline))
                 .mapError(ClaimError::of)
-                .flatMap(KeyClaims::decode);
+                .flatMap(KeyClaimStore::decode);
     }
 
     private static Result<SlotImage, ClaimError> decode(Optional<StoredObject> found) {
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
@@ -42,7 +42,7 @@
     private static final long CLOSE_MILLIS = 5_000;
     private static final long CLOSE_POLL_MILLIS = 10;
 
-    private final KeyClaims claims;
+    private final KeyClaimStore claims;
     private final Invariants invariants;
     private final TimeSource time;
     private final AtomicInteger outstanding = new AtomicInteger();
@@ -63,7 +63,7 @@
      */
     public KeyDuty(
             PlatformStore store, String claimant, Invariants invariants, MetricRegistry metrics, TimeSource time) {
-        this.claims = new KeyClaims(store, claimant, time);
+        this.claims = new KeyClaimStore(store, claimant, time);
         this.invariants = invariants;
         this.time = time;
         granted = metrics.counter(KeyMetrics.GRANTED);
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
@@ -16,7 +16,7 @@
     private static final long RETRY_MILLIS = 500;
 
     private final KeyDuty owner;
-    private final KeyClaims claims;
+    private final KeyClaimStore claims;
     private final TimeSource time;
     private final Ring<KeyJob> ring = new Ring<>(KeyDuty.MAX_OUTSTANDING);
     private final ArrayDeque<Waiting> retries = new ArrayDeque<>();
@@ -24,7 +24,7 @@
 
     private record Waiting(KeyJob.Settle job, Deadline notBefore) {}
 
-    KeyWorker(String name, KeyDuty owner, KeyClaims claims, TimeSource time) {
+    KeyWorker(String name, KeyDuty owner, KeyClaimStore claims, TimeSource time) {
         this.owner = owner;
         this.claims = claims;
         this.time = time;
