--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
@@ -23,7 +23,7 @@
  * <p>All calls block; any thread may call.
  */
 public final class KeyClaimStore {
-    private static final int MAX_ROUNDS = 16;
+    private static final int MAX_ATTEMPTS = 16;
     // One call that goes unanswered must leave time for the read that settles it.
     private static final long CALL_MILLIS = 500;
     private static final int MAX_SLOT_BYTES = PlatformStore.MAX_VALUE_BYTES / 2;
@@ -50,7 +50,7 @@
         String claimId = UUID.randomUUID().toString();
         boolean inDoubt = false;
         ClaimError last = new ClaimError.Undecided("the deadline passed before the claim");
-        for (int round = 0; round < MAX_ROUNDS && !deadline.isPast(time); round++) {
+        for (int round = 0; round < MAX_ATTEMPTS && !deadline.isPast(time); round++) {
             Result<SlotImage, ClaimError> read = read(request.key(), deadline);
             if (!(read instanceof Result.Ok<SlotImage, ClaimError>(SlotImage image))) {
                 return refused(request, claimId, inDoubt, ((Result.Err<SlotImage, ClaimError>) read).error());
@@ -107,7 +107,7 @@
     public SettleOutcome settle(KeyClaim claim, Settlement settlement, Deadline deadline) {
         Optional<SlotImage> known = claim.written();
         ClaimError last = new ClaimError.Undecided("the deadline passed before the claim was settled");
-        for (int round = 0; round < MAX_ROUNDS && !deadline.isPast(time); round++) {
+        for (int round = 0; round < MAX_ATTEMPTS && !deadline.isPast(time); round++) {
             Result<SlotImage, ClaimError> read =
                     known.<Result<SlotImage, ClaimError>>map(Result::ok).orElseGet(() -> read(claim.key(), deadline));
             known = Optional.empty();
