--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
@@ -25,7 +25,7 @@
 public final class KeyClaimStore {
     private static final int MAX_ATTEMPTS = 16;
     // One call that goes unanswered must leave time for the read that settles it.
-    private static final long CALL_MILLIS = 500;
+    private static final long STORE_CALL_TIMEOUT_MILLIS = 500;
     private static final int MAX_SLOT_BYTES = PlatformStore.MAX_VALUE_BYTES / 2;
     private static final int MAX_IMAGE_BYTES = 16 << 10;
 
@@ -186,6 +186,6 @@
     }
 
     private Deadline callDeadline(Deadline deadline) {
-        return deadline.earlier(Deadline.afterMillis(time, CALL_MILLIS));
+        return deadline.earlier(Deadline.afterMillis(time, STORE_CALL_TIMEOUT_MILLIS));
     }
 }
