--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
@@ -27,7 +27,7 @@
     // One call that goes unanswered must leave time for the read that settles it.
     private static final long STORE_CALL_TIMEOUT_MILLIS = 500;
     private static final int MAX_SLOT_BYTES = PlatformStore.MAX_VALUE_BYTES / 2;
-    private static final int MAX_IMAGE_BYTES = 16 << 10;
+    private static final int MAX_CACHED_SLOT_BYTES = 16 << 10;
 
     private final PlatformStore store;
     private final String claimant;
@@ -180,7 +180,7 @@
         }
         Precondition precondition =
                 version == 0 ? new Precondition.MustBeAbsent() : new Precondition.MustHaveVersion(version);
-        boolean small = bytes.get().length <= MAX_IMAGE_BYTES;
+        boolean small = bytes.get().length <= MAX_CACHED_SLOT_BYTES;
         return store.put(key.slot(), bytes.get(), precondition, callDeadline(deadline))
                 .map(v -> small ? Optional.of(new SlotImage(v, slot)) : Optional.empty());
     }
