--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
@@ -115,7 +115,7 @@
                 return new SettleOutcome.Later(((Result.Err<SlotImage, ClaimError>) read).error());
             }
             Optional<KeyRecord> own = image.slot().findClaim(claim.claimId());
-            Optional<SettleOutcome> done = doneAlready(claim, settlement, own);
+            Optional<SettleOutcome> done = outcomeIfAlreadySettled(claim, settlement, own);
             if (done.isPresent()) {
                 return done.get();
             }
@@ -138,7 +138,7 @@
         return new SettleOutcome.Later(last);
     }
 
-    private static Optional<SettleOutcome> doneAlready(KeyClaim claim, Settlement settlement, Optional<KeyRecord> own) {
+    private static Optional<SettleOutcome> outcomeIfAlreadySettled(KeyClaim claim, Settlement settlement, Optional<KeyRecord> own) {
         return switch (settlement) {
             // A write of a claim in doubt may be on its way still. It would land after the release and take the key
             // for a request that never ran; so the slot is written once more, and the late write fails its
