--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaim.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaim.java
@@ -11,12 +11,12 @@
  *     read when settling
  * @param inDoubt whether a write of the claim may still take effect after its answer was given up
  */
-public record KeyClaim(KeyId key, String claimId, Optional<SlotImage> written, boolean inDoubt) {
+public record KeyClaim(KeyId key, String claimId, Optional<VersionedSlot> written, boolean inDoubt) {
     /**
      * A slot and the state of its object.
      *
      * @param version of the object, 0 if there is none
      * @param slot what it holds
      */
-    public record SlotImage(long version, KeySlot slot) {}
+    public record VersionedSlot(long version, KeySlot slot) {}
 }
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
@@ -4,7 +4,7 @@
 import java.util.UUID;
 import org.berylwick.errors.ClaimError;
 import org.berylwick.errors.StoreError;
-import org.berylwick.internal.idempotency.KeyClaim.SlotImage;
+import org.berylwick.internal.idempotency.KeyClaim.VersionedSlot;
 import org.berylwick.lib.Deadline;
 import org.berylwick.lib.Result;
 import org.berylwick.lib.TimeSource;
@@ -51,9 +51,9 @@
         boolean inDoubt = false;
         ClaimError last = new ClaimError.Undecided("the deadline passed before the claim");
         for (int round = 0; round < MAX_ATTEMPTS && !deadline.isPast(time); round++) {
-            Result<SlotImage, ClaimError> read = read(request.key(), deadline);
-            if (!(read instanceof Result.Ok<SlotImage, ClaimError>(SlotImage image))) {
-                return refused(request, claimId, inDoubt, ((Result.Err<SlotImage, ClaimError>) read).error());
+            Result<VersionedSlot, ClaimError> read = read(request.key(), deadline);
+            if (!(read instanceof Result.Ok<VersionedSlot, ClaimError>(VersionedSlot image))) {
+                return refused(request, claimId, inDoubt, ((Result.Err<VersionedSlot, ClaimError>) read).error());
             }
             long now = time.epochMillis();
             Optional<KeyRecord> existing = image.slot().find(request.key(), now);
@@ -73,10 +73,10 @@
                     new KeyState.Claimed(request.untilMillis()));
             KeySlot claimed = image.slot().plus(record, now);
             switch (write(request.key(), image.version(), claimed, deadline)) {
-                case Result.Ok<Optional<SlotImage>, StoreError>(Optional<SlotImage> written) -> {
+                case Result.Ok<Optional<VersionedSlot>, StoreError>(Optional<VersionedSlot> written) -> {
                     return granted(request, claimId, written);
                 }
-                case Result.Err<Optional<SlotImage>, StoreError>(StoreError error) -> {
+                case Result.Err<Optional<VersionedSlot>, StoreError>(StoreError error) -> {
                     last = ClaimError.of(error);
                     if (!mayHaveTakenEffect(error)) {
                         return refused(request, claimId, inDoubt, last);
@@ -93,7 +93,7 @@
         return error instanceof StoreError.OutcomeUnknown || error instanceof StoreError.PreconditionFailed;
     }
 
-    private static ClaimOutcome granted(KeyRequest request, String claimId, Optional<SlotImage> written) {
+    private static ClaimOutcome granted(KeyRequest request, String claimId, Optional<VersionedSlot> written) {
         return new ClaimOutcome.Granted(new KeyClaim(request.key(), claimId, written, false));
     }
 
@@ -105,14 +105,14 @@
 
     /** Ends a claim: one call of the store if its slot has not changed since the claim, two if it has. */
     public SettleOutcome settle(KeyClaim claim, Settlement settlement, Deadline deadline) {
-        Optional<SlotImage> known = claim.written();
+        Optional<VersionedSlot> known = claim.written();
         ClaimError last = new ClaimError.Undecided("the deadline passed before the claim was settled");
         for (int round = 0; round < MAX_ATTEMPTS && !deadline.isPast(time); round++) {
-            Result<SlotImage, ClaimError> read =
-                    known.<Result<SlotImage, ClaimError>>map(Result::ok).orElseGet(() -> read(claim.key(), deadline));
+            Result<VersionedSlot, ClaimError> read =
+                    known.<Result<VersionedSlot, ClaimError>>map(Result::ok).orElseGet(() -> read(claim.key(), deadline));
             known = Optional.empty();
-            if (!(read instanceof Result.Ok<SlotImage, ClaimError>(SlotImage image))) {
-                return new SettleOutcome.Later(((Result.Err<SlotImage, ClaimError>) read).error());
+            if (!(read instanceof Result.Ok<VersionedSlot, ClaimError>(VersionedSlot image))) {
+                return new SettleOutcome.Later(((Result.Err<VersionedSlot, ClaimError>) read).error());
             }
             Optional<KeyRecord> own = image.slot().findClaim(claim.claimId());
             Optional<SettleOutcome> done = outcomeIfAlreadySettled(claim, settlement, own);
@@ -124,10 +124,10 @@
                 case Settlement.Keep(KeyState run) -> image.slot().with(claim.claimId(), run);
             };
             switch (write(claim.key(), image.version(), settled, deadline)) {
-                case Result.Ok<Optional<SlotImage>, StoreError> ignored -> {
+                case Result.Ok<Optional<VersionedSlot>, StoreError> ignored -> {
                     return new SettleOutcome.Settled();
                 }
-                case Result.Err<Optional<SlotImage>, StoreError>(StoreError error) -> {
+                case Result.Err<Optional<VersionedSlot>, StoreError>(StoreError error) -> {
                     last = ClaimError.of(error);
                     if (!mayHaveTakenEffect(error)) {
                         return new SettleOutcome.Later(last);
@@ -156,24 +156,24 @@
         };
     }
 
-    private Result<SlotImage, ClaimError> read(KeyId key, Deadline deadline) {
+    private Result<VersionedSlot, ClaimError> read(KeyId key, Deadline deadline) {
         return store.get(key.slot(), callDeadline(deadline))
                 .mapError(ClaimError::of)
                 .flatMap(KeyClaimStore::decode);
     }
 
-    private static Result<SlotImage, ClaimError> decode(Optional<StoredObject> found) {
+    private static Result<VersionedSlot, ClaimError> decode(Optional<StoredObject> found) {
         if (found.isEmpty()) {
-            return Result.ok(new SlotImage(0, KeySlot.EMPTY));
+            return Result.ok(new VersionedSlot(0, KeySlot.EMPTY));
         }
         StoredObject object = found.get();
         return KeySlot.decode(object.value())
-                .map(slot -> new SlotImage(object.version(), slot))
+                .map(slot -> new VersionedSlot(object.version(), slot))
                 .mapError(ClaimError.Unreadable::new);
     }
 
     /** Writes the slot; the image is left out if it is too large to be kept in memory. */
-    private Result<Optional<SlotImage>, StoreError> write(KeyId key, long version, KeySlot slot, Deadline deadline) {
+    private Result<Optional<VersionedSlot>, StoreError> write(KeyId key, long version, KeySlot slot, Deadline deadline) {
         Optional<byte[]> bytes = slot.encode(MAX_SLOT_BYTES);
         if (bytes.isEmpty()) {
             return Result.err(new StoreError.TooLarge(MAX_SLOT_BYTES));
@@ -182,7 +182,7 @@
                 version == 0 ? new Precondition.MustBeAbsent() : new Precondition.MustHaveVersion(version);
         boolean small = bytes.get().length <= MAX_CACHED_SLOT_BYTES;
         return store.put(key.slot(), bytes.get(), precondition, callDeadline(deadline))
-                .map(v -> small ? Optional.of(new SlotImage(v, slot)) : Optional.empty());
+                .map(v -> small ? Optional.of(new VersionedSlot(v, slot)) : Optional.empty());
     }
 
     private Deadline callDeadline(Deadline deadline) {
