--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
@@ -105,7 +105,7 @@
 
     /** Ends a claim: one call of the store if its slot has not changed since the claim, two if it has. */
     public SettleOutcome settle(KeyClaim claim, Settlement settlement, Deadline deadline) {
-        Optional<VersionedSlot> known = claim.written();
+        Optional<VersionedSlot> known = claim.slotAfterClaim();
         ClaimError last = new ClaimError.Undecided("the deadline passed before the claim was settled");
         for (int round = 0; round < MAX_ATTEMPTS && !deadline.isPast(time); round++) {
             Result<VersionedSlot, ClaimError> read =
