--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
@@ -144,7 +144,7 @@
             // for a request that never ran; so the slot is written once more, and the late write fails its
             // precondition.
             case Settlement.Release() ->
-                own.isEmpty() && !claim.inDoubt() ? Optional.of(new SettleOutcome.Settled()) : Optional.empty();
+                own.isEmpty() && !claim.writeInDoubt() ? Optional.of(new SettleOutcome.Settled()) : Optional.empty();
             case Settlement.Keep ignored -> {
                 if (own.isEmpty()) {
                     yield Optional.of(new SettleOutcome.Lost());
