--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
@@ -37,7 +37,7 @@
 
     private static final EventLog EVENTS = new EventLog(KeyDuty.class);
     private static final int THREADS = 4;
-    private static final long CLAIM_MILLIS = 2_000;
+    private static final long CLAIM_TIMEOUT_MILLIS = 2_000;
     private static final long SETTLE_GIVE_UP_MILLIS = TimeUnit.MINUTES.toMillis(10);
     private static final long CLOSE_MILLIS = 5_000;
     private static final long CLOSE_POLL_MILLIS = 10;
@@ -100,7 +100,7 @@
             refuse(request, outcome, new ClaimError.TooManyClaims());
             return outcome;
         }
-        Deadline bounded = deadline.earlier(Deadline.afterMillis(time, CLAIM_MILLIS));
+        Deadline bounded = deadline.earlier(Deadline.afterMillis(time, CLAIM_TIMEOUT_MILLIS));
         KeyJob job = new KeyJob.Claim(request, bounded, claimTime.time(), outcome);
         if (worker(request.key()).offer(job) == Ring.Offer.FULL) {
             refuse(request, outcome, new ClaimError.TooManyClaims());
