--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
@@ -38,7 +38,7 @@
     private static final EventLog EVENTS = new EventLog(KeyDuty.class);
     private static final int THREADS = 4;
     private static final long CLAIM_TIMEOUT_MILLIS = 2_000;
-    private static final long SETTLE_GIVE_UP_MILLIS = TimeUnit.MINUTES.toMillis(10);
+    private static final long SETTLE_RETRY_PERIOD_MILLIS = TimeUnit.MINUTES.toMillis(10);
     private static final long CLOSE_MILLIS = 5_000;
     private static final long CLOSE_POLL_MILLIS = 10;
 
@@ -110,7 +110,7 @@
 
     /** Ends a granted claim, now or as soon as the store takes it; to be called exactly once for each. */
     public void settle(KeyClaim claim, Settlement settlement) {
-        Deadline giveUp = Deadline.afterMillis(time, SETTLE_GIVE_UP_MILLIS);
+        Deadline giveUp = Deadline.afterMillis(time, SETTLE_RETRY_PERIOD_MILLIS);
         KeyJob.Settle job = new KeyJob.Settle(claim, settlement, giveUp);
         if (worker(claim.key()).offer(job) == Ring.Offer.FULL) {
             gaveUp(job, new ClaimError.TooManyClaims());
@@ -141,7 +141,7 @@
             case ClaimOutcome.Refused(ClaimError error, Optional<KeyClaim> toRelease) -> {
                 refused.inc();
                 EVENTS.log(CallEvent.KEY_NOT_CLAIMED, job.request().key().hash().abbreviated(), error);
-                Deadline giveUp = Deadline.afterMillis(time, SETTLE_GIVE_UP_MILLIS);
+                Deadline giveUp = Deadline.afterMillis(time, SETTLE_RETRY_PERIOD_MILLIS);
                 remaining = toRelease.map(c -> new KeyJob.Settle(c, new Settlement.Release(), giveUp));
                 if (remaining.isEmpty()) {
                     outstanding.decrementAndGet();
