--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
@@ -39,7 +39,7 @@
     private static final int THREADS = 4;
     private static final long CLAIM_TIMEOUT_MILLIS = 2_000;
     private static final long SETTLE_RETRY_PERIOD_MILLIS = TimeUnit.MINUTES.toMillis(10);
-    private static final long CLOSE_MILLIS = 5_000;
+    private static final long CLOSE_TIMEOUT_MILLIS = 5_000;
     private static final long CLOSE_POLL_MILLIS = 10;
 
     private final KeyClaimStore claims;
@@ -202,7 +202,7 @@
     /** Gives the settlements that are under way a few seconds to reach the store. */
     @Override
     public void close() {
-        Deadline deadline = Deadline.afterMillis(time, CLOSE_MILLIS);
+        Deadline deadline = Deadline.afterMillis(time, CLOSE_TIMEOUT_MILLIS);
         while (outstanding.get() > 0 && !deadline.isPast(time)) {
             try {
                 TimeUnit.MILLISECONDS.sleep(CLOSE_POLL_MILLIS);
