--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
@@ -40,7 +40,7 @@
     private static final long CLAIM_TIMEOUT_MILLIS = 2_000;
     private static final long SETTLE_RETRY_PERIOD_MILLIS = TimeUnit.MINUTES.toMillis(10);
     private static final long CLOSE_TIMEOUT_MILLIS = 5_000;
-    private static final long CLOSE_POLL_MILLIS = 10;
+    private static final long CLOSE_POLL_INTERVAL_MILLIS = 10;
 
     private final KeyClaimStore claims;
     private final Invariants invariants;
@@ -205,7 +205,7 @@
         Deadline deadline = Deadline.afterMillis(time, CLOSE_TIMEOUT_MILLIS);
         while (outstanding.get() > 0 && !deadline.isPast(time)) {
             try {
-                TimeUnit.MILLISECONDS.sleep(CLOSE_POLL_MILLIS);
+                TimeUnit.MILLISECONDS.sleep(CLOSE_POLL_INTERVAL_MILLIS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 break;
