--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
@@ -129,7 +129,7 @@
     }
 
     /** Tells the outcome of a claim and gives the job that remains, if one does. */
-    Optional<KeyJob.Settle> claimed(KeyJob.Claim job, ClaimOutcome outcome) {
+    Optional<KeyJob.Settle> completeClaim(KeyJob.Claim job, ClaimOutcome outcome) {
         job.timing().stop();
         Optional<KeyJob.Settle> remaining = Optional.empty();
         switch (outcome) {
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
@@ -55,7 +55,7 @@
 
     private void run(KeyJob job) {
         switch (job) {
-            case KeyJob.Claim claim -> owner.claimed(claim, attempt(claim)).ifPresent(this::settle);
+            case KeyJob.Claim claim -> owner.completeClaim(claim, attempt(claim)).ifPresent(this::settle);
             case KeyJob.Settle settle -> settle(settle);
         }
     }
