--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
@@ -153,7 +153,7 @@
     }
 
     /** Notes what became of an attempt to settle; true if it is over. */
-    boolean settled(KeyJob.Settle job, SettleOutcome outcome) {
+    boolean handleSettleOutcome(KeyJob.Settle job, SettleOutcome outcome) {
         boolean kept = job.settlement() instanceof Settlement.Keep;
         switch (outcome) {
             case SettleOutcome.Settled() -> {
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
@@ -61,7 +61,7 @@
     }
 
     private void settle(KeyJob.Settle job) {
-        if (!owner.settled(job, attempt(job))) {
+        if (!owner.handleSettleOutcome(job, attempt(job))) {
             retries.add(new Waiting(job, Deadline.afterMillis(time, RETRY_MILLIS)));
         }
     }
