--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
@@ -113,7 +113,7 @@
         Deadline giveUp = Deadline.afterMillis(time, SETTLE_RETRY_PERIOD_MILLIS);
         KeyJob.Settle job = new KeyJob.Settle(claim, settlement, giveUp);
         if (worker(claim.key()).offer(job) == Ring.Offer.FULL) {
-            gaveUp(job, new ClaimError.TooManyClaims());
+            abandonSettlement(job, new ClaimError.TooManyClaims());
         }
     }
 
@@ -175,7 +175,7 @@
             }
             case SettleOutcome.Later(ClaimError error) -> {
                 if (job.giveUp().isPast(time)) {
-                    gaveUp(job, error);
+                    abandonSettlement(job, error);
                     return true;
                 }
                 retried.inc();
@@ -184,7 +184,7 @@
         }
     }
 
-    private void gaveUp(KeyJob.Settle job, ClaimError error) {
+    private void abandonSettlement(KeyJob.Settle job, ClaimError error) {
         notSettled.inc();
         EVENTS.log(
                 CallEvent.KEY_NOT_SETTLED,
