--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
@@ -51,7 +51,7 @@
     private final Counter taken;
     private final Counter refused;
     private final Counter settled;
-    private final Counter retried;
+    private final Counter settleRetries;
     private final Counter notSettled;
     private final Timer claimTime;
 
@@ -70,7 +70,7 @@
         taken = metrics.counter(KeyMetrics.TAKEN);
         refused = metrics.counter(KeyMetrics.REFUSED);
         settled = metrics.counter(KeyMetrics.SETTLED);
-        retried = metrics.counter(KeyMetrics.SETTLE_RETRIES);
+        settleRetries = metrics.counter(KeyMetrics.SETTLE_RETRIES);
         notSettled = metrics.counter(KeyMetrics.NOT_SETTLED);
         claimTime = metrics.timer(KeyMetrics.CLAIM_TIME);
         metrics.register(KeyMetrics.OUTSTANDING, (Gauge<Integer>) outstanding::get);
@@ -178,7 +178,7 @@
                     abandonSettlement(job, error);
                     return true;
                 }
-                retried.inc();
+                settleRetries.inc();
                 return false;
             }
         }
