--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
@@ -102,7 +102,7 @@
         }
         Deadline bounded = deadline.earlier(Deadline.afterMillis(time, CLAIM_TIMEOUT_MILLIS));
         KeyJob job = new KeyJob.Claim(request, bounded, claimTime.time(), outcome);
-        if (worker(request.key()).offer(job) == Ring.Offer.FULL) {
+        if (workerFor(request.key()).offer(job) == Ring.Offer.FULL) {
             refuse(request, outcome, new ClaimError.TooManyClaims());
         }
         return outcome;
@@ -112,12 +112,12 @@
     public void settle(KeyClaim claim, Settlement settlement) {
         Deadline giveUp = Deadline.afterMillis(time, SETTLE_RETRY_PERIOD_MILLIS);
         KeyJob.Settle job = new KeyJob.Settle(claim, settlement, giveUp);
-        if (worker(claim.key()).offer(job) == Ring.Offer.FULL) {
+        if (workerFor(claim.key()).offer(job) == Ring.Offer.FULL) {
             abandonSettlement(job, new ClaimError.TooManyClaims());
         }
     }
 
-    private KeyWorker worker(KeyId key) {
+    private KeyWorker workerFor(KeyId key) {
         return workers.get(Math.floorMod(key.slot().hashCode(), THREADS));
     }
 
