--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimsTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimsTest.java
@@ -166,7 +166,7 @@
 
     private KeySlot slot(MemoryStore store) {
         return value(KeySlot.decode(
-                value(store.get(KEY.slot(), farOff)).orElseThrow().value()));
+                value(store.get(KEY.slotObjectKey(), farOff)).orElseThrow().value()));
     }
 
     private static <T, E> T value(Result<T, E> result) {
@@ -217,7 +217,7 @@
         KeyClaim toRelease = refused.toRelease().orElseThrow();
         assertEquals(new SettleOutcome.Settled(), claims.settle(toRelease, new Settlement.Release(), farOff));
         StoreCall.Write late = heldUp.getFirst().write().orElseThrow();
-        assertInstanceOf(Result.Err.class, store.put(KEY.slot(), late.value(), late.precondition(), farOff));
+        assertInstanceOf(Result.Err.class, store.put(KEY.slotObjectKey(), late.value(), late.precondition(), farOff));
         assertInstanceOf(ClaimOutcome.Granted.class, claims.claim(request(), farOff));
     }
 
@@ -225,10 +225,10 @@
     void anUnreadableSlotIsRefusedAndLeftAlone() {
         MemoryStore store = new MemoryStore(time);
         byte[] damaged = {'?'};
-        store.put(KEY.slot(), damaged, new Precondition.None(), farOff);
+        store.put(KEY.slotObjectKey(), damaged, new Precondition.None(), farOff);
         ClaimOutcome.Refused refused = assertInstanceOf(
                 ClaimOutcome.Refused.class, new KeyClaimStore(store, "daemon", time).claim(request(), farOff));
         assertInstanceOf(ClaimError.Unreadable.class, refused.error());
-        assertEquals(1, value(store.get(KEY.slot(), farOff)).orElseThrow().value().length);
+        assertEquals(1, value(store.get(KEY.slotObjectKey(), farOff)).orElseThrow().value().length);
     }
 }
--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyDutyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyDutyTest.java
@@ -136,7 +136,7 @@
         KeyClaim claim = assertInstanceOf(
                         ClaimOutcome.Granted.class, claim("gone").join())
                 .claim();
-        ObjectKey slot = claim.key().slot();
+        ObjectKey slot = claim.key().slotObjectKey();
         store.delete(slot, new Precondition.None(), Deadline.afterMillis(TIME, 1_000));
         duty.settle(claim, new Settlement.Keep(new KeyState.Unknown()));
         LocalFleet.await("every claim is settled", () -> duty.outstanding() == 0);
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
@@ -157,7 +157,7 @@
     }
 
     private Result<VersionedSlot, ClaimError> read(KeyId key, Deadline deadline) {
-        return store.get(key.slot(), callDeadline(deadline))
+        return store.get(key.slotObjectKey(), callDeadline(deadline))
                 .mapError(ClaimError::of)
                 .flatMap(KeyClaimStore::decode);
     }
@@ -181,7 +181,7 @@
         Precondition precondition =
                 version == 0 ? new Precondition.MustBeAbsent() : new Precondition.MustHaveVersion(version);
         boolean small = bytes.get().length <= MAX_CACHED_SLOT_BYTES;
-        return store.put(key.slot(), bytes.get(), precondition, callDeadline(deadline))
+        return store.put(key.slotObjectKey(), bytes.get(), precondition, callDeadline(deadline))
                 .map(v -> small ? Optional.of(new VersionedSlot(v, slot)) : Optional.empty());
     }
 
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
@@ -118,7 +118,7 @@
     }
 
     private KeyWorker workerFor(KeyId key) {
-        return workers.get(Math.floorMod(key.slot().hashCode(), THREADS));
+        return workers.get(Math.floorMod(key.slotObjectKey().hashCode(), THREADS));
     }
 
     private void refuse(KeyRequest request, CompletableFuture<ClaimOutcome> outcome, ClaimError error) {
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyId.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyId.java
@@ -26,7 +26,7 @@
     }
 
     /** The object that holds this key's record, if there is one. */
-    public ObjectKey slot() {
+    public ObjectKey slotObjectKey() {
         return new ObjectKey(PREFIX + hash.hex().substring(0, SLOT_DIGITS));
     }
 }
