--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
@@ -174,7 +174,7 @@
                 return true;
             }
             case SettleOutcome.Later(ClaimError error) -> {
-                if (job.giveUp().isPast(time)) {
+                if (job.retryDeadline().isPast(time)) {
                     abandonSettlement(job, error);
                     return true;
                 }
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyJob.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyJob.java
@@ -18,7 +18,7 @@
     /**
      * A claim to settle.
      *
-     * @param giveUp after which a failed attempt is the last
+     * @param retryDeadline after which a failed attempt is the last
      */
-    record Settle(KeyClaim claim, Settlement settlement, Deadline giveUp) implements KeyJob {}
+    record Settle(KeyClaim claim, Settlement settlement, Deadline retryDeadline) implements KeyJob {}
 }
