--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
@@ -130,7 +130,7 @@
 
     /** Tells the outcome of a claim and gives the job that remains, if one does. */
     Optional<KeyJob.Settle> completeClaim(KeyJob.Claim job, ClaimOutcome outcome) {
-        job.timing().stop();
+        job.timerContext().stop();
         Optional<KeyJob.Settle> remaining = Optional.empty();
         switch (outcome) {
             case ClaimOutcome.Granted ignored -> granted.inc();
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyJob.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyJob.java
@@ -10,9 +10,9 @@
      * A key to claim.
      *
      * @param deadline after which the request is refused without a call of the store
-     * @param timing stopped when the outcome is known
+     * @param timerContext stopped when the outcome is known
      */
-    record Claim(KeyRequest request, Deadline deadline, Timer.Context timing, CompletableFuture<ClaimOutcome> outcome)
+    record Claim(KeyRequest request, Deadline deadline, Timer.Context timerContext, CompletableFuture<ClaimOutcome> outcome)
             implements KeyJob {}
 
     /**
