--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeySlot.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeySlot.java
@@ -61,7 +61,7 @@
     /** This slot with another state in one claim's record. */
     public KeySlot with(String claimId, KeyState run) {
         return new KeySlot(records.stream()
-                .map(r -> r.claimId().equals(claimId) ? r.with(run) : r)
+                .map(r -> r.claimId().equals(claimId) ? r.withState(run) : r)
                 .toList());
     }
 
