--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
@@ -70,7 +70,7 @@
                     claimId,
                     claimant,
                     now,
-                    new KeyState.Claimed(request.untilMillis()));
+                    new KeyState.Claimed(request.deadlineEpochMillis()));
             KeySlot claimed = image.slot().plus(record, now);
             switch (write(request.key(), image.version(), claimed, deadline)) {
                 case Result.Ok<Optional<VersionedSlot>, StoreError>(Optional<VersionedSlot> written) -> {
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyRequest.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyRequest.java
@@ -7,6 +7,6 @@
  *
  * @param key the key in its scope
  * @param fingerprint tells it from other requests that use the same key
- * @param untilMillis wall clock by when it has its final answer
+ * @param deadlineEpochMillis wall clock by when it has its final answer
  */
-public record KeyRequest(KeyId key, Digest fingerprint, long untilMillis) {}
+public record KeyRequest(KeyId key, Digest fingerprint, long deadlineEpochMillis) {}
