--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimsTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimsTest.java
@@ -182,7 +182,7 @@
         for (int i = 0; i < 3; i++) {
             StoredAnswer answer = new StoredAnswer(200 + i, List.of(), new byte[1_000]);
             KeyRecord record = new KeyRecord("k" + i, "f", "c" + i, "d", i, new KeyState.Answered(answer));
-            slot = slot.plus(record, i);
+            slot = slot.withRecord(record, i);
         }
         KeySlot trimmed = value(KeySlot.decode(slot.encode(3_400).orElseThrow()));
         assertEquals(new KeyState.Ran(200), trimmed.records().get(0).run());
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
@@ -71,7 +71,7 @@
                     claimant,
                     now,
                     new KeyState.Claimed(request.deadlineEpochMillis()));
-            KeySlot claimed = image.slot().plus(record, now);
+            KeySlot claimed = image.slot().withRecord(record, now);
             switch (write(request.key(), image.version(), claimed, deadline)) {
                 case Result.Ok<Optional<VersionedSlot>, StoreError>(Optional<VersionedSlot> written) -> {
                     return granted(request, claimId, written);
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeySlot.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeySlot.java
@@ -41,7 +41,7 @@
     }
 
     /** This slot with one record more and without the expired ones. */
-    public KeySlot plus(KeyRecord added, long nowMillis) {
+    public KeySlot withRecord(KeyRecord added, long nowMillis) {
         List<KeyRecord> kept = new ArrayList<>();
         for (KeyRecord r : records) {
             if (!isExpired(r, nowMillis)) {
