--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
@@ -120,7 +120,7 @@
                 return done.get();
             }
             KeySlot settled = switch (settlement) {
-                case Settlement.Release() -> image.slot().without(claim.claimId());
+                case Settlement.Release() -> image.slot().withoutClaim(claim.claimId());
                 case Settlement.Keep(KeyState run) -> image.slot().with(claim.claimId(), run);
             };
             switch (write(claim.key(), image.version(), settled, deadline)) {
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeySlot.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeySlot.java
@@ -53,7 +53,7 @@
     }
 
     /** This slot without one claim's record. */
-    public KeySlot without(String claimId) {
+    public KeySlot withoutClaim(String claimId) {
         return new KeySlot(
                 records.stream().filter(r -> !r.claimId().equals(claimId)).toList());
     }
