--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
@@ -121,7 +121,7 @@
             }
             KeySlot settled = switch (settlement) {
                 case Settlement.Release() -> image.slot().withoutClaim(claim.claimId());
-                case Settlement.Keep(KeyState run) -> image.slot().with(claim.claimId(), run);
+                case Settlement.Keep(KeyState run) -> image.slot().withState(claim.claimId(), run);
             };
             switch (write(claim.key(), image.version(), settled, deadline)) {
                 case Result.Ok<Optional<VersionedSlot>, StoreError> ignored -> {
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeySlot.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeySlot.java
@@ -59,7 +59,7 @@
     }
 
     /** This slot with another state in one claim's record. */
-    public KeySlot with(String claimId, KeyState run) {
+    public KeySlot withState(String claimId, KeyState run) {
         return new KeySlot(records.stream()
                 .map(r -> r.claimId().equals(claimId) ? r.withState(run) : r)
                 .toList());
@@ -85,7 +85,7 @@
                 return Optional.empty();
             }
             KeyState.Answered answered = (KeyState.Answered) oldest.get().run();
-            slot = slot.with(
+            slot = slot.withState(
                     oldest.get().claimId(), new KeyState.Ran(answered.answer().status()));
             bytes = ConfigurationCodec.encode(slot);
         }
