--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
@@ -11,7 +11,7 @@
 
 /** One thread of the {@link KeyDuty}, with its ring and the settlements that wait for another attempt. */
 final class KeyWorker implements AutoCloseable {
-    private static final long IDLE_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
+    private static final long MAX_POLL_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
     private static final long CALL_MILLIS = 1_000;
     private static final long RETRY_MILLIS = 500;
 
@@ -49,8 +49,8 @@
     private long waitNanos() {
         Waiting first = retries.peek();
         return first == null
-                ? IDLE_NANOS
-                : Math.min(IDLE_NANOS, first.notBefore().remainingNanos(time));
+                ? MAX_POLL_WAIT_NANOS
+                : Math.min(MAX_POLL_WAIT_NANOS, first.notBefore().remainingNanos(time));
     }
 
     private void run(KeyJob job) {
