--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
@@ -12,7 +12,7 @@
 /** One thread of the {@link KeyDuty}, with its ring and the settlements that wait for another attempt. */
 final class KeyWorker implements AutoCloseable {
     private static final long MAX_POLL_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
-    private static final long CALL_MILLIS = 1_000;
+    private static final long SETTLE_TIMEOUT_MILLIS = 1_000;
     private static final long RETRY_MILLIS = 500;
 
     private final KeyDuty owner;
@@ -78,7 +78,7 @@
 
     private SettleOutcome attempt(KeyJob.Settle job) {
         try {
-            return claims.settle(job.claim(), job.settlement(), Deadline.afterMillis(time, CALL_MILLIS));
+            return claims.settle(job.claim(), job.settlement(), Deadline.afterMillis(time, SETTLE_TIMEOUT_MILLIS));
         } catch (RuntimeException e) {
             return new SettleOutcome.Later(new ClaimError.Undecided(e.toString()));
         }
