--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
@@ -13,7 +13,7 @@
 final class KeyWorker implements AutoCloseable {
     private static final long MAX_POLL_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
     private static final long SETTLE_TIMEOUT_MILLIS = 1_000;
-    private static final long RETRY_MILLIS = 500;
+    private static final long RETRY_DELAY_MILLIS = 500;
 
     private final KeyDuty owner;
     private final KeyClaimStore claims;
@@ -62,7 +62,7 @@
 
     private void settle(KeyJob.Settle job) {
         if (!owner.handleSettleOutcome(job, attempt(job))) {
-            retries.add(new Waiting(job, Deadline.afterMillis(time, RETRY_MILLIS)));
+            retries.add(new Waiting(job, Deadline.afterMillis(time, RETRY_DELAY_MILLIS)));
         }
     }
 
