--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
@@ -15,7 +15,7 @@
     private static final long SETTLE_TIMEOUT_MILLIS = 1_000;
     private static final long RETRY_DELAY_MILLIS = 500;
 
-    private final KeyDuty owner;
+    private final KeyDuty keyDuty;
     private final KeyClaimStore claims;
     private final TimeSource time;
     private final Ring<KeyJob> ring = new Ring<>(KeyDuty.MAX_OUTSTANDING);
@@ -25,7 +25,7 @@
     private record Waiting(KeyJob.Settle job, Deadline notBefore) {}
 
     KeyWorker(String name, KeyDuty owner, KeyClaimStore claims, TimeSource time) {
-        this.owner = owner;
+        this.keyDuty = owner;
         this.claims = claims;
         this.time = time;
         this.duty = new Duty(name, this::round);
@@ -55,13 +55,13 @@
 
     private void run(KeyJob job) {
         switch (job) {
-            case KeyJob.Claim claim -> owner.completeClaim(claim, attempt(claim)).ifPresent(this::settle);
+            case KeyJob.Claim claim -> keyDuty.completeClaim(claim, attempt(claim)).ifPresent(this::settle);
             case KeyJob.Settle settle -> settle(settle);
         }
     }
 
     private void settle(KeyJob.Settle job) {
-        if (!owner.handleSettleOutcome(job, attempt(job))) {
+        if (!keyDuty.handleSettleOutcome(job, attempt(job))) {
             retries.add(new Waiting(job, Deadline.afterMillis(time, RETRY_DELAY_MILLIS)));
         }
     }
