--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
@@ -19,10 +19,10 @@
     private final KeyClaimStore claims;
     private final TimeSource time;
     private final Ring<KeyJob> ring = new Ring<>(KeyDuty.MAX_OUTSTANDING);
-    private final ArrayDeque<Waiting> retries = new ArrayDeque<>();
+    private final ArrayDeque<PendingRetry> retries = new ArrayDeque<>();
     private final Duty duty;
 
-    private record Waiting(KeyJob.Settle job, Deadline notBefore) {}
+    private record PendingRetry(KeyJob.Settle job, Deadline notBefore) {}
 
     KeyWorker(String name, KeyDuty owner, KeyClaimStore claims, TimeSource time) {
         this.keyDuty = owner;
@@ -39,7 +39,7 @@
     /** One job and one retry a round: with the store out, neither keeps the other waiting for more than one call. */
     private void round() {
         ring.poll(waitNanos()).ifPresent(this::run);
-        Waiting first = retries.peek();
+        PendingRetry first = retries.peek();
         if (first != null && first.notBefore().isPast(time)) {
             retries.remove();
             settle(first.job());
@@ -47,7 +47,7 @@
     }
 
     private long waitNanos() {
-        Waiting first = retries.peek();
+        PendingRetry first = retries.peek();
         return first == null
                 ? MAX_POLL_WAIT_NANOS
                 : Math.min(MAX_POLL_WAIT_NANOS, first.notBefore().remainingNanos(time));
@@ -62,7 +62,7 @@
 
     private void settle(KeyJob.Settle job) {
         if (!keyDuty.handleSettleOutcome(job, attempt(job))) {
-            retries.add(new Waiting(job, Deadline.afterMillis(time, RETRY_DELAY_MILLIS)));
+            retries.add(new PendingRetry(job, Deadline.afterMillis(time, RETRY_DELAY_MILLIS)));
         }
     }
 
