--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
@@ -28,7 +28,7 @@
         this.keyDuty = owner;
         this.claims = claims;
         this.time = time;
-        this.duty = new Duty(name, this::round);
+        this.duty = new Duty(name, this::runRound);
     }
 
     /** Gives the thread a job, from any thread. */
@@ -37,7 +37,7 @@
     }
 
     /** One job and one retry a round: with the store out, neither keeps the other waiting for more than one call. */
-    private void round() {
+    private void runRound() {
         ring.poll(waitNanos()).ifPresent(this::run);
         PendingRetry first = retries.peek();
         if (first != null && first.notBefore().isPast(time)) {
