--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
@@ -38,7 +38,7 @@
 
     /** One job and one retry a round: with the store out, neither keeps the other waiting for more than one call. */
     private void runRound() {
-        ring.poll(waitNanos()).ifPresent(this::run);
+        ring.poll(waitNanos()).ifPresent(this::execute);
         PendingRetry first = retries.peek();
         if (first != null && first.notBefore().isPast(time)) {
             retries.remove();
@@ -53,7 +53,7 @@
                 : Math.min(MAX_POLL_WAIT_NANOS, first.notBefore().remainingNanos(time));
     }
 
-    private void run(KeyJob job) {
+    private void execute(KeyJob job) {
         switch (job) {
             case KeyJob.Claim claim -> keyDuty.completeClaim(claim, attempt(claim)).ifPresent(this::settle);
             case KeyJob.Settle settle -> settle(settle);
