--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
@@ -42,7 +42,7 @@
         PendingRetry first = retries.peek();
         if (first != null && first.notBefore().isPast(time)) {
             retries.remove();
-            settle(first.job());
+            settleOrScheduleRetry(first.job());
         }
     }
 
@@ -55,12 +55,12 @@
 
     private void execute(KeyJob job) {
         switch (job) {
-            case KeyJob.Claim claim -> keyDuty.completeClaim(claim, attempt(claim)).ifPresent(this::settle);
-            case KeyJob.Settle settle -> settle(settle);
+            case KeyJob.Claim claim -> keyDuty.completeClaim(claim, attempt(claim)).ifPresent(this::settleOrScheduleRetry);
+            case KeyJob.Settle settle -> settleOrScheduleRetry(settle);
         }
     }
 
-    private void settle(KeyJob.Settle job) {
+    private void settleOrScheduleRetry(KeyJob.Settle job) {
         if (!keyDuty.handleSettleOutcome(job, attempt(job))) {
             retries.add(new PendingRetry(job, Deadline.afterMillis(time, RETRY_DELAY_MILLIS)));
         }
