--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
@@ -55,7 +55,7 @@
 
     private void execute(KeyJob job) {
         switch (job) {
-            case KeyJob.Claim claim -> keyDuty.completeClaim(claim, attempt(claim)).ifPresent(this::settleOrScheduleRetry);
+            case KeyJob.Claim claim -> keyDuty.completeClaim(claim, tryClaim(claim)).ifPresent(this::settleOrScheduleRetry);
             case KeyJob.Settle settle -> settleOrScheduleRetry(settle);
         }
     }
@@ -68,7 +68,7 @@
 
     // An exception out of a job would end the round but not the job: its request would wait for ever, and its place
     // among the claims under way would never be free again. It counts as a call of the store without an answer.
-    private ClaimOutcome attempt(KeyJob.Claim job) {
+    private ClaimOutcome tryClaim(KeyJob.Claim job) {
         try {
             return claims.claim(job.request(), job.deadline());
         } catch (RuntimeException e) {
