--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
@@ -61,7 +61,7 @@
     }
 
     private void settleOrScheduleRetry(KeyJob.Settle job) {
-        if (!keyDuty.handleSettleOutcome(job, attempt(job))) {
+        if (!keyDuty.handleSettleOutcome(job, trySettle(job))) {
             retries.add(new PendingRetry(job, Deadline.afterMillis(time, RETRY_DELAY_MILLIS)));
         }
     }
@@ -76,7 +76,7 @@
         }
     }
 
-    private SettleOutcome attempt(KeyJob.Settle job) {
+    private SettleOutcome trySettle(KeyJob.Settle job) {
         try {
             return claims.settle(job.claim(), job.settlement(), Deadline.afterMillis(time, SETTLE_TIMEOUT_MILLIS));
         } catch (RuntimeException e) {
