--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
@@ -38,7 +38,7 @@
 
     /** One job and one retry a round: with the store out, neither keeps the other waiting for more than one call. */
     private void runRound() {
-        ring.poll(waitNanos()).ifPresent(this::execute);
+        ring.poll(pollWaitNanos()).ifPresent(this::execute);
         PendingRetry first = retries.peek();
         if (first != null && first.notBefore().isPast(time)) {
             retries.remove();
@@ -46,7 +46,7 @@
         }
     }
 
-    private long waitNanos() {
+    private long pollWaitNanos() {
         PendingRetry first = retries.peek();
         return first == null
                 ? MAX_POLL_WAIT_NANOS
