--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimsTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimsTest.java
@@ -105,7 +105,7 @@
                 case SettleOutcome.Settled() -> {
                     return;
                 }
-                case SettleOutcome.Lost() -> throw new AssertionError("the claim vanished");
+                case SettleOutcome.ClaimLost() -> throw new AssertionError("the claim vanished");
                 case SettleOutcome.Later ignored -> {}
             }
         }
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
@@ -147,7 +147,7 @@
                 own.isEmpty() && !claim.writeInDoubt() ? Optional.of(new SettleOutcome.Settled()) : Optional.empty();
             case Settlement.Keep ignored -> {
                 if (own.isEmpty()) {
-                    yield Optional.of(new SettleOutcome.Lost());
+                    yield Optional.of(new SettleOutcome.ClaimLost());
                 }
                 yield own.get().run() instanceof KeyState.Claimed
                         ? Optional.empty()
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
@@ -164,7 +164,7 @@
                 outstanding.decrementAndGet();
                 return true;
             }
-            case SettleOutcome.Lost() -> {
+            case SettleOutcome.ClaimLost() -> {
                 invariants.check(
                         Invariant.AT_MOST_ONCE,
                         false,
--- a/org.berylwick/src/org/berylwick/internal/idempotency/SettleOutcome.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/SettleOutcome.java
@@ -8,7 +8,7 @@
     record Settled() implements SettleOutcome {}
 
     /** The store no longer holds the claim, though its claimant never released it. */
-    record Lost() implements SettleOutcome {}
+    record ClaimLost() implements SettleOutcome {}
 
     /** The store may or may not show the settlement; settling again does no harm. */
     record Later(ClaimError error) implements SettleOutcome {}
