--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimsTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimsTest.java
@@ -106,7 +106,7 @@
                     return;
                 }
                 case SettleOutcome.ClaimLost() -> throw new AssertionError("the claim vanished");
-                case SettleOutcome.Later ignored -> {}
+                case SettleOutcome.RetryNeeded ignored -> {}
             }
         }
         throw new AssertionError("not settled");
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
@@ -112,7 +112,7 @@
                     known.<Result<VersionedSlot, ClaimError>>map(Result::ok).orElseGet(() -> read(claim.key(), deadline));
             known = Optional.empty();
             if (!(read instanceof Result.Ok<VersionedSlot, ClaimError>(VersionedSlot image))) {
-                return new SettleOutcome.Later(((Result.Err<VersionedSlot, ClaimError>) read).error());
+                return new SettleOutcome.RetryNeeded(((Result.Err<VersionedSlot, ClaimError>) read).error());
             }
             Optional<KeyRecord> own = image.slot().findClaim(claim.claimId());
             Optional<SettleOutcome> done = outcomeIfAlreadySettled(claim, settlement, own);
@@ -130,12 +130,12 @@
                 case Result.Err<Optional<VersionedSlot>, StoreError>(StoreError error) -> {
                     last = ClaimError.of(error);
                     if (!mayHaveTakenEffect(error)) {
-                        return new SettleOutcome.Later(last);
+                        return new SettleOutcome.RetryNeeded(last);
                     }
                 }
             }
         }
-        return new SettleOutcome.Later(last);
+        return new SettleOutcome.RetryNeeded(last);
     }
 
     private static Optional<SettleOutcome> outcomeIfAlreadySettled(KeyClaim claim, Settlement settlement, Optional<KeyRecord> own) {
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
@@ -173,7 +173,7 @@
                 outstanding.decrementAndGet();
                 return true;
             }
-            case SettleOutcome.Later(ClaimError error) -> {
+            case SettleOutcome.RetryNeeded(ClaimError error) -> {
                 if (job.retryDeadline().isPast(time)) {
                     abandonSettlement(job, error);
                     return true;
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
@@ -80,7 +80,7 @@
         try {
             return claims.settle(job.claim(), job.settlement(), Deadline.afterMillis(time, SETTLE_TIMEOUT_MILLIS));
         } catch (RuntimeException e) {
-            return new SettleOutcome.Later(new ClaimError.Undecided(e.toString()));
+            return new SettleOutcome.RetryNeeded(new ClaimError.Undecided(e.toString()));
         }
     }
 
--- a/org.berylwick/src/org/berylwick/internal/idempotency/SettleOutcome.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/SettleOutcome.java
@@ -11,5 +11,5 @@
     record ClaimLost() implements SettleOutcome {}
 
     /** The store may or may not show the settlement; settling again does no harm. */
-    record Later(ClaimError error) implements SettleOutcome {}
+    record RetryNeeded(ClaimError error) implements SettleOutcome {}
 }
