--- a/org.berylwick/src/org/berylwick/internal/idempotency/Settlement.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/Settlement.java
@@ -6,5 +6,5 @@
     record Release() implements Settlement {}
 
     /** The request ran or may have run: repeats are answered by this. */
-    record Keep(KeyState run) implements Settlement {}
+    record Keep(KeyState state) implements Settlement {}
 }
