--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimsTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimsTest.java
@@ -214,7 +214,7 @@
         });
         KeyClaimStore claims = new KeyClaimStore(store, "daemon", time);
         ClaimOutcome.Refused refused = assertInstanceOf(ClaimOutcome.Refused.class, claims.claim(request(), farOff));
-        KeyClaim toRelease = refused.toRelease().orElseThrow();
+        KeyClaim toRelease = refused.claimToRelease().orElseThrow();
         assertEquals(new SettleOutcome.Settled(), claims.settle(toRelease, new Settlement.Release(), farOff));
         StoreCall.Write late = heldUp.getFirst().write().orElseThrow();
         assertInstanceOf(Result.Err.class, store.put(KEY.slotObjectKey(), late.value(), late.precondition(), farOff));
