--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/InterleavedStore.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/InterleavedStore.java
@@ -21,7 +21,7 @@
  * may be lost after it took effect, and a write may be held back with its answer lost, to land at any later time.
  */
 final class InterleavedStore implements StoreInterceptor {
-    private static final int ONE_IN_FAULTS = 5;
+    private static final int FAULT_ONE_IN = 5;
 
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition changed = lock.newCondition();
@@ -56,7 +56,7 @@
                 if (live == 0) {
                     break;
                 }
-                if (random.nextInt(ONE_IN_FAULTS) == 0) {
+                if (random.nextInt(FAULT_ONE_IN) == 0) {
                     between.run();
                     landOne();
                 }
@@ -126,7 +126,7 @@
             return Optional.empty();
         }
         gate();
-        return switch (random.nextInt(2 * ONE_IN_FAULTS)) {
+        return switch (random.nextInt(2 * FAULT_ONE_IN)) {
             case 0 -> Optional.of(new StoreError.Unavailable("out"));
             case 1 -> {
                 if (call.isWrite()) {
@@ -144,7 +144,7 @@
             return Optional.empty();
         }
         gate();
-        return random.nextInt(ONE_IN_FAULTS) == 0
+        return random.nextInt(FAULT_ONE_IN) == 0
                 ? Optional.of(new StoreError.OutcomeUnknown("answer lost"))
                 : Optional.empty();
     }
