--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/InterleavedStore.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/InterleavedStore.java
@@ -24,7 +24,7 @@
     private static final int FAULT_ONE_IN = 5;
 
     private final ReentrantLock lock = new ReentrantLock();
-    private final Condition changed = lock.newCondition();
+    private final Condition turnChanged = lock.newCondition();
     private final List<Thread> atGate = new ArrayList<>();
     private final List<StoreCall> heldBack = new ArrayList<>();
     private final Random random;
@@ -51,7 +51,7 @@
             clients.forEach(c -> Thread.ofVirtual().start(() -> client(c)));
             while (live > 0) {
                 while (allowed != null || atGate.size() < live) {
-                    changed.awaitUninterruptibly();
+                    turnChanged.awaitUninterruptibly();
                 }
                 if (live == 0) {
                     break;
@@ -61,7 +61,7 @@
                     landOne();
                 }
                 allowed = atGate.remove(random.nextInt(atGate.size()));
-                changed.signalAll();
+                turnChanged.signalAll();
             }
         } finally {
             lock.unlock();
@@ -80,7 +80,7 @@
             try {
                 live--;
                 allowed = null;
-                changed.signalAll();
+                turnChanged.signalAll();
             } finally {
                 lock.unlock();
             }
@@ -98,9 +98,9 @@
             // Threads reach their first gate in any order; a place by age keeps the seed's choice the same.
             atGate.add(self);
             atGate.sort((a, b) -> Long.compare(a.threadId(), b.threadId()));
-            changed.signalAll();
+            turnChanged.signalAll();
             while (allowed != self) {
-                changed.awaitUninterruptibly();
+                turnChanged.awaitUninterruptibly();
             }
         } finally {
             lock.unlock();
