--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/InterleavedStore.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/InterleavedStore.java
@@ -25,7 +25,7 @@
 
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition turnChanged = lock.newCondition();
-    private final List<Thread> atGate = new ArrayList<>();
+    private final List<Thread> waitingClients = new ArrayList<>();
     private final List<StoreCall> heldBack = new ArrayList<>();
     private final Random random;
     private final TimeSource time;
@@ -50,7 +50,7 @@
             live = clients.size();
             clients.forEach(c -> Thread.ofVirtual().start(() -> client(c)));
             while (live > 0) {
-                while (allowed != null || atGate.size() < live) {
+                while (allowed != null || waitingClients.size() < live) {
                     turnChanged.awaitUninterruptibly();
                 }
                 if (live == 0) {
@@ -60,7 +60,7 @@
                     between.run();
                     landOne();
                 }
-                allowed = atGate.remove(random.nextInt(atGate.size()));
+                allowed = waitingClients.remove(random.nextInt(waitingClients.size()));
                 turnChanged.signalAll();
             }
         } finally {
@@ -96,8 +96,8 @@
                 allowed = null;
             }
             // Threads reach their first gate in any order; a place by age keeps the seed's choice the same.
-            atGate.add(self);
-            atGate.sort((a, b) -> Long.compare(a.threadId(), b.threadId()));
+            waitingClients.add(self);
+            waitingClients.sort((a, b) -> Long.compare(a.threadId(), b.threadId()));
             turnChanged.signalAll();
             while (allowed != self) {
                 turnChanged.awaitUninterruptibly();
