--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/InterleavedStore.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/InterleavedStore.java
@@ -26,7 +26,7 @@
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition turnChanged = lock.newCondition();
     private final List<Thread> waitingClients = new ArrayList<>();
-    private final List<StoreCall> heldBack = new ArrayList<>();
+    private final List<StoreCall> delayedWrites = new ArrayList<>();
     private final Random random;
     private final TimeSource time;
     private final MemoryStore store;
@@ -66,7 +66,7 @@
         } finally {
             lock.unlock();
         }
-        while (!heldBack.isEmpty()) {
+        while (!delayedWrites.isEmpty()) {
             landOne();
         }
     }
@@ -108,8 +108,8 @@
     }
 
     private void landOne() {
-        if (!heldBack.isEmpty()) {
-            StoreCall late = heldBack.remove(random.nextInt(heldBack.size()));
+        if (!delayedWrites.isEmpty()) {
+            StoreCall late = delayedWrites.remove(random.nextInt(delayedWrites.size()));
             StoreCall.Write write = late.write().orElseThrow();
             store.put(new ObjectKey(late.path()), write.value(), write.precondition(), Deadline.afterMillis(time, 1));
         }
@@ -130,7 +130,7 @@
             case 0 -> Optional.of(new StoreError.Unavailable("out"));
             case 1 -> {
                 if (call.isWrite()) {
-                    heldBack.add(call);
+                    delayedWrites.add(call);
                 }
                 yield Optional.of(new StoreError.OutcomeUnknown("held back"));
             }
