--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/InterleavedStore.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/InterleavedStore.java
@@ -30,7 +30,7 @@
     private final Random random;
     private final TimeSource time;
     private final MemoryStore store;
-    private Thread allowed;
+    private Thread scheduledClient;
     private int live;
 
     InterleavedStore(Random random, TimeSource time) {
@@ -50,7 +50,7 @@
             live = clients.size();
             clients.forEach(c -> Thread.ofVirtual().start(() -> client(c)));
             while (live > 0) {
-                while (allowed != null || waitingClients.size() < live) {
+                while (scheduledClient != null || waitingClients.size() < live) {
                     turnChanged.awaitUninterruptibly();
                 }
                 if (live == 0) {
@@ -60,7 +60,7 @@
                     between.run();
                     landOne();
                 }
-                allowed = waitingClients.remove(random.nextInt(waitingClients.size()));
+                scheduledClient = waitingClients.remove(random.nextInt(waitingClients.size()));
                 turnChanged.signalAll();
             }
         } finally {
@@ -79,7 +79,7 @@
             lock.lock();
             try {
                 live--;
-                allowed = null;
+                scheduledClient = null;
                 turnChanged.signalAll();
             } finally {
                 lock.unlock();
@@ -92,14 +92,14 @@
         lock.lock();
         try {
             Thread self = Thread.currentThread();
-            if (allowed == self) {
-                allowed = null;
+            if (scheduledClient == self) {
+                scheduledClient = null;
             }
             // Threads reach their first gate in any order; a place by age keeps the seed's choice the same.
             waitingClients.add(self);
             waitingClients.sort((a, b) -> Long.compare(a.threadId(), b.threadId()));
             turnChanged.signalAll();
-            while (allowed != self) {
+            while (scheduledClient != self) {
                 turnChanged.awaitUninterruptibly();
             }
         } finally {
