--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/InterleavedStore.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/InterleavedStore.java
@@ -31,7 +31,7 @@
     private final TimeSource time;
     private final MemoryStore store;
     private Thread scheduledClient;
-    private int live;
+    private int activeClients;
 
     InterleavedStore(Random random, TimeSource time) {
         this.random = random;
@@ -47,13 +47,13 @@
     void run(List<Runnable> clients, Runnable between) {
         lock.lock();
         try {
-            live = clients.size();
+            activeClients = clients.size();
             clients.forEach(c -> Thread.ofVirtual().start(() -> client(c)));
-            while (live > 0) {
-                while (scheduledClient != null || waitingClients.size() < live) {
+            while (activeClients > 0) {
+                while (scheduledClient != null || waitingClients.size() < activeClients) {
                     turnChanged.awaitUninterruptibly();
                 }
-                if (live == 0) {
+                if (activeClients == 0) {
                     break;
                 }
                 if (random.nextInt(FAULT_ONE_IN) == 0) {
@@ -78,7 +78,7 @@
         } finally {
             lock.lock();
             try {
-                live--;
+                activeClients--;
                 scheduledClient = null;
                 turnChanged.signalAll();
             } finally {
