--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/InterleavedStore.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/InterleavedStore.java
@@ -48,7 +48,7 @@
         lock.lock();
         try {
             activeClients = clients.size();
-            clients.forEach(c -> Thread.ofVirtual().start(() -> client(c)));
+            clients.forEach(c -> Thread.ofVirtual().start(() -> runClient(c)));
             while (activeClients > 0) {
                 while (scheduledClient != null || waitingClients.size() < activeClients) {
                     turnChanged.awaitUninterruptibly();
@@ -71,7 +71,7 @@
         }
     }
 
-    private void client(Runnable body) {
+    private void runClient(Runnable body) {
         gate();
         try {
             body.run();
