--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/InterleavedStore.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/InterleavedStore.java
@@ -72,7 +72,7 @@
     }
 
     private void runClient(Runnable body) {
-        gate();
+        awaitTurn();
         try {
             body.run();
         } finally {
@@ -88,7 +88,7 @@
     }
 
     /** Gives the turn back and waits for the next one. */
-    private void gate() {
+    private void awaitTurn() {
         lock.lock();
         try {
             Thread self = Thread.currentThread();
@@ -125,7 +125,7 @@
         if (!isClient()) {
             return Optional.empty();
         }
-        gate();
+        awaitTurn();
         return switch (random.nextInt(2 * FAULT_ONE_IN)) {
             case 0 -> Optional.of(new StoreError.Unavailable("out"));
             case 1 -> {
@@ -143,7 +143,7 @@
         if (!isClient()) {
             return Optional.empty();
         }
-        gate();
+        awaitTurn();
         return random.nextInt(FAULT_ONE_IN) == 0
                 ? Optional.of(new StoreError.OutcomeUnknown("answer lost"))
                 : Optional.empty();
