--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/InterleavedStore.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/InterleavedStore.java
@@ -58,7 +58,7 @@
                 }
                 if (random.nextInt(FAULT_ONE_IN) == 0) {
                     between.run();
-                    landOne();
+                    applyOneDelayedWrite();
                 }
                 scheduledClient = waitingClients.remove(random.nextInt(waitingClients.size()));
                 turnChanged.signalAll();
@@ -67,7 +67,7 @@
             lock.unlock();
         }
         while (!delayedWrites.isEmpty()) {
-            landOne();
+            applyOneDelayedWrite();
         }
     }
 
@@ -107,7 +107,7 @@
         }
     }
 
-    private void landOne() {
+    private void applyOneDelayedWrite() {
         if (!delayedWrites.isEmpty()) {
             StoreCall late = delayedWrites.remove(random.nextInt(delayedWrites.size()));
             StoreCall.Write write = late.write().orElseThrow();
