--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimsTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Who may run a request under a key, with claimants, faults and pauses in any order. */
-class KeyClaimsTest {
+class KeyClaimStoreTest {
     private static final KeyId KEY = KeyId.of("kapitolyo", "placements", "order-17");
     private static final Digest FINGERPRINT = Digest.of("POST /placements".getBytes(StandardCharsets.UTF_8));
     private static final StoredAnswer ANSWER =
