--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
@@ -36,7 +36,7 @@
     private static final int SETTLE_ATTEMPTS = 200;
 
     private final ManualTimeSource time = new ManualTimeSource();
-    private final Deadline farOff = Deadline.after(time, Duration.ofDays(30));
+    private final Deadline distantDeadline = Deadline.after(time, Duration.ofDays(30));
 
     private KeyRequest request() {
         return new KeyRequest(KEY, FINGERPRINT, time.epochMillis() + 1_000);
@@ -60,7 +60,7 @@
 
     private void client(KeyClaimStore claims, Random fates, Tally tally) {
         for (int i = 0; i < REQUESTS_EACH; i++) {
-            switch (claims.claim(request(), farOff)) {
+            switch (claims.claim(request(), distantDeadline)) {
                 case ClaimOutcome.Granted(KeyClaim claim) -> {
                     if (!run(claims, claim, Fate.values()[fates.nextInt(Fate.values().length)], tally)) {
                         return;
@@ -101,7 +101,7 @@
 
     private void settle(KeyClaimStore claims, KeyClaim claim, Settlement settlement) {
         for (int i = 0; i < SETTLE_ATTEMPTS; i++) {
-            switch (claims.settle(claim, settlement, farOff)) {
+            switch (claims.settle(claim, settlement, distantDeadline)) {
                 case SettleOutcome.Settled() -> {
                     return;
                 }
@@ -140,7 +140,7 @@
         assertEquals(List.of(), failures);
         assertTrue(tally.finalFates.get() <= 1, "requests let run: " + tally.finalFates);
         assertTrue(tally.runs.get() <= 1, "runs: " + tally.runs);
-        ClaimOutcome last = new KeyClaimStore(interleaved.store(), "last", time).claim(request(), farOff);
+        ClaimOutcome last = new KeyClaimStore(interleaved.store(), "last", time).claim(request(), distantDeadline);
         if (tally.finalFates.get() == 0) {
             assertInstanceOf(ClaimOutcome.Granted.class, last);
             return;
@@ -156,17 +156,17 @@
     void aKeyIsFreeAgainAfterTheRetentionAndItsRecordIsGone() {
         MemoryStore store = new MemoryStore(time);
         KeyClaimStore claims = new KeyClaimStore(store, "daemon", time);
-        assertInstanceOf(ClaimOutcome.Granted.class, claims.claim(request(), farOff));
+        assertInstanceOf(ClaimOutcome.Granted.class, claims.claim(request(), distantDeadline));
         time.advance(Duration.ofMillis(KeySlot.RETENTION_MILLIS));
-        assertInstanceOf(ClaimOutcome.Taken.class, claims.claim(request(), farOff));
+        assertInstanceOf(ClaimOutcome.Taken.class, claims.claim(request(), distantDeadline));
         time.advance(Duration.ofMillis(1));
-        assertInstanceOf(ClaimOutcome.Granted.class, claims.claim(request(), farOff));
+        assertInstanceOf(ClaimOutcome.Granted.class, claims.claim(request(), distantDeadline));
         assertEquals(1, slot(store).records().size());
     }
 
     private KeySlot slot(MemoryStore store) {
         return value(KeySlot.decode(
-                value(store.get(KEY.slotObjectKey(), farOff)).orElseThrow().value()));
+                value(store.get(KEY.slotObjectKey(), distantDeadline)).orElseThrow().value()));
     }
 
     private static <T, E> T value(Result<T, E> result) {
@@ -213,22 +213,22 @@
             }
         });
         KeyClaimStore claims = new KeyClaimStore(store, "daemon", time);
-        ClaimOutcome.Refused refused = assertInstanceOf(ClaimOutcome.Refused.class, claims.claim(request(), farOff));
+        ClaimOutcome.Refused refused = assertInstanceOf(ClaimOutcome.Refused.class, claims.claim(request(), distantDeadline));
         KeyClaim toRelease = refused.claimToRelease().orElseThrow();
-        assertEquals(new SettleOutcome.Settled(), claims.settle(toRelease, new Settlement.Release(), farOff));
+        assertEquals(new SettleOutcome.Settled(), claims.settle(toRelease, new Settlement.Release(), distantDeadline));
         StoreCall.Write late = heldUp.getFirst().write().orElseThrow();
-        assertInstanceOf(Result.Err.class, store.put(KEY.slotObjectKey(), late.value(), late.precondition(), farOff));
-        assertInstanceOf(ClaimOutcome.Granted.class, claims.claim(request(), farOff));
+        assertInstanceOf(Result.Err.class, store.put(KEY.slotObjectKey(), late.value(), late.precondition(), distantDeadline));
+        assertInstanceOf(ClaimOutcome.Granted.class, claims.claim(request(), distantDeadline));
     }
 
     @Test
     void anUnreadableSlotIsRefusedAndLeftAlone() {
         MemoryStore store = new MemoryStore(time);
         byte[] damaged = {'?'};
-        store.put(KEY.slotObjectKey(), damaged, new Precondition.None(), farOff);
+        store.put(KEY.slotObjectKey(), damaged, new Precondition.None(), distantDeadline);
         ClaimOutcome.Refused refused = assertInstanceOf(
-                ClaimOutcome.Refused.class, new KeyClaimStore(store, "daemon", time).claim(request(), farOff));
+                ClaimOutcome.Refused.class, new KeyClaimStore(store, "daemon", time).claim(request(), distantDeadline));
         assertInstanceOf(ClaimError.Unreadable.class, refused.error());
-        assertEquals(1, value(store.get(KEY.slotObjectKey(), farOff)).orElseThrow().value().length);
+        assertEquals(1, value(store.get(KEY.slotObjectKey(), distantDeadline)).orElseThrow().value().length);
     }
 }
