--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
@@ -43,7 +43,7 @@
     }
 
     /** How a granted request goes on. */
-    private enum Fate {
+    private enum ClaimantBehavior {
         ANSWERED,
         NOT_RUN,
         UNKNOWN,
@@ -62,7 +62,7 @@
         for (int i = 0; i < REQUESTS_EACH; i++) {
             switch (claims.claim(request(), distantDeadline)) {
                 case ClaimOutcome.Granted(KeyClaim claim) -> {
-                    if (!run(claims, claim, Fate.values()[fates.nextInt(Fate.values().length)], tally)) {
+                    if (!run(claims, claim, ClaimantBehavior.values()[fates.nextInt(ClaimantBehavior.values().length)], tally)) {
                         return;
                     }
                 }
@@ -77,11 +77,11 @@
         }
     }
 
-    private boolean run(KeyClaimStore claims, KeyClaim claim, Fate fate, Tally tally) {
-        if (fate != Fate.NOT_RUN) {
+    private boolean run(KeyClaimStore claims, KeyClaim claim, ClaimantBehavior fate, Tally tally) {
+        if (fate != ClaimantBehavior.NOT_RUN) {
             tally.finalFates.incrementAndGet();
         }
-        if (fate != Fate.NOT_RUN && fate != Fate.DIES_BEFORE_SENDING) {
+        if (fate != ClaimantBehavior.NOT_RUN && fate != ClaimantBehavior.DIES_BEFORE_SENDING) {
             tally.runs.incrementAndGet();
         }
         switch (fate) {
