--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
@@ -47,7 +47,7 @@
         ANSWERED,
         NOT_RUN,
         UNKNOWN,
-        DIES_BEFORE_SENDING,
+        CRASHED_BEFORE_SENDING,
         DIES_AFTER_SENDING
     }
 
@@ -81,7 +81,7 @@
         if (fate != ClaimantBehavior.NOT_RUN) {
             tally.finalFates.incrementAndGet();
         }
-        if (fate != ClaimantBehavior.NOT_RUN && fate != ClaimantBehavior.DIES_BEFORE_SENDING) {
+        if (fate != ClaimantBehavior.NOT_RUN && fate != ClaimantBehavior.CRASHED_BEFORE_SENDING) {
             tally.runs.incrementAndGet();
         }
         switch (fate) {
@@ -91,7 +91,7 @@
             }
             case UNKNOWN -> settle(claims, claim, new Settlement.Keep(new KeyState.Unknown()));
             case NOT_RUN -> settle(claims, claim, new Settlement.Release());
-            case DIES_BEFORE_SENDING, DIES_AFTER_SENDING -> {
+            case CRASHED_BEFORE_SENDING, DIES_AFTER_SENDING -> {
                 return false;
             }
             default -> throw new IllegalStateException(fate.toString());
