--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
@@ -48,7 +48,7 @@
         NOT_RUN,
         UNKNOWN,
         CRASHED_BEFORE_SENDING,
-        DIES_AFTER_SENDING
+        CRASHED_AFTER_SENDING
     }
 
     /** What happened to all requests of one try. */
@@ -91,7 +91,7 @@
             }
             case UNKNOWN -> settle(claims, claim, new Settlement.Keep(new KeyState.Unknown()));
             case NOT_RUN -> settle(claims, claim, new Settlement.Release());
-            case CRASHED_BEFORE_SENDING, DIES_AFTER_SENDING -> {
+            case CRASHED_BEFORE_SENDING, CRASHED_AFTER_SENDING -> {
                 return false;
             }
             default -> throw new IllegalStateException(fate.toString());
