--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
@@ -52,13 +52,13 @@
     }
 
     /** What happened to all requests of one try. */
-    private static final class Tally {
+    private static final class Counts {
         private final AtomicInteger runs = new AtomicInteger();
         private final AtomicInteger answered = new AtomicInteger();
         private final AtomicInteger finalFates = new AtomicInteger();
     }
 
-    private void client(KeyClaimStore claims, Random fates, Tally tally) {
+    private void client(KeyClaimStore claims, Random fates, Counts tally) {
         for (int i = 0; i < REQUESTS_EACH; i++) {
             switch (claims.claim(request(), distantDeadline)) {
                 case ClaimOutcome.Granted(KeyClaim claim) -> {
@@ -77,7 +77,7 @@
         }
     }
 
-    private boolean run(KeyClaimStore claims, KeyClaim claim, ClaimantBehavior fate, Tally tally) {
+    private boolean run(KeyClaimStore claims, KeyClaim claim, ClaimantBehavior fate, Counts tally) {
         if (fate != ClaimantBehavior.NOT_RUN) {
             tally.finalFates.incrementAndGet();
         }
@@ -122,7 +122,7 @@
     void atMostOneRequestRunsAndAnUnusedKeyIsFree(@ForAll long seed) {
         Random random = new Random(seed);
         InterleavedStore interleaved = new InterleavedStore(random, time);
-        Tally tally = new Tally();
+        Counts tally = new Counts();
         List<AssertionError> failures = new ArrayList<>();
         List<Runnable> clients = new ArrayList<>();
         for (int i = 0; i < CLAIMANTS; i++) {
