--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
@@ -55,7 +55,7 @@
     private static final class Counts {
         private final AtomicInteger runs = new AtomicInteger();
         private final AtomicInteger answered = new AtomicInteger();
-        private final AtomicInteger finalFates = new AtomicInteger();
+        private final AtomicInteger unreleasedClaims = new AtomicInteger();
     }
 
     private void client(KeyClaimStore claims, Random fates, Counts tally) {
@@ -79,7 +79,7 @@
 
     private boolean run(KeyClaimStore claims, KeyClaim claim, ClaimantBehavior fate, Counts tally) {
         if (fate != ClaimantBehavior.NOT_RUN) {
-            tally.finalFates.incrementAndGet();
+            tally.unreleasedClaims.incrementAndGet();
         }
         if (fate != ClaimantBehavior.NOT_RUN && fate != ClaimantBehavior.CRASHED_BEFORE_SENDING) {
             tally.runs.incrementAndGet();
@@ -138,10 +138,10 @@
         }
         interleaved.run(clients, () -> time.advance(Duration.ofMinutes(2)));
         assertEquals(List.of(), failures);
-        assertTrue(tally.finalFates.get() <= 1, "requests let run: " + tally.finalFates);
+        assertTrue(tally.unreleasedClaims.get() <= 1, "requests let run: " + tally.unreleasedClaims);
         assertTrue(tally.runs.get() <= 1, "runs: " + tally.runs);
         ClaimOutcome last = new KeyClaimStore(interleaved.store(), "last", time).claim(request(), distantDeadline);
-        if (tally.finalFates.get() == 0) {
+        if (tally.unreleasedClaims.get() == 0) {
             assertInstanceOf(ClaimOutcome.Granted.class, last);
             return;
         }
