--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
@@ -58,7 +58,7 @@
         private final AtomicInteger unreleasedClaims = new AtomicInteger();
     }
 
-    private void client(KeyClaimStore claims, Random fates, Counts tally) {
+    private void runClaimant(KeyClaimStore claims, Random fates, Counts tally) {
         for (int i = 0; i < REQUESTS_EACH; i++) {
             switch (claims.claim(request(), distantDeadline)) {
                 case ClaimOutcome.Granted(KeyClaim claim) -> {
@@ -130,7 +130,7 @@
             Random fates = new Random(random.nextLong());
             clients.add(() -> {
                 try {
-                    client(claims, fates, tally);
+                    runClaimant(claims, fates, tally);
                 } catch (AssertionError e) {
                     failures.add(e);
                 }
