--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
@@ -62,7 +62,7 @@
         for (int i = 0; i < REQUESTS_EACH; i++) {
             switch (claims.claim(request(), distantDeadline)) {
                 case ClaimOutcome.Granted(KeyClaim claim) -> {
-                    if (!run(claims, claim, ClaimantBehavior.values()[fates.nextInt(ClaimantBehavior.values().length)], tally)) {
+                    if (!runRequest(claims, claim, ClaimantBehavior.values()[fates.nextInt(ClaimantBehavior.values().length)], tally)) {
                         return;
                     }
                 }
@@ -77,7 +77,7 @@
         }
     }
 
-    private boolean run(KeyClaimStore claims, KeyClaim claim, ClaimantBehavior fate, Counts tally) {
+    private boolean runRequest(KeyClaimStore claims, KeyClaim claim, ClaimantBehavior fate, Counts tally) {
         if (fate != ClaimantBehavior.NOT_RUN) {
             tally.unreleasedClaims.incrementAndGet();
         }
