--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
@@ -119,7 +119,7 @@
      * nobody ran it; both are what the claims are there to prevent.
      */
     @Property(seed = "4711", tries = 1500)
-    void atMostOneRequestRunsAndAnUnusedKeyIsFree(@ForAll long seed) {
+    void atMostOneRequestRunsAndUnusedKeyIsFree(@ForAll long seed) {
         Random random = new Random(seed);
         InterleavedStore interleaved = new InterleavedStore(random, time);
         Counts tally = new Counts();
