--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
@@ -153,7 +153,7 @@
     }
 
     @Test
-    void aKeyIsFreeAgainAfterTheRetentionAndItsRecordIsGone() {
+    void keyIsFreeAndItsRecordRemovedAfterRetention() {
         MemoryStore store = new MemoryStore(time);
         KeyClaimStore claims = new KeyClaimStore(store, "daemon", time);
         assertInstanceOf(ClaimOutcome.Granted.class, claims.claim(request(), distantDeadline));
