--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
@@ -177,7 +177,7 @@
     }
 
     @Test
-    void keptAnswersMakeRoomForClaimsOldestFirstAndThatTheyRanIsNotForgotten() {
+    void oversizedSlotDropsOldestAnswersButKeepsRanState() {
         KeySlot slot = KeySlot.EMPTY;
         for (int i = 0; i < 3; i++) {
             StoredAnswer answer = new StoredAnswer(200 + i, List.of(), new byte[1_000]);
