--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
@@ -196,7 +196,7 @@
      * told for a day that its key is taken, though nobody ever ran the request.
      */
     @Test
-    void aWriteThatArrivesAfterItsClaimWasReleasedIsRefused() {
+    void claimWriteArrivingAfterReleaseIsRejected() {
         List<StoreCall> heldUp = new ArrayList<>();
         AtomicInteger failing = new AtomicInteger(2);
         MemoryStore store = new MemoryStore(time, new StoreInterceptor() {
