--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
@@ -222,7 +222,7 @@
     }
 
     @Test
-    void anUnreadableSlotIsRefusedAndLeftAlone() {
+    void unreadableSlotRefusesClaimAndIsNotOverwritten() {
         MemoryStore store = new MemoryStore(time);
         byte[] damaged = {'?'};
         store.put(KEY.slotObjectKey(), damaged, new Precondition.None(), distantDeadline);
