--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyDutyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyDutyTest.java
@@ -75,7 +75,7 @@
      * as not run, none waits for a place; and the settlements of those under way are not refused.
      */
     @Test
-    void claimsOverTheBoundAreRefusedAtOnce() {
+    void claimsOverTheLimitAreRefusedImmediately() {
         CountDownLatch hanging = new CountDownLatch(1);
         faults.set(new StoreInterceptor() {
             @Override
