--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyDutyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyDutyTest.java
@@ -109,7 +109,7 @@
      * store is back; a repeat then gets the answer.
      */
     @Test
-    void anOutcomeIsRecordedOnceTheStoreIsBack() {
+    void outcomeIsRecordedAfterTheStoreRecovers() {
         KeyClaim claim = assertInstanceOf(
                         ClaimOutcome.Granted.class, claim("later").join())
                 .claim();
