--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyDutyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyDutyTest.java
@@ -132,7 +132,7 @@
      * run too; the daemon that finds its claim gone says so.
      */
     @Test
-    void aClaimThatVanishedIsABreach() {
+    void lostClaimIsAnInvariantBreach() {
         KeyClaim claim = assertInstanceOf(
                         ClaimOutcome.Granted.class, claim("gone").join())
                 .claim();
