--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyDutyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyDutyTest.java
@@ -145,7 +145,7 @@
 
     /** An exception in the store's client must neither leave the caller waiting nor use up a place for good. */
     @Test
-    void anExceptionInTheStoresClientIsARefusal() {
+    void exceptionInStoreClientRefusesTheClaim() {
         faults.set(new StoreInterceptor() {
             @Override
             public Optional<StoreError> before(StoreCall call) {
