--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyDutyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyDutyTest.java
@@ -60,7 +60,7 @@
         return duty.claim(request, Deadline.afterMillis(TIME, 60_000));
     }
 
-    private static StoreInterceptor refusing(AtomicInteger seen) {
+    private static StoreInterceptor unavailableStore(AtomicInteger seen) {
         return new StoreInterceptor() {
             @Override
             public Optional<StoreError> before(StoreCall call) {
@@ -114,7 +114,7 @@
                         ClaimOutcome.Granted.class, claim("later").join())
                 .claim();
         AtomicInteger refusedCalls = new AtomicInteger();
-        faults.set(refusing(refusedCalls));
+        faults.set(unavailableStore(refusedCalls));
         KeyState answered = new KeyState.Answered(new StoredAnswer(200, List.of(), new byte[] {7}));
         duty.settle(claim, new Settlement.Keep(answered));
         LocalFleet.await("the record is tried again", () -> refusedCalls.get() >= 2);
