--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyDutyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyDutyTest.java
@@ -33,13 +33,13 @@
     private static final TimeSource TIME = TimeSource.SYSTEM;
     private static final Digest FINGERPRINT = Digest.of(new byte[0]);
 
-    private final AtomicReference<StoreInterceptor> faults = new AtomicReference<>(StoreInterceptor.NONE);
+    private final AtomicReference<StoreInterceptor> interceptor = new AtomicReference<>(StoreInterceptor.NONE);
     private final MetricRegistry metrics = new MetricRegistry();
     private final Invariants invariants = new Invariants(metrics);
     private final MemoryStore store = new MemoryStore(TIME, new StoreInterceptor() {
         @Override
         public Optional<StoreError> before(StoreCall call) {
-            return faults.get().before(call);
+            return interceptor.get().before(call);
         }
     });
     private final KeyDuty duty = new KeyDuty(store, "daemon", invariants, metrics, TIME);
@@ -51,7 +51,7 @@
 
     @AfterEach
     void close() {
-        faults.set(StoreInterceptor.NONE);
+        interceptor.set(StoreInterceptor.NONE);
         duty.close();
     }
 
@@ -77,7 +77,7 @@
     @Test
     void claimsOverTheLimitAreRefusedImmediately() {
         CountDownLatch hanging = new CountDownLatch(1);
-        faults.set(new StoreInterceptor() {
+        interceptor.set(new StoreInterceptor() {
             @Override
             public Optional<StoreError> before(StoreCall call) {
                 try {
@@ -114,11 +114,11 @@
                         ClaimOutcome.Granted.class, claim("later").join())
                 .claim();
         AtomicInteger refusedCalls = new AtomicInteger();
-        faults.set(unavailableStore(refusedCalls));
+        interceptor.set(unavailableStore(refusedCalls));
         KeyState answered = new KeyState.Answered(new StoredAnswer(200, List.of(), new byte[] {7}));
         duty.settle(claim, new Settlement.Keep(answered));
         LocalFleet.await("the record is tried again", () -> refusedCalls.get() >= 2);
-        faults.set(StoreInterceptor.NONE);
+        interceptor.set(StoreInterceptor.NONE);
         LocalFleet.await("every claim is settled", () -> duty.outstanding() == 0);
         ClaimOutcome.Taken taken =
                 assertInstanceOf(ClaimOutcome.Taken.class, claim("later").join());
@@ -146,7 +146,7 @@
     /** An exception in the store's client must neither leave the caller waiting nor use up a place for good. */
     @Test
     void exceptionInStoreClientRefusesTheClaim() {
-        faults.set(new StoreInterceptor() {
+        interceptor.set(new StoreInterceptor() {
             @Override
             public Optional<StoreError> before(StoreCall call) {
                 throw new IllegalStateException("closed");
