--- a/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
@@ -33,7 +33,7 @@
         table.mergeAll(List.of(record)).forEach(detector::recordChanged);
     }
 
-    private void membersUp(String... instances) {
+    private void addUpMembers(String... instances) {
         for (String i : instances) {
             merge(Records.record(i, Member.State.UP, 1, 1));
         }
@@ -54,7 +54,7 @@
 
     @Test
     void unreachableMemberIsSuspectedFirstAndGoneAfterTheTimeout() {
-        membersUp("a", "b", "c");
+        addUpMembers("a", "b", "c");
         unreachable("a");
         assertEquals(Member.State.SUSPECT, state("a"));
         pass(SUSPICION_MILLIS - 1);
@@ -67,7 +67,7 @@
 
     @Test
     void refutedSuspicionGivesNobodyUp() {
-        membersUp("a", "b", "c");
+        addUpMembers("a", "b", "c");
         unreachable("a");
         merge(Records.record("a", Member.State.UP, 2, 1));
         pass(SUSPICION_MILLIS * 2);
@@ -78,7 +78,7 @@
     // still come in here. Given up, they would be no candidates any more and each request would be refused.
     @Test
     void daemonThatReachesNobodyGivesNobodyUp() {
-        membersUp("self", "a", "b", "c");
+        addUpMembers("self", "a", "b", "c");
         List.of("a", "b", "c").forEach(this::unreachable);
         pass(SUSPICION_MILLIS * 10);
         List.of("a", "b", "c").forEach(i -> assertEquals(Member.State.SUSPECT, state(i)));
@@ -88,7 +88,7 @@
     // end all the same, or the table would keep every VM that was ever replaced.
     @Test
     void memberThatLeftIsGoneAfterTheTimeout() {
-        membersUp("a", "b", "c");
+        addUpMembers("a", "b", "c");
         merge(Records.record("a", Member.State.LEAVING, 1, 1));
         unreachable("a");
         assertEquals(Member.State.LEAVING, state("a"));
