--- a/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
@@ -39,7 +39,7 @@
         }
     }
 
-    private void unreachable(String instance) {
+    private void failProbe(String instance) {
         detector.probeFailed(table.view().find(instance).orElseThrow()).ifPresent(this::merge);
     }
 
@@ -55,7 +55,7 @@
     @Test
     void unreachableMemberIsSuspectedFirstAndGoneAfterTheTimeout() {
         addUpMembers("a", "b", "c");
-        unreachable("a");
+        failProbe("a");
         assertEquals(Member.State.SUSPECT, state("a"));
         pass(SUSPICION_MILLIS - 1);
         assertEquals(Member.State.SUSPECT, state("a"));
@@ -68,7 +68,7 @@
     @Test
     void refutedSuspicionGivesNobodyUp() {
         addUpMembers("a", "b", "c");
-        unreachable("a");
+        failProbe("a");
         merge(Records.record("a", Member.State.UP, 2, 1));
         pass(SUSPICION_MILLIS * 2);
         assertEquals(Member.State.UP, state("a"));
@@ -79,7 +79,7 @@
     @Test
     void daemonThatReachesNobodyGivesNobodyUp() {
         addUpMembers("self", "a", "b", "c");
-        List.of("a", "b", "c").forEach(this::unreachable);
+        List.of("a", "b", "c").forEach(this::failProbe);
         pass(SUSPICION_MILLIS * 10);
         List.of("a", "b", "c").forEach(i -> assertEquals(Member.State.SUSPECT, state(i)));
     }
@@ -90,7 +90,7 @@
     void memberThatLeftIsGoneAfterTheTimeout() {
         addUpMembers("a", "b", "c");
         merge(Records.record("a", Member.State.LEAVING, 1, 1));
-        unreachable("a");
+        failProbe("a");
         assertEquals(Member.State.LEAVING, state("a"));
         pass(SUSPICION_MILLIS);
         assertEquals(Member.State.GONE, state("a"));
