--- a/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
@@ -47,7 +47,7 @@
         return table.view().find(instance).orElseThrow().state();
     }
 
-    private void pass(long millis) {
+    private void advanceAndExpire(long millis) {
         time.advance(Duration.ofMillis(millis));
         detector.removeExpiredSuspicions(table.view()).forEach(this::merge);
     }
@@ -57,11 +57,11 @@
         addUpMembers("a", "b", "c");
         failProbe("a");
         assertEquals(Member.State.SUSPECT, state("a"));
-        pass(SUSPICION_MILLIS - 1);
+        advanceAndExpire(SUSPICION_MILLIS - 1);
         assertEquals(Member.State.SUSPECT, state("a"));
-        pass(1);
+        advanceAndExpire(1);
         assertEquals(Member.State.GONE, state("a"));
-        pass(TOMBSTONE_MILLIS);
+        advanceAndExpire(TOMBSTONE_MILLIS);
         assertEquals(List.of("a"), detector.removeExpiredTombstones());
     }
 
@@ -70,7 +70,7 @@
         addUpMembers("a", "b", "c");
         failProbe("a");
         merge(Records.record("a", Member.State.UP, 2, 1));
-        pass(SUSPICION_MILLIS * 2);
+        advanceAndExpire(SUSPICION_MILLIS * 2);
         assertEquals(Member.State.UP, state("a"));
     }
 
@@ -80,7 +80,7 @@
     void daemonThatReachesNobodyGivesNobodyUp() {
         addUpMembers("self", "a", "b", "c");
         List.of("a", "b", "c").forEach(this::failProbe);
-        pass(SUSPICION_MILLIS * 10);
+        advanceAndExpire(SUSPICION_MILLIS * 10);
         List.of("a", "b", "c").forEach(i -> assertEquals(Member.State.SUSPECT, state(i)));
     }
 
@@ -92,7 +92,7 @@
         merge(Records.record("a", Member.State.LEAVING, 1, 1));
         failProbe("a");
         assertEquals(Member.State.LEAVING, state("a"));
-        pass(SUSPICION_MILLIS);
+        advanceAndExpire(SUSPICION_MILLIS);
         assertEquals(Member.State.GONE, state("a"));
     }
 
