--- a/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
@@ -43,7 +43,7 @@
         detector.probeFailed(table.view().find(instance).orElseThrow()).ifPresent(this::merge);
     }
 
-    private Member.State state(String instance) {
+    private Member.State stateOf(String instance) {
         return table.view().find(instance).orElseThrow().state();
     }
 
@@ -56,11 +56,11 @@
     void unreachableMemberIsSuspectedFirstAndGoneAfterTheTimeout() {
         addUpMembers("a", "b", "c");
         failProbe("a");
-        assertEquals(Member.State.SUSPECT, state("a"));
+        assertEquals(Member.State.SUSPECT, stateOf("a"));
         advanceAndExpire(SUSPICION_MILLIS - 1);
-        assertEquals(Member.State.SUSPECT, state("a"));
+        assertEquals(Member.State.SUSPECT, stateOf("a"));
         advanceAndExpire(1);
-        assertEquals(Member.State.GONE, state("a"));
+        assertEquals(Member.State.GONE, stateOf("a"));
         advanceAndExpire(TOMBSTONE_MILLIS);
         assertEquals(List.of("a"), detector.removeExpiredTombstones());
     }
@@ -71,7 +71,7 @@
         failProbe("a");
         merge(Records.record("a", Member.State.UP, 2, 1));
         advanceAndExpire(SUSPICION_MILLIS * 2);
-        assertEquals(Member.State.UP, state("a"));
+        assertEquals(Member.State.UP, stateOf("a"));
     }
 
     // A switch fails between this daemon and all others: every probe fails, while the others are well and callers
@@ -81,7 +81,7 @@
         addUpMembers("self", "a", "b", "c");
         List.of("a", "b", "c").forEach(this::failProbe);
         advanceAndExpire(SUSPICION_MILLIS * 10);
-        List.of("a", "b", "c").forEach(i -> assertEquals(Member.State.SUSPECT, state(i)));
+        List.of("a", "b", "c").forEach(i -> assertEquals(Member.State.SUSPECT, stateOf(i)));
     }
 
     // A daemon announces its leave, finishes and stops. Nobody suspects it, as it takes no work; its record must
@@ -91,9 +91,9 @@
         addUpMembers("a", "b", "c");
         merge(Records.record("a", Member.State.LEAVING, 1, 1));
         failProbe("a");
-        assertEquals(Member.State.LEAVING, state("a"));
+        assertEquals(Member.State.LEAVING, stateOf("a"));
         advanceAndExpire(SUSPICION_MILLIS);
-        assertEquals(Member.State.GONE, state("a"));
+        assertEquals(Member.State.GONE, stateOf("a"));
     }
 
     @Property(seed = "5")
