--- a/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void unreachableMemberIsSuspectedFirstAndGoneAfterTheTimeout() {
+    void unreachableMemberIsSuspectedThenGoneAfterTheTimeout() {
         addUpMembers("a", "b", "c");
         failProbe("a");
         assertEquals(Member.State.SUSPECT, stateOf("a"));
