--- a/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void refutedSuspicionGivesNobodyUp() {
+    void refutedSuspicionDoesNotMarkTheMemberGone() {
         addUpMembers("a", "b", "c");
         failProbe("a");
         merge(Records.record("a", Member.State.UP, 2, 1));
