--- a/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
@@ -77,7 +77,7 @@
     // A switch fails between this daemon and all others: every probe fails, while the others are well and callers
     // still come in here. Given up, they would be no candidates any more and each request would be refused.
     @Test
-    void daemonThatReachesNobodyGivesNobodyUp() {
+    void isolatedDaemonMarksNoMemberGone() {
         addUpMembers("self", "a", "b", "c");
         List.of("a", "b", "c").forEach(this::failProbe);
         advanceAndExpire(SUSPICION_MILLIS * 10);
