--- a/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
@@ -87,7 +87,7 @@
     // A daemon announces its leave, finishes and stops. Nobody suspects it, as it takes no work; its record must
     // end all the same, or the table would keep every VM that was ever replaced.
     @Test
-    void memberThatLeftIsGoneAfterTheTimeout() {
+    void unreachableLeavingMemberIsGoneAfterTheTimeout() {
         addUpMembers("a", "b", "c");
         merge(Records.record("a", Member.State.LEAVING, 1, 1));
         failProbe("a");
