--- a/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
@@ -97,7 +97,7 @@
     }
 
     @Property(seed = "5")
-    void refutationGoesBeforeTheClaimAndNeedsNoSecondOne(
+    void refutationSupersedesTheReportAndIsNotRepeated(
             @ForAll("records") Member self, @ForAll("records") Member claim) {
         Optional<Member> refuted = refuted(self, claim);
         if (refuted.isEmpty()) {
