--- a/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
@@ -109,7 +109,7 @@
     }
 
     @Property(seed = "5")
-    void claimThatIsNotRefutedSaysNothingWorseOfTheMember(
+    void unrefutedReportDoesNotMarkTheMemberFailed(
             @ForAll("records") Member self, @ForAll("records") Member claim) {
         if (refuted(self, claim).isPresent() || claim.incarnation() < self.incarnation()) {
             return;
