--- a/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
@@ -99,7 +99,7 @@
     @Property(seed = "5")
     void refutationSupersedesTheReportAndIsNotRepeated(
             @ForAll("records") Member self, @ForAll("records") Member claim) {
-        Optional<Member> refuted = refuted(self, claim);
+        Optional<Member> refuted = refutation(self, claim);
         if (refuted.isEmpty()) {
             return;
         }
@@ -111,7 +111,7 @@
     @Property(seed = "5")
     void unrefutedReportDoesNotMarkTheMemberFailed(
             @ForAll("records") Member self, @ForAll("records") Member claim) {
-        if (refuted(self, claim).isPresent() || claim.incarnation() < self.incarnation()) {
+        if (refutation(self, claim).isPresent() || claim.incarnation() < self.incarnation()) {
             return;
         }
         boolean worse = claim.state().compareTo(self.state()) > 0
@@ -119,7 +119,7 @@
         assertTrue(!worse, () -> claim + " stands against " + self);
     }
 
-    private static Optional<Member> refuted(Member self, Member claim) {
+    private static Optional<Member> refutation(Member self, Member claim) {
         OptionalLong incarnation = FailureDetector.refutingIncarnation(self, claim);
         return incarnation.isEmpty()
                 ? Optional.empty()
