--- a/org.berylwick.test/tst/org/berylwick/internal/membership/MembershipMergeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/MembershipMergeTest.java
@@ -41,7 +41,7 @@
     }
 
     @Property(seed = "5")
-    void joinIsCommutativeAssociativeAndIdempotent(
+    void mergeIsCommutativeAssociativeAndIdempotent(
             @ForAll("records") Member x, @ForAll("records") Member y, @ForAll("records") Member z) {
         Member a = sameInstance(x);
         Member b = sameInstance(y);
