--- a/org.berylwick.test/tst/org/berylwick/internal/membership/MembershipMergeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/MembershipMergeTest.java
@@ -74,7 +74,7 @@
     // Seen with records ordered by state and then version: a suspicion that crossed a version report took the
     // report back on daemons that heard of the suspicion last, and the two sides never agreed again.
     @Test
-    void suspicionAndVersionReportThatCrossBothCount() {
+    void concurrentSuspicionAndVersionReportAreBothKept() {
         Member suspected = Records.record("a", Member.State.SUSPECT, 1, 3);
         Member reported = Records.record("a", Member.State.UP, 1, 4);
         MembershipTable table = new MembershipTable();
