--- a/org.berylwick.test/tst/org/berylwick/internal/membership/MembershipMergeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/MembershipMergeTest.java
@@ -88,7 +88,7 @@
     // A backend server that announced its leave must get no new work, however late an older word comes in: the
     // record of its being up was sent before, crosses the announcement, and arrives after it.
     @Test
-    void leavingMemberComesBackOnlyWithANewIncarnation() {
+    void leavingMemberReturnsOnlyWithAHigherIncarnation() {
         MembershipTable table = new MembershipTable();
         table.merge(Records.record("a", Member.State.LEAVING, 7, 3));
         table.merge(Records.record("a", Member.State.UP, 7, 4));
