--- a/org.berylwick.test/tst/org/berylwick/internal/membership/MembershipMergeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/MembershipMergeTest.java
@@ -102,7 +102,7 @@
     // Daemons drop the tombstone of a member at different times. One that still has it must not hand it back to
     // those that dropped it, or it would go round for good.
     @Test
-    void tombstoneOfAnUnknownMemberIsNotTakenIn() {
+    void tombstoneOfAnUnknownMemberIsIgnored() {
         MembershipTable table = new MembershipTable();
         table.merge(Records.record("a", Member.State.GONE, 1, 0));
         assertEquals(List.of(), List.copyOf(table.view().all()));
