--- a/org.berylwick.test/tst/org/berylwick/internal/membership/MembershipMergeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/MembershipMergeTest.java
@@ -26,7 +26,7 @@
         return Records.lists();
     }
 
-    private static Member sameInstance(Member m) {
+    private static Member withInstanceA(Member m) {
         return new Member(
                 "a",
                 m.service(),
@@ -43,9 +43,9 @@
     @Property(seed = "5")
     void mergeIsCommutativeAssociativeAndIdempotent(
             @ForAll("records") Member x, @ForAll("records") Member y, @ForAll("records") Member z) {
-        Member a = sameInstance(x);
-        Member b = sameInstance(y);
-        Member c = sameInstance(z);
+        Member a = withInstanceA(x);
+        Member b = withInstanceA(y);
+        Member c = withInstanceA(z);
         assertEquals(MemberMerge.merge(a, b), MemberMerge.merge(b, a));
         assertEquals(MemberMerge.merge(MemberMerge.merge(a, b), c), MemberMerge.merge(a, MemberMerge.merge(b, c)));
         assertEquals(a, MemberMerge.merge(a, a));
