--- a/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
@@ -26,7 +26,7 @@
 
     @Provide
     Arbitrary<Member> records() {
-        return Records.any();
+        return MemberRecords.any();
     }
 
     private void merge(Member record) {
@@ -35,7 +35,7 @@
 
     private void addUpMembers(String... instances) {
         for (String i : instances) {
-            merge(Records.record(i, Member.State.UP, 1, 1));
+            merge(MemberRecords.record(i, Member.State.UP, 1, 1));
         }
     }
 
@@ -69,7 +69,7 @@
     void refutedSuspicionDoesNotMarkTheMemberGone() {
         addUpMembers("a", "b", "c");
         failProbe("a");
-        merge(Records.record("a", Member.State.UP, 2, 1));
+        merge(MemberRecords.record("a", Member.State.UP, 2, 1));
         advanceAndExpire(SUSPICION_MILLIS * 2);
         assertEquals(Member.State.UP, stateOf("a"));
     }
@@ -89,7 +89,7 @@
     @Test
     void unreachableLeavingMemberIsGoneAfterTheTimeout() {
         addUpMembers("a", "b", "c");
-        merge(Records.record("a", Member.State.LEAVING, 1, 1));
+        merge(MemberRecords.record("a", Member.State.LEAVING, 1, 1));
         failProbe("a");
         assertEquals(Member.State.LEAVING, stateOf("a"));
         advanceAndExpire(SUSPICION_MILLIS);
--- a/org.berylwick.test/tst/org/berylwick/internal/membership/Records.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/MemberRecords.java
@@ -10,8 +10,8 @@
 import org.berylwick.lib.Place;
 
 /** Records of members for tests. */
-final class Records {
-    private Records() {}
+final class MemberRecords {
+    private MemberRecords() {}
 
     static Member record(String instance, Member.State state, long incarnation, long version) {
         return new Member(
--- a/org.berylwick.test/tst/org/berylwick/internal/membership/MembershipMergeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/MembershipMergeTest.java
@@ -18,12 +18,12 @@
 class MembershipMergeTest {
     @Provide
     Arbitrary<Member> records() {
-        return Records.any();
+        return MemberRecords.any();
     }
 
     @Provide
     Arbitrary<List<Member>> lists() {
-        return Records.lists();
+        return MemberRecords.lists();
     }
 
     private static Member withInstanceA(Member m) {
@@ -55,9 +55,9 @@
     void tablesConvergeWhateverTheOrderOfRecords(
             @ForAll("lists") List<Member> records, @ForAll Random random) {
         List<Member> first = List.of(
-                Records.record("a", Member.State.STARTING, 1, 0),
-                Records.record("b", Member.State.STARTING, 1, 0),
-                Records.record("c", Member.State.STARTING, 1, 0));
+                MemberRecords.record("a", Member.State.STARTING, 1, 0),
+                MemberRecords.record("b", Member.State.STARTING, 1, 0),
+                MemberRecords.record("c", Member.State.STARTING, 1, 0));
         List<Member> shuffled = new ArrayList<>(records);
         shuffled.addAll(records);
         Collections.shuffle(shuffled, random);
@@ -75,8 +75,8 @@
     // report back on daemons that heard of the suspicion last, and the two sides never agreed again.
     @Test
     void concurrentSuspicionAndVersionReportAreBothKept() {
-        Member suspected = Records.record("a", Member.State.SUSPECT, 1, 3);
-        Member reported = Records.record("a", Member.State.UP, 1, 4);
+        Member suspected = MemberRecords.record("a", Member.State.SUSPECT, 1, 3);
+        Member reported = MemberRecords.record("a", Member.State.UP, 1, 4);
         MembershipTable table = new MembershipTable();
         table.merge(reported);
         table.merge(suspected);
@@ -90,12 +90,12 @@
     @Test
     void leavingMemberReturnsOnlyWithAHigherIncarnation() {
         MembershipTable table = new MembershipTable();
-        table.merge(Records.record("a", Member.State.LEAVING, 7, 3));
-        table.merge(Records.record("a", Member.State.UP, 7, 4));
+        table.merge(MemberRecords.record("a", Member.State.LEAVING, 7, 3));
+        table.merge(MemberRecords.record("a", Member.State.UP, 7, 4));
         assertEquals(Member.State.LEAVING, table.view().find("a").orElseThrow().state());
-        table.merge(Records.record("a", Member.State.SUSPECT, 7, 4));
+        table.merge(MemberRecords.record("a", Member.State.SUSPECT, 7, 4));
         assertEquals(Member.State.LEAVING, table.view().find("a").orElseThrow().state());
-        table.merge(Records.record("a", Member.State.UP, 8, 0));
+        table.merge(MemberRecords.record("a", Member.State.UP, 8, 0));
         assertEquals(Member.State.UP, table.view().find("a").orElseThrow().state());
     }
 
@@ -104,7 +104,7 @@
     @Test
     void tombstoneOfAnUnknownMemberIsIgnored() {
         MembershipTable table = new MembershipTable();
-        table.merge(Records.record("a", Member.State.GONE, 1, 0));
+        table.merge(MemberRecords.record("a", Member.State.GONE, 1, 0));
         assertEquals(List.of(), List.copyOf(table.view().all()));
     }
 }
