--- a/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
@@ -26,7 +26,7 @@
 
     @Provide
     Arbitrary<Member> records() {
-        return MemberRecords.any();
+        return MemberRecords.anyRecord();
     }
 
     private void merge(Member record) {
--- a/org.berylwick.test/tst/org/berylwick/internal/membership/MemberRecords.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/MemberRecords.java
@@ -28,7 +28,7 @@
     }
 
     /** Any record of one of three instances, few enough values that equal and crossed ones are common. */
-    static Arbitrary<Member> any() {
+    static Arbitrary<Member> anyRecord() {
         return Combinators.combine(
                         Arbitraries.of("a", "b", "c"),
                         Arbitraries.of(Member.State.class),
@@ -52,6 +52,6 @@
     }
 
     static Arbitrary<List<Member>> lists() {
-        return any().list().ofMaxSize(12);
+        return anyRecord().list().ofMaxSize(12);
     }
 }
--- a/org.berylwick.test/tst/org/berylwick/internal/membership/MembershipMergeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/MembershipMergeTest.java
@@ -18,7 +18,7 @@
 class MembershipMergeTest {
     @Provide
     Arbitrary<Member> records() {
-        return MemberRecords.any();
+        return MemberRecords.anyRecord();
     }
 
     @Provide
