--- a/org.berylwick.test/tst/org/berylwick/internal/membership/MemberRecords.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/MemberRecords.java
@@ -51,7 +51,7 @@
                 });
     }
 
-    static Arbitrary<List<Member>> lists() {
+    static Arbitrary<List<Member>> recordLists() {
         return anyRecord().list().ofMaxSize(12);
     }
 }
--- a/org.berylwick.test/tst/org/berylwick/internal/membership/MembershipMergeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/MembershipMergeTest.java
@@ -23,7 +23,7 @@
 
     @Provide
     Arbitrary<List<Member>> lists() {
-        return MemberRecords.lists();
+        return MemberRecords.recordLists();
     }
 
     private static Member withInstanceA(Member m) {
