--- a/org.berylwick/src/org/berylwick/internal/membership/FailureDetector.java
+++ b/org.berylwick/src/org/berylwick/internal/membership/FailureDetector.java
@@ -78,8 +78,8 @@
     }
 
     private void startSuspicion(Member member) {
-        Timeout known = suspicions.get(member.instance());
-        if (known == null || known.incarnation() < member.incarnation()) {
+        Timeout existing = suspicions.get(member.instance());
+        if (existing == null || existing.incarnation() < member.incarnation()) {
             suspicions.put(
                     member.instance(), new Timeout(member.incarnation(), Deadline.afterMillis(time, suspicionMillis)));
         }
@@ -92,21 +92,21 @@
      * give up everybody and have nobody left to send requests to. The suspected are still used when no other is left.
      */
     public List<Member> removeExpiredSuspicions(MembershipView view) {
-        long alive =
+        long notGone =
                 view.all().stream().filter(m -> m.state() != Member.State.GONE).count();
-        if (suspicions.size() * 2L > alive) {
+        if (suspicions.size() * 2L > notGone) {
             return List.of();
         }
         List<Member> gone = new ArrayList<>();
-        Iterator<Map.Entry<String, Timeout>> i = suspicions.entrySet().iterator();
-        while (i.hasNext()) {
-            Map.Entry<String, Timeout> e = i.next();
-            if (!e.getValue().deadline().isPast(time)) {
+        Iterator<Map.Entry<String, Timeout>> iterator = suspicions.entrySet().iterator();
+        while (iterator.hasNext()) {
+            Map.Entry<String, Timeout> entry = iterator.next();
+            if (!entry.getValue().deadline().isPast(time)) {
                 continue;
             }
-            i.remove();
-            view.find(e.getKey())
-                    .filter(m -> m.incarnation() == e.getValue().incarnation())
+            iterator.remove();
+            view.find(entry.getKey())
+                    .filter(m -> m.incarnation() == entry.getValue().incarnation())
                     .ifPresent(m -> gone.add(m.withState(Member.State.GONE)));
         }
         return gone;
@@ -114,15 +114,15 @@
 
     /** The members whose tombstones may be dropped now. */
     public List<String> removeExpiredTombstones() {
-        List<String> names = new ArrayList<>();
-        tombstones.entrySet().removeIf(e -> {
-            boolean past = e.getValue().deadline().isPast(time);
-            if (past) {
-                names.add(e.getKey());
+        List<String> instances = new ArrayList<>();
+        tombstones.entrySet().removeIf(entry -> {
+            boolean expired = entry.getValue().deadline().isPast(time);
+            if (expired) {
+                instances.add(entry.getKey());
             }
-            return past;
+            return expired;
         });
-        return names;
+        return instances;
     }
 
     /**
@@ -130,11 +130,11 @@
      *
      * @return the incarnation to go on with; empty if nothing need be refuted
      */
-    public static OptionalLong refutingIncarnation(Member self, Member claim) {
-        boolean ahead = claim.incarnation() > self.incarnation();
-        boolean accused = claim.incarnation() == self.incarnation()
-                && (claim.state() == Member.State.SUSPECT || claim.state() == Member.State.GONE)
-                && claim.state().compareTo(self.state()) > 0;
-        return ahead || accused ? OptionalLong.of(claim.incarnation() + 1) : OptionalLong.empty();
+    public static OptionalLong refutingIncarnation(Member self, Member reported) {
+        boolean hasHigherIncarnation = reported.incarnation() > self.incarnation();
+        boolean isReportedFailed = reported.incarnation() == self.incarnation()
+                && (reported.state() == Member.State.SUSPECT || reported.state() == Member.State.GONE)
+                && reported.state().compareTo(self.state()) > 0;
+        return hasHigherIncarnation || isReportedFailed ? OptionalLong.of(reported.incarnation() + 1) : OptionalLong.empty();
     }
 }
