--- a/org.berylwick/src/org/berylwick/internal/membership/MemberHash.java
+++ b/org.berylwick/src/org/berylwick/internal/membership/MemberHash.java
@@ -28,8 +28,8 @@
     /** The first 64 bits of the SHA-256 of {@code text}. */
     public static long ofText(String text) {
         try {
-            byte[] hash = MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8));
-            return ByteBuffer.wrap(hash).getLong();
+            byte[] digest = MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8));
+            return ByteBuffer.wrap(digest).getLong();
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException("every Java platform has SHA-256", e);
         }
