--- a/org.berylwick/src/org/berylwick/internal/membership/MembershipTable.java
+++ b/org.berylwick/src/org/berylwick/internal/membership/MembershipTable.java
@@ -68,15 +68,15 @@
     public synchronized List<Member> mergeAll(Collection<Member> records) {
         List<Member> changed = new ArrayList<>();
         for (Member record : records) {
-            Member known = members.get(record.instance());
+            Member existing = members.get(record.instance());
             // A tombstone that others have dropped already would otherwise travel round for good.
-            if (known == null && record.state() == Member.State.GONE) {
+            if (existing == null && record.state() == Member.State.GONE) {
                 continue;
             }
-            Member joined = known == null ? record : MemberMerge.merge(known, record);
-            if (!joined.equals(known)) {
-                replace(known, joined);
-                changed.add(joined);
+            Member merged = existing == null ? record : MemberMerge.merge(existing, record);
+            if (!merged.equals(existing)) {
+                replace(existing, merged);
+                changed.add(merged);
             }
         }
         if (!changed.isEmpty()) {
@@ -87,19 +87,19 @@
 
     /** Drops an instance. */
     public synchronized void remove(String instance) {
-        Member known = members.remove(instance);
-        if (known != null) {
-            toggleInHashes(known);
+        Member existing = members.remove(instance);
+        if (existing != null) {
+            toggleInHashes(existing);
             view = new MembershipView(members.values());
         }
     }
 
-    private void replace(Member known, Member now) {
-        if (known != null) {
-            toggleInHashes(known);
+    private void replace(Member existing, Member replacement) {
+        if (existing != null) {
+            toggleInHashes(existing);
         }
-        toggleInHashes(now);
-        members.put(now.instance(), now);
+        toggleInHashes(replacement);
+        members.put(replacement.instance(), replacement);
     }
 
     /** Counts a record in, or, the second time, out: exclusive or is its own inverse. */
