--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
@@ -48,15 +48,15 @@
     /** Tries to claim a key: two calls of the store if nobody holds it, one if somebody does. */
     public ClaimOutcome claim(KeyRequest request, Deadline deadline) {
         String claimId = UUID.randomUUID().toString();
-        boolean inDoubt = false;
-        ClaimError last = new ClaimError.Undecided("the deadline passed before the claim");
-        for (int round = 0; round < MAX_ATTEMPTS && !deadline.isPast(time); round++) {
+        boolean writeInDoubt = false;
+        ClaimError lastError = new ClaimError.Undecided("the deadline passed before the claim");
+        for (int attempt = 0; attempt < MAX_ATTEMPTS && !deadline.isPast(time); attempt++) {
             Result<VersionedSlot, ClaimError> read = read(request.key(), deadline);
-            if (!(read instanceof Result.Ok<VersionedSlot, ClaimError>(VersionedSlot image))) {
-                return refused(request, claimId, inDoubt, ((Result.Err<VersionedSlot, ClaimError>) read).error());
+            if (!(read instanceof Result.Ok<VersionedSlot, ClaimError>(VersionedSlot current))) {
+                return refused(request, claimId, writeInDoubt, ((Result.Err<VersionedSlot, ClaimError>) read).error());
             }
-            long now = time.epochMillis();
-            Optional<KeyRecord> existing = image.slot().find(request.key(), now);
+            long nowMillis = time.epochMillis();
+            Optional<KeyRecord> existing = current.slot().find(request.key(), nowMillis);
             if (existing.isPresent()) {
                 // A claim whose answer was lost has taken effect: without knowing its own record again, the
                 // claimant would tell its caller that another request holds the key, and the request never runs.
@@ -69,23 +69,23 @@
                     request.fingerprint().hex(),
                     claimId,
                     claimant,
-                    now,
+                    nowMillis,
                     new KeyState.Claimed(request.deadlineEpochMillis()));
-            KeySlot claimed = image.slot().withRecord(record, now);
-            switch (write(request.key(), image.version(), claimed, deadline)) {
-                case Result.Ok<Optional<VersionedSlot>, StoreError>(Optional<VersionedSlot> written) -> {
-                    return granted(request, claimId, written);
+            KeySlot updated = current.slot().withRecord(record, nowMillis);
+            switch (write(request.key(), current.version(), updated, deadline)) {
+                case Result.Ok<Optional<VersionedSlot>, StoreError>(Optional<VersionedSlot> slotAfterWrite) -> {
+                    return granted(request, claimId, slotAfterWrite);
                 }
                 case Result.Err<Optional<VersionedSlot>, StoreError>(StoreError error) -> {
-                    last = ClaimError.of(error);
+                    lastError = ClaimError.of(error);
                     if (!mayHaveTakenEffect(error)) {
-                        return refused(request, claimId, inDoubt, last);
+                        return refused(request, claimId, writeInDoubt, lastError);
                     }
-                    inDoubt = true;
+                    writeInDoubt = true;
                 }
             }
         }
-        return refused(request, claimId, inDoubt, last);
+        return refused(request, claimId, writeInDoubt, lastError);
     }
 
     /** A client below may have repeated the write, so "precondition failed" can be the echo of our own success. */
@@ -93,63 +93,63 @@
         return error instanceof StoreError.OutcomeUnknown || error instanceof StoreError.PreconditionFailed;
     }
 
-    private static ClaimOutcome granted(KeyRequest request, String claimId, Optional<VersionedSlot> written) {
-        return new ClaimOutcome.Granted(new KeyClaim(request.key(), claimId, written, false));
+    private static ClaimOutcome granted(KeyRequest request, String claimId, Optional<VersionedSlot> slotAfterWrite) {
+        return new ClaimOutcome.Granted(new KeyClaim(request.key(), claimId, slotAfterWrite, false));
     }
 
-    private static ClaimOutcome refused(KeyRequest request, String claimId, boolean inDoubt, ClaimError error) {
+    private static ClaimOutcome refused(KeyRequest request, String claimId, boolean writeInDoubt, ClaimError error) {
         Optional<KeyClaim> toRelease =
-                inDoubt ? Optional.of(new KeyClaim(request.key(), claimId, Optional.empty(), true)) : Optional.empty();
+                writeInDoubt ? Optional.of(new KeyClaim(request.key(), claimId, Optional.empty(), true)) : Optional.empty();
         return new ClaimOutcome.Refused(error, toRelease);
     }
 
     /** Ends a claim: one call of the store if its slot has not changed since the claim, two if it has. */
     public SettleOutcome settle(KeyClaim claim, Settlement settlement, Deadline deadline) {
-        Optional<VersionedSlot> known = claim.slotAfterClaim();
-        ClaimError last = new ClaimError.Undecided("the deadline passed before the claim was settled");
-        for (int round = 0; round < MAX_ATTEMPTS && !deadline.isPast(time); round++) {
+        Optional<VersionedSlot> cached = claim.slotAfterClaim();
+        ClaimError lastError = new ClaimError.Undecided("the deadline passed before the claim was settled");
+        for (int attempt = 0; attempt < MAX_ATTEMPTS && !deadline.isPast(time); attempt++) {
             Result<VersionedSlot, ClaimError> read =
-                    known.<Result<VersionedSlot, ClaimError>>map(Result::ok).orElseGet(() -> read(claim.key(), deadline));
-            known = Optional.empty();
-            if (!(read instanceof Result.Ok<VersionedSlot, ClaimError>(VersionedSlot image))) {
+                    cached.<Result<VersionedSlot, ClaimError>>map(Result::ok).orElseGet(() -> read(claim.key(), deadline));
+            cached = Optional.empty();
+            if (!(read instanceof Result.Ok<VersionedSlot, ClaimError>(VersionedSlot current))) {
                 return new SettleOutcome.RetryNeeded(((Result.Err<VersionedSlot, ClaimError>) read).error());
             }
-            Optional<KeyRecord> own = image.slot().findClaim(claim.claimId());
-            Optional<SettleOutcome> done = outcomeIfAlreadySettled(claim, settlement, own);
-            if (done.isPresent()) {
-                return done.get();
+            Optional<KeyRecord> ownRecord = current.slot().findClaim(claim.claimId());
+            Optional<SettleOutcome> outcome = outcomeIfAlreadySettled(claim, settlement, ownRecord);
+            if (outcome.isPresent()) {
+                return outcome.get();
             }
-            KeySlot settled = switch (settlement) {
-                case Settlement.Release() -> image.slot().withoutClaim(claim.claimId());
-                case Settlement.Keep(KeyState run) -> image.slot().withState(claim.claimId(), run);
+            KeySlot updated = switch (settlement) {
+                case Settlement.Release() -> current.slot().withoutClaim(claim.claimId());
+                case Settlement.Keep(KeyState run) -> current.slot().withState(claim.claimId(), run);
             };
-            switch (write(claim.key(), image.version(), settled, deadline)) {
+            switch (write(claim.key(), current.version(), updated, deadline)) {
                 case Result.Ok<Optional<VersionedSlot>, StoreError> ignored -> {
                     return new SettleOutcome.Settled();
                 }
                 case Result.Err<Optional<VersionedSlot>, StoreError>(StoreError error) -> {
-                    last = ClaimError.of(error);
+                    lastError = ClaimError.of(error);
                     if (!mayHaveTakenEffect(error)) {
-                        return new SettleOutcome.RetryNeeded(last);
+                        return new SettleOutcome.RetryNeeded(lastError);
                     }
                 }
             }
         }
-        return new SettleOutcome.RetryNeeded(last);
+        return new SettleOutcome.RetryNeeded(lastError);
     }
 
-    private static Optional<SettleOutcome> outcomeIfAlreadySettled(KeyClaim claim, Settlement settlement, Optional<KeyRecord> own) {
+    private static Optional<SettleOutcome> outcomeIfAlreadySettled(KeyClaim claim, Settlement settlement, Optional<KeyRecord> ownRecord) {
         return switch (settlement) {
             // A write of a claim in doubt may be on its way still. It would land after the release and take the key
             // for a request that never ran; so the slot is written once more, and the late write fails its
             // precondition.
             case Settlement.Release() ->
-                own.isEmpty() && !claim.writeInDoubt() ? Optional.of(new SettleOutcome.Settled()) : Optional.empty();
+                ownRecord.isEmpty() && !claim.writeInDoubt() ? Optional.of(new SettleOutcome.Settled()) : Optional.empty();
             case Settlement.Keep ignored -> {
-                if (own.isEmpty()) {
+                if (ownRecord.isEmpty()) {
                     yield Optional.of(new SettleOutcome.ClaimLost());
                 }
-                yield own.get().run() instanceof KeyState.Claimed
+                yield ownRecord.get().run() instanceof KeyState.Claimed
                         ? Optional.empty()
                         : Optional.of(new SettleOutcome.Settled());
             }
@@ -180,9 +180,9 @@
         }
         Precondition precondition =
                 version == 0 ? new Precondition.MustBeAbsent() : new Precondition.MustHaveVersion(version);
-        boolean small = bytes.get().length <= MAX_CACHED_SLOT_BYTES;
+        boolean cacheable = bytes.get().length <= MAX_CACHED_SLOT_BYTES;
         return store.put(key.slotObjectKey(), bytes.get(), precondition, callDeadline(deadline))
-                .map(v -> small ? Optional.of(new VersionedSlot(v, slot)) : Optional.empty());
+                .map(newVersion -> cacheable ? Optional.of(new VersionedSlot(newVersion, slot)) : Optional.empty());
     }
 
     private Deadline callDeadline(Deadline deadline) {
