--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
@@ -100,8 +100,8 @@
             refuse(request, outcome, new ClaimError.TooManyClaims());
             return outcome;
         }
-        Deadline bounded = deadline.earlier(Deadline.afterMillis(time, CLAIM_TIMEOUT_MILLIS));
-        KeyJob job = new KeyJob.Claim(request, bounded, claimTime.time(), outcome);
+        Deadline claimDeadline = deadline.earlier(Deadline.afterMillis(time, CLAIM_TIMEOUT_MILLIS));
+        KeyJob job = new KeyJob.Claim(request, claimDeadline, claimTime.time(), outcome);
         if (workerFor(request.key()).offer(job) == Ring.Offer.FULL) {
             refuse(request, outcome, new ClaimError.TooManyClaims());
         }
@@ -110,8 +110,8 @@
 
     /** Ends a granted claim, now or as soon as the store takes it; to be called exactly once for each. */
     public void settle(KeyClaim claim, Settlement settlement) {
-        Deadline giveUp = Deadline.afterMillis(time, SETTLE_RETRY_PERIOD_MILLIS);
-        KeyJob.Settle job = new KeyJob.Settle(claim, settlement, giveUp);
+        Deadline retryDeadline = Deadline.afterMillis(time, SETTLE_RETRY_PERIOD_MILLIS);
+        KeyJob.Settle job = new KeyJob.Settle(claim, settlement, retryDeadline);
         if (workerFor(claim.key()).offer(job) == Ring.Offer.FULL) {
             abandonSettlement(job, new ClaimError.TooManyClaims());
         }
@@ -131,7 +131,7 @@
     /** Tells the outcome of a claim and gives the job that remains, if one does. */
     Optional<KeyJob.Settle> completeClaim(KeyJob.Claim job, ClaimOutcome outcome) {
         job.timerContext().stop();
-        Optional<KeyJob.Settle> remaining = Optional.empty();
+        Optional<KeyJob.Settle> releaseJob = Optional.empty();
         switch (outcome) {
             case ClaimOutcome.Granted ignored -> granted.inc();
             case ClaimOutcome.Taken ignored -> {
@@ -141,23 +141,23 @@
             case ClaimOutcome.Refused(ClaimError error, Optional<KeyClaim> toRelease) -> {
                 refused.inc();
                 EVENTS.log(CallEvent.KEY_NOT_CLAIMED, job.request().key().hash().abbreviated(), error);
-                Deadline giveUp = Deadline.afterMillis(time, SETTLE_RETRY_PERIOD_MILLIS);
-                remaining = toRelease.map(c -> new KeyJob.Settle(c, new Settlement.Release(), giveUp));
-                if (remaining.isEmpty()) {
+                Deadline retryDeadline = Deadline.afterMillis(time, SETTLE_RETRY_PERIOD_MILLIS);
+                releaseJob = toRelease.map(claimToRelease -> new KeyJob.Settle(claimToRelease, new Settlement.Release(), retryDeadline));
+                if (releaseJob.isEmpty()) {
                     outstanding.decrementAndGet();
                 }
             }
         }
         job.outcome().complete(outcome);
-        return remaining;
+        return releaseJob;
     }
 
     /** Notes what became of an attempt to settle; true if it is over. */
     boolean handleSettleOutcome(KeyJob.Settle job, SettleOutcome outcome) {
-        boolean kept = job.settlement() instanceof Settlement.Keep;
+        boolean isKeep = job.settlement() instanceof Settlement.Keep;
         switch (outcome) {
             case SettleOutcome.Settled() -> {
-                if (kept) {
+                if (isKeep) {
                     invariants.check(Invariant.AT_MOST_ONCE, true, () -> "");
                 }
                 settled.inc();
