--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyId.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyId.java
@@ -21,8 +21,8 @@
 
     /** Names {@code key} in the scope of a brand and a route; none of the three holds a line feed. */
     public static KeyId of(String brand, String route, String key) {
-        String scoped = brand + '\n' + route + '\n' + key;
-        return new KeyId(Digest.of(scoped.getBytes(StandardCharsets.UTF_8)));
+        String scopedKey = brand + '\n' + route + '\n' + key;
+        return new KeyId(Digest.of(scopedKey.getBytes(StandardCharsets.UTF_8)));
     }
 
     /** The object that holds this key's record, if there is one. */
