--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyRecord.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyRecord.java
@@ -13,7 +13,7 @@
 public record KeyRecord(
         String key, String fingerprint, String claimId, String claimant, long claimedAtMillis, KeyState run) {
     /** The same claim with another state. */
-    public KeyRecord withState(KeyState newRun) {
-        return new KeyRecord(key, fingerprint, claimId, claimant, claimedAtMillis, newRun);
+    public KeyRecord withState(KeyState newState) {
+        return new KeyRecord(key, fingerprint, claimId, claimant, claimedAtMillis, newState);
     }
 }
