--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeySlot.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeySlot.java
@@ -31,21 +31,21 @@
     /** The record of a key, unless it has expired. */
     public Optional<KeyRecord> find(KeyId key, long nowMillis) {
         return records.stream()
-                .filter(r -> r.key().equals(key.hash().hex()) && !isExpired(r, nowMillis))
+                .filter(record -> record.key().equals(key.hash().hex()) && !isExpired(record, nowMillis))
                 .findFirst();
     }
 
     /** The record that one claim wrote, expired or not. */
     public Optional<KeyRecord> findClaim(String claimId) {
-        return records.stream().filter(r -> r.claimId().equals(claimId)).findFirst();
+        return records.stream().filter(record -> record.claimId().equals(claimId)).findFirst();
     }
 
     /** This slot with one record more and without the expired ones. */
     public KeySlot withRecord(KeyRecord added, long nowMillis) {
         List<KeyRecord> kept = new ArrayList<>();
-        for (KeyRecord r : records) {
-            if (!isExpired(r, nowMillis)) {
-                kept.add(r);
+        for (KeyRecord record : records) {
+            if (!isExpired(record, nowMillis)) {
+                kept.add(record);
             }
         }
         kept.add(added);
@@ -55,18 +55,18 @@
     /** This slot without one claim's record. */
     public KeySlot withoutClaim(String claimId) {
         return new KeySlot(
-                records.stream().filter(r -> !r.claimId().equals(claimId)).toList());
+                records.stream().filter(record -> !record.claimId().equals(claimId)).toList());
     }
 
     /** This slot with another state in one claim's record. */
-    public KeySlot withState(String claimId, KeyState run) {
+    public KeySlot withState(String claimId, KeyState newState) {
         return new KeySlot(records.stream()
-                .map(r -> r.claimId().equals(claimId) ? r.withState(run) : r)
+                .map(record -> record.claimId().equals(claimId) ? record.withState(newState) : record)
                 .toList());
     }
 
-    private static boolean isExpired(KeyRecord r, long nowMillis) {
-        return nowMillis - r.claimedAtMillis() > RETENTION_MILLIS;
+    private static boolean isExpired(KeyRecord record, long nowMillis) {
+        return nowMillis - record.claimedAtMillis() > RETENTION_MILLIS;
     }
 
     /**
@@ -79,7 +79,7 @@
         byte[] bytes = ConfigurationCodec.encode(slot);
         while (bytes.length > maxBytes) {
             Optional<KeyRecord> oldest = slot.records.stream()
-                    .filter(r -> r.run() instanceof KeyState.Answered)
+                    .filter(record -> record.run() instanceof KeyState.Answered)
                     .min(Comparator.comparingLong(KeyRecord::claimedAtMillis));
             if (oldest.isEmpty()) {
                 return Optional.empty();
