--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
@@ -24,8 +24,8 @@
 
     private record PendingRetry(KeyJob.Settle job, Deadline notBefore) {}
 
-    KeyWorker(String name, KeyDuty owner, KeyClaimStore claims, TimeSource time) {
-        this.keyDuty = owner;
+    KeyWorker(String name, KeyDuty keyDuty, KeyClaimStore claims, TimeSource time) {
+        this.keyDuty = keyDuty;
         this.claims = claims;
         this.time = time;
         this.duty = new Duty(name, this::runRound);
@@ -39,24 +39,24 @@
     /** One job and one retry a round: with the store out, neither keeps the other waiting for more than one call. */
     private void runRound() {
         ring.poll(pollWaitNanos()).ifPresent(this::execute);
-        PendingRetry first = retries.peek();
-        if (first != null && first.notBefore().isPast(time)) {
+        PendingRetry nextRetry = retries.peek();
+        if (nextRetry != null && nextRetry.notBefore().isPast(time)) {
             retries.remove();
-            settleOrScheduleRetry(first.job());
+            settleOrScheduleRetry(nextRetry.job());
         }
     }
 
     private long pollWaitNanos() {
-        PendingRetry first = retries.peek();
-        return first == null
+        PendingRetry nextRetry = retries.peek();
+        return nextRetry == null
                 ? MAX_POLL_WAIT_NANOS
-                : Math.min(MAX_POLL_WAIT_NANOS, first.notBefore().remainingNanos(time));
+                : Math.min(MAX_POLL_WAIT_NANOS, nextRetry.notBefore().remainingNanos(time));
     }
 
     private void execute(KeyJob job) {
         switch (job) {
-            case KeyJob.Claim claim -> keyDuty.completeClaim(claim, tryClaim(claim)).ifPresent(this::settleOrScheduleRetry);
-            case KeyJob.Settle settle -> settleOrScheduleRetry(settle);
+            case KeyJob.Claim claimJob -> keyDuty.completeClaim(claimJob, tryClaim(claimJob)).ifPresent(this::settleOrScheduleRetry);
+            case KeyJob.Settle settleJob -> settleOrScheduleRetry(settleJob);
         }
     }
 
