--- a/org.berylwick/src/org/berylwick/internal/idempotency/RequestFingerprint.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/RequestFingerprint.java
@@ -22,9 +22,9 @@
      */
     public static Digest of(String method, String path, String authorization, long contentLength, byte[] body) {
         String head = method + SEPARATOR + path + SEPARATOR + authorization + SEPARATOR + contentLength + SEPARATOR;
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
-        all.writeBytes(head.getBytes(StandardCharsets.UTF_8));
-        all.writeBytes(body);
-        return Digest.of(all.toByteArray());
+        ByteArrayOutputStream input = new ByteArrayOutputStream();
+        input.writeBytes(head.getBytes(StandardCharsets.UTF_8));
+        input.writeBytes(body);
+        return Digest.of(input.toByteArray());
     }
 }
