--- a/org.berylwick/src/org/berylwick/internal/idempotency/StoredAnswer.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/StoredAnswer.java
@@ -22,10 +22,10 @@
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof StoredAnswer a
-                && status == a.status
-                && headers.equals(a.headers)
-                && Arrays.equals(body, a.body);
+        return other instanceof StoredAnswer answer
+                && status == answer.status
+                && headers.equals(answer.headers)
+                && Arrays.equals(body, answer.body);
     }
 
     @Override
