--- a/org.berylwick/src/org/berylwick/internal/membership/ZoneDirectory.java
+++ b/org.berylwick/src/org/berylwick/internal/membership/ZoneDirectory.java
@@ -22,10 +22,10 @@
     /** The live members of one zone. */
     public static ZoneDirectory of(MembershipView view, Place place) {
         Set<String> sorted = new TreeSet<>();
-        for (Member m : view.all()) {
-            boolean live = m.state() == Member.State.STARTING || m.state() == Member.State.UP;
-            if (live && m.place().equals(place)) {
-                sorted.add(m.address().toString());
+        for (Member member : view.all()) {
+            boolean live = member.state() == Member.State.STARTING || member.state() == Member.State.UP;
+            if (live && member.place().equals(place)) {
+                sorted.add(member.address().toString());
             }
         }
         return new ZoneDirectory(sorted.stream().map(HostPort::fromString).toList());
