--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/InterleavedStore.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/InterleavedStore.java
@@ -44,11 +44,11 @@
     }
 
     /** Runs the clients to their ends; {@code between} runs now and then between two calls. */
-    void run(List<Runnable> clients, Runnable between) {
+    void run(List<Runnable> clients, Runnable betweenCalls) {
         lock.lock();
         try {
             activeClients = clients.size();
-            clients.forEach(c -> Thread.ofVirtual().start(() -> runClient(c)));
+            clients.forEach(client -> Thread.ofVirtual().start(() -> runClient(client)));
             while (activeClients > 0) {
                 while (scheduledClient != null || waitingClients.size() < activeClients) {
                     turnChanged.awaitUninterruptibly();
@@ -57,7 +57,7 @@
                     break;
                 }
                 if (random.nextInt(FAULT_ONE_IN) == 0) {
-                    between.run();
+                    betweenCalls.run();
                     applyOneDelayedWrite();
                 }
                 scheduledClient = waitingClients.remove(random.nextInt(waitingClients.size()));
@@ -109,9 +109,9 @@
 
     private void applyOneDelayedWrite() {
         if (!delayedWrites.isEmpty()) {
-            StoreCall late = delayedWrites.remove(random.nextInt(delayedWrites.size()));
-            StoreCall.Write write = late.write().orElseThrow();
-            store.put(new ObjectKey(late.path()), write.value(), write.precondition(), Deadline.afterMillis(time, 1));
+            StoreCall delayedCall = delayedWrites.remove(random.nextInt(delayedWrites.size()));
+            StoreCall.Write write = delayedCall.write().orElseThrow();
+            store.put(new ObjectKey(delayedCall.path()), write.value(), write.precondition(), Deadline.afterMillis(time, 1));
         }
     }
 
