--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
@@ -58,11 +58,11 @@
         private final AtomicInteger unreleasedClaims = new AtomicInteger();
     }
 
-    private void runClaimant(KeyClaimStore claims, Random fates, Counts tally) {
+    private void runClaimant(KeyClaimStore claims, Random behaviors, Counts counts) {
         for (int i = 0; i < REQUESTS_EACH; i++) {
             switch (claims.claim(request(), distantDeadline)) {
                 case ClaimOutcome.Granted(KeyClaim claim) -> {
-                    if (!runRequest(claims, claim, ClaimantBehavior.values()[fates.nextInt(ClaimantBehavior.values().length)], tally)) {
+                    if (!runRequest(claims, claim, ClaimantBehavior.values()[behaviors.nextInt(ClaimantBehavior.values().length)], counts)) {
                         return;
                     }
                 }
@@ -71,30 +71,30 @@
                         assertEquals(ANSWER, answer);
                     }
                 }
-                case ClaimOutcome.Refused(var ignored, Optional<KeyClaim> toRelease) ->
-                    toRelease.ifPresent(c -> settle(claims, c, new Settlement.Release()));
+                case ClaimOutcome.Refused(var ignored, Optional<KeyClaim> claimToRelease) ->
+                    claimToRelease.ifPresent(claimToSettle -> settle(claims, claimToSettle, new Settlement.Release()));
             }
         }
     }
 
-    private boolean runRequest(KeyClaimStore claims, KeyClaim claim, ClaimantBehavior fate, Counts tally) {
-        if (fate != ClaimantBehavior.NOT_RUN) {
-            tally.unreleasedClaims.incrementAndGet();
+    private boolean runRequest(KeyClaimStore claims, KeyClaim claim, ClaimantBehavior behavior, Counts counts) {
+        if (behavior != ClaimantBehavior.NOT_RUN) {
+            counts.unreleasedClaims.incrementAndGet();
         }
-        if (fate != ClaimantBehavior.NOT_RUN && fate != ClaimantBehavior.CRASHED_BEFORE_SENDING) {
-            tally.runs.incrementAndGet();
+        if (behavior != ClaimantBehavior.NOT_RUN && behavior != ClaimantBehavior.CRASHED_BEFORE_SENDING) {
+            counts.runs.incrementAndGet();
         }
-        switch (fate) {
+        switch (behavior) {
             case ANSWERED -> {
                 settle(claims, claim, new Settlement.Keep(new KeyState.Answered(ANSWER)));
-                tally.answered.incrementAndGet();
+                counts.answered.incrementAndGet();
             }
             case UNKNOWN -> settle(claims, claim, new Settlement.Keep(new KeyState.Unknown()));
             case NOT_RUN -> settle(claims, claim, new Settlement.Release());
             case CRASHED_BEFORE_SENDING, CRASHED_AFTER_SENDING -> {
                 return false;
             }
-            default -> throw new IllegalStateException(fate.toString());
+            default -> throw new IllegalStateException(behavior.toString());
         }
         return true;
     }
@@ -122,33 +122,33 @@
     void atMostOneRequestRunsAndUnusedKeyIsFree(@ForAll long seed) {
         Random random = new Random(seed);
         InterleavedStore interleaved = new InterleavedStore(random, time);
-        Counts tally = new Counts();
+        Counts counts = new Counts();
         List<AssertionError> failures = new ArrayList<>();
-        List<Runnable> clients = new ArrayList<>();
+        List<Runnable> claimants = new ArrayList<>();
         for (int i = 0; i < CLAIMANTS; i++) {
             KeyClaimStore claims = new KeyClaimStore(interleaved.store(), "daemon-" + i, time);
-            Random fates = new Random(random.nextLong());
-            clients.add(() -> {
+            Random behaviors = new Random(random.nextLong());
+            claimants.add(() -> {
                 try {
-                    runClaimant(claims, fates, tally);
+                    runClaimant(claims, behaviors, counts);
                 } catch (AssertionError e) {
                     failures.add(e);
                 }
             });
         }
-        interleaved.run(clients, () -> time.advance(Duration.ofMinutes(2)));
+        interleaved.run(claimants, () -> time.advance(Duration.ofMinutes(2)));
         assertEquals(List.of(), failures);
-        assertTrue(tally.unreleasedClaims.get() <= 1, "requests let run: " + tally.unreleasedClaims);
-        assertTrue(tally.runs.get() <= 1, "runs: " + tally.runs);
-        ClaimOutcome last = new KeyClaimStore(interleaved.store(), "last", time).claim(request(), distantDeadline);
-        if (tally.unreleasedClaims.get() == 0) {
-            assertInstanceOf(ClaimOutcome.Granted.class, last);
+        assertTrue(counts.unreleasedClaims.get() <= 1, "requests let run: " + counts.unreleasedClaims);
+        assertTrue(counts.runs.get() <= 1, "runs: " + counts.runs);
+        ClaimOutcome finalOutcome = new KeyClaimStore(interleaved.store(), "last", time).claim(request(), distantDeadline);
+        if (counts.unreleasedClaims.get() == 0) {
+            assertInstanceOf(ClaimOutcome.Granted.class, finalOutcome);
             return;
         }
-        KeyState run =
-                assertInstanceOf(ClaimOutcome.Taken.class, last).existing().run();
-        if (tally.answered.get() == 1) {
-            assertEquals(new KeyState.Answered(ANSWER), run);
+        KeyState state =
+                assertInstanceOf(ClaimOutcome.Taken.class, finalOutcome).existing().run();
+        if (counts.answered.get() == 1) {
+            assertEquals(new KeyState.Answered(ANSWER), state);
         }
     }
 
@@ -184,9 +184,9 @@
             KeyRecord record = new KeyRecord("k" + i, "f", "c" + i, "d", i, new KeyState.Answered(answer));
             slot = slot.withRecord(record, i);
         }
-        KeySlot trimmed = value(KeySlot.decode(slot.encode(3_400).orElseThrow()));
-        assertEquals(new KeyState.Ran(200), trimmed.records().get(0).run());
-        assertEquals(slot.records().subList(1, 3), trimmed.records().subList(1, 3));
+        KeySlot reencoded = value(KeySlot.decode(slot.encode(3_400).orElseThrow()));
+        assertEquals(new KeyState.Ran(200), reencoded.records().get(0).run());
+        assertEquals(slot.records().subList(1, 3), reencoded.records().subList(1, 3));
         assertEquals(Optional.empty(), slot.encode(100));
     }
 
@@ -197,16 +197,16 @@
      */
     @Test
     void claimWriteArrivingAfterReleaseIsRejected() {
-        List<StoreCall> heldUp = new ArrayList<>();
-        AtomicInteger failing = new AtomicInteger(2);
+        List<StoreCall> delayedWrites = new ArrayList<>();
+        AtomicInteger remainingFailures = new AtomicInteger(2);
         MemoryStore store = new MemoryStore(time, new StoreInterceptor() {
             @Override
             public Optional<StoreError> before(StoreCall call) {
-                if (failing.get() == 0 || (failing.get() == 2 && !call.isWrite())) {
+                if (remainingFailures.get() == 0 || (remainingFailures.get() == 2 && !call.isWrite())) {
                     return Optional.empty();
                 }
-                if (failing.getAndDecrement() == 2) {
-                    heldUp.add(call);
+                if (remainingFailures.getAndDecrement() == 2) {
+                    delayedWrites.add(call);
                     return Optional.of(new StoreError.OutcomeUnknown("held up"));
                 }
                 return Optional.of(new StoreError.Unavailable("out"));
@@ -214,10 +214,10 @@
         });
         KeyClaimStore claims = new KeyClaimStore(store, "daemon", time);
         ClaimOutcome.Refused refused = assertInstanceOf(ClaimOutcome.Refused.class, claims.claim(request(), distantDeadline));
-        KeyClaim toRelease = refused.claimToRelease().orElseThrow();
-        assertEquals(new SettleOutcome.Settled(), claims.settle(toRelease, new Settlement.Release(), distantDeadline));
-        StoreCall.Write late = heldUp.getFirst().write().orElseThrow();
-        assertInstanceOf(Result.Err.class, store.put(KEY.slotObjectKey(), late.value(), late.precondition(), distantDeadline));
+        KeyClaim claimToRelease = refused.claimToRelease().orElseThrow();
+        assertEquals(new SettleOutcome.Settled(), claims.settle(claimToRelease, new Settlement.Release(), distantDeadline));
+        StoreCall.Write delayedWrite = delayedWrites.getFirst().write().orElseThrow();
+        assertInstanceOf(Result.Err.class, store.put(KEY.slotObjectKey(), delayedWrite.value(), delayedWrite.precondition(), distantDeadline));
         assertInstanceOf(ClaimOutcome.Granted.class, claims.claim(request(), distantDeadline));
     }
 
