--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyDutyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyDutyTest.java
@@ -60,11 +60,11 @@
         return duty.claim(request, Deadline.afterMillis(TIME, 60_000));
     }
 
-    private static StoreInterceptor unavailableStore(AtomicInteger seen) {
+    private static StoreInterceptor unavailableStore(AtomicInteger callCount) {
         return new StoreInterceptor() {
             @Override
             public Optional<StoreError> before(StoreCall call) {
-                seen.incrementAndGet();
+                callCount.incrementAndGet();
                 return Optional.of(new StoreError.Unavailable("out"));
             }
         };
@@ -76,12 +76,12 @@
      */
     @Test
     void claimsOverTheLimitAreRefusedImmediately() {
-        CountDownLatch hanging = new CountDownLatch(1);
+        CountDownLatch storeBlocked = new CountDownLatch(1);
         interceptor.set(new StoreInterceptor() {
             @Override
             public Optional<StoreError> before(StoreCall call) {
                 try {
-                    hanging.await();
+                    storeBlocked.await();
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
@@ -92,9 +92,9 @@
         for (int i = 0; i < KeyDuty.MAX_OUTSTANDING; i++) {
             admitted.add(claim("key-" + i));
         }
-        ClaimOutcome over = claim("one-more").getNow(null);
-        assertEquals(new ClaimOutcome.Refused(new ClaimError.TooManyClaims(), Optional.empty()), over);
-        hanging.countDown();
+        ClaimOutcome excessOutcome = claim("one-more").getNow(null);
+        assertEquals(new ClaimOutcome.Refused(new ClaimError.TooManyClaims(), Optional.empty()), excessOutcome);
+        storeBlocked.countDown();
         for (CompletableFuture<ClaimOutcome> outcome : admitted) {
             if (outcome.join() instanceof ClaimOutcome.Granted(KeyClaim claim)) {
                 duty.settle(claim, new Settlement.Keep(new KeyState.Unknown()));
