--- a/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
@@ -34,8 +34,8 @@
     }
 
     private void addUpMembers(String... instances) {
-        for (String i : instances) {
-            merge(MemberRecords.record(i, Member.State.UP, 1, 1));
+        for (String instance : instances) {
+            merge(MemberRecords.record(instance, Member.State.UP, 1, 1));
         }
     }
 
@@ -81,7 +81,7 @@
         addUpMembers("self", "a", "b", "c");
         List.of("a", "b", "c").forEach(this::failProbe);
         advanceAndExpire(SUSPICION_MILLIS * 10);
-        List.of("a", "b", "c").forEach(i -> assertEquals(Member.State.SUSPECT, stateOf(i)));
+        List.of("a", "b", "c").forEach(instance -> assertEquals(Member.State.SUSPECT, stateOf(instance)));
     }
 
     // A daemon announces its leave, finishes and stops. Nobody suspects it, as it takes no work; its record must
@@ -98,33 +98,33 @@
 
     @Property(seed = "5")
     void refutationSupersedesTheReportAndIsNotRepeated(
-            @ForAll("records") Member self, @ForAll("records") Member claim) {
-        Optional<Member> refuted = refutation(self, claim);
-        if (refuted.isEmpty()) {
+            @ForAll("records") Member self, @ForAll("records") Member reported) {
+        Optional<Member> refutation = refutation(self, reported);
+        if (refutation.isEmpty()) {
             return;
         }
-        Member joined = MemberMerge.merge(refuted.get(), claim);
-        assertEquals(refuted.get(), joined);
-        assertEquals(OptionalLong.empty(), FailureDetector.refutingIncarnation(refuted.get(), claim));
+        Member merged = MemberMerge.merge(refutation.get(), reported);
+        assertEquals(refutation.get(), merged);
+        assertEquals(OptionalLong.empty(), FailureDetector.refutingIncarnation(refutation.get(), reported));
     }
 
     @Property(seed = "5")
     void unrefutedReportDoesNotMarkTheMemberFailed(
-            @ForAll("records") Member self, @ForAll("records") Member claim) {
-        if (refutation(self, claim).isPresent() || claim.incarnation() < self.incarnation()) {
+            @ForAll("records") Member self, @ForAll("records") Member reported) {
+        if (refutation(self, reported).isPresent() || reported.incarnation() < self.incarnation()) {
             return;
         }
-        boolean worse = claim.state().compareTo(self.state()) > 0
-                && (claim.state() == Member.State.SUSPECT || claim.state() == Member.State.GONE);
-        assertTrue(!worse, () -> claim + " stands against " + self);
+        boolean reportedFailed = reported.state().compareTo(self.state()) > 0
+                && (reported.state() == Member.State.SUSPECT || reported.state() == Member.State.GONE);
+        assertTrue(!reportedFailed, () -> reported + " stands against " + self);
     }
 
-    private static Optional<Member> refutation(Member self, Member claim) {
-        OptionalLong incarnation = FailureDetector.refutingIncarnation(self, claim);
+    private static Optional<Member> refutation(Member self, Member reported) {
+        OptionalLong incarnation = FailureDetector.refutingIncarnation(self, reported);
         return incarnation.isEmpty()
                 ? Optional.empty()
                 : Optional.of(new Member(
-                        claim.instance(),
+                        reported.instance(),
                         self.service(),
                         self.address(),
                         self.place(),
