--- a/org.berylwick.test/tst/org/berylwick/internal/membership/MembershipMergeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/MembershipMergeTest.java
@@ -54,21 +54,21 @@
     @Property(seed = "5")
     void tablesConvergeWhateverTheOrderOfRecords(
             @ForAll("lists") List<Member> records, @ForAll Random random) {
-        List<Member> first = List.of(
+        List<Member> initial = List.of(
                 MemberRecords.record("a", Member.State.STARTING, 1, 0),
                 MemberRecords.record("b", Member.State.STARTING, 1, 0),
                 MemberRecords.record("c", Member.State.STARTING, 1, 0));
         List<Member> shuffled = new ArrayList<>(records);
         shuffled.addAll(records);
         Collections.shuffle(shuffled, random);
-        MembershipTable one = new MembershipTable();
-        MembershipTable other = new MembershipTable();
-        one.mergeAll(first);
-        other.mergeAll(first);
-        one.mergeAll(records);
-        shuffled.forEach(other::merge);
-        assertEquals(new HashSet<>(one.view().all()), new HashSet<>(other.view().all()));
-        assertEquals(one.hashes(), other.hashes());
+        MembershipTable firstTable = new MembershipTable();
+        MembershipTable secondTable = new MembershipTable();
+        firstTable.mergeAll(initial);
+        secondTable.mergeAll(initial);
+        firstTable.mergeAll(records);
+        shuffled.forEach(secondTable::merge);
+        assertEquals(new HashSet<>(firstTable.view().all()), new HashSet<>(secondTable.view().all()));
+        assertEquals(firstTable.hashes(), secondTable.hashes());
     }
 
     // Seen with records ordered by state and then version: a suspicion that crossed a version report took the
@@ -80,9 +80,9 @@
         MembershipTable table = new MembershipTable();
         table.merge(reported);
         table.merge(suspected);
-        Member joined = table.view().find("a").orElseThrow();
-        assertEquals(Member.State.SUSPECT, joined.state());
-        assertEquals(4, joined.version());
+        Member merged = table.view().find("a").orElseThrow();
+        assertEquals(Member.State.SUSPECT, merged.state());
+        assertEquals(4, merged.version());
     }
 
     // A backend server that announced its leave must get no new work, however late an older word comes in: the
