--- a/org.berylwick.test/tst/org/berylwick/internal/membership/MemberRecords.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/MemberRecords.java
@@ -35,19 +35,19 @@
                         Arbitraries.longs().between(1, 3),
                         Arbitraries.longs().between(0, 3),
                         Arbitraries.integers().between(1, 2))
-                .as((i, s, n, v, slots) -> {
-                    Member m = record(i, s, n, v);
+                .as((instance, state, incarnation, version, slots) -> {
+                    Member template = record(instance, state, incarnation, version);
                     return new Member(
-                            i,
-                            m.service(),
-                            m.address(),
-                            m.place(),
-                            m.labels(),
-                            s,
-                            n,
+                            instance,
+                            template.service(),
+                            template.address(),
+                            template.place(),
+                            template.labels(),
+                            state,
+                            incarnation,
                             slots,
-                            v,
-                            m.installedAtEpochMillis());
+                            version,
+                            template.installedAtEpochMillis());
                 });
     }
 
