--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/InterleavedStore.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/InterleavedStore.java
@@ -111,7 +111,11 @@
         if (!delayedWrites.isEmpty()) {
             StoreCall delayedCall = delayedWrites.remove(random.nextInt(delayedWrites.size()));
             StoreCall.Write write = delayedCall.write().orElseThrow();
-            store.put(new ObjectKey(delayedCall.path()), write.value(), write.precondition(), Deadline.afterMillis(time, 1));
+            store.put(
+                    new ObjectKey(delayedCall.path()),
+                    write.value(),
+                    write.precondition(),
+                    Deadline.afterMillis(time, 1));
         }
     }
 
--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
@@ -62,7 +62,11 @@
         for (int i = 0; i < REQUESTS_EACH; i++) {
             switch (claims.claim(request(), distantDeadline)) {
                 case ClaimOutcome.Granted(KeyClaim claim) -> {
-                    if (!runRequest(claims, claim, ClaimantBehavior.values()[behaviors.nextInt(ClaimantBehavior.values().length)], counts)) {
+                    if (!runRequest(
+                            claims,
+                            claim,
+                            ClaimantBehavior.values()[behaviors.nextInt(ClaimantBehavior.values().length)],
+                            counts)) {
                         return;
                     }
                 }
@@ -140,13 +144,15 @@
         assertEquals(List.of(), failures);
         assertTrue(counts.unreleasedClaims.get() <= 1, "requests let run: " + counts.unreleasedClaims);
         assertTrue(counts.runs.get() <= 1, "runs: " + counts.runs);
-        ClaimOutcome finalOutcome = new KeyClaimStore(interleaved.store(), "last", time).claim(request(), distantDeadline);
+        ClaimOutcome finalOutcome =
+                new KeyClaimStore(interleaved.store(), "last", time).claim(request(), distantDeadline);
         if (counts.unreleasedClaims.get() == 0) {
             assertInstanceOf(ClaimOutcome.Granted.class, finalOutcome);
             return;
         }
-        KeyState state =
-                assertInstanceOf(ClaimOutcome.Taken.class, finalOutcome).existing().run();
+        KeyState state = assertInstanceOf(ClaimOutcome.Taken.class, finalOutcome)
+                .existing()
+                .run();
         if (counts.answered.get() == 1) {
             assertEquals(new KeyState.Answered(ANSWER), state);
         }
@@ -165,8 +171,9 @@
     }
 
     private KeySlot slot(MemoryStore store) {
-        return value(KeySlot.decode(
-                value(store.get(KEY.slotObjectKey(), distantDeadline)).orElseThrow().value()));
+        return value(KeySlot.decode(value(store.get(KEY.slotObjectKey(), distantDeadline))
+                .orElseThrow()
+                .value()));
     }
 
     private static <T, E> T value(Result<T, E> result) {
@@ -213,11 +220,15 @@
             }
         });
         KeyClaimStore claims = new KeyClaimStore(store, "daemon", time);
-        ClaimOutcome.Refused refused = assertInstanceOf(ClaimOutcome.Refused.class, claims.claim(request(), distantDeadline));
+        ClaimOutcome.Refused refused =
+                assertInstanceOf(ClaimOutcome.Refused.class, claims.claim(request(), distantDeadline));
         KeyClaim claimToRelease = refused.claimToRelease().orElseThrow();
-        assertEquals(new SettleOutcome.Settled(), claims.settle(claimToRelease, new Settlement.Release(), distantDeadline));
+        assertEquals(
+                new SettleOutcome.Settled(), claims.settle(claimToRelease, new Settlement.Release(), distantDeadline));
         StoreCall.Write delayedWrite = delayedWrites.getFirst().write().orElseThrow();
-        assertInstanceOf(Result.Err.class, store.put(KEY.slotObjectKey(), delayedWrite.value(), delayedWrite.precondition(), distantDeadline));
+        assertInstanceOf(
+                Result.Err.class,
+                store.put(KEY.slotObjectKey(), delayedWrite.value(), delayedWrite.precondition(), distantDeadline));
         assertInstanceOf(ClaimOutcome.Granted.class, claims.claim(request(), distantDeadline));
     }
 
@@ -229,6 +240,11 @@
         ClaimOutcome.Refused refused = assertInstanceOf(
                 ClaimOutcome.Refused.class, new KeyClaimStore(store, "daemon", time).claim(request(), distantDeadline));
         assertInstanceOf(ClaimError.Unreadable.class, refused.error());
-        assertEquals(1, value(store.get(KEY.slotObjectKey(), distantDeadline)).orElseThrow().value().length);
+        assertEquals(
+                1,
+                value(store.get(KEY.slotObjectKey(), distantDeadline))
+                        .orElseThrow()
+                        .value()
+                        .length);
     }
 }
--- a/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
@@ -109,8 +109,7 @@
     }
 
     @Property(seed = "5")
-    void unrefutedReportDoesNotMarkTheMemberFailed(
-            @ForAll("records") Member self, @ForAll("records") Member reported) {
+    void unrefutedReportDoesNotMarkTheMemberFailed(@ForAll("records") Member self, @ForAll("records") Member reported) {
         if (refutation(self, reported).isPresent() || reported.incarnation() < self.incarnation()) {
             return;
         }
--- a/org.berylwick.test/tst/org/berylwick/internal/membership/MembershipMergeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/MembershipMergeTest.java
@@ -52,8 +52,7 @@
     }
 
     @Property(seed = "5")
-    void tablesConvergeWhateverTheOrderOfRecords(
-            @ForAll("lists") List<Member> records, @ForAll Random random) {
+    void tablesConvergeWhateverTheOrderOfRecords(@ForAll("lists") List<Member> records, @ForAll Random random) {
         List<Member> initial = List.of(
                 MemberRecords.record("a", Member.State.STARTING, 1, 0),
                 MemberRecords.record("b", Member.State.STARTING, 1, 0),
@@ -67,7 +66,9 @@
         secondTable.mergeAll(initial);
         firstTable.mergeAll(records);
         shuffled.forEach(secondTable::merge);
-        assertEquals(new HashSet<>(firstTable.view().all()), new HashSet<>(secondTable.view().all()));
+        assertEquals(
+                new HashSet<>(firstTable.view().all()),
+                new HashSet<>(secondTable.view().all()));
         assertEquals(firstTable.hashes(), secondTable.hashes());
     }
 
--- a/org.berylwick/src/org/berylwick/internal/idempotency/ClaimOutcome.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/ClaimOutcome.java
@@ -15,8 +15,8 @@
      * The claim was not obtained; the request must not run.
      *
      * @param error why
-     * @param claimToRelease the claim, if the store may hold it all the same; it must be released, or the key stays taken by
-     *     a request that never ran
+     * @param claimToRelease the claim, if the store may hold it all the same; it must be released, or the key stays
+     *     taken by a request that never ran
      */
     record Refused(ClaimError error, Optional<KeyClaim> claimToRelease) implements ClaimOutcome {}
 }
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaim.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaim.java
@@ -7,8 +7,8 @@
  *
  * @param key what is claimed
  * @param claimId names the attempt in the store
- * @param slotAfterClaim the slot as the granting write left it, if it is known and small enough to be kept in memory; saves a
- *     read when settling
+ * @param slotAfterClaim the slot as the granting write left it, if it is known and small enough to be kept in memory;
+ *     saves a read when settling
  * @param writeInDoubt whether a write of the claim may still take effect after its answer was given up
  */
 public record KeyClaim(KeyId key, String claimId, Optional<VersionedSlot> slotAfterClaim, boolean writeInDoubt) {
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
@@ -98,8 +98,9 @@
     }
 
     private static ClaimOutcome refused(KeyRequest request, String claimId, boolean writeInDoubt, ClaimError error) {
-        Optional<KeyClaim> toRelease =
-                writeInDoubt ? Optional.of(new KeyClaim(request.key(), claimId, Optional.empty(), true)) : Optional.empty();
+        Optional<KeyClaim> toRelease = writeInDoubt
+                ? Optional.of(new KeyClaim(request.key(), claimId, Optional.empty(), true))
+                : Optional.empty();
         return new ClaimOutcome.Refused(error, toRelease);
     }
 
@@ -108,8 +109,8 @@
         Optional<VersionedSlot> cached = claim.slotAfterClaim();
         ClaimError lastError = new ClaimError.Undecided("the deadline passed before the claim was settled");
         for (int attempt = 0; attempt < MAX_ATTEMPTS && !deadline.isPast(time); attempt++) {
-            Result<VersionedSlot, ClaimError> read =
-                    cached.<Result<VersionedSlot, ClaimError>>map(Result::ok).orElseGet(() -> read(claim.key(), deadline));
+            Result<VersionedSlot, ClaimError> read = cached.<Result<VersionedSlot, ClaimError>>map(Result::ok)
+                    .orElseGet(() -> read(claim.key(), deadline));
             cached = Optional.empty();
             if (!(read instanceof Result.Ok<VersionedSlot, ClaimError>(VersionedSlot current))) {
                 return new SettleOutcome.RetryNeeded(((Result.Err<VersionedSlot, ClaimError>) read).error());
@@ -138,13 +139,16 @@
         return new SettleOutcome.RetryNeeded(lastError);
     }
 
-    private static Optional<SettleOutcome> outcomeIfAlreadySettled(KeyClaim claim, Settlement settlement, Optional<KeyRecord> ownRecord) {
+    private static Optional<SettleOutcome> outcomeIfAlreadySettled(
+            KeyClaim claim, Settlement settlement, Optional<KeyRecord> ownRecord) {
         return switch (settlement) {
             // A write of a claim in doubt may be on its way still. It would land after the release and take the key
             // for a request that never ran; so the slot is written once more, and the late write fails its
             // precondition.
             case Settlement.Release() ->
-                ownRecord.isEmpty() && !claim.writeInDoubt() ? Optional.of(new SettleOutcome.Settled()) : Optional.empty();
+                ownRecord.isEmpty() && !claim.writeInDoubt()
+                        ? Optional.of(new SettleOutcome.Settled())
+                        : Optional.empty();
             case Settlement.Keep ignored -> {
                 if (ownRecord.isEmpty()) {
                     yield Optional.of(new SettleOutcome.ClaimLost());
@@ -173,7 +177,8 @@
     }
 
     /** Writes the slot; the image is left out if it is too large to be kept in memory. */
-    private Result<Optional<VersionedSlot>, StoreError> write(KeyId key, long version, KeySlot slot, Deadline deadline) {
+    private Result<Optional<VersionedSlot>, StoreError> write(
+            KeyId key, long version, KeySlot slot, Deadline deadline) {
         Optional<byte[]> bytes = slot.encode(MAX_SLOT_BYTES);
         if (bytes.isEmpty()) {
             return Result.err(new StoreError.TooLarge(MAX_SLOT_BYTES));
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
@@ -142,7 +142,8 @@
                 refused.inc();
                 EVENTS.log(CallEvent.KEY_NOT_CLAIMED, job.request().key().hash().abbreviated(), error);
                 Deadline retryDeadline = Deadline.afterMillis(time, SETTLE_RETRY_PERIOD_MILLIS);
-                releaseJob = toRelease.map(claimToRelease -> new KeyJob.Settle(claimToRelease, new Settlement.Release(), retryDeadline));
+                releaseJob = toRelease.map(
+                        claimToRelease -> new KeyJob.Settle(claimToRelease, new Settlement.Release(), retryDeadline));
                 if (releaseJob.isEmpty()) {
                     outstanding.decrementAndGet();
                 }
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyJob.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyJob.java
@@ -12,7 +12,8 @@
      * @param deadline after which the request is refused without a call of the store
      * @param timerContext stopped when the outcome is known
      */
-    record Claim(KeyRequest request, Deadline deadline, Timer.Context timerContext, CompletableFuture<ClaimOutcome> outcome)
+    record Claim(
+            KeyRequest request, Deadline deadline, Timer.Context timerContext, CompletableFuture<ClaimOutcome> outcome)
             implements KeyJob {}
 
     /**
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeySlot.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeySlot.java
@@ -37,7 +37,9 @@
 
     /** The record that one claim wrote, expired or not. */
     public Optional<KeyRecord> findClaim(String claimId) {
-        return records.stream().filter(record -> record.claimId().equals(claimId)).findFirst();
+        return records.stream()
+                .filter(record -> record.claimId().equals(claimId))
+                .findFirst();
     }
 
     /** This slot with one record more and without the expired ones. */
@@ -54,8 +56,9 @@
 
     /** This slot without one claim's record. */
     public KeySlot withoutClaim(String claimId) {
-        return new KeySlot(
-                records.stream().filter(record -> !record.claimId().equals(claimId)).toList());
+        return new KeySlot(records.stream()
+                .filter(record -> !record.claimId().equals(claimId))
+                .toList());
     }
 
     /** This slot with another state in one claim's record. */
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
@@ -55,7 +55,8 @@
 
     private void execute(KeyJob job) {
         switch (job) {
-            case KeyJob.Claim claimJob -> keyDuty.completeClaim(claimJob, tryClaim(claimJob)).ifPresent(this::settleOrScheduleRetry);
+            case KeyJob.Claim claimJob ->
+                keyDuty.completeClaim(claimJob, tryClaim(claimJob)).ifPresent(this::settleOrScheduleRetry);
             case KeyJob.Settle settleJob -> settleOrScheduleRetry(settleJob);
         }
     }
--- a/org.berylwick/src/org/berylwick/internal/membership/FailureDetector.java
+++ b/org.berylwick/src/org/berylwick/internal/membership/FailureDetector.java
@@ -135,6 +135,8 @@
         boolean isReportedFailed = reported.incarnation() == self.incarnation()
                 && (reported.state() == Member.State.SUSPECT || reported.state() == Member.State.GONE)
                 && reported.state().compareTo(self.state()) > 0;
-        return hasHigherIncarnation || isReportedFailed ? OptionalLong.of(reported.incarnation() + 1) : OptionalLong.empty();
+        return hasHigherIncarnation || isReportedFailed
+                ? OptionalLong.of(reported.incarnation() + 1)
+                : OptionalLong.empty();
     }
 }
