--- a/org.berylwick/src/org/berylwick/internal/membership/FailureDetector.java
+++ b/org.berylwick/src/org/berylwick/internal/membership/FailureDetector.java
@@ -21,7 +21,7 @@
  */
 public final class FailureDetector {
     private final TimeSource time;
-    private final long suspicionMillis;
+    private final long suspicionTimeoutMillis;
     private final long tombstoneMillis;
     private final Map<String, Timeout> suspicions = new HashMap<>();
     private final Map<String, Timeout> tombstones = new HashMap<>();
@@ -36,7 +36,7 @@
      */
     public FailureDetector(TimeSource time, long suspicionMillis, long tombstoneMillis) {
         this.time = time;
-        this.suspicionMillis = suspicionMillis;
+        this.suspicionTimeoutMillis = suspicionMillis;
         this.tombstoneMillis = tombstoneMillis;
     }
 
@@ -81,7 +81,7 @@
         Timeout existing = suspicions.get(member.instance());
         if (existing == null || existing.incarnation() < member.incarnation()) {
             suspicions.put(
-                    member.instance(), new Timeout(member.incarnation(), Deadline.afterMillis(time, suspicionMillis)));
+                    member.instance(), new Timeout(member.incarnation(), Deadline.afterMillis(time, suspicionTimeoutMillis)));
         }
     }
 
