--- a/org.berylwick/src/org/berylwick/internal/membership/FailureDetector.java
+++ b/org.berylwick/src/org/berylwick/internal/membership/FailureDetector.java
@@ -22,7 +22,7 @@
 public final class FailureDetector {
     private final TimeSource time;
     private final long suspicionTimeoutMillis;
-    private final long tombstoneMillis;
+    private final long tombstoneRetentionMillis;
     private final Map<String, Timeout> suspicions = new HashMap<>();
     private final Map<String, Timeout> tombstones = new HashMap<>();
 
@@ -37,7 +37,7 @@
     public FailureDetector(TimeSource time, long suspicionMillis, long tombstoneMillis) {
         this.time = time;
         this.suspicionTimeoutMillis = suspicionMillis;
-        this.tombstoneMillis = tombstoneMillis;
+        this.tombstoneRetentionMillis = tombstoneMillis;
     }
 
     /**
@@ -68,7 +68,7 @@
             case GONE -> {
                 suspicions.remove(instance);
                 tombstones.putIfAbsent(
-                        instance, new Timeout(member.incarnation(), Deadline.afterMillis(time, tombstoneMillis)));
+                        instance, new Timeout(member.incarnation(), Deadline.afterMillis(time, tombstoneRetentionMillis)));
             }
             case STARTING, UP, LEAVING -> {
                 suspicions.remove(instance);
