--- a/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
@@ -17,11 +17,11 @@
 
 /** When members are suspected, given up and forgotten. */
 class FailureDetectorTest {
-    private static final long SUSPICION_MILLIS = 5_000;
+    private static final long SUSPICION_TIMEOUT_MILLIS = 5_000;
     private static final long TOMBSTONE_MILLIS = 60_000;
 
     private final ManualTimeSource time = new ManualTimeSource();
-    private final FailureDetector detector = new FailureDetector(time, SUSPICION_MILLIS, TOMBSTONE_MILLIS);
+    private final FailureDetector detector = new FailureDetector(time, SUSPICION_TIMEOUT_MILLIS, TOMBSTONE_MILLIS);
     private final MembershipTable table = new MembershipTable();
 
     @Provide
@@ -57,7 +57,7 @@
         addUpMembers("a", "b", "c");
         failProbe("a");
         assertEquals(Member.State.SUSPECT, stateOf("a"));
-        advanceAndExpire(SUSPICION_MILLIS - 1);
+        advanceAndExpire(SUSPICION_TIMEOUT_MILLIS - 1);
         assertEquals(Member.State.SUSPECT, stateOf("a"));
         advanceAndExpire(1);
         assertEquals(Member.State.GONE, stateOf("a"));
@@ -70,7 +70,7 @@
         addUpMembers("a", "b", "c");
         failProbe("a");
         merge(MemberRecords.record("a", Member.State.UP, 2, 1));
-        advanceAndExpire(SUSPICION_MILLIS * 2);
+        advanceAndExpire(SUSPICION_TIMEOUT_MILLIS * 2);
         assertEquals(Member.State.UP, stateOf("a"));
     }
 
@@ -80,7 +80,7 @@
     void isolatedDaemonMarksNoMemberGone() {
         addUpMembers("self", "a", "b", "c");
         List.of("a", "b", "c").forEach(this::failProbe);
-        advanceAndExpire(SUSPICION_MILLIS * 10);
+        advanceAndExpire(SUSPICION_TIMEOUT_MILLIS * 10);
         List.of("a", "b", "c").forEach(instance -> assertEquals(Member.State.SUSPECT, stateOf(instance)));
     }
 
@@ -92,7 +92,7 @@
         merge(MemberRecords.record("a", Member.State.LEAVING, 1, 1));
         failProbe("a");
         assertEquals(Member.State.LEAVING, stateOf("a"));
-        advanceAndExpire(SUSPICION_MILLIS);
+        advanceAndExpire(SUSPICION_TIMEOUT_MILLIS);
         assertEquals(Member.State.GONE, stateOf("a"));
     }
 
