--- a/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
@@ -18,10 +18,10 @@
 /** When members are suspected, given up and forgotten. */
 class FailureDetectorTest {
     private static final long SUSPICION_TIMEOUT_MILLIS = 5_000;
-    private static final long TOMBSTONE_MILLIS = 60_000;
+    private static final long TOMBSTONE_RETENTION_MILLIS = 60_000;
 
     private final ManualTimeSource time = new ManualTimeSource();
-    private final FailureDetector detector = new FailureDetector(time, SUSPICION_TIMEOUT_MILLIS, TOMBSTONE_MILLIS);
+    private final FailureDetector detector = new FailureDetector(time, SUSPICION_TIMEOUT_MILLIS, TOMBSTONE_RETENTION_MILLIS);
     private final MembershipTable table = new MembershipTable();
 
     @Provide
@@ -61,7 +61,7 @@
         assertEquals(Member.State.SUSPECT, stateOf("a"));
         advanceAndExpire(1);
         assertEquals(Member.State.GONE, stateOf("a"));
-        advanceAndExpire(TOMBSTONE_MILLIS);
+        advanceAndExpire(TOMBSTONE_RETENTION_MILLIS);
         assertEquals(List.of("a"), detector.removeExpiredTombstones());
     }
 
