--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyDutyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyDutyTest.java
@@ -89,7 +89,7 @@
             }
         });
         List<CompletableFuture<ClaimOutcome>> admitted = new ArrayList<>();
-        for (int i = 0; i < KeyDuty.MAX_OUTSTANDING; i++) {
+        for (int i = 0; i < KeyDuty.MAX_OUTSTANDING_CLAIMS; i++) {
             admitted.add(claim("key-" + i));
         }
         ClaimOutcome excessOutcome = claim("one-more").getNow(null);
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
@@ -33,7 +33,7 @@
     public static final String NAME = "idempotency-keys";
 
     /** Most claims under way at once; also the capacity of each thread's ring. */
-    static final int MAX_OUTSTANDING = 512;
+    static final int MAX_OUTSTANDING_CLAIMS = 512;
 
     private static final EventLog EVENTS = new EventLog(KeyDuty.class);
     private static final int THREADS = 4;
@@ -96,7 +96,7 @@
      */
     public CompletableFuture<ClaimOutcome> claim(KeyRequest request, Deadline deadline) {
         CompletableFuture<ClaimOutcome> outcome = new CompletableFuture<>();
-        if (outstanding.incrementAndGet() > MAX_OUTSTANDING) {
+        if (outstanding.incrementAndGet() > MAX_OUTSTANDING_CLAIMS) {
             refuse(request, outcome, new ClaimError.TooManyClaims());
             return outcome;
         }
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
@@ -18,7 +18,7 @@
     private final KeyDuty keyDuty;
     private final KeyClaimStore claims;
     private final TimeSource time;
-    private final Ring<KeyJob> ring = new Ring<>(KeyDuty.MAX_OUTSTANDING);
+    private final Ring<KeyJob> ring = new Ring<>(KeyDuty.MAX_OUTSTANDING_CLAIMS);
     private final ArrayDeque<PendingRetry> retries = new ArrayDeque<>();
     private final Duty duty;
 
