--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
@@ -45,7 +45,7 @@
     private final KeyClaimStore claims;
     private final Invariants invariants;
     private final TimeSource time;
-    private final AtomicInteger outstanding = new AtomicInteger();
+    private final AtomicInteger outstandingClaims = new AtomicInteger();
     private final List<KeyWorker> workers = new ArrayList<>();
     private final Counter granted;
     private final Counter taken;
@@ -73,7 +73,7 @@
         settleRetries = metrics.counter(KeyMetrics.SETTLE_RETRIES);
         notSettled = metrics.counter(KeyMetrics.NOT_SETTLED);
         claimTime = metrics.timer(KeyMetrics.CLAIM_TIME);
-        metrics.register(KeyMetrics.OUTSTANDING, (Gauge<Integer>) outstanding::get);
+        metrics.register(KeyMetrics.OUTSTANDING, (Gauge<Integer>) outstandingClaims::get);
     }
 
     @Override
@@ -96,7 +96,7 @@
      */
     public CompletableFuture<ClaimOutcome> claim(KeyRequest request, Deadline deadline) {
         CompletableFuture<ClaimOutcome> outcome = new CompletableFuture<>();
-        if (outstanding.incrementAndGet() > MAX_OUTSTANDING_CLAIMS) {
+        if (outstandingClaims.incrementAndGet() > MAX_OUTSTANDING_CLAIMS) {
             refuse(request, outcome, new ClaimError.TooManyClaims());
             return outcome;
         }
@@ -122,7 +122,7 @@
     }
 
     private void refuse(KeyRequest request, CompletableFuture<ClaimOutcome> outcome, ClaimError error) {
-        outstanding.decrementAndGet();
+        outstandingClaims.decrementAndGet();
         refused.inc();
         EVENTS.log(CallEvent.KEY_NOT_CLAIMED, request.key().hash().abbreviated(), error);
         outcome.complete(new ClaimOutcome.Refused(error, Optional.empty()));
@@ -136,7 +136,7 @@
             case ClaimOutcome.Granted ignored -> granted.inc();
             case ClaimOutcome.Taken ignored -> {
                 taken.inc();
-                outstanding.decrementAndGet();
+                outstandingClaims.decrementAndGet();
             }
             case ClaimOutcome.Refused(ClaimError error, Optional<KeyClaim> toRelease) -> {
                 refused.inc();
@@ -145,7 +145,7 @@
                 releaseJob = toRelease.map(
                         claimToRelease -> new KeyJob.Settle(claimToRelease, new Settlement.Release(), retryDeadline));
                 if (releaseJob.isEmpty()) {
-                    outstanding.decrementAndGet();
+                    outstandingClaims.decrementAndGet();
                 }
             }
         }
@@ -162,7 +162,7 @@
                     invariants.check(Invariant.AT_MOST_ONCE, true, () -> "");
                 }
                 settled.inc();
-                outstanding.decrementAndGet();
+                outstandingClaims.decrementAndGet();
                 return true;
             }
             case SettleOutcome.ClaimLost() -> {
@@ -171,7 +171,7 @@
                         false,
                         () -> "the claim of key " + job.claim().key().hash().abbreviated()
                                 + " vanished while its request ran");
-                outstanding.decrementAndGet();
+                outstandingClaims.decrementAndGet();
                 return true;
             }
             case SettleOutcome.RetryNeeded(ClaimError error) -> {
@@ -192,19 +192,19 @@
                 job.claim().key().hash().abbreviated(),
                 job.settlement().getClass().getSimpleName(),
                 error);
-        outstanding.decrementAndGet();
+        outstandingClaims.decrementAndGet();
     }
 
     /** Claims made and not settled yet, with the requests that wait for their claim. */
     public int outstanding() {
-        return outstanding.get();
+        return outstandingClaims.get();
     }
 
     /** Gives the settlements that are under way a few seconds to reach the store. */
     @Override
     public void close() {
         Deadline deadline = Deadline.afterMillis(time, CLOSE_TIMEOUT_MILLIS);
-        while (outstanding.get() > 0 && !deadline.isPast(time)) {
+        while (outstandingClaims.get() > 0 && !deadline.isPast(time)) {
             try {
                 TimeUnit.MILLISECONDS.sleep(CLOSE_POLL_INTERVAL_MILLIS);
             } catch (InterruptedException e) {
