--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyDutyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyDutyTest.java
@@ -100,7 +100,7 @@
                 duty.settle(claim, new Settlement.Keep(new KeyState.Unknown()));
             }
         }
-        LocalFleet.await("every claim is settled", () -> duty.outstanding() == 0);
+        LocalFleet.await("every claim is settled", () -> duty.outstandingClaims() == 0);
         assertEquals(0, metrics.counter(KeyMetrics.NOT_SETTLED).getCount());
     }
 
@@ -119,7 +119,7 @@
         duty.settle(claim, new Settlement.Keep(answered));
         LocalFleet.await("the record is tried again", () -> refusedCalls.get() >= 2);
         interceptor.set(StoreInterceptor.NONE);
-        LocalFleet.await("every claim is settled", () -> duty.outstanding() == 0);
+        LocalFleet.await("every claim is settled", () -> duty.outstandingClaims() == 0);
         ClaimOutcome.Taken taken =
                 assertInstanceOf(ClaimOutcome.Taken.class, claim("later").join());
         assertEquals(answered, taken.existing().run());
@@ -139,7 +139,7 @@
         ObjectKey slot = claim.key().slotObjectKey();
         store.delete(slot, new Precondition.None(), Deadline.afterMillis(TIME, 1_000));
         duty.settle(claim, new Settlement.Keep(new KeyState.Unknown()));
-        LocalFleet.await("every claim is settled", () -> duty.outstanding() == 0);
+        LocalFleet.await("every claim is settled", () -> duty.outstandingClaims() == 0);
         assertEquals(1, invariants.breaches(Invariant.AT_MOST_ONCE));
     }
 
@@ -155,6 +155,6 @@
         CompletableFuture<ClaimOutcome> outcome = claim("thrown");
         LocalFleet.await("the caller is told", outcome::isDone);
         assertInstanceOf(ClaimOutcome.Refused.class, outcome.join());
-        LocalFleet.await("every claim is settled", () -> duty.outstanding() == 0);
+        LocalFleet.await("every claim is settled", () -> duty.outstandingClaims() == 0);
     }
 }
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
@@ -196,7 +196,7 @@
     }
 
     /** Claims made and not settled yet, with the requests that wait for their claim. */
-    public int outstanding() {
+    public int outstandingClaims() {
         return outstandingClaims.get();
     }
 
