--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
@@ -18,7 +18,7 @@
     private final KeyDuty keyDuty;
     private final KeyClaimStore claims;
     private final TimeSource time;
-    private final Ring<KeyJob> ring = new Ring<>(KeyDuty.MAX_OUTSTANDING_CLAIMS);
+    private final Ring<KeyJob> jobs = new Ring<>(KeyDuty.MAX_OUTSTANDING_CLAIMS);
     private final ArrayDeque<PendingRetry> retries = new ArrayDeque<>();
     private final Duty duty;
 
@@ -33,12 +33,12 @@
 
     /** Gives the thread a job, from any thread. */
     Ring.Offer offer(KeyJob job) {
-        return ring.offer(job);
+        return jobs.offer(job);
     }
 
     /** One job and one retry a round: with the store out, neither keeps the other waiting for more than one call. */
     private void runRound() {
-        ring.poll(pollWaitNanos()).ifPresent(this::execute);
+        jobs.poll(pollWaitNanos()).ifPresent(this::execute);
         PendingRetry nextRetry = retries.peek();
         if (nextRetry != null && nextRetry.notBefore().isPast(time)) {
             retries.remove();
