--- a/org.berylwick/src/org/berylwick/internal/membership/FailureDetector.java
+++ b/org.berylwick/src/org/berylwick/internal/membership/FailureDetector.java
@@ -31,13 +31,13 @@
     /**
      * Nothing suspected.
      *
-     * @param suspicionMillis how long a suspected member has to refute
-     * @param tombstoneMillis how long a member gone is remembered
+     * @param suspicionTimeoutMillis how long a suspected member has to refute
+     * @param tombstoneRetentionMillis how long a member gone is remembered
      */
-    public FailureDetector(TimeSource time, long suspicionMillis, long tombstoneMillis) {
+    public FailureDetector(TimeSource time, long suspicionTimeoutMillis, long tombstoneRetentionMillis) {
         this.time = time;
-        this.suspicionTimeoutMillis = suspicionMillis;
-        this.tombstoneRetentionMillis = tombstoneMillis;
+        this.suspicionTimeoutMillis = suspicionTimeoutMillis;
+        this.tombstoneRetentionMillis = tombstoneRetentionMillis;
     }
 
     /**
