--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
@@ -122,7 +122,7 @@
             }
             KeySlot updated = switch (settlement) {
                 case Settlement.Release() -> current.slot().withoutClaim(claim.claimId());
-                case Settlement.Keep(KeyState run) -> current.slot().withState(claim.claimId(), run);
+                case Settlement.Keep(KeyState state) -> current.slot().withState(claim.claimId(), state);
             };
             switch (write(claim.key(), current.version(), updated, deadline)) {
                 case Result.Ok<Optional<VersionedSlot>, StoreError> ignored -> {
