--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
@@ -76,7 +76,7 @@
                     }
                 }
                 case ClaimOutcome.Refused(var ignored, Optional<KeyClaim> claimToRelease) ->
-                    claimToRelease.ifPresent(claimToSettle -> settle(claims, claimToSettle, new Settlement.Release()));
+                    claimToRelease.ifPresent(claim -> settle(claims, claim, new Settlement.Release()));
             }
         }
     }
