--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/AnswerRecorder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/AnswerRecorder.java
@@ -17,7 +17,7 @@
 import java.util.function.Consumer;
 import org.berylwick.internal.idempotency.KeyState;
 import org.berylwick.internal.idempotency.Settlement;
-import org.berylwick.internal.idempotency.StoredAnswer;
+import org.berylwick.internal.idempotency.StoredResponse;
 import org.reactivestreams.Subscriber;
 import org.reactivestreams.Subscription;
 
@@ -128,28 +128,28 @@
             default -> {}
         }
         int status = headers.status().code();
-        List<StoredAnswer.Header> kept = keptHeaders();
+        List<StoredResponse.Header> kept = keptHeaders();
         int headerBytes = kept.stream()
                 .mapToInt(h -> h.name().length() + h.value().length())
                 .sum();
         if (!whole || tooLarge || headerBytes > MAX_KEPT_BYTES) {
             return new Settlement.Keep(new KeyState.Ran(status));
         }
-        return new Settlement.Keep(new KeyState.Answered(new StoredAnswer(status, kept, body.toByteArray())));
+        return new Settlement.Keep(new KeyState.Answered(new StoredResponse(status, kept, body.toByteArray())));
     }
 
-    private List<StoredAnswer.Header> keptHeaders() {
-        List<StoredAnswer.Header> kept = new ArrayList<>();
+    private List<StoredResponse.Header> keptHeaders() {
+        List<StoredResponse.Header> kept = new ArrayList<>();
         headers.forEach((name, value) -> {
             if (!NOT_KEPT.contains(name)) {
-                kept.add(new StoredAnswer.Header(name.toString(), value));
+                kept.add(new StoredResponse.Header(name.toString(), value));
             }
         });
         return kept;
     }
 
     /** A kept answer, given to a repeat. */
-    static HttpResponse replay(String requestId, StoredAnswer answer) {
+    static HttpResponse replay(String requestId, StoredResponse answer) {
         ResponseHeadersBuilder headers = ResponseHeaders.builder(HttpStatus.valueOf(answer.status()));
         answer.headers().forEach(h -> headers.add(h.name(), h.value()));
         headers.set(CallHeaders.REQUEST_ID, requestId);
--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
@@ -29,8 +29,8 @@
 class KeyClaimStoreTest {
     private static final KeyId KEY = KeyId.of("kapitolyo", "placements", "order-17");
     private static final Digest FINGERPRINT = Digest.of("POST /placements".getBytes(StandardCharsets.UTF_8));
-    private static final StoredAnswer ANSWER =
-            new StoredAnswer(201, List.of(new StoredAnswer.Header("location", "/placements/9")), new byte[] {1, 2, 3});
+    private static final StoredResponse ANSWER =
+            new StoredResponse(201, List.of(new StoredResponse.Header("location", "/placements/9")), new byte[] {1, 2, 3});
     private static final int CLAIMANTS = 3;
     private static final int REQUESTS_EACH = 2;
     private static final int SETTLE_ATTEMPTS = 200;
@@ -71,7 +71,7 @@
                     }
                 }
                 case ClaimOutcome.Taken(KeyRecord existing) -> {
-                    if (existing.run() instanceof KeyState.Answered(StoredAnswer answer)) {
+                    if (existing.run() instanceof KeyState.Answered(StoredResponse answer)) {
                         assertEquals(ANSWER, answer);
                     }
                 }
@@ -187,7 +187,7 @@
     void oversizedSlotDropsOldestAnswersButKeepsRanState() {
         KeySlot slot = KeySlot.EMPTY;
         for (int i = 0; i < 3; i++) {
-            StoredAnswer answer = new StoredAnswer(200 + i, List.of(), new byte[1_000]);
+            StoredResponse answer = new StoredResponse(200 + i, List.of(), new byte[1_000]);
             KeyRecord record = new KeyRecord("k" + i, "f", "c" + i, "d", i, new KeyState.Answered(answer));
             slot = slot.withRecord(record, i);
         }
--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyDutyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyDutyTest.java
@@ -115,7 +115,7 @@
                 .claim();
         AtomicInteger refusedCalls = new AtomicInteger();
         interceptor.set(unavailableStore(refusedCalls));
-        KeyState answered = new KeyState.Answered(new StoredAnswer(200, List.of(), new byte[] {7}));
+        KeyState answered = new KeyState.Answered(new StoredResponse(200, List.of(), new byte[] {7}));
         duty.settle(claim, new Settlement.Keep(answered));
         LocalFleet.await("the record is tried again", () -> refusedCalls.get() >= 2);
         interceptor.set(StoreInterceptor.NONE);
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyState.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyState.java
@@ -21,7 +21,7 @@
     record Claimed(long untilMillis) implements KeyState {}
 
     /** The request ran and this is its answer. */
-    record Answered(StoredAnswer answer) implements KeyState {}
+    record Answered(StoredResponse answer) implements KeyState {}
 
     /**
      * The request ran, but its answer was too large to keep or was cut short.
--- a/org.berylwick/src/org/berylwick/internal/idempotency/StoredAnswer.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/StoredResponse.java
@@ -11,18 +11,18 @@
  * @param headers those that belong to the answer and not to a connection or one request
  * @param body the whole body
  */
-public record StoredAnswer(int status, List<Header> headers, byte[] body) {
+public record StoredResponse(int status, List<Header> headers, byte[] body) {
     /** One header line. */
     public record Header(String name, String value) {}
 
     /** Copies the list. */
-    public StoredAnswer {
+    public StoredResponse {
         headers = List.copyOf(headers);
     }
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof StoredAnswer answer
+        return other instanceof StoredResponse answer
                 && status == answer.status
                 && headers.equals(answer.headers)
                 && Arrays.equals(body, answer.body);
