--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
@@ -29,7 +29,7 @@
 class KeyClaimStoreTest {
     private static final KeyId KEY = KeyId.of("kapitolyo", "placements", "order-17");
     private static final Digest FINGERPRINT = Digest.of("POST /placements".getBytes(StandardCharsets.UTF_8));
-    private static final StoredResponse ANSWER =
+    private static final StoredResponse RESPONSE =
             new StoredResponse(201, List.of(new StoredResponse.Header("location", "/placements/9")), new byte[] {1, 2, 3});
     private static final int CLAIMANTS = 3;
     private static final int REQUESTS_EACH = 2;
@@ -72,7 +72,7 @@
                 }
                 case ClaimOutcome.Taken(KeyRecord existing) -> {
                     if (existing.run() instanceof KeyState.Answered(StoredResponse answer)) {
-                        assertEquals(ANSWER, answer);
+                        assertEquals(RESPONSE, answer);
                     }
                 }
                 case ClaimOutcome.Refused(var ignored, Optional<KeyClaim> claimToRelease) ->
@@ -90,7 +90,7 @@
         }
         switch (behavior) {
             case ANSWERED -> {
-                settle(claims, claim, new Settlement.Keep(new KeyState.Answered(ANSWER)));
+                settle(claims, claim, new Settlement.Keep(new KeyState.Answered(RESPONSE)));
                 counts.answered.incrementAndGet();
             }
             case UNKNOWN -> settle(claims, claim, new Settlement.Keep(new KeyState.Unknown()));
@@ -154,7 +154,7 @@
                 .existing()
                 .run();
         if (counts.answered.get() == 1) {
-            assertEquals(new KeyState.Answered(ANSWER), state);
+            assertEquals(new KeyState.Answered(RESPONSE), state);
         }
     }
 
