--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
@@ -184,7 +184,7 @@
     }
 
     @Test
-    void oversizedSlotDropsOldestAnswersButKeepsRanState() {
+    void oversizedSlotDropsOldestResponsesButKeepsRanState() {
         KeySlot slot = KeySlot.EMPTY;
         for (int i = 0; i < 3; i++) {
             StoredResponse answer = new StoredResponse(200 + i, List.of(), new byte[1_000]);
