--- a/org.berylwick/src/org/berylwick/internal/idempotency/StoredResponse.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/StoredResponse.java
@@ -22,10 +22,10 @@
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof StoredResponse answer
-                && status == answer.status
-                && headers.equals(answer.headers)
-                && Arrays.equals(body, answer.body);
+        return other instanceof StoredResponse response
+                && status == response.status
+                && headers.equals(response.headers)
+                && Arrays.equals(body, response.body);
     }
 
     @Override
