--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
@@ -71,8 +71,8 @@
                     }
                 }
                 case ClaimOutcome.Taken(KeyRecord existing) -> {
-                    if (existing.run() instanceof KeyState.Answered(StoredResponse answer)) {
-                        assertEquals(RESPONSE, answer);
+                    if (existing.run() instanceof KeyState.Answered(StoredResponse response)) {
+                        assertEquals(RESPONSE, response);
                     }
                 }
                 case ClaimOutcome.Refused(var ignored, Optional<KeyClaim> claimToRelease) ->
@@ -187,8 +187,8 @@
     void oversizedSlotDropsOldestResponsesButKeepsRanState() {
         KeySlot slot = KeySlot.EMPTY;
         for (int i = 0; i < 3; i++) {
-            StoredResponse answer = new StoredResponse(200 + i, List.of(), new byte[1_000]);
-            KeyRecord record = new KeyRecord("k" + i, "f", "c" + i, "d", i, new KeyState.Answered(answer));
+            StoredResponse response = new StoredResponse(200 + i, List.of(), new byte[1_000]);
+            KeyRecord record = new KeyRecord("k" + i, "f", "c" + i, "d", i, new KeyState.Answered(response));
             slot = slot.withRecord(record, i);
         }
         KeySlot reencoded = value(KeySlot.decode(slot.encode(3_400).orElseThrow()));
