--- a/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
@@ -15,7 +15,7 @@
 import org.berylwick.testing.ManualTimeSource;
 import org.junit.jupiter.api.Test;
 
-/** When members are suspected, given up and forgotten. */
+/** Tests when members are suspected, marked {@code GONE} and removed, and which records a daemon refutes. */
 class FailureDetectorTest {
     private static final long SUSPICION_TIMEOUT_MILLIS = 5_000;
     private static final long TOMBSTONE_RETENTION_MILLIS = 60_000;
@@ -74,8 +74,8 @@
         assertEquals(Member.State.UP, stateOf("a"));
     }
 
-    // A switch fails between this daemon and all others: every probe fails, while the others are well and callers
-    // still come in here. Given up, they would be no candidates any more and each request would be refused.
+    // A network failure isolates this daemon from all other daemons, which still run, while callers still reach it.
+    // If it marked all of them GONE, no candidate would be left and it would refuse every request.
     @Test
     void isolatedDaemonMarksNoMemberGone() {
         addUpMembers("self", "a", "b", "c");
@@ -84,8 +84,8 @@
         List.of("a", "b", "c").forEach(instance -> assertEquals(Member.State.SUSPECT, stateOf(instance)));
     }
 
-    // A daemon announces its leave, finishes and stops. Nobody suspects it, as it takes no work; its record must
-    // end all the same, or the table would keep every VM that was ever replaced.
+    // A daemon announces that it is leaving, finishes its requests and stops. It is not marked SUSPECT, because it is
+    // sent no requests. Its record must expire nevertheless, or the table would retain every VM that was ever replaced.
     @Test
     void unreachableLeavingMemberIsGoneAfterTheTimeout() {
         addUpMembers("a", "b", "c");
@@ -115,7 +115,7 @@
         }
         boolean reportedFailed = reported.state().compareTo(self.state()) > 0
                 && (reported.state() == Member.State.SUSPECT || reported.state() == Member.State.GONE);
-        assertTrue(!reportedFailed, () -> reported + " stands against " + self);
+        assertTrue(!reportedFailed, () -> reported + " reports a failure and was not refuted by " + self);
     }
 
     private static Optional<Member> refutation(Member self, Member reported) {
--- a/org.berylwick.test/tst/org/berylwick/internal/membership/MemberRecords.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/MemberRecords.java
@@ -9,7 +9,7 @@
 import org.berylwick.lib.Member;
 import org.berylwick.lib.Place;
 
-/** Records of members for tests. */
+/** Creates member records for tests. */
 final class MemberRecords {
     private MemberRecords() {}
 
@@ -27,7 +27,10 @@
                 version);
     }
 
-    /** Any record of one of three instances, few enough values that equal and crossed ones are common. */
+    /**
+     * Generates records of three instances, with so few different values that equal and conflicting records are
+     * frequent.
+     */
     static Arbitrary<Member> anyRecord() {
         return Combinators.combine(
                         Arbitraries.of("a", "b", "c"),
--- a/org.berylwick.test/tst/org/berylwick/internal/membership/MembershipMergeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/MembershipMergeTest.java
@@ -14,7 +14,7 @@
 import org.berylwick.lib.Member;
 import org.junit.jupiter.api.Test;
 
-/** Late, crossed and repeated records lead all daemons to one table. */
+/** Tests that delayed, reordered and duplicated records lead to the same table on all daemons. */
 class MembershipMergeTest {
     @Provide
     Arbitrary<Member> records() {
@@ -72,8 +72,9 @@
         assertEquals(firstTable.hashes(), secondTable.hashes());
     }
 
-    // Seen with records ordered by state and then version: a suspicion that crossed a version report took the
-    // report back on daemons that heard of the suspicion last, and the two sides never agreed again.
+    // Guards against a fault that occurred when records were ordered by state first and by version second: a suspicion
+    // that was concurrent with a version report undid the report on daemons that received the suspicion last, and the
+    // tables of the daemons never converged.
     @Test
     void concurrentSuspicionAndVersionReportAreBothKept() {
         Member suspected = MemberRecords.record("a", Member.State.SUSPECT, 1, 3);
@@ -86,8 +87,8 @@
         assertEquals(4, merged.version());
     }
 
-    // A backend server that announced its leave must get no new work, however late an older word comes in: the
-    // record of its being up was sent before, crosses the announcement, and arrives after it.
+    // A backend server that announced that it is leaving must get no new requests, even if an UP record that was sent
+    // before the announcement arrives after it.
     @Test
     void leavingMemberReturnsOnlyWithAHigherIncarnation() {
         MembershipTable table = new MembershipTable();
@@ -100,8 +101,8 @@
         assertEquals(Member.State.UP, table.view().find("a").orElseThrow().state());
     }
 
-    // Daemons drop the tombstone of a member at different times. One that still has it must not hand it back to
-    // those that dropped it, or it would go round for good.
+    // Daemons remove the tombstone of a member at different times. One that still has it must not add it again on
+    // daemons that removed it, or the tombstone would circulate forever.
     @Test
     void tombstoneOfAnUnknownMemberIsIgnored() {
         MembershipTable table = new MembershipTable();
--- a/org.berylwick.test/tst/org/berylwick/internal/membership/package-info.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/package-info.java
@@ -1,2 +1,2 @@
-/** How records of members are merged, suspected and given up. */
+/** Tests of the merging of member records and of the detection of failed members. */
 package org.berylwick.internal.membership;
--- a/org.berylwick/src/org/berylwick/internal/membership/FailureDetector.java
+++ b/org.berylwick/src/org/berylwick/internal/membership/FailureDetector.java
@@ -13,11 +13,13 @@
 import org.berylwick.lib.TimeSource;
 
 /**
- * Decides when a member is suspected, given up and forgotten; for one thread.
+ * Tracks the timeouts after which a suspected member is marked {@code GONE} and the tombstone of a {@code GONE} member is
+ * removed. Not thread-safe.
  *
- * <p>A member that answers neither directly nor through others is suspected, which everybody hears of; it has the
- * suspicion's timeout to refute by a higher incarnation, and is gone after it. A record of a member gone is kept for a
- * while, so that late news of it does not bring it back.
+ * <p>A member that responds neither to direct nor to indirect probes becomes {@code SUSPECT}, which is spread to all
+ * members. It can refute the suspicion with a higher incarnation; if it does not within the suspicion timeout, it is
+ * {@code GONE}. The record of a {@code GONE} member is retained as a tombstone, so that a delayed older record does not
+ * add the member again.
  */
 public final class FailureDetector {
     private final TimeSource time;
@@ -29,10 +31,10 @@
     private record Timeout(long incarnation, Deadline deadline) {}
 
     /**
-     * Nothing suspected.
+     * Creates a detector without suspicions or tombstones.
      *
-     * @param suspicionTimeoutMillis how long a suspected member has to refute
-     * @param tombstoneRetentionMillis how long a member gone is remembered
+     * @param suspicionTimeoutMillis how long a suspected member has to refute the suspicion
+     * @param tombstoneRetentionMillis how long the record of a {@code GONE} member is retained
      */
     public FailureDetector(TimeSource time, long suspicionTimeoutMillis, long tombstoneRetentionMillis) {
         this.time = time;
@@ -41,14 +43,14 @@
     }
 
     /**
-     * A probe of {@code member} failed in every way.
+     * Handles a failed probe: {@code member} responded neither directly nor through other members.
      *
-     * @return the record to merge and spread; empty if nothing is to be told
+     * @return the record to merge and spread; empty if the member's state does not change
      */
     public Optional<Member> probeFailed(Member member) {
         return switch (member.state()) {
             case GONE, SUSPECT -> Optional.empty();
-            // It takes no work already, so no one need be told until it is given up.
+            // A leaving member is sent no requests, so other members need no record until it is marked GONE.
             case LEAVING -> {
                 startSuspicion(member);
                 yield Optional.empty();
@@ -57,7 +59,7 @@
         };
     }
 
-    /** A member's record changed to {@code member}. */
+    /** Starts or cancels timeouts after the record of a member changed to {@code member}. */
     public void recordChanged(Member member) {
         String instance = member.instance();
         switch (member.state()) {
@@ -86,10 +88,12 @@
     }
 
     /**
-     * The members to give up now, as records to merge and spread.
+     * Removes the suspicions whose timeout has passed and returns their members as {@code GONE} records to merge and
+     * spread.
      *
-     * <p>None while more than half of those not gone are suspected: a daemon cut off from the others would otherwise
-     * give up everybody and have nobody left to send requests to. The suspected are still used when no other is left.
+     * <p>Returns nothing while more than half of the members that are not {@code GONE} are under suspicion: a daemon
+     * isolated by a network partition would otherwise mark all other members {@code GONE} and have none left to send
+     * requests to. Suspected members are still used when there is no other member.
      */
     public List<Member> removeExpiredSuspicions(MembershipView view) {
         long notGone =
@@ -112,7 +116,7 @@
         return gone;
     }
 
-    /** The members whose tombstones may be dropped now. */
+    /** Removes the tombstones whose retention period has passed and returns the instance names of their members. */
     public List<String> removeExpiredTombstones() {
         List<String> instances = new ArrayList<>();
         tombstones.entrySet().removeIf(entry -> {
@@ -126,9 +130,11 @@
     }
 
     /**
-     * What a daemon answers to others' word about itself.
+     * Returns the incarnation with which a daemon refutes a record about itself that it received from another daemon.
      *
-     * @return the incarnation to go on with; empty if nothing need be refuted
+     * @param self the daemon's own record
+     * @param reported the received record
+     * @return the daemon's new incarnation, higher than the reported one; empty if there is nothing to refute
      */
     public static OptionalLong refutingIncarnation(Member self, Member reported) {
         boolean hasHigherIncarnation = reported.incarnation() > self.incarnation();
--- a/org.berylwick/src/org/berylwick/internal/membership/MemberHash.java
+++ b/org.berylwick/src/org/berylwick/internal/membership/MemberHash.java
@@ -6,32 +6,36 @@
 import java.security.NoSuchAlgorithmException;
 import org.berylwick.lib.Member;
 
-/** Short hashes that stand for records on the wire; two of 480 records meet by chance once in 10^14 tables. */
+/**
+ * 64-bit hashes that identify records on the wire.
+ *
+ * <p>In a table of 480 records, the probability that any two hashes collide is about 1 in 10^14.
+ */
 public final class MemberHash {
     private MemberHash() {}
 
-    /** Stands for one incarnation of an instance. */
+    /** Hashes the instance name and the incarnation. */
     public static long ofIncarnation(Member member) {
         return ofText(member.instance() + '|' + member.incarnation());
     }
 
-    /** Stands for a record's state, leaving out the version in force. */
+    /** Hashes the instance name, the incarnation and the state, but not the version in force. */
     public static long ofState(Member member) {
         return ofText(member.instance() + '|' + member.incarnation() + '|' + member.state());
     }
 
-    /** Stands for the version in force at a member. */
+    /** Hashes the instance name, the incarnation and the version in force at the member. */
     public static long ofVersion(Member member) {
         return ofText(member.instance() + '|' + member.incarnation() + "|v" + member.version());
     }
 
-    /** The first 64 bits of the SHA-256 of {@code text}. */
+    /** Returns the first 64 bits of the SHA-256 hash of {@code text}. */
     public static long ofText(String text) {
         try {
             byte[] digest = MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8));
             return ByteBuffer.wrap(digest).getLong();
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform has SHA-256", e);
+            throw new IllegalStateException("SHA-256 is not available; every Java platform must provide it", e);
         }
     }
 }
--- a/org.berylwick/src/org/berylwick/internal/membership/MemberMerge.java
+++ b/org.berylwick/src/org/berylwick/internal/membership/MemberMerge.java
@@ -4,11 +4,13 @@
 import org.berylwick.lib.Member;
 
 /**
- * Joins two records of one instance, so that all daemons end with the same record whatever order they came in.
+ * Merges two records of the same instance, so that all daemons converge on the same record whatever the order in which
+ * they receive records.
  *
- * <p>The higher incarnation wins outright. At one incarnation the state further along wins, and, apart from it, the
- * content with the higher version: a suspicion by somebody else must not take a version report back, nor a version
- * report lift a suspicion. Commutative, associative and idempotent.
+ * <p>The record with the higher incarnation wins. At equal incarnations, the state that comes later in the order of
+ * {@link Member.State} wins; independently of it, the other components are taken from the record with the higher
+ * version. The two are decided separately because a suspicion raised by another daemon must not undo a version report,
+ * and a version report must not clear a suspicion. The merge is commutative, associative and idempotent.
  */
 final class MemberMerge {
     private static final Comparator<Member> BY_CONTENT = Comparator.comparingLong(Member::version)
@@ -21,7 +23,7 @@
 
     private MemberMerge() {}
 
-    /** The record that both {@code a} and {@code b} amount to. */
+    /** Merges {@code a} and {@code b}, which must be records of the same instance. */
     static Member merge(Member a, Member b) {
         if (a.incarnation() != b.incarnation()) {
             return a.incarnation() > b.incarnation() ? a : b;
--- a/org.berylwick/src/org/berylwick/internal/membership/MembershipTable.java
+++ b/org.berylwick/src/org/berylwick/internal/membership/MembershipTable.java
@@ -10,13 +10,14 @@
 import org.berylwick.lib.MembershipView;
 
 /**
- * The members known to this process, merged from announcements that may be late or crossed.
+ * The members known to this process, merged from records that may arrive late or out of order.
  *
- * <p>Of two records of one instance the higher incarnation wins; at one incarnation the state further along wins, and
- * the content with the higher version. Any thread may read the view; merges are serialised.
+ * <p>Of two records of the same instance, the one with the higher incarnation wins. At equal incarnations, the state
+ * that comes later in the order of {@link Member.State} wins, and the other components are taken from the record with
+ * the higher version. Thread-safe: reading the view takes no lock, merges are serialized.
  */
 public final class MembershipTable implements KernelService {
-    /** The name in the kernel. */
+    /** The name under which the table is registered in the kernel. */
     public static final String NAME = "membership";
 
     private final Map<String, Member> members = new HashMap<>();
@@ -24,19 +25,20 @@
     private long statesHash;
     private long versionsHash;
 
-    /** What became of a merged record. */
+    /** Whether merging a record changed the view. */
     public enum MergeResult {
         /** The view changed. */
         CHANGED,
-        /** The record was old news. */
+        /** The view did not change: the record was not newer than the known one. */
         UNCHANGED
     }
 
     /**
-     * Order-free hashes of all members but those gone; equal tables have equal hashes.
+     * Hashes of all members that are not {@code GONE}, independent of their order; tables with equal members have equal
+     * hashes.
      *
-     * @param states over instance, incarnation and state
-     * @param versions over instance, incarnation and version in force
+     * @param states hash of the members' instance names, incarnations and states
+     * @param versions hash of the members' instance names, incarnations and versions in force
      */
     public record Hashes(long states, long versions) {}
 
@@ -45,31 +47,32 @@
         return NAME;
     }
 
-    /** The members as of now. */
+    /** Returns an immutable snapshot of the members. */
     public MembershipView view() {
         return view;
     }
 
-    /** Hashes of the members as of now. */
+    /** Returns the hashes of the current members. */
     public synchronized Hashes hashes() {
         return new Hashes(statesHash, versionsHash);
     }
 
-    /** Takes in one record. */
+    /** Merges one record into the table. */
     public MergeResult merge(Member record) {
         return mergeAll(List.of(record)).isEmpty() ? MergeResult.UNCHANGED : MergeResult.CHANGED;
     }
 
     /**
-     * Takes in many records with one new view.
+     * Merges many records into the table, replacing the view at most once.
      *
-     * @return the members that changed, as they are now
+     * @return the new records of the members that changed
      */
     public synchronized List<Member> mergeAll(Collection<Member> records) {
         List<Member> changed = new ArrayList<>();
         for (Member record : records) {
             Member existing = members.get(record.instance());
-            // A tombstone that others have dropped already would otherwise travel round for good.
+            // Daemons remove a tombstone at different times. If they accepted it again from one that still has it,
+            // it would circulate forever.
             if (existing == null && record.state() == Member.State.GONE) {
                 continue;
             }
@@ -85,7 +88,7 @@
         return changed;
     }
 
-    /** Drops an instance. */
+    /** Removes the record of an instance. */
     public synchronized void remove(String instance) {
         Member existing = members.remove(instance);
         if (existing != null) {
@@ -102,7 +105,10 @@
         members.put(replacement.instance(), replacement);
     }
 
-    /** Counts a record in, or, the second time, out: exclusive or is its own inverse. */
+    /**
+     * Adds a record to the hashes, or removes it if they contain it: XOR is its own inverse. {@code GONE} records are
+     * not hashed.
+     */
     private void toggleInHashes(Member member) {
         if (member.state() == Member.State.GONE) {
             return;
--- a/org.berylwick/src/org/berylwick/internal/membership/ZoneDirectory.java
+++ b/org.berylwick/src/org/berylwick/internal/membership/ZoneDirectory.java
@@ -9,17 +9,18 @@
 import org.berylwick.lib.Place;
 
 /**
- * The daemons of one availability zone as its readers keep them in the store, so that a newcomer finds peers.
+ * The addresses of the daemons of one availability zone. The zone's reader daemons write it to the store, so that a
+ * newly started daemon finds peers.
  *
- * @param addresses where they take calls of other daemons, sorted
+ * @param addresses the addresses at which the daemons accept calls from other daemons, sorted
  */
 public record ZoneDirectory(List<HostPort> addresses) {
-    /** Copies the list. */
+    /** Makes a defensive copy of the list. */
     public ZoneDirectory {
         addresses = List.copyOf(addresses);
     }
 
-    /** The live members of one zone. */
+    /** Creates the directory of the members at {@code place} that are {@code STARTING} or {@code UP}. */
     public static ZoneDirectory of(MembershipView view, Place place) {
         Set<String> sorted = new TreeSet<>();
         for (Member member : view.all()) {
--- a/org.berylwick/src/org/berylwick/internal/membership/package-info.java
+++ b/org.berylwick/src/org/berylwick/internal/membership/package-info.java
@@ -1,2 +1,2 @@
-/** Who the members are, as far as this process knows. */
+/** The members known to this process: merging of their records and detection of failed members. */
 package org.berylwick.internal.membership;
