--- a/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
@@ -21,7 +21,8 @@
     private static final long TOMBSTONE_RETENTION_MILLIS = 60_000;
 
     private final ManualTimeSource time = new ManualTimeSource();
-    private final FailureDetector detector = new FailureDetector(time, SUSPICION_TIMEOUT_MILLIS, TOMBSTONE_RETENTION_MILLIS);
+    private final FailureDetector detector =
+            new FailureDetector(time, SUSPICION_TIMEOUT_MILLIS, TOMBSTONE_RETENTION_MILLIS);
     private final MembershipTable table = new MembershipTable();
 
     @Provide
--- a/org.berylwick/src/org/berylwick/internal/membership/FailureDetector.java
+++ b/org.berylwick/src/org/berylwick/internal/membership/FailureDetector.java
@@ -13,8 +13,8 @@
 import org.berylwick.lib.TimeSource;
 
 /**
- * Tracks the timeouts after which a suspected member is marked {@code GONE} and the tombstone of a {@code GONE} member is
- * removed. Not thread-safe.
+ * Tracks the timeouts after which a suspected member is marked {@code GONE} and the tombstone of a {@code GONE} member
+ * is removed. Not thread-safe.
  *
  * <p>A member that responds neither to direct nor to indirect probes becomes {@code SUSPECT}, which is spread to all
  * members. It can refute the suspicion with a higher incarnation; if it does not within the suspicion timeout, it is
@@ -70,7 +70,8 @@
             case GONE -> {
                 suspicions.remove(instance);
                 tombstones.putIfAbsent(
-                        instance, new Timeout(member.incarnation(), Deadline.afterMillis(time, tombstoneRetentionMillis)));
+                        instance,
+                        new Timeout(member.incarnation(), Deadline.afterMillis(time, tombstoneRetentionMillis)));
             }
             case STARTING, UP, LEAVING -> {
                 suspicions.remove(instance);
@@ -83,7 +84,8 @@
         Timeout existing = suspicions.get(member.instance());
         if (existing == null || existing.incarnation() < member.incarnation()) {
             suspicions.put(
-                    member.instance(), new Timeout(member.incarnation(), Deadline.afterMillis(time, suspicionTimeoutMillis)));
+                    member.instance(),
+                    new Timeout(member.incarnation(), Deadline.afterMillis(time, suspicionTimeoutMillis)));
         }
     }
 
