--- a/org.berylwick/src/org/berylwick/internal/idempotency/ClaimOutcome.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/ClaimOutcome.java
@@ -3,20 +3,20 @@
 import java.util.Optional;
 import org.berylwick.errors.ClaimError;
 
-/** What became of the attempt to claim a key. */
+/** The outcome of an attempt to claim a key. */
 public sealed interface ClaimOutcome {
-    /** The store holds this claim: the caller of the claim, and nobody else, may run the request. */
+    /** The store holds this claim: the request that claimed the key may run, and no other. */
     record Granted(KeyClaim claim) implements ClaimOutcome {}
 
-    /** Another request holds the key; the request must not run. */
+    /** Another request has already claimed the key; this request must not run. */
     record Taken(KeyRecord existing) implements ClaimOutcome {}
 
     /**
-     * The claim was not obtained; the request must not run.
+     * The claim failed; the request must not run.
      *
-     * @param error why
-     * @param claimToRelease the claim, if the store may hold it all the same; it must be released, or the key stays
-     *     taken by a request that never ran
+     * @param error the reason
+     * @param claimToRelease the claim, if the store may hold it despite the error; it must be released, or the key
+     *     remains claimed by a request that never ran
      */
     record Refused(ClaimError error, Optional<KeyClaim> claimToRelease) implements ClaimOutcome {}
 }
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
@@ -13,18 +13,20 @@
 import org.berylwick.transport.StoredObject;
 
 /**
- * Decides through the platform's store which request runs under a key.
+ * Claims idempotency keys in the platform's store, which decides which of several requests with the same key runs.
  *
- * <p>A claim is a conditional update of the key's slot object: of several daemons that claim one key, the store lets
- * one through. A claim is never taken over, so a claimant that was paused for however long does no harm, and one that
- * died leaves its key taken until it expires. Slot objects are never deleted; an update that is overtaken therefore
- * always fails its precondition.
+ * <p>A claim is a conditional update of the key's slot object: if several daemons claim a key concurrently, the store
+ * accepts one update and rejects the others. A claim is never transferred to another request. A claimant that was
+ * paused for any length of time therefore cannot cause a second run, and the key of a claimant that crashed remains
+ * claimed until its record expires. Slot objects are never deleted, so an update based on an outdated version always
+ * fails its precondition.
  *
- * <p>All calls block; any thread may call.
+ * <p>All calls block. Thread-safe.
  */
 public final class KeyClaimStore {
     private static final int MAX_ATTEMPTS = 16;
-    // One call that goes unanswered must leave time for the read that settles it.
+    // After a store call that timed out, enough of the claim's or settlement's deadline must remain to read the slot
+    // and find out whether the call took effect.
     private static final long STORE_CALL_TIMEOUT_MILLIS = 500;
     private static final int MAX_SLOT_BYTES = PlatformStore.MAX_VALUE_BYTES / 2;
     private static final int MAX_CACHED_SLOT_BYTES = 16 << 10;
@@ -34,10 +36,10 @@
     private final TimeSource time;
 
     /**
-     * Claims in the name of one daemon.
+     * Creates a client that makes claims on behalf of one daemon.
      *
-     * @param store stays the caller's to close
-     * @param claimant instance name of the daemon
+     * @param store the platform's store; not closed by this class
+     * @param claimant the instance name of the daemon
      */
     public KeyClaimStore(PlatformStore store, String claimant, TimeSource time) {
         this.store = store;
@@ -45,11 +47,12 @@
         this.time = time;
     }
 
-    /** Tries to claim a key: two calls of the store if nobody holds it, one if somebody does. */
+    /** Tries to claim a key. Without conflicts or faults, this takes two store calls if the key is free, else one. */
     public ClaimOutcome claim(KeyRequest request, Deadline deadline) {
         String claimId = UUID.randomUUID().toString();
         boolean writeInDoubt = false;
-        ClaimError lastError = new ClaimError.Undecided("the deadline passed before the claim");
+        ClaimError lastError =
+                new ClaimError.Undecided("the deadline passed before the first attempt to claim the key");
         for (int attempt = 0; attempt < MAX_ATTEMPTS && !deadline.isPast(time); attempt++) {
             Result<VersionedSlot, ClaimError> read = read(request.key(), deadline);
             if (!(read instanceof Result.Ok<VersionedSlot, ClaimError>(VersionedSlot current))) {
@@ -58,8 +61,9 @@
             long nowMillis = time.epochMillis();
             Optional<KeyRecord> existing = current.slot().find(request.key(), nowMillis);
             if (existing.isPresent()) {
-                // A claim whose answer was lost has taken effect: without knowing its own record again, the
-                // claimant would tell its caller that another request holds the key, and the request never runs.
+                // An earlier update by this claim may have taken effect although its response was lost. If the
+                // claimant did not recognize its own record, it would report that another request holds the key, and
+                // no request would ever run.
                 return existing.get().claimId().equals(claimId)
                         ? granted(request, claimId, Optional.empty())
                         : new ClaimOutcome.Taken(existing.get());
@@ -88,7 +92,10 @@
         return refused(request, claimId, writeInDoubt, lastError);
     }
 
-    /** A client below may have repeated the write, so "precondition failed" can be the echo of our own success. */
+    /**
+     * Whether a failed write may have changed the slot. This includes a failed precondition: the underlying client may
+     * have sent the write twice, in which case the second one fails because the first one succeeded.
+     */
     private static boolean mayHaveTakenEffect(StoreError error) {
         return error instanceof StoreError.OutcomeUnknown || error instanceof StoreError.PreconditionFailed;
     }
@@ -104,10 +111,14 @@
         return new ClaimOutcome.Refused(error, toRelease);
     }
 
-    /** Ends a claim: one call of the store if its slot has not changed since the claim, two if it has. */
+    /**
+     * Settles a claim. Without conflicts or faults, this takes one store call if the claim carries a slot that is still
+     * current, two if it carries no slot, and three if its slot has changed since.
+     */
     public SettleOutcome settle(KeyClaim claim, Settlement settlement, Deadline deadline) {
         Optional<VersionedSlot> cached = claim.slotAfterClaim();
-        ClaimError lastError = new ClaimError.Undecided("the deadline passed before the claim was settled");
+        ClaimError lastError =
+                new ClaimError.Undecided("the deadline passed before the first attempt to settle the claim");
         for (int attempt = 0; attempt < MAX_ATTEMPTS && !deadline.isPast(time); attempt++) {
             Result<VersionedSlot, ClaimError> read = cached.<Result<VersionedSlot, ClaimError>>map(Result::ok)
                     .orElseGet(() -> read(claim.key(), deadline));
@@ -142,8 +153,8 @@
     private static Optional<SettleOutcome> outcomeIfAlreadySettled(
             KeyClaim claim, Settlement settlement, Optional<KeyRecord> ownRecord) {
         return switch (settlement) {
-            // A write of a claim in doubt may be on its way still. It would land after the release and take the key
-            // for a request that never ran; so the slot is written once more, and the late write fails its
+            // A write in doubt may still be in transit. If it took effect after the release, the key would be claimed
+            // by a request that never ran. Writing the slot once more, even unchanged, makes the delayed write fail its
             // precondition.
             case Settlement.Release() ->
                 ownRecord.isEmpty() && !claim.writeInDoubt()
@@ -176,7 +187,7 @@
                 .mapError(ClaimError.Unreadable::new);
     }
 
-    /** Writes the slot; the image is left out if it is too large to be kept in memory. */
+    /** Writes the slot and returns it with its new version; empty if it is too large to be cached in memory. */
     private Result<Optional<VersionedSlot>, StoreError> write(
             KeyId key, long version, KeySlot slot, Deadline deadline) {
         Optional<byte[]> bytes = slot.encode(MAX_SLOT_BYTES);
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
@@ -22,17 +22,17 @@
 import org.berylwick.transport.PlatformStore;
 
 /**
- * Claims and settles keys on threads of its own, for callers that must not block.
+ * Claims and settles keys on its own worker threads, for callers that must not block.
  *
- * <p>Requests for one slot go to one thread. The number of claims under way is bounded, and each has at most one
- * message in a ring as large as that bound: so a full house refuses new claims, truly as not run, and never loses the
- * settlement of an old one.
+ * <p>All jobs for a slot run on the same thread. The number of outstanding claims is limited, and each claim has at
+ * most one job in its worker's queue, whose capacity equals that limit. At the limit, new claims are refused, so that
+ * their requests are correctly reported as not run; the settlement of an existing claim always finds room in the queue.
  */
 public final class KeyDuty implements KernelService {
-    /** The name in the kernel. */
+    /** The name under which the service is registered in the kernel. */
     public static final String NAME = "idempotency-keys";
 
-    /** Most claims under way at once; also the capacity of each thread's ring. */
+    /** Maximum number of outstanding claims; also the capacity of each worker's queue. */
     static final int MAX_OUTSTANDING_CLAIMS = 512;
 
     private static final EventLog EVENTS = new EventLog(KeyDuty.class);
@@ -56,10 +56,10 @@
     private final Timer claimTime;
 
     /**
-     * A duty that begins with {@link #start()}.
+     * Creates the service; its worker threads start with {@link #start()}.
      *
-     * @param store stays the caller's to close
-     * @param claimant instance name of the daemon
+     * @param store the platform's store; not closed by this class
+     * @param claimant the instance name of the daemon
      */
     public KeyDuty(
             PlatformStore store, String claimant, Invariants invariants, MetricRegistry metrics, TimeSource time) {
@@ -91,8 +91,9 @@
     /**
      * Tries to claim a key.
      *
-     * @param deadline of the request; the claim gets two seconds of it at most
-     * @return completed on a thread of this duty, never exceptionally
+     * @param deadline the deadline of the request; the claim is given at most two seconds of it
+     * @return a future that is never completed exceptionally; it is completed on a worker thread, or already on return
+     *     if there are too many outstanding claims
      */
     public CompletableFuture<ClaimOutcome> claim(KeyRequest request, Deadline deadline) {
         CompletableFuture<ClaimOutcome> outcome = new CompletableFuture<>();
@@ -108,7 +109,10 @@
         return outcome;
     }
 
-    /** Ends a granted claim, now or as soon as the store takes it; to be called exactly once for each. */
+    /**
+     * Settles a granted claim in the background, with retries while the store fails. Must be called exactly once for
+     * each granted claim.
+     */
     public void settle(KeyClaim claim, Settlement settlement) {
         Deadline retryDeadline = Deadline.afterMillis(time, SETTLE_RETRY_PERIOD_MILLIS);
         KeyJob.Settle job = new KeyJob.Settle(claim, settlement, retryDeadline);
@@ -128,7 +132,11 @@
         outcome.complete(new ClaimOutcome.Refused(error, Optional.empty()));
     }
 
-    /** Tells the outcome of a claim and gives the job that remains, if one does. */
+    /**
+     * Completes a claim with its outcome.
+     *
+     * @return the job that releases the claim, if it was refused but may be in the store
+     */
     Optional<KeyJob.Settle> completeClaim(KeyJob.Claim job, ClaimOutcome outcome) {
         job.timerContext().stop();
         Optional<KeyJob.Settle> releaseJob = Optional.empty();
@@ -153,7 +161,11 @@
         return releaseJob;
     }
 
-    /** Notes what became of an attempt to settle; true if it is over. */
+    /**
+     * Records the outcome of an attempt to settle a claim.
+     *
+     * @return true if no further attempt is to be made
+     */
     boolean handleSettleOutcome(KeyJob.Settle job, SettleOutcome outcome) {
         boolean isKeep = job.settlement() instanceof Settlement.Keep;
         switch (outcome) {
@@ -169,8 +181,8 @@
                 invariants.check(
                         Invariant.AT_MOST_ONCE,
                         false,
-                        () -> "the claim of key " + job.claim().key().hash().abbreviated()
-                                + " vanished while its request ran");
+                        () -> "claim of key " + job.claim().key().hash().abbreviated()
+                                + " disappeared from the store before it was settled");
                 outstandingClaims.decrementAndGet();
                 return true;
             }
@@ -195,12 +207,12 @@
         outstandingClaims.decrementAndGet();
     }
 
-    /** Claims made and not settled yet, with the requests that wait for their claim. */
+    /** Returns the number of claims that are not settled yet, including those that are still being made. */
     public int outstandingClaims() {
         return outstandingClaims.get();
     }
 
-    /** Gives the settlements that are under way a few seconds to reach the store. */
+    /** Waits a few seconds for outstanding claims to be settled in the store, then stops the worker threads. */
     @Override
     public void close() {
         Deadline deadline = Deadline.afterMillis(time, CLOSE_TIMEOUT_MILLIS);
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyId.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyId.java
@@ -5,27 +5,30 @@
 import org.berylwick.transport.ObjectKey;
 
 /**
- * Names one {@code Idempotency-Key} of one brand and route.
+ * Identifies the value of an {@code Idempotency-Key} header in the scope of a brand and a route.
  *
- * <p>The slot object that holds its record follows from the hash alone, so that every daemon looks in the same place
- * whatever members it knows.
+ * <p>The slot object that holds the key's record is determined by the hash alone, so that all daemons use the same
+ * object, whichever members they know.
  *
- * @param hash of brand, route and the header's value
+ * @param hash the hash of the brand, the route and the value of the header
  */
 public record KeyId(Digest hash) {
-    /** Prefix of all slot objects in the store. */
+    /** Prefix of the keys of all slot objects in the store. */
     public static final String PREFIX = "keys/";
 
-    /** Hexadecimal digits of the hash that name the slot: 16^5 slots, some 1.05 million. */
+    /** Number of hexadecimal digits of the hash that identify the slot: 16^5, about 1.05 million, slots. */
     private static final int SLOT_DIGITS = 5;
 
-    /** Names {@code key} in the scope of a brand and a route; none of the three holds a line feed. */
+    /**
+     * Identifies {@code key} in the scope of a brand and a route. None of the three may contain a line feed, which
+     * separates them in the hashed text.
+     */
     public static KeyId of(String brand, String route, String key) {
         String scopedKey = brand + '\n' + route + '\n' + key;
         return new KeyId(Digest.of(scopedKey.getBytes(StandardCharsets.UTF_8)));
     }
 
-    /** The object that holds this key's record, if there is one. */
+    /** Returns the key of the store object that holds this key's record, if there is a record. */
     public ObjectKey slotObjectKey() {
         return new ObjectKey(PREFIX + hash.hex().substring(0, SLOT_DIGITS));
     }
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyJob.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyJob.java
@@ -4,22 +4,22 @@
 import java.util.concurrent.CompletableFuture;
 import org.berylwick.lib.Deadline;
 
-/** What a thread of the {@link KeyDuty} has to do. */
+/** A job for a worker thread of {@link KeyDuty}. */
 sealed interface KeyJob {
     /**
-     * A key to claim.
+     * Claims a key.
      *
-     * @param deadline after which the request is refused without a call of the store
-     * @param timerContext stopped when the outcome is known
+     * @param deadline the deadline of the claim; a job that starts after it is refused without a store call
+     * @param timerContext measures the time until the outcome is known
      */
     record Claim(
             KeyRequest request, Deadline deadline, Timer.Context timerContext, CompletableFuture<ClaimOutcome> outcome)
             implements KeyJob {}
 
     /**
-     * A claim to settle.
+     * Settles a claim.
      *
-     * @param retryDeadline after which a failed attempt is the last
+     * @param retryDeadline a failed attempt that ends after this deadline is not retried
      */
     record Settle(KeyClaim claim, Settlement settlement, Deadline retryDeadline) implements KeyJob {}
 }
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyMetrics.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyMetrics.java
@@ -1,29 +1,32 @@
 package org.berylwick.internal.idempotency;
 
-/** The metrics of keyed requests. */
+/** The names of the metrics of requests with an {@code Idempotency-Key}. */
 public final class KeyMetrics {
-    /** Counter: requests that were let run as the first with their key. */
+    /** Counter: requests that claimed their key and were allowed to run. */
     public static final String GRANTED = "keys.granted";
 
-    /** Counter: requests that found their key taken. */
+    /** Counter: requests whose key another request had already claimed. */
     public static final String TAKEN = "keys.taken";
 
-    /** Counter: requests refused as not run because the store did not decide. */
+    /**
+     * Counter: requests refused without being run, because their claim failed or there were too many outstanding
+     * claims.
+     */
     public static final String REFUSED = "keys.refused";
 
-    /** Counter: claims whose settlement is in the store. */
+    /** Counter: claims whose settlement was written to the store. */
     public static final String SETTLED = "keys.settled";
 
-    /** Counter: attempts to settle that must be repeated. */
+    /** Counter: failed attempts to settle a claim that are retried. */
     public static final String SETTLE_RETRIES = "keys.settle.retries";
 
-    /** Counter: claims whose settlement was given up. */
+    /** Counter: claims whose settlement was abandoned. */
     public static final String NOT_SETTLED = "keys.not-settled";
 
-    /** Gauge: claims made and not settled yet, with the requests that wait for their claim. */
+    /** Gauge: claims that are not settled yet, including those that are still being made. */
     public static final String OUTSTANDING = "keys.outstanding";
 
-    /** Timer: from asking for a claim to its outcome, waiting for a thread included. */
+    /** Timer: time from the request for a claim to its outcome, including the wait for a worker thread. */
     public static final String CLAIM_TIME = "keys.claim-time";
 
     private KeyMetrics() {}
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyRecord.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyRecord.java
@@ -1,18 +1,18 @@
 package org.berylwick.internal.idempotency;
 
 /**
- * The record of one key.
+ * The stored record of one claimed key.
  *
- * @param key hash of the {@link KeyId}, in hexadecimal
- * @param fingerprint of the request that claimed the key, in hexadecimal
- * @param claimId unique to the claim, so that a claimant knows its own record again
- * @param claimant instance name of the daemon that claimed the key, for people
- * @param claimedAtMillis wall clock of the claimant
- * @param run what is known of the run
+ * @param key the hash of the {@link KeyId}, in hexadecimal
+ * @param fingerprint the fingerprint of the request that claimed the key, in hexadecimal
+ * @param claimId the unique ID of the claim, by which a claimant recognizes its own record
+ * @param claimant the instance name of the daemon that claimed the key; informational only
+ * @param claimedAtMillis the time of the claim by the claimant's wall clock, in milliseconds since the epoch
+ * @param run the state of the request that claimed the key
  */
 public record KeyRecord(
         String key, String fingerprint, String claimId, String claimant, long claimedAtMillis, KeyState run) {
-    /** The same claim with another state. */
+    /** Returns a record of the same claim with another state. */
     public KeyRecord withState(KeyState newState) {
         return new KeyRecord(key, fingerprint, claimId, claimant, claimedAtMillis, newState);
     }
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyRequest.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyRequest.java
@@ -3,10 +3,11 @@
 import org.berylwick.lib.Digest;
 
 /**
- * A request that wants to be the one that runs under its key.
+ * A request for which a key is to be claimed.
  *
  * @param key the key in its scope
- * @param fingerprint tells it from other requests that use the same key
- * @param deadlineEpochMillis wall clock by when it has its final answer
+ * @param fingerprint distinguishes the request from other requests that use the same key
+ * @param deadlineEpochMillis the wall-clock time by which the request has its final response, in milliseconds since the
+ *     epoch
  */
 public record KeyRequest(KeyId key, Digest fingerprint, long deadlineEpochMillis) {}
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeySlot.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeySlot.java
@@ -9,40 +9,40 @@
 import org.berylwick.lib.Result;
 
 /**
- * The records of all keys that share one object of the store.
+ * The records of all keys that share one object in the store. Immutable.
  *
- * <p>Expired records leave with the next claim in the same slot, which writes the object anyway, so that expiry costs
- * no calls of its own. Immutable.
+ * <p>Expired records are removed by the next claim in the same slot. As a claim writes the object anyway, expiry takes
+ * no additional store calls.
  *
- * @param records in the order of their claims
+ * @param records the records in the order in which the keys were claimed
  */
 public record KeySlot(List<KeyRecord> records) {
-    /** How long a key is remembered, from its claim on. */
+    /** How long the record of a key is retained after the claim. */
     public static final long RETENTION_MILLIS = TimeUnit.HOURS.toMillis(24);
 
-    /** A slot without records. */
+    /** A slot without records, equivalent to an object that does not exist yet. */
     public static final KeySlot EMPTY = new KeySlot(List.of());
 
-    /** Copies the list. */
+    /** Makes a defensive copy of the list. */
     public KeySlot {
         records = List.copyOf(records);
     }
 
-    /** The record of a key, unless it has expired. */
+    /** Returns the record of a key; empty if there is none or it has expired. */
     public Optional<KeyRecord> find(KeyId key, long nowMillis) {
         return records.stream()
                 .filter(record -> record.key().equals(key.hash().hex()) && !isExpired(record, nowMillis))
                 .findFirst();
     }
 
-    /** The record that one claim wrote, expired or not. */
+    /** Returns the record of a claim, even if it has expired. */
     public Optional<KeyRecord> findClaim(String claimId) {
         return records.stream()
                 .filter(record -> record.claimId().equals(claimId))
                 .findFirst();
     }
 
-    /** This slot with one record more and without the expired ones. */
+    /** Returns a copy of this slot with {@code added} and without expired records. */
     public KeySlot withRecord(KeyRecord added, long nowMillis) {
         List<KeyRecord> kept = new ArrayList<>();
         for (KeyRecord record : records) {
@@ -54,14 +54,14 @@
         return new KeySlot(kept);
     }
 
-    /** This slot without one claim's record. */
+    /** Returns a copy of this slot without the record of a claim. */
     public KeySlot withoutClaim(String claimId) {
         return new KeySlot(records.stream()
                 .filter(record -> !record.claimId().equals(claimId))
                 .toList());
     }
 
-    /** This slot with another state in one claim's record. */
+    /** Returns a copy of this slot with another state in the record of a claim. */
     public KeySlot withState(String claimId, KeyState newState) {
         return new KeySlot(records.stream()
                 .map(record -> record.claimId().equals(claimId) ? record.withState(newState) : record)
@@ -73,9 +73,10 @@
     }
 
     /**
-     * Encodes the slot, giving up kept answers, oldest first, until it fits; that a request ran is never given up.
+     * Encodes the slot. If it exceeds {@code maxBytes}, stored responses are dropped, oldest first, until it fits; the
+     * information that their requests ran is always kept.
      *
-     * @return empty if it does not fit even so
+     * @return the encoded slot; empty if it exceeds {@code maxBytes} even without stored responses
      */
     public Optional<byte[]> encode(int maxBytes) {
         KeySlot slot = this;
@@ -95,7 +96,7 @@
         return Optional.of(bytes);
     }
 
-    /** Decodes what {@link #encode} wrote; the error says what is wrong. */
+    /** Decodes a slot encoded by {@link #encode}; the error describes why the content is invalid. */
     public static Result<KeySlot, String> decode(byte[] content) {
         return ConfigurationCodec.decode(content, KeySlot.class);
     }
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
@@ -9,7 +9,7 @@
 import org.berylwick.lib.Deadline;
 import org.berylwick.lib.TimeSource;
 
-/** One thread of the {@link KeyDuty}, with its ring and the settlements that wait for another attempt. */
+/** A worker thread of {@link KeyDuty} with its job queue and the settlements that are to be retried. */
 final class KeyWorker implements AutoCloseable {
     private static final long MAX_POLL_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
     private static final long SETTLE_TIMEOUT_MILLIS = 1_000;
@@ -31,12 +31,15 @@
         this.duty = new Duty(name, this::runRound);
     }
 
-    /** Gives the thread a job, from any thread. */
+    /** Adds a job to the queue without blocking. Thread-safe. */
     Ring.Offer offer(KeyJob job) {
         return jobs.offer(job);
     }
 
-    /** One job and one retry a round: with the store out, neither keeps the other waiting for more than one call. */
+    /**
+     * Executes at most one job from the queue and one retry, so that during a store outage neither new jobs nor retries
+     * are delayed by more than one job of the other kind.
+     */
     private void runRound() {
         jobs.poll(pollWaitNanos()).ifPresent(this::execute);
         PendingRetry nextRetry = retries.peek();
@@ -67,8 +70,8 @@
         }
     }
 
-    // An exception out of a job would end the round but not the job: its request would wait for ever, and its place
-    // among the claims under way would never be free again. It counts as a call of the store without an answer.
+    // If an exception escaped, the job would never complete: its request would wait forever, and its claim would count
+    // as outstanding forever. An exception is therefore treated like a store call without a response.
     private ClaimOutcome tryClaim(KeyJob.Claim job) {
         try {
             return claims.claim(job.request(), job.deadline());
--- a/org.berylwick/src/org/berylwick/internal/idempotency/RequestFingerprint.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/RequestFingerprint.java
@@ -4,21 +4,21 @@
 import java.nio.charset.StandardCharsets;
 import org.berylwick.lib.Digest;
 
-/** What two requests must share to count as the same request under one key. */
+/** The fingerprint by which a repetition of a request is told from another request with the same key. */
 public final class RequestFingerprint {
     private static final char SEPARATOR = '\n';
 
     private RequestFingerprint() {}
 
     /**
-     * Hashes what makes the request.
+     * Hashes the parts of a request that must be equal in a repetition of it.
      *
      * @param method the request method
-     * @param path path and query
-     * @param authorization value of the header of that name, empty if absent; without it, a stranger who guesses a key
-     *     would be given somebody else's answer
-     * @param contentLength declared length of the body in bytes, -1 if none is declared
-     * @param body the body, or nothing if it is streamed and not known yet
+     * @param path the path and query
+     * @param authorization the value of the {@code Authorization} header, empty if absent; it is included because
+     *     otherwise a client that guesses another client's key would receive the response to that client's request
+     * @param contentLength the declared length of the body in bytes, -1 if not declared
+     * @param body the body; empty if it is streamed and therefore not known yet
      */
     public static Digest of(String method, String path, String authorization, long contentLength, byte[] body) {
         String head = method + SEPARATOR + path + SEPARATOR + authorization + SEPARATOR + contentLength + SEPARATOR;
--- a/org.berylwick/src/org/berylwick/internal/idempotency/SettleOutcome.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/SettleOutcome.java
@@ -2,14 +2,14 @@
 
 import org.berylwick.errors.ClaimError;
 
-/** What became of settling a claim. */
+/** The outcome of an attempt to settle a claim. */
 public sealed interface SettleOutcome {
-    /** The store shows the settlement. */
+    /** The settlement is recorded in the store. */
     record Settled() implements SettleOutcome {}
 
-    /** The store no longer holds the claim, though its claimant never released it. */
+    /** The store no longer holds the claim, although its claimant did not release it. */
     record ClaimLost() implements SettleOutcome {}
 
-    /** The store may or may not show the settlement; settling again does no harm. */
+    /** The settlement may or may not be recorded in the store. It is idempotent, so it can be retried safely. */
     record RetryNeeded(ClaimError error) implements SettleOutcome {}
 }
--- a/org.berylwick/src/org/berylwick/internal/idempotency/StoredResponse.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/StoredResponse.java
@@ -5,17 +5,17 @@
 import java.util.Objects;
 
 /**
- * A backend server's whole answer, as a repeat is given it.
+ * The complete response of a backend server, stored to be replayed to repetitions of the request.
  *
  * @param status the HTTP status code
- * @param headers those that belong to the answer and not to a connection or one request
- * @param body the whole body
+ * @param headers the response headers, without those that apply only to a connection or a single request
+ * @param body the complete body
  */
 public record StoredResponse(int status, List<Header> headers, byte[] body) {
     /** One header line. */
     public record Header(String name, String value) {}
 
-    /** Copies the list. */
+    /** Makes a defensive copy of the list. */
     public StoredResponse {
         headers = List.copyOf(headers);
     }
--- a/org.berylwick/src/org/berylwick/internal/idempotency/package-info.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/package-info.java
@@ -1,2 +1,5 @@
-/** Requests that carry an {@code Idempotency-Key} run once in all: the records in the store and who may run. */
+/**
+ * Ensures that of all requests with the same {@code Idempotency-Key} at most one runs: keys are claimed, and the
+ * outcome of the request is recorded, in the platform's store.
+ */
 package org.berylwick.internal.idempotency;
