--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/InterleavedStore.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/InterleavedStore.java
@@ -15,12 +15,14 @@
 import org.berylwick.transport.StoreInterceptor;
 
 /**
- * A store whose clients run in an order that a seed decides, one call at a time, with faults in between.
+ * A store that schedules its clients' calls one at a time in an order determined by a seed, and injects faults.
  *
- * <p>Each client stops before and after each call until {@link #run} lets it go on. A call may be refused, its answer
- * may be lost after it took effect, and a write may be held back with its answer lost, to land at any later time.
+ * <p>Each client blocks before and after each call until {@link #run} resumes it. A call may fail as unavailable, its
+ * response may be lost after it took effect, and a write may be delayed: its response is lost, and it takes effect at
+ * any later time.
  */
 final class InterleavedStore implements StoreInterceptor {
+    /** On average, one in this many calls, responses and scheduling steps is affected by a fault. */
     private static final int FAULT_ONE_IN = 5;
 
     private final ReentrantLock lock = new ReentrantLock();
@@ -43,7 +45,10 @@
         return store;
     }
 
-    /** Runs the clients to their ends; {@code between} runs now and then between two calls. */
+    /**
+     * Runs all clients until they finish. Between two calls, with the probability of a fault, {@code betweenCalls} is
+     * run and a delayed write takes effect.
+     */
     void run(List<Runnable> clients, Runnable betweenCalls) {
         lock.lock();
         try {
@@ -87,7 +92,7 @@
         }
     }
 
-    /** Gives the turn back and waits for the next one. */
+    /** Ends the turn of the current client and blocks until it is scheduled again. */
     private void awaitTurn() {
         lock.lock();
         try {
@@ -95,7 +100,9 @@
             if (scheduledClient == self) {
                 scheduledClient = null;
             }
-            // Threads reach their first gate in any order; a place by age keeps the seed's choice the same.
+            // Client threads arrive here in an arbitrary order. Sorting them by ID makes the scheduling depend on the
+            // seed
+            // alone.
             waitingClients.add(self);
             waitingClients.sort((a, b) -> Long.compare(a.threadId(), b.threadId()));
             turnChanged.signalAll();
@@ -119,7 +126,10 @@
         }
     }
 
-    /** Calls of the scheduling thread itself, and of tests before and after, pass without a gate. */
+    /**
+     * Whether the current thread is a client. Calls by the scheduling thread and by the test itself, before or after
+     * {@link #run}, are neither scheduled nor subject to faults.
+     */
     private boolean isClient() {
         return Thread.currentThread().isVirtual();
     }
@@ -131,12 +141,12 @@
         }
         awaitTurn();
         return switch (random.nextInt(2 * FAULT_ONE_IN)) {
-            case 0 -> Optional.of(new StoreError.Unavailable("out"));
+            case 0 -> Optional.of(new StoreError.Unavailable("store unavailable"));
             case 1 -> {
                 if (call.isWrite()) {
                     delayedWrites.add(call);
                 }
-                yield Optional.of(new StoreError.OutcomeUnknown("held back"));
+                yield Optional.of(new StoreError.OutcomeUnknown("call lost or delayed"));
             }
             default -> Optional.empty();
         };
@@ -149,7 +159,7 @@
         }
         awaitTurn();
         return random.nextInt(FAULT_ONE_IN) == 0
-                ? Optional.of(new StoreError.OutcomeUnknown("answer lost"))
+                ? Optional.of(new StoreError.OutcomeUnknown("response lost"))
                 : Optional.empty();
     }
 }
--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
@@ -25,12 +25,12 @@
 import org.berylwick.transport.StoreInterceptor;
 import org.junit.jupiter.api.Test;
 
-/** Who may run a request under a key, with claimants, faults and pauses in any order. */
+/** Tests which request may run under a key, with concurrent claimants, store faults and pauses. */
 class KeyClaimStoreTest {
     private static final KeyId KEY = KeyId.of("kapitolyo", "placements", "order-17");
     private static final Digest FINGERPRINT = Digest.of("POST /placements".getBytes(StandardCharsets.UTF_8));
-    private static final StoredResponse RESPONSE =
-            new StoredResponse(201, List.of(new StoredResponse.Header("location", "/placements/9")), new byte[] {1, 2, 3});
+    private static final StoredResponse RESPONSE = new StoredResponse(
+            201, List.of(new StoredResponse.Header("location", "/placements/9")), new byte[] {1, 2, 3});
     private static final int CLAIMANTS = 3;
     private static final int REQUESTS_EACH = 2;
     private static final int SETTLE_ATTEMPTS = 200;
@@ -42,7 +42,7 @@
         return new KeyRequest(KEY, FINGERPRINT, time.epochMillis() + 1_000);
     }
 
-    /** How a granted request goes on. */
+    /** What a claimant does after its claim was granted. */
     private enum ClaimantBehavior {
         ANSWERED,
         NOT_RUN,
@@ -51,7 +51,7 @@
         CRASHED_AFTER_SENDING
     }
 
-    /** What happened to all requests of one try. */
+    /** Counts over all requests of one try of the property. */
     private static final class Counts {
         private final AtomicInteger runs = new AtomicInteger();
         private final AtomicInteger answered = new AtomicInteger();
@@ -109,18 +109,18 @@
                 case SettleOutcome.Settled() -> {
                     return;
                 }
-                case SettleOutcome.ClaimLost() -> throw new AssertionError("the claim vanished");
+                case SettleOutcome.ClaimLost() -> throw new AssertionError("claim disappeared from the store");
                 case SettleOutcome.RetryNeeded ignored -> {}
             }
         }
-        throw new AssertionError("not settled");
+        throw new AssertionError("claim not settled by any attempt");
     }
 
     /**
-     * Three daemons get the same request twice each, at any time between one another's calls of the store. Calls are
-     * refused, their answers are lost, writes land long after their answer was given up, claimants pause for minutes or
-     * die. The caller is charged twice if two requests run; it is left without its order if a key stays taken although
-     * nobody ran it; both are what the claims are there to prevent.
+     * Three daemons receive the same request twice each, and their store calls are interleaved at random. Calls fail,
+     * responses are lost, writes take effect long after their claimant stopped waiting for them, and claimants pause
+     * for minutes or crash. Guards against two failures: two requests run, so that a caller is charged twice; or a key
+     * remains claimed although no claimant ran the request, so that a caller cannot place its order.
      */
     @Property(seed = "4711", tries = 1500)
     void atMostOneRequestRunsAndUnusedKeyIsFree(@ForAll long seed) {
@@ -142,8 +142,10 @@
         }
         interleaved.run(claimants, () -> time.advance(Duration.ofMinutes(2)));
         assertEquals(List.of(), failures);
-        assertTrue(counts.unreleasedClaims.get() <= 1, "requests let run: " + counts.unreleasedClaims);
-        assertTrue(counts.runs.get() <= 1, "runs: " + counts.runs);
+        assertTrue(
+                counts.unreleasedClaims.get() <= 1,
+                "granted claims that were not released: " + counts.unreleasedClaims);
+        assertTrue(counts.runs.get() <= 1, "request runs: " + counts.runs);
         ClaimOutcome finalOutcome =
                 new KeyClaimStore(interleaved.store(), "last", time).claim(request(), distantDeadline);
         if (counts.unreleasedClaims.get() == 0) {
@@ -198,9 +200,9 @@
     }
 
     /**
-     * The write of a claim is held up on the way and its answer given up; the caller is told, truly, that its request
-     * was not run. The claim is released, and only then the held-up write arrives. Were it let in, the caller would be
-     * told for a day that its key is taken, though nobody ever ran the request.
+     * The write of a claim is delayed in transit until the claimant stops waiting, and the caller is correctly told
+     * that its request was not run. The claim is released, and only then does the delayed write arrive. If the store
+     * accepted it, the key would remain claimed for a day although the request never ran.
      */
     @Test
     void claimWriteArrivingAfterReleaseIsRejected() {
@@ -214,9 +216,9 @@
                 }
                 if (remainingFailures.getAndDecrement() == 2) {
                     delayedWrites.add(call);
-                    return Optional.of(new StoreError.OutcomeUnknown("held up"));
+                    return Optional.of(new StoreError.OutcomeUnknown("write delayed"));
                 }
-                return Optional.of(new StoreError.Unavailable("out"));
+                return Optional.of(new StoreError.Unavailable("store unavailable"));
             }
         });
         KeyClaimStore claims = new KeyClaimStore(store, "daemon", time);
--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyDutyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyDutyTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What callers of the duty see while the store is slow, out, or loses their claim. */
+/** Tests the behavior of {@link KeyDuty} while the store is slow or unavailable, or loses a claim. */
 class KeyDutyTest {
     private static final TimeSource TIME = TimeSource.SYSTEM;
     private static final Digest FINGERPRINT = Digest.of(new byte[0]);
@@ -65,14 +65,14 @@
             @Override
             public Optional<StoreError> before(StoreCall call) {
                 callCount.incrementAndGet();
-                return Optional.of(new StoreError.Unavailable("out"));
+                return Optional.of(new StoreError.Unavailable("store unavailable"));
             }
         };
     }
 
     /**
-     * The store hangs, and more keyed requests arrive than may be under way. Those over the bound are refused at once
-     * as not run, none waits for a place; and the settlements of those under way are not refused.
+     * The store blocks, and more requests with keys arrive than claims may be outstanding. Those over the limit are
+     * refused immediately as not run instead of waiting, and the settlements of the outstanding claims are not refused.
      */
     @Test
     void claimsOverTheLimitAreRefusedImmediately() {
@@ -105,8 +105,8 @@
     }
 
     /**
-     * The request has run and the store goes out before its outcome is recorded. The record is tried again until the
-     * store is back; a repeat then gets the answer.
+     * The request has run, and the store becomes unavailable before the outcome is recorded. The settlement is retried
+     * until the store recovers; a repetition of the request then receives the stored response.
      */
     @Test
     void outcomeIsRecordedAfterTheStoreRecovers() {
@@ -117,7 +117,7 @@
         interceptor.set(unavailableStore(refusedCalls));
         KeyState answered = new KeyState.Answered(new StoredResponse(200, List.of(), new byte[] {7}));
         duty.settle(claim, new Settlement.Keep(answered));
-        LocalFleet.await("the record is tried again", () -> refusedCalls.get() >= 2);
+        LocalFleet.await("the settlement is retried", () -> refusedCalls.get() >= 2);
         interceptor.set(StoreInterceptor.NONE);
         LocalFleet.await("every claim is settled", () -> duty.outstandingClaims() == 0);
         ClaimOutcome.Taken taken =
@@ -128,8 +128,8 @@
     }
 
     /**
-     * Somebody deletes the slot object while the request runs. The key is free then, and another request with it could
-     * run too; the daemon that finds its claim gone says so.
+     * The slot object is deleted while the request runs. The key is then free, and a second request could run under it;
+     * the daemon whose claim is missing reports an invariant breach.
      */
     @Test
     void lostClaimIsAnInvariantBreach() {
@@ -143,7 +143,10 @@
         assertEquals(1, invariants.breaches(Invariant.AT_MOST_ONCE));
     }
 
-    /** An exception in the store's client must neither leave the caller waiting nor use up a place for good. */
+    /**
+     * An exception in the store client must neither leave the caller waiting nor leave its claim counted as
+     * outstanding.
+     */
     @Test
     void exceptionInStoreClientRefusesTheClaim() {
         interceptor.set(new StoreInterceptor() {
@@ -153,7 +156,7 @@
             }
         });
         CompletableFuture<ClaimOutcome> outcome = claim("thrown");
-        LocalFleet.await("the caller is told", outcome::isDone);
+        LocalFleet.await("the claim is completed", outcome::isDone);
         assertInstanceOf(ClaimOutcome.Refused.class, outcome.join());
         LocalFleet.await("every claim is settled", () -> duty.outstandingClaims() == 0);
     }
--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/package-info.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of claims of idempotency keys. */
+/** Tests of the claiming and settling of idempotency keys. */
 package org.berylwick.internal.idempotency;
