--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
@@ -38,7 +38,7 @@
     private static final EventLog EVENTS = new EventLog(KeyDuty.class);
     private static final int THREADS = 4;
     private static final long CLAIM_TIMEOUT_MILLIS = 2_000;
-    private static final long SETTLE_RETRY_PERIOD_MILLIS = TimeUnit.MINUTES.toMillis(10);
+    private static final long SETTLE_RETRY_TIMEOUT_MILLIS = TimeUnit.MINUTES.toMillis(10);
     private static final long CLOSE_TIMEOUT_MILLIS = 5_000;
     private static final long CLOSE_POLL_INTERVAL_MILLIS = 10;
 
@@ -114,7 +114,7 @@
      * each granted claim.
      */
     public void settle(KeyClaim claim, Settlement settlement) {
-        Deadline retryDeadline = Deadline.afterMillis(time, SETTLE_RETRY_PERIOD_MILLIS);
+        Deadline retryDeadline = Deadline.afterMillis(time, SETTLE_RETRY_TIMEOUT_MILLIS);
         KeyJob.Settle job = new KeyJob.Settle(claim, settlement, retryDeadline);
         if (workerFor(claim.key()).offer(job) == Ring.Offer.FULL) {
             abandonSettlement(job, new ClaimError.TooManyClaims());
@@ -149,7 +149,7 @@
             case ClaimOutcome.Refused(ClaimError error, Optional<KeyClaim> toRelease) -> {
                 refused.inc();
                 EVENTS.log(CallEvent.KEY_NOT_CLAIMED, job.request().key().hash().abbreviated(), error);
-                Deadline retryDeadline = Deadline.afterMillis(time, SETTLE_RETRY_PERIOD_MILLIS);
+                Deadline retryDeadline = Deadline.afterMillis(time, SETTLE_RETRY_TIMEOUT_MILLIS);
                 releaseJob = toRelease.map(
                         claimToRelease -> new KeyJob.Settle(claimToRelease, new Settlement.Release(), retryDeadline));
                 if (releaseJob.isEmpty()) {
