--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeySlot.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeySlot.java
@@ -31,23 +31,23 @@
     /** Returns the record of a key; empty if there is none or it has expired. */
     public Optional<KeyRecord> find(KeyId key, long nowMillis) {
         return records.stream()
-                .filter(record -> record.key().equals(key.hash().hex()) && !isExpired(record, nowMillis))
+                .filter(keyRecord -> keyRecord.key().equals(key.hash().hex()) && !isExpired(keyRecord, nowMillis))
                 .findFirst();
     }
 
     /** Returns the record of a claim, even if it has expired. */
     public Optional<KeyRecord> findClaim(String claimId) {
         return records.stream()
-                .filter(record -> record.claimId().equals(claimId))
+                .filter(keyRecord -> keyRecord.claimId().equals(claimId))
                 .findFirst();
     }
 
     /** Returns a copy of this slot with {@code added} and without expired records. */
     public KeySlot withRecord(KeyRecord added, long nowMillis) {
         List<KeyRecord> kept = new ArrayList<>();
-        for (KeyRecord record : records) {
-            if (!isExpired(record, nowMillis)) {
-                kept.add(record);
+        for (KeyRecord keyRecord : records) {
+            if (!isExpired(keyRecord, nowMillis)) {
+                kept.add(keyRecord);
             }
         }
         kept.add(added);
@@ -57,19 +57,19 @@
     /** Returns a copy of this slot without the record of a claim. */
     public KeySlot withoutClaim(String claimId) {
         return new KeySlot(records.stream()
-                .filter(record -> !record.claimId().equals(claimId))
+                .filter(keyRecord -> !keyRecord.claimId().equals(claimId))
                 .toList());
     }
 
     /** Returns a copy of this slot with another state in the record of a claim. */
     public KeySlot withState(String claimId, KeyState newState) {
         return new KeySlot(records.stream()
-                .map(record -> record.claimId().equals(claimId) ? record.withState(newState) : record)
+                .map(keyRecord -> keyRecord.claimId().equals(claimId) ? keyRecord.withState(newState) : keyRecord)
                 .toList());
     }
 
-    private static boolean isExpired(KeyRecord record, long nowMillis) {
-        return nowMillis - record.claimedAtMillis() > RETENTION_MILLIS;
+    private static boolean isExpired(KeyRecord keyRecord, long nowMillis) {
+        return nowMillis - keyRecord.claimedAtMillis() > RETENTION_MILLIS;
     }
 
     /**
@@ -83,7 +83,7 @@
         byte[] bytes = ConfigurationCodec.encode(slot);
         while (bytes.length > maxBytes) {
             Optional<KeyRecord> oldest = slot.records.stream()
-                    .filter(record -> record.run() instanceof KeyState.Answered)
+                    .filter(keyRecord -> keyRecord.run() instanceof KeyState.Answered)
                     .min(Comparator.comparingLong(KeyRecord::claimedAtMillis));
             if (oldest.isEmpty()) {
                 return Optional.empty();
