--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyClaimStore.java
@@ -105,10 +105,10 @@
     }
 
     private static ClaimOutcome refused(KeyRequest request, String claimId, boolean writeInDoubt, ClaimError error) {
-        Optional<KeyClaim> toRelease = writeInDoubt
+        Optional<KeyClaim> claimToRelease = writeInDoubt
                 ? Optional.of(new KeyClaim(request.key(), claimId, Optional.empty(), true))
                 : Optional.empty();
-        return new ClaimOutcome.Refused(error, toRelease);
+        return new ClaimOutcome.Refused(error, claimToRelease);
     }
 
     /**
