--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/InterleavedStore.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/InterleavedStore.java
@@ -100,9 +100,8 @@
             if (scheduledClient == self) {
                 scheduledClient = null;
             }
-            // Client threads arrive here in an arbitrary order. Sorting them by ID makes the scheduling depend on the
-            // seed
-            // alone.
+            // Client threads arrive here in an arbitrary order. Sorting them by ID makes the schedule depend on the
+            // seed alone.
             waitingClients.add(self);
             waitingClients.sort((a, b) -> Long.compare(a.threadId(), b.threadId()));
             turnChanged.signalAll();
