--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/InterleavedStore.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/InterleavedStore.java
@@ -15,23 +15,25 @@
 import org.berylwick.transport.StoreInterceptor;
 
 /**
- * A store whose clients run in an order that a seed decides, one call at a time, with faults in between.
+ * A store that schedules its clients' calls one at a time in an order determined by a seed, and injects faults.
  *
- * <p>Each client stops before and after each call until {@link #run} lets it go on. A call may be refused, its answer
- * may be lost after it took effect, and a write may be held back with its answer lost, to land at any later time.
+ * <p>Each client blocks before and after each call until {@link #run} resumes it. A call may fail as unavailable, its
+ * response may be lost after it took effect, and a write may be delayed: its response is lost, and it takes effect at
+ * any later time.
  */
 final class InterleavedStore implements StoreInterceptor {
-    private static final int ONE_IN_FAULTS = 5;
+    /** On average, one in this many calls, responses and scheduling steps is affected by a fault. */
+    private static final int FAULT_ONE_IN = 5;
 
     private final ReentrantLock lock = new ReentrantLock();
-    private final Condition changed = lock.newCondition();
-    private final List<Thread> atGate = new ArrayList<>();
-    private final List<StoreCall> heldBack = new ArrayList<>();
+    private final Condition turnChanged = lock.newCondition();
+    private final List<Thread> waitingClients = new ArrayList<>();
+    private final List<StoreCall> delayedWrites = new ArrayList<>();
     private final Random random;
     private final TimeSource time;
     private final MemoryStore store;
-    private Thread allowed;
-    private int live;
+    private Thread scheduledClient;
+    private int activeClients;
 
     InterleavedStore(Random random, TimeSource time) {
         this.random = random;
@@ -43,79 +45,90 @@
         return store;
     }
 
-    /** Runs the clients to their ends; {@code between} runs now and then between two calls. */
-    void run(List<Runnable> clients, Runnable between) {
+    /**
+     * Runs all clients until they finish. Between two calls, with the probability of a fault, {@code betweenCalls} is
+     * run and a delayed write takes effect.
+     */
+    void run(List<Runnable> clients, Runnable betweenCalls) {
         lock.lock();
         try {
-            live = clients.size();
-            clients.forEach(c -> Thread.ofVirtual().start(() -> client(c)));
-            while (live > 0) {
-                while (allowed != null || atGate.size() < live) {
-                    changed.awaitUninterruptibly();
+            activeClients = clients.size();
+            clients.forEach(client -> Thread.ofVirtual().start(() -> runClient(client)));
+            while (activeClients > 0) {
+                while (scheduledClient != null || waitingClients.size() < activeClients) {
+                    turnChanged.awaitUninterruptibly();
                 }
-                if (live == 0) {
+                if (activeClients == 0) {
                     break;
                 }
-                if (random.nextInt(ONE_IN_FAULTS) == 0) {
-                    between.run();
-                    landOne();
+                if (random.nextInt(FAULT_ONE_IN) == 0) {
+                    betweenCalls.run();
+                    applyOneDelayedWrite();
                 }
-                allowed = atGate.remove(random.nextInt(atGate.size()));
-                changed.signalAll();
+                scheduledClient = waitingClients.remove(random.nextInt(waitingClients.size()));
+                turnChanged.signalAll();
             }
         } finally {
             lock.unlock();
         }
-        while (!heldBack.isEmpty()) {
-            landOne();
+        while (!delayedWrites.isEmpty()) {
+            applyOneDelayedWrite();
         }
     }
 
-    private void client(Runnable body) {
-        gate();
+    private void runClient(Runnable body) {
+        awaitTurn();
         try {
             body.run();
         } finally {
             lock.lock();
             try {
-                live--;
-                allowed = null;
-                changed.signalAll();
+                activeClients--;
+                scheduledClient = null;
+                turnChanged.signalAll();
             } finally {
                 lock.unlock();
             }
         }
     }
 
-    /** Gives the turn back and waits for the next one. */
-    private void gate() {
+    /** Ends the turn of the current client and blocks until it is scheduled again. */
+    private void awaitTurn() {
         lock.lock();
         try {
             Thread self = Thread.currentThread();
-            if (allowed == self) {
-                allowed = null;
+            if (scheduledClient == self) {
+                scheduledClient = null;
             }
-            // Threads reach their first gate in any order; a place by age keeps the seed's choice the same.
-            atGate.add(self);
-            atGate.sort((a, b) -> Long.compare(a.threadId(), b.threadId()));
-            changed.signalAll();
-            while (allowed != self) {
-                changed.awaitUninterruptibly();
+            // Client threads arrive here in an arbitrary order. Sorting them by ID makes the schedule depend on the
+            // seed alone.
+            waitingClients.add(self);
+            waitingClients.sort((a, b) -> Long.compare(a.threadId(), b.threadId()));
+            turnChanged.signalAll();
+            while (scheduledClient != self) {
+                turnChanged.awaitUninterruptibly();
             }
         } finally {
             lock.unlock();
         }
     }
 
-    private void landOne() {
-        if (!heldBack.isEmpty()) {
-            StoreCall late = heldBack.remove(random.nextInt(heldBack.size()));
-            StoreCall.Write write = late.write().orElseThrow();
-            store.put(new ObjectKey(late.path()), write.value(), write.precondition(), Deadline.afterMillis(time, 1));
+    private void applyOneDelayedWrite() {
+        if (!delayedWrites.isEmpty()) {
+            StoreCall delayedCall = delayedWrites.remove(random.nextInt(delayedWrites.size()));
+            StoreCall.Write write = delayedCall.write().orElseThrow();
+            store.put(
+                    new ObjectKey(delayedCall.path()),
+                    write.value(),
+                    write.precondition(),
+                    Deadline.afterMillis(time, 1));
         }
     }
 
-    /** Calls of the scheduling thread itself, and of tests before and after, pass without a gate. */
+    /**
+     * Whether the current thread is a client. Calls by the scheduling thread and by the test itself, before or after
+     * {@link #run}, are neither scheduled nor subject to faults.
+     */
     private boolean isClient() {
         return Thread.currentThread().isVirtual();
     }
@@ -125,14 +138,14 @@
         if (!isClient()) {
             return Optional.empty();
         }
-        gate();
-        return switch (random.nextInt(2 * ONE_IN_FAULTS)) {
-            case 0 -> Optional.of(new StoreError.Unavailable("out"));
+        awaitTurn();
+        return switch (random.nextInt(2 * FAULT_ONE_IN)) {
+            case 0 -> Optional.of(new StoreError.Unavailable("store unavailable"));
             case 1 -> {
                 if (call.isWrite()) {
-                    heldBack.add(call);
+                    delayedWrites.add(call);
                 }
-                yield Optional.of(new StoreError.OutcomeUnknown("held back"));
+                yield Optional.of(new StoreError.OutcomeUnknown("call lost or delayed"));
             }
             default -> Optional.empty();
         };
@@ -143,9 +156,9 @@
         if (!isClient()) {
             return Optional.empty();
         }
-        gate();
-        return random.nextInt(ONE_IN_FAULTS) == 0
-                ? Optional.of(new StoreError.OutcomeUnknown("answer lost"))
+        awaitTurn();
+        return random.nextInt(FAULT_ONE_IN) == 0
+                ? Optional.of(new StoreError.OutcomeUnknown("response lost"))
                 : Optional.empty();
     }
 }
--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyDutyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyDutyTest.java
@@ -28,18 +28,18 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What callers of the duty see while the store is slow, out, or loses their claim. */
+/** Tests the behavior of {@link KeyDuty} while the store is slow or unavailable, or loses a claim. */
 class KeyDutyTest {
     private static final TimeSource TIME = TimeSource.SYSTEM;
     private static final Digest FINGERPRINT = Digest.of(new byte[0]);
 
-    private final AtomicReference<StoreInterceptor> faults = new AtomicReference<>(StoreInterceptor.NONE);
+    private final AtomicReference<StoreInterceptor> interceptor = new AtomicReference<>(StoreInterceptor.NONE);
     private final MetricRegistry metrics = new MetricRegistry();
     private final Invariants invariants = new Invariants(metrics);
     private final MemoryStore store = new MemoryStore(TIME, new StoreInterceptor() {
         @Override
         public Optional<StoreError> before(StoreCall call) {
-            return faults.get().before(call);
+            return interceptor.get().before(call);
         }
     });
     private final KeyDuty duty = new KeyDuty(store, "daemon", invariants, metrics, TIME);
@@ -51,7 +51,7 @@
 
     @AfterEach
     void close() {
-        faults.set(StoreInterceptor.NONE);
+        interceptor.set(StoreInterceptor.NONE);
         duty.close();
     }
 
@@ -60,28 +60,28 @@
         return duty.claim(request, Deadline.afterMillis(TIME, 60_000));
     }
 
-    private static StoreInterceptor refusing(AtomicInteger seen) {
+    private static StoreInterceptor unavailableStore(AtomicInteger callCount) {
         return new StoreInterceptor() {
             @Override
             public Optional<StoreError> before(StoreCall call) {
-                seen.incrementAndGet();
-                return Optional.of(new StoreError.Unavailable("out"));
+                callCount.incrementAndGet();
+                return Optional.of(new StoreError.Unavailable("store unavailable"));
             }
         };
     }
 
     /**
-     * The store hangs, and more keyed requests arrive than may be under way. Those over the bound are refused at once
-     * as not run, none waits for a place; and the settlements of those under way are not refused.
+     * The store blocks, and more requests with keys arrive than claims may be outstanding. Those over the limit are
+     * refused immediately as not run instead of waiting, and the settlements of the outstanding claims are not refused.
      */
     @Test
-    void claimsOverTheBoundAreRefusedAtOnce() {
-        CountDownLatch hanging = new CountDownLatch(1);
-        faults.set(new StoreInterceptor() {
+    void claimsOverTheLimitAreRefusedImmediately() {
+        CountDownLatch storeBlocked = new CountDownLatch(1);
+        interceptor.set(new StoreInterceptor() {
             @Override
             public Optional<StoreError> before(StoreCall call) {
                 try {
-                    hanging.await();
+                    storeBlocked.await();
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
@@ -89,37 +89,37 @@
             }
         });
         List<CompletableFuture<ClaimOutcome>> admitted = new ArrayList<>();
-        for (int i = 0; i < KeyDuty.MAX_OUTSTANDING; i++) {
+        for (int i = 0; i < KeyDuty.MAX_OUTSTANDING_CLAIMS; i++) {
             admitted.add(claim("key-" + i));
         }
-        ClaimOutcome over = claim("one-more").getNow(null);
-        assertEquals(new ClaimOutcome.Refused(new ClaimError.TooManyClaims(), Optional.empty()), over);
-        hanging.countDown();
+        ClaimOutcome excessOutcome = claim("one-more").getNow(null);
+        assertEquals(new ClaimOutcome.Refused(new ClaimError.TooManyClaims(), Optional.empty()), excessOutcome);
+        storeBlocked.countDown();
         for (CompletableFuture<ClaimOutcome> outcome : admitted) {
             if (outcome.join() instanceof ClaimOutcome.Granted(KeyClaim claim)) {
                 duty.settle(claim, new Settlement.Keep(new KeyState.Unknown()));
             }
         }
-        LocalFleet.await("every claim is settled", () -> duty.outstanding() == 0);
+        LocalFleet.await("every claim is settled", () -> duty.outstandingClaims() == 0);
         assertEquals(0, metrics.counter(KeyMetrics.NOT_SETTLED).getCount());
     }
 
     /**
-     * The request has run and the store goes out before its outcome is recorded. The record is tried again until the
-     * store is back; a repeat then gets the answer.
+     * The request has run, and the store becomes unavailable before the outcome is recorded. The settlement is retried
+     * until the store recovers; a repetition of the request then receives the stored response.
      */
     @Test
-    void anOutcomeIsRecordedOnceTheStoreIsBack() {
+    void outcomeIsRecordedAfterTheStoreRecovers() {
         KeyClaim claim = assertInstanceOf(
                         ClaimOutcome.Granted.class, claim("later").join())
                 .claim();
         AtomicInteger refusedCalls = new AtomicInteger();
-        faults.set(refusing(refusedCalls));
-        KeyState answered = new KeyState.Answered(new StoredAnswer(200, List.of(), new byte[] {7}));
+        interceptor.set(unavailableStore(refusedCalls));
+        KeyState answered = new KeyState.Answered(new StoredResponse(200, List.of(), new byte[] {7}));
         duty.settle(claim, new Settlement.Keep(answered));
-        LocalFleet.await("the record is tried again", () -> refusedCalls.get() >= 2);
-        faults.set(StoreInterceptor.NONE);
-        LocalFleet.await("every claim is settled", () -> duty.outstanding() == 0);
+        LocalFleet.await("the settlement is retried", () -> refusedCalls.get() >= 2);
+        interceptor.set(StoreInterceptor.NONE);
+        LocalFleet.await("every claim is settled", () -> duty.outstandingClaims() == 0);
         ClaimOutcome.Taken taken =
                 assertInstanceOf(ClaimOutcome.Taken.class, claim("later").join());
         assertEquals(answered, taken.existing().run());
@@ -128,33 +128,36 @@
     }
 
     /**
-     * Somebody deletes the slot object while the request runs. The key is free then, and another request with it could
-     * run too; the daemon that finds its claim gone says so.
+     * The slot object is deleted while the request runs. The key is then free, and a second request could run under it;
+     * the daemon whose claim is missing reports an invariant breach.
      */
     @Test
-    void aClaimThatVanishedIsABreach() {
+    void lostClaimIsAnInvariantBreach() {
         KeyClaim claim = assertInstanceOf(
                         ClaimOutcome.Granted.class, claim("gone").join())
                 .claim();
-        ObjectKey slot = claim.key().slot();
+        ObjectKey slot = claim.key().slotObjectKey();
         store.delete(slot, new Precondition.None(), Deadline.afterMillis(TIME, 1_000));
         duty.settle(claim, new Settlement.Keep(new KeyState.Unknown()));
-        LocalFleet.await("every claim is settled", () -> duty.outstanding() == 0);
+        LocalFleet.await("every claim is settled", () -> duty.outstandingClaims() == 0);
         assertEquals(1, invariants.breaches(Invariant.AT_MOST_ONCE));
     }
 
-    /** An exception in the store's client must neither leave the caller waiting nor use up a place for good. */
+    /**
+     * An exception in the store client must neither leave the caller waiting nor leave its claim counted as
+     * outstanding.
+     */
     @Test
-    void anExceptionInTheStoresClientIsARefusal() {
-        faults.set(new StoreInterceptor() {
+    void exceptionInStoreClientRefusesTheClaim() {
+        interceptor.set(new StoreInterceptor() {
             @Override
             public Optional<StoreError> before(StoreCall call) {
                 throw new IllegalStateException("closed");
             }
         });
         CompletableFuture<ClaimOutcome> outcome = claim("thrown");
-        LocalFleet.await("the caller is told", outcome::isDone);
+        LocalFleet.await("the claim is completed", outcome::isDone);
         assertInstanceOf(ClaimOutcome.Refused.class, outcome.join());
-        LocalFleet.await("every claim is settled", () -> duty.outstanding() == 0);
+        LocalFleet.await("every claim is settled", () -> duty.outstandingClaims() == 0);
     }
 }
--- a/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/FailureDetectorTest.java
@@ -15,116 +15,116 @@
 import org.berylwick.testing.ManualTimeSource;
 import org.junit.jupiter.api.Test;
 
-/** When members are suspected, given up and forgotten. */
+/** Tests when members are suspected, marked {@code GONE} and removed, and which records a daemon refutes. */
 class FailureDetectorTest {
-    private static final long SUSPICION_MILLIS = 5_000;
-    private static final long TOMBSTONE_MILLIS = 60_000;
+    private static final long SUSPICION_TIMEOUT_MILLIS = 5_000;
+    private static final long TOMBSTONE_RETENTION_MILLIS = 60_000;
 
     private final ManualTimeSource time = new ManualTimeSource();
-    private final FailureDetector detector = new FailureDetector(time, SUSPICION_MILLIS, TOMBSTONE_MILLIS);
+    private final FailureDetector detector =
+            new FailureDetector(time, SUSPICION_TIMEOUT_MILLIS, TOMBSTONE_RETENTION_MILLIS);
     private final MembershipTable table = new MembershipTable();
 
     @Provide
     Arbitrary<Member> records() {
-        return Records.any();
+        return MemberRecords.anyRecord();
     }
 
     private void merge(Member record) {
-        table.mergeAll(List.of(record)).forEach(detector::changed);
+        table.mergeAll(List.of(record)).forEach(detector::recordChanged);
     }
 
-    private void membersUp(String... instances) {
-        for (String i : instances) {
-            merge(Records.record(i, Member.State.UP, 1, 1));
+    private void addUpMembers(String... instances) {
+        for (String instance : instances) {
+            merge(MemberRecords.record(instance, Member.State.UP, 1, 1));
         }
     }
 
-    private void unreachable(String instance) {
-        detector.unreachable(table.view().find(instance).orElseThrow()).ifPresent(this::merge);
+    private void failProbe(String instance) {
+        detector.probeFailed(table.view().find(instance).orElseThrow()).ifPresent(this::merge);
     }
 
-    private Member.State state(String instance) {
+    private Member.State stateOf(String instance) {
         return table.view().find(instance).orElseThrow().state();
     }
 
-    private void pass(long millis) {
+    private void advanceAndExpire(long millis) {
         time.advance(Duration.ofMillis(millis));
-        detector.expired(table.view()).forEach(this::merge);
+        detector.removeExpiredSuspicions(table.view()).forEach(this::merge);
     }
 
     @Test
-    void unreachableMemberIsSuspectedFirstAndGoneAfterTheTimeout() {
-        membersUp("a", "b", "c");
-        unreachable("a");
-        assertEquals(Member.State.SUSPECT, state("a"));
-        pass(SUSPICION_MILLIS - 1);
-        assertEquals(Member.State.SUSPECT, state("a"));
-        pass(1);
-        assertEquals(Member.State.GONE, state("a"));
-        pass(TOMBSTONE_MILLIS);
-        assertEquals(List.of("a"), detector.forgettable());
+    void unreachableMemberIsSuspectedThenGoneAfterTheTimeout() {
+        addUpMembers("a", "b", "c");
+        failProbe("a");
+        assertEquals(Member.State.SUSPECT, stateOf("a"));
+        advanceAndExpire(SUSPICION_TIMEOUT_MILLIS - 1);
+        assertEquals(Member.State.SUSPECT, stateOf("a"));
+        advanceAndExpire(1);
+        assertEquals(Member.State.GONE, stateOf("a"));
+        advanceAndExpire(TOMBSTONE_RETENTION_MILLIS);
+        assertEquals(List.of("a"), detector.removeExpiredTombstones());
     }
 
     @Test
-    void refutedSuspicionGivesNobodyUp() {
-        membersUp("a", "b", "c");
-        unreachable("a");
-        merge(Records.record("a", Member.State.UP, 2, 1));
-        pass(SUSPICION_MILLIS * 2);
-        assertEquals(Member.State.UP, state("a"));
+    void refutedSuspicionDoesNotMarkTheMemberGone() {
+        addUpMembers("a", "b", "c");
+        failProbe("a");
+        merge(MemberRecords.record("a", Member.State.UP, 2, 1));
+        advanceAndExpire(SUSPICION_TIMEOUT_MILLIS * 2);
+        assertEquals(Member.State.UP, stateOf("a"));
     }
 
-    // A switch fails between this daemon and all others: every probe fails, while the others are well and callers
-    // still come in here. Given up, they would be no candidates any more and each request would be refused.
+    // A network failure isolates this daemon from all other daemons, which still run, while callers still reach it.
+    // If it marked all of them GONE, no candidate would be left and it would refuse every request.
     @Test
-    void daemonThatReachesNobodyGivesNobodyUp() {
-        membersUp("self", "a", "b", "c");
-        List.of("a", "b", "c").forEach(this::unreachable);
-        pass(SUSPICION_MILLIS * 10);
-        List.of("a", "b", "c").forEach(i -> assertEquals(Member.State.SUSPECT, state(i)));
+    void isolatedDaemonMarksNoMemberGone() {
+        addUpMembers("self", "a", "b", "c");
+        List.of("a", "b", "c").forEach(this::failProbe);
+        advanceAndExpire(SUSPICION_TIMEOUT_MILLIS * 10);
+        List.of("a", "b", "c").forEach(instance -> assertEquals(Member.State.SUSPECT, stateOf(instance)));
     }
 
-    // A daemon announces its leave, finishes and stops. Nobody suspects it, as it takes no work; its record must
-    // end all the same, or the table would keep every VM that was ever replaced.
+    // A daemon announces that it is leaving, finishes its requests and stops. It is not marked SUSPECT, because it is
+    // sent no requests. Its record must expire nevertheless, or the table would retain every VM that was ever replaced.
     @Test
-    void memberThatLeftIsGoneAfterTheTimeout() {
-        membersUp("a", "b", "c");
-        merge(Records.record("a", Member.State.LEAVING, 1, 1));
-        unreachable("a");
-        assertEquals(Member.State.LEAVING, state("a"));
-        pass(SUSPICION_MILLIS);
-        assertEquals(Member.State.GONE, state("a"));
+    void unreachableLeavingMemberIsGoneAfterTheTimeout() {
+        addUpMembers("a", "b", "c");
+        merge(MemberRecords.record("a", Member.State.LEAVING, 1, 1));
+        failProbe("a");
+        assertEquals(Member.State.LEAVING, stateOf("a"));
+        advanceAndExpire(SUSPICION_TIMEOUT_MILLIS);
+        assertEquals(Member.State.GONE, stateOf("a"));
     }
 
     @Property(seed = "5")
-    void refutationGoesBeforeTheClaimAndNeedsNoSecondOne(
-            @ForAll("records") Member self, @ForAll("records") Member claim) {
-        Optional<Member> refuted = refuted(self, claim);
-        if (refuted.isEmpty()) {
+    void refutationSupersedesTheReportAndIsNotRepeated(
+            @ForAll("records") Member self, @ForAll("records") Member reported) {
+        Optional<Member> refutation = refutation(self, reported);
+        if (refutation.isEmpty()) {
             return;
         }
-        Member joined = MemberMerge.join(refuted.get(), claim);
-        assertEquals(refuted.get(), joined);
-        assertEquals(OptionalLong.empty(), FailureDetector.refute(refuted.get(), claim));
+        Member merged = MemberMerge.merge(refutation.get(), reported);
+        assertEquals(refutation.get(), merged);
+        assertEquals(OptionalLong.empty(), FailureDetector.refutingIncarnation(refutation.get(), reported));
     }
 
     @Property(seed = "5")
-    void claimThatIsNotRefutedSaysNothingWorseOfTheMember(
-            @ForAll("records") Member self, @ForAll("records") Member claim) {
-        if (refuted(self, claim).isPresent() || claim.incarnation() < self.incarnation()) {
+    void unrefutedReportDoesNotMarkTheMemberFailed(@ForAll("records") Member self, @ForAll("records") Member reported) {
+        if (refutation(self, reported).isPresent() || reported.incarnation() < self.incarnation()) {
             return;
         }
-        boolean worse = claim.state().compareTo(self.state()) > 0
-                && (claim.state() == Member.State.SUSPECT || claim.state() == Member.State.GONE);
-        assertTrue(!worse, () -> claim + " stands against " + self);
+        boolean reportedFailed = reported.state().compareTo(self.state()) > 0
+                && (reported.state() == Member.State.SUSPECT || reported.state() == Member.State.GONE);
+        assertTrue(!reportedFailed, () -> reported + " reports a failure and was not refuted by " + self);
     }
 
-    private static Optional<Member> refuted(Member self, Member claim) {
-        OptionalLong incarnation = FailureDetector.refute(self, claim);
+    private static Optional<Member> refutation(Member self, Member reported) {
+        OptionalLong incarnation = FailureDetector.refutingIncarnation(self, reported);
         return incarnation.isEmpty()
                 ? Optional.empty()
                 : Optional.of(new Member(
-                        claim.instance(),
+                        reported.instance(),
                         self.service(),
                         self.address(),
                         self.place(),
--- a/org.berylwick.test/tst/org/berylwick/internal/membership/Records.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/MemberRecords.java
@@ -9,9 +9,9 @@
 import org.berylwick.lib.Member;
 import org.berylwick.lib.Place;
 
-/** Records of members for tests. */
-final class Records {
-    private Records() {}
+/** Creates member records for tests. */
+final class MemberRecords {
+    private MemberRecords() {}
 
     static Member record(String instance, Member.State state, long incarnation, long version) {
         return new Member(
@@ -27,31 +27,34 @@
                 version);
     }
 
-    /** Any record of one of three instances, few enough values that equal and crossed ones are common. */
-    static Arbitrary<Member> any() {
+    /**
+     * Generates records of three instances, with so few different values that equal and conflicting records are
+     * frequent.
+     */
+    static Arbitrary<Member> anyRecord() {
         return Combinators.combine(
                         Arbitraries.of("a", "b", "c"),
                         Arbitraries.of(Member.State.class),
                         Arbitraries.longs().between(1, 3),
                         Arbitraries.longs().between(0, 3),
                         Arbitraries.integers().between(1, 2))
-                .as((i, s, n, v, slots) -> {
-                    Member m = record(i, s, n, v);
+                .as((instance, state, incarnation, version, slots) -> {
+                    Member template = record(instance, state, incarnation, version);
                     return new Member(
-                            i,
-                            m.service(),
-                            m.address(),
-                            m.place(),
-                            m.labels(),
-                            s,
-                            n,
+                            instance,
+                            template.service(),
+                            template.address(),
+                            template.place(),
+                            template.labels(),
+                            state,
+                            incarnation,
                             slots,
-                            v,
-                            m.installedAtEpochMillis());
+                            version,
+                            template.installedAtEpochMillis());
                 });
     }
 
-    static Arbitrary<List<Member>> lists() {
-        return any().list().ofMaxSize(12);
+    static Arbitrary<List<Member>> recordLists() {
+        return anyRecord().list().ofMaxSize(12);
     }
 }
--- a/org.berylwick.test/tst/org/berylwick/internal/membership/MembershipMergeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/membership/MembershipMergeTest.java
@@ -14,19 +14,19 @@
 import org.berylwick.lib.Member;
 import org.junit.jupiter.api.Test;
 
-/** Late, crossed and repeated records lead all daemons to one table. */
+/** Tests that delayed, reordered and duplicated records lead to the same table on all daemons. */
 class MembershipMergeTest {
     @Provide
     Arbitrary<Member> records() {
-        return Records.any();
+        return MemberRecords.anyRecord();
     }
 
     @Provide
     Arbitrary<List<Member>> lists() {
-        return Records.lists();
+        return MemberRecords.recordLists();
     }
 
-    private static Member sameInstance(Member m) {
+    private static Member withInstanceA(Member m) {
         return new Member(
                 "a",
                 m.service(),
@@ -41,70 +41,72 @@
     }
 
     @Property(seed = "5")
-    void joinIsCommutativeAssociativeAndIdempotent(
+    void mergeIsCommutativeAssociativeAndIdempotent(
             @ForAll("records") Member x, @ForAll("records") Member y, @ForAll("records") Member z) {
-        Member a = sameInstance(x);
-        Member b = sameInstance(y);
-        Member c = sameInstance(z);
-        assertEquals(MemberMerge.join(a, b), MemberMerge.join(b, a));
-        assertEquals(MemberMerge.join(MemberMerge.join(a, b), c), MemberMerge.join(a, MemberMerge.join(b, c)));
-        assertEquals(a, MemberMerge.join(a, a));
+        Member a = withInstanceA(x);
+        Member b = withInstanceA(y);
+        Member c = withInstanceA(z);
+        assertEquals(MemberMerge.merge(a, b), MemberMerge.merge(b, a));
+        assertEquals(MemberMerge.merge(MemberMerge.merge(a, b), c), MemberMerge.merge(a, MemberMerge.merge(b, c)));
+        assertEquals(a, MemberMerge.merge(a, a));
     }
 
     @Property(seed = "5")
-    void tablesThatSawTheSameRecordsInAnyOrderAreEqualAndHashAlike(
-            @ForAll("lists") List<Member> records, @ForAll Random random) {
-        List<Member> first = List.of(
-                Records.record("a", Member.State.STARTING, 1, 0),
-                Records.record("b", Member.State.STARTING, 1, 0),
-                Records.record("c", Member.State.STARTING, 1, 0));
+    void tablesConvergeWhateverTheOrderOfRecords(@ForAll("lists") List<Member> records, @ForAll Random random) {
+        List<Member> initial = List.of(
+                MemberRecords.record("a", Member.State.STARTING, 1, 0),
+                MemberRecords.record("b", Member.State.STARTING, 1, 0),
+                MemberRecords.record("c", Member.State.STARTING, 1, 0));
         List<Member> shuffled = new ArrayList<>(records);
         shuffled.addAll(records);
         Collections.shuffle(shuffled, random);
-        MembershipTable one = new MembershipTable();
-        MembershipTable other = new MembershipTable();
-        one.mergeAll(first);
-        other.mergeAll(first);
-        one.mergeAll(records);
-        shuffled.forEach(other::merge);
-        assertEquals(new HashSet<>(one.view().all()), new HashSet<>(other.view().all()));
-        assertEquals(one.hashes(), other.hashes());
+        MembershipTable firstTable = new MembershipTable();
+        MembershipTable secondTable = new MembershipTable();
+        firstTable.mergeAll(initial);
+        secondTable.mergeAll(initial);
+        firstTable.mergeAll(records);
+        shuffled.forEach(secondTable::merge);
+        assertEquals(
+                new HashSet<>(firstTable.view().all()),
+                new HashSet<>(secondTable.view().all()));
+        assertEquals(firstTable.hashes(), secondTable.hashes());
     }
 
-    // Seen with records ordered by state and then version: a suspicion that crossed a version report took the
-    // report back on daemons that heard of the suspicion last, and the two sides never agreed again.
+    // Guards against a fault that occurred when records were ordered by state first and by version second: a suspicion
+    // that was concurrent with a version report undid the report on daemons that received the suspicion last, and the
+    // tables of the daemons never converged.
     @Test
-    void suspicionAndVersionReportThatCrossBothCount() {
-        Member suspected = Records.record("a", Member.State.SUSPECT, 1, 3);
-        Member reported = Records.record("a", Member.State.UP, 1, 4);
+    void concurrentSuspicionAndVersionReportAreBothKept() {
+        Member suspected = MemberRecords.record("a", Member.State.SUSPECT, 1, 3);
+        Member reported = MemberRecords.record("a", Member.State.UP, 1, 4);
         MembershipTable table = new MembershipTable();
         table.merge(reported);
         table.merge(suspected);
-        Member joined = table.view().find("a").orElseThrow();
-        assertEquals(Member.State.SUSPECT, joined.state());
-        assertEquals(4, joined.version());
+        Member merged = table.view().find("a").orElseThrow();
+        assertEquals(Member.State.SUSPECT, merged.state());
+        assertEquals(4, merged.version());
     }
 
-    // A backend server that announced its leave must get no new work, however late an older word comes in: the
-    // record of its being up was sent before, crosses the announcement, and arrives after it.
+    // A backend server that announced that it is leaving must get no new requests, even if an UP record that was sent
+    // before the announcement arrives after it.
     @Test
-    void leavingMemberComesBackOnlyWithANewIncarnation() {
+    void leavingMemberReturnsOnlyWithAHigherIncarnation() {
         MembershipTable table = new MembershipTable();
-        table.merge(Records.record("a", Member.State.LEAVING, 7, 3));
-        table.merge(Records.record("a", Member.State.UP, 7, 4));
+        table.merge(MemberRecords.record("a", Member.State.LEAVING, 7, 3));
+        table.merge(MemberRecords.record("a", Member.State.UP, 7, 4));
         assertEquals(Member.State.LEAVING, table.view().find("a").orElseThrow().state());
-        table.merge(Records.record("a", Member.State.SUSPECT, 7, 4));
+        table.merge(MemberRecords.record("a", Member.State.SUSPECT, 7, 4));
         assertEquals(Member.State.LEAVING, table.view().find("a").orElseThrow().state());
-        table.merge(Records.record("a", Member.State.UP, 8, 0));
+        table.merge(MemberRecords.record("a", Member.State.UP, 8, 0));
         assertEquals(Member.State.UP, table.view().find("a").orElseThrow().state());
     }
 
-    // Daemons drop the tombstone of a member at different times. One that still has it must not hand it back to
-    // those that dropped it, or it would go round for good.
+    // Daemons remove the tombstone of a member at different times. One that still has it must not add it again on
+    // daemons that removed it, or the tombstone would circulate forever.
     @Test
-    void tombstoneOfAnUnknownMemberIsNotTakenIn() {
+    void tombstoneOfAnUnknownMemberIsIgnored() {
         MembershipTable table = new MembershipTable();
-        table.merge(Records.record("a", Member.State.GONE, 1, 0));
+        table.merge(MemberRecords.record("a", Member.State.GONE, 1, 0));
         assertEquals(List.of(), List.copyOf(table.view().all()));
     }
 }
--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
@@ -9,66 +9,70 @@
 import org.berylwick.lib.Deadline;
 import org.berylwick.lib.TimeSource;
 
-/** One thread of the {@link KeyDuty}, with its ring and the settlements that wait for another attempt. */
+/** A worker thread of {@link KeyDuty} with its job queue and the settlements that are to be retried. */
 final class KeyWorker implements AutoCloseable {
-    private static final long IDLE_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
-    private static final long CALL_MILLIS = 1_000;
-    private static final long RETRY_MILLIS = 500;
+    private static final long MAX_POLL_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
+    private static final long SETTLE_TIMEOUT_MILLIS = 1_000;
+    private static final long RETRY_DELAY_MILLIS = 500;
 
-    private final KeyDuty owner;
-    private final KeyClaims claims;
+    private final KeyDuty keyDuty;
+    private final KeyClaimStore claims;
     private final TimeSource time;
-    private final Ring<KeyJob> ring = new Ring<>(KeyDuty.MAX_OUTSTANDING);
-    private final ArrayDeque<Waiting> retries = new ArrayDeque<>();
+    private final Ring<KeyJob> jobs = new Ring<>(KeyDuty.MAX_OUTSTANDING_CLAIMS);
+    private final ArrayDeque<PendingRetry> retries = new ArrayDeque<>();
     private final Duty duty;
 
-    private record Waiting(KeyJob.Settle job, Deadline notBefore) {}
+    private record PendingRetry(KeyJob.Settle job, Deadline notBefore) {}
 
-    KeyWorker(String name, KeyDuty owner, KeyClaims claims, TimeSource time) {
-        this.owner = owner;
+    KeyWorker(String name, KeyDuty keyDuty, KeyClaimStore claims, TimeSource time) {
+        this.keyDuty = keyDuty;
         this.claims = claims;
         this.time = time;
-        this.duty = new Duty(name, this::round);
+        this.duty = new Duty(name, this::runRound);
     }
 
-    /** Gives the thread a job, from any thread. */
+    /** Adds a job to the queue without blocking. Thread-safe. */
     Ring.Offer offer(KeyJob job) {
-        return ring.offer(job);
+        return jobs.offer(job);
     }
 
-    /** One job and one retry a round: with the store out, neither keeps the other waiting for more than one call. */
-    private void round() {
-        ring.poll(waitNanos()).ifPresent(this::run);
-        Waiting first = retries.peek();
-        if (first != null && first.notBefore().isPast(time)) {
+    /**
+     * Executes at most one job from the queue and one retry, so that during a store outage neither new jobs nor retries
+     * are delayed by more than one job of the other kind.
+     */
+    private void runRound() {
+        jobs.poll(pollWaitNanos()).ifPresent(this::execute);
+        PendingRetry nextRetry = retries.peek();
+        if (nextRetry != null && nextRetry.notBefore().isPast(time)) {
             retries.remove();
-            settle(first.job());
+            settleOrScheduleRetry(nextRetry.job());
         }
     }
 
-    private long waitNanos() {
-        Waiting first = retries.peek();
-        return first == null
-                ? IDLE_NANOS
-                : Math.min(IDLE_NANOS, first.notBefore().remainingNanos(time));
+    private long pollWaitNanos() {
+        PendingRetry nextRetry = retries.peek();
+        return nextRetry == null
+                ? MAX_POLL_WAIT_NANOS
+                : Math.min(MAX_POLL_WAIT_NANOS, nextRetry.notBefore().remainingNanos(time));
     }
 
-    private void run(KeyJob job) {
+    private void execute(KeyJob job) {
         switch (job) {
-            case KeyJob.Claim claim -> owner.claimed(claim, attempt(claim)).ifPresent(this::settle);
-            case KeyJob.Settle settle -> settle(settle);
+            case KeyJob.Claim claimJob ->
+                keyDuty.completeClaim(claimJob, tryClaim(claimJob)).ifPresent(this::settleOrScheduleRetry);
+            case KeyJob.Settle settleJob -> settleOrScheduleRetry(settleJob);
         }
     }
 
-    private void settle(KeyJob.Settle job) {
-        if (!owner.settled(job, attempt(job))) {
-            retries.add(new Waiting(job, Deadline.afterMillis(time, RETRY_MILLIS)));
+    private void settleOrScheduleRetry(KeyJob.Settle job) {
+        if (!keyDuty.handleSettleOutcome(job, trySettle(job))) {
+            retries.add(new PendingRetry(job, Deadline.afterMillis(time, RETRY_DELAY_MILLIS)));
         }
     }
 
-    // An exception out of a job would end the round but not the job: its request would wait for ever, and its place
-    // among the claims under way would never be free again. It counts as a call of the store without an answer.
-    private ClaimOutcome attempt(KeyJob.Claim job) {
+    // If an exception escaped, the job would never complete: its request would wait forever, and its claim would count
+    // as outstanding forever. An exception is therefore treated like a store call without a response.
+    private ClaimOutcome tryClaim(KeyJob.Claim job) {
         try {
             return claims.claim(job.request(), job.deadline());
         } catch (RuntimeException e) {
@@ -76,11 +80,11 @@
         }
     }
 
-    private SettleOutcome attempt(KeyJob.Settle job) {
+    private SettleOutcome trySettle(KeyJob.Settle job) {
         try {
-            return claims.settle(job.claim(), job.settlement(), Deadline.afterMillis(time, CALL_MILLIS));
+            return claims.settle(job.claim(), job.settlement(), Deadline.afterMillis(time, SETTLE_TIMEOUT_MILLIS));
         } catch (RuntimeException e) {
-            return new SettleOutcome.Later(new ClaimError.Undecided(e.toString()));
+            return new SettleOutcome.RetryNeeded(new ClaimError.Undecided(e.toString()));
         }
     }
 
--- a/org.berylwick/src/org/berylwick/internal/membership/FailureDetector.java
+++ b/org.berylwick/src/org/berylwick/internal/membership/FailureDetector.java
@@ -13,62 +13,65 @@
 import org.berylwick.lib.TimeSource;
 
 /**
- * Decides when a member is suspected, given up and forgotten; for one thread.
+ * Tracks the timeouts after which a suspected member is marked {@code GONE} and the tombstone of a {@code GONE} member
+ * is removed. Not thread-safe.
  *
- * <p>A member that answers neither directly nor through others is suspected, which everybody hears of; it has the
- * suspicion's timeout to refute by a higher incarnation, and is gone after it. A record of a member gone is kept for a
- * while, so that late news of it does not bring it back.
+ * <p>A member that responds neither to direct nor to indirect probes becomes {@code SUSPECT}, which is spread to all
+ * members. It can refute the suspicion with a higher incarnation; if it does not within the suspicion timeout, it is
+ * {@code GONE}. The record of a {@code GONE} member is retained as a tombstone, so that a delayed older record does not
+ * add the member again.
  */
 public final class FailureDetector {
     private final TimeSource time;
-    private final long suspicionMillis;
-    private final long tombstoneMillis;
-    private final Map<String, Pending> suspicions = new HashMap<>();
-    private final Map<String, Pending> tombstones = new HashMap<>();
+    private final long suspicionTimeoutMillis;
+    private final long tombstoneRetentionMillis;
+    private final Map<String, Timeout> suspicions = new HashMap<>();
+    private final Map<String, Timeout> tombstones = new HashMap<>();
 
-    private record Pending(long incarnation, Deadline until) {}
+    private record Timeout(long incarnation, Deadline deadline) {}
 
     /**
-     * Nothing suspected.
+     * Creates a detector without suspicions or tombstones.
      *
-     * @param suspicionMillis how long a suspected member has to refute
-     * @param tombstoneMillis how long a member gone is remembered
+     * @param suspicionTimeoutMillis how long a suspected member has to refute the suspicion
+     * @param tombstoneRetentionMillis how long the record of a {@code GONE} member is retained
      */
-    public FailureDetector(TimeSource time, long suspicionMillis, long tombstoneMillis) {
+    public FailureDetector(TimeSource time, long suspicionTimeoutMillis, long tombstoneRetentionMillis) {
         this.time = time;
-        this.suspicionMillis = suspicionMillis;
-        this.tombstoneMillis = tombstoneMillis;
+        this.suspicionTimeoutMillis = suspicionTimeoutMillis;
+        this.tombstoneRetentionMillis = tombstoneRetentionMillis;
     }
 
     /**
-     * A probe of {@code member} failed in every way.
+     * Handles a failed probe: {@code member} responded neither directly nor through other members.
      *
-     * @return the record to merge and spread; empty if nothing is to be told
+     * @return the record to merge and spread; empty if the member's state does not change
      */
-    public Optional<Member> unreachable(Member member) {
+    public Optional<Member> probeFailed(Member member) {
         return switch (member.state()) {
             case GONE, SUSPECT -> Optional.empty();
-            // It takes no work already, so no one need be told until it is given up.
+            // A leaving member is sent no requests, so other members need no record until it is marked GONE.
             case LEAVING -> {
-                suspect(member);
+                startSuspicion(member);
                 yield Optional.empty();
             }
             case STARTING, UP -> Optional.of(member.withState(Member.State.SUSPECT));
         };
     }
 
-    /** A member's record changed to {@code member}. */
-    public void changed(Member member) {
+    /** Starts or cancels timeouts after the record of a member changed to {@code member}. */
+    public void recordChanged(Member member) {
         String instance = member.instance();
         switch (member.state()) {
             case SUSPECT -> {
                 tombstones.remove(instance);
-                suspect(member);
+                startSuspicion(member);
             }
             case GONE -> {
                 suspicions.remove(instance);
                 tombstones.putIfAbsent(
-                        instance, new Pending(member.incarnation(), Deadline.afterMillis(time, tombstoneMillis)));
+                        instance,
+                        new Timeout(member.incarnation(), Deadline.afterMillis(time, tombstoneRetentionMillis)));
             }
             case STARTING, UP, LEAVING -> {
                 suspicions.remove(instance);
@@ -77,64 +80,71 @@
         }
     }
 
-    private void suspect(Member member) {
-        Pending known = suspicions.get(member.instance());
-        if (known == null || known.incarnation() < member.incarnation()) {
+    private void startSuspicion(Member member) {
+        Timeout existing = suspicions.get(member.instance());
+        if (existing == null || existing.incarnation() < member.incarnation()) {
             suspicions.put(
-                    member.instance(), new Pending(member.incarnation(), Deadline.afterMillis(time, suspicionMillis)));
+                    member.instance(),
+                    new Timeout(member.incarnation(), Deadline.afterMillis(time, suspicionTimeoutMillis)));
         }
     }
 
     /**
-     * The members to give up now, as records to merge and spread.
+     * Removes the suspicions whose timeout has passed and returns their members as {@code GONE} records to merge and
+     * spread.
      *
-     * <p>None while more than half of those not gone are suspected: a daemon cut off from the others would otherwise
-     * give up everybody and have nobody left to send requests to. The suspected are still used when no other is left.
+     * <p>Returns nothing while more than half of the members that are not {@code GONE} are under suspicion: a daemon
+     * isolated by a network partition would otherwise mark all other members {@code GONE} and have none left to send
+     * requests to. Suspected members are still used when there is no other member.
      */
-    public List<Member> expired(MembershipView view) {
-        long alive =
+    public List<Member> removeExpiredSuspicions(MembershipView view) {
+        long notGone =
                 view.all().stream().filter(m -> m.state() != Member.State.GONE).count();
-        if (suspicions.size() * 2L > alive) {
+        if (suspicions.size() * 2L > notGone) {
             return List.of();
         }
         List<Member> gone = new ArrayList<>();
-        Iterator<Map.Entry<String, Pending>> i = suspicions.entrySet().iterator();
-        while (i.hasNext()) {
-            Map.Entry<String, Pending> e = i.next();
-            if (!e.getValue().until().isPast(time)) {
+        Iterator<Map.Entry<String, Timeout>> iterator = suspicions.entrySet().iterator();
+        while (iterator.hasNext()) {
+            Map.Entry<String, Timeout> entry = iterator.next();
+            if (!entry.getValue().deadline().isPast(time)) {
                 continue;
             }
-            i.remove();
-            view.find(e.getKey())
-                    .filter(m -> m.incarnation() == e.getValue().incarnation())
+            iterator.remove();
+            view.find(entry.getKey())
+                    .filter(m -> m.incarnation() == entry.getValue().incarnation())
                     .ifPresent(m -> gone.add(m.withState(Member.State.GONE)));
         }
         return gone;
     }
 
-    /** The members whose tombstones may be dropped now. */
-    public List<String> forgettable() {
-        List<String> names = new ArrayList<>();
-        tombstones.entrySet().removeIf(e -> {
-            boolean past = e.getValue().until().isPast(time);
-            if (past) {
-                names.add(e.getKey());
+    /** Removes the tombstones whose retention period has passed and returns the instance names of their members. */
+    public List<String> removeExpiredTombstones() {
+        List<String> instances = new ArrayList<>();
+        tombstones.entrySet().removeIf(entry -> {
+            boolean expired = entry.getValue().deadline().isPast(time);
+            if (expired) {
+                instances.add(entry.getKey());
             }
-            return past;
+            return expired;
         });
-        return names;
+        return instances;
     }
 
     /**
-     * What a daemon answers to others' word about itself.
+     * Returns the incarnation with which a daemon refutes a record about itself that it received from another daemon.
      *
-     * @return the incarnation to go on with; empty if nothing need be refuted
+     * @param self the daemon's own record
+     * @param reported the received record
+     * @return the daemon's new incarnation, higher than the reported one; empty if there is nothing to refute
      */
-    public static OptionalLong refute(Member self, Member claim) {
-        boolean ahead = claim.incarnation() > self.incarnation();
-        boolean accused = claim.incarnation() == self.incarnation()
-                && (claim.state() == Member.State.SUSPECT || claim.state() == Member.State.GONE)
-                && claim.state().compareTo(self.state()) > 0;
-        return ahead || accused ? OptionalLong.of(claim.incarnation() + 1) : OptionalLong.empty();
+    public static OptionalLong refutingIncarnation(Member self, Member reported) {
+        boolean hasHigherIncarnation = reported.incarnation() > self.incarnation();
+        boolean isReportedFailed = reported.incarnation() == self.incarnation()
+                && (reported.state() == Member.State.SUSPECT || reported.state() == Member.State.GONE)
+                && reported.state().compareTo(self.state()) > 0;
+        return hasHigherIncarnation || isReportedFailed
+                ? OptionalLong.of(reported.incarnation() + 1)
+                : OptionalLong.empty();
     }
 }
--- a/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
@@ -78,7 +78,7 @@
         others.add(self.current());
         List<Member> changed = table.mergeAll(others);
         for (Member m : changed) {
-            detector.changed(m);
+            detector.recordChanged(m);
             log(before.find(m.instance()), m);
             pass(before.find(m.instance()), m, source);
         }
@@ -100,7 +100,7 @@
     }
 
     private void refute(Member claim) {
-        FailureDetector.refute(self.current(), claim).ifPresent(incarnation -> {
+        FailureDetector.refutingIncarnation(self.current(), claim).ifPresent(incarnation -> {
             self.refute(incarnation);
             metrics.refuted.inc();
             EVENTS.log(MembershipEvent.REFUTED, claim.state(), incarnation);
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -309,8 +309,8 @@
         Member me = self.current();
         gossip.merge(List.of(), null);
         links.dropSilent().forEach(l -> l.peer.or(() -> memberAt(l.address)).ifPresent(this::doubt));
-        gossip.merge(detector.expired(table.view()), null);
-        detector.forgettable().forEach(table::forget);
+        gossip.merge(detector.removeExpiredSuspicions(table.view()), null);
+        detector.removeExpiredTombstones().forEach(table::remove);
         links.reconcile(choose(me)).forEach(this::hello);
         // Who was refused or found nobody tries the same addresses again, each after its own wait.
         if (links.open().isEmpty()) {
@@ -361,7 +361,7 @@
         if (now.isEmpty() || now.get().incarnation() != probed.incarnation()) {
             return;
         }
-        detector.unreachable(now.get()).ifPresent(suspect -> {
+        detector.probeFailed(now.get()).ifPresent(suspect -> {
             metrics.suspected.inc();
             gossip.merge(List.of(suspect), null);
         });
