--- a/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
@@ -21,7 +21,7 @@
     private Attempt attempt;
     private int status;
     private HttpHeaders headers;
-    private CompositeByteBuf buffered;
+    private CompositeByteBuf bufferedBody;
     private int bufferedBytes;
     private boolean streaming;
     private boolean ended;
@@ -66,7 +66,7 @@
         }
         status = responseStatus;
         headers = responseHeaders;
-        buffered = Unpooled.compositeBuffer(MAX_COMPONENTS);
+        bufferedBody = Unpooled.compositeBuffer(MAX_COMPONENTS);
     }
 
     @Override
@@ -81,13 +81,13 @@
         }
         if (call.context().responseBuffers().tryReserve(bufferedBytes, chunk.readableBytes())) {
             bufferedBytes += chunk.readableBytes();
-            buffered.addComponent(true, chunk);
+            bufferedBody.addComponent(true, chunk);
             return;
         }
         streaming = true;
         call.onStreamingStarted(this, status, headers);
-        ByteBuf bufferedBody = buffered;
-        buffered = null;
+        ByteBuf bufferedBody = bufferedBody;
+        bufferedBody = null;
         call.context().responseBuffers().release(bufferedBytes);
         bufferedBytes = 0;
         call.sink().writeChunk(bufferedBody);
@@ -104,8 +104,8 @@
             call.onStreamingEnded(this, true);
             return;
         }
-        ByteBuf completeBody = buffered;
-        buffered = null;
+        ByteBuf completeBody = bufferedBody;
+        bufferedBody = null;
         call.context().responseBuffers().release(bufferedBytes);
         bufferedBytes = 0;
         call.onResponse(this, status, headers, completeBody);
@@ -146,9 +146,9 @@
     }
 
     private void releaseBuffered() {
-        if (buffered != null) {
-            buffered.release();
-            buffered = null;
+        if (bufferedBody != null) {
+            bufferedBody.release();
+            bufferedBody = null;
             call.context().responseBuffers().release(bufferedBytes);
             bufferedBytes = 0;
         }
