--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -45,7 +45,7 @@
  * HTTP requests as callers do.
  */
 final class NodeRig implements AutoCloseable {
-    static final HeaderNames NAMES = new HeaderNames(
+    static final HeaderNames HEADER_NAMES = new HeaderNames(
             "x-request-id", "x-deadline", "x-signature", "x-target", "x-load", "x-not-run", "x-caller", "x-instance");
 
     static final int GRACE_PERIOD_MILLIS = 6_000;
@@ -377,7 +377,7 @@
 
         @Override
         public HeaderNames headerNames() {
-            return NAMES;
+            return HEADER_NAMES;
         }
 
         @Override
