--- a/org.berylwick.test/tst/org/berylwick/node/call/CandidateSamplerTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/CandidateSamplerTest.java
@@ -25,7 +25,7 @@
 
 /** Tests which nodes are compared as candidates for a request. */
 class CandidateSamplerTest {
-    private static final HeaderNames NAMES =
+    private static final HeaderNames HEADER_NAMES =
             new HeaderNames("id", "deadline", "signature", "target", "load", "not-run", "caller", "instance");
     private static final String SERVICE = "work";
     private static final long SILENCE_THRESHOLD_NANOS = 2_000_000_000L;
@@ -37,7 +37,7 @@
     private final Owner owner = new Owner(
             clock,
             address -> null,
-            NAMES,
+            HEADER_NAMES,
             VmLink.of(1_000, clock),
             SILENCE_THRESHOLD_NANOS,
             new Counters(),
