--- a/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
@@ -36,7 +36,7 @@
     private static final long MILLISECOND = 1_000_000L;
     private static final long SECOND = 1_000 * MILLISECOND;
     private static final long HEARTBEAT_INTERVAL = 1_500 * MILLISECOND;
-    private static final HeaderNames NAMES =
+    private static final HeaderNames HEADER_NAMES =
             new HeaderNames("id", "deadline", "signature", "target", "load", "not-run", "caller", "instance");
 
     private final VirtualClock clock = new VirtualClock();
@@ -44,7 +44,7 @@
     private final Owner owner = new Owner(
             clock,
             address -> new RespondingServer(),
-            NAMES,
+            HEADER_NAMES,
             VmLink.of(1_000, clock),
             HEARTBEAT_INTERVAL,
             new Counters(),
@@ -62,8 +62,8 @@
         @Override
         public void send(HttpRequest request, RequestBody body, HttpResponseHandler exchange) {
             HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-            head.headers().set(NAMES.requestId(), request.headers().get(NAMES.requestId()));
-            head.headers().set(NAMES.signature(), "s");
+            head.headers().set(HEADER_NAMES.requestId(), request.headers().get(HEADER_NAMES.requestId()));
+            head.headers().set(HEADER_NAMES.signature(), "s");
             clock.after(20 * MILLISECOND, () -> {
                 exchange.onHead(head);
                 exchange.onEnd();
@@ -154,7 +154,7 @@
     }
 
     private void sendRequestEvery(long nanos) {
-        HttpHeaders headers = Headers.empty().set(NAMES.requestId(), "r");
+        HttpHeaders headers = Headers.empty().set(HEADER_NAMES.requestId(), "r");
         CallSpec call = new CallSpec(
                 "r",
                 HttpMethod.GET,
