--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -61,7 +61,7 @@
     private final EventLog log;
     private final Runnable onBackendChange;
     private final RequestQueue queue = new RequestQueue();
-    private final RequestBodyScheduler bodyAdmission;
+    private final RequestBodyScheduler bodyScheduler;
 
     private final StartRateBalancer servedShares = new StartRateBalancer();
     private final Set<OwnerRun> running = new HashSet<>();
@@ -100,7 +100,7 @@
         this.connector = connector;
         this.headerNames = headerNames;
         this.link = link;
-        this.bodyAdmission = new RequestBodyScheduler(link.incoming());
+        this.bodyScheduler = new RequestBodyScheduler(link.incoming());
         this.heartbeatNanos = heartbeatNanos;
         this.counters = counters;
         this.log = log;
@@ -127,7 +127,7 @@
     }
 
     private int queuedCount() {
-        return queue.size() + bodyAdmission.size();
+        return queue.size() + bodyScheduler.size();
     }
 
     /** Service time of each class of request that the backend server has answered. */
@@ -303,19 +303,19 @@
             enqueue(run);
         } else {
             run.awaitBody();
-            bodyAdmission.add(run, isTimely(run), clock.now());
+            bodyScheduler.add(run, isTimely(run), clock.now());
         }
         return run;
     }
 
     /** A part of a request body has arrived, which leaves room on the link for further bodies. */
     void onBodyPart() {
-        bodyAdmission.requestBodies(clock.now());
+        bodyScheduler.requestBodies(clock.now());
     }
 
     /** The body of a request is complete. */
     void onBodyComplete(OwnerRun run) {
-        if (bodyAdmission.remove(run, clock.now())) {
+        if (bodyScheduler.remove(run, clock.now())) {
             enqueue(run);
         }
     }
@@ -349,12 +349,12 @@
             return Optional.empty();
         }
         long waitNanos = Math.max(
-                Math.max(expectedWaitNanos(run, server), linkWaitNanos), bodyAdmission.transferNanosAhead(call.body()));
+                Math.max(expectedWaitNanos(run, server), linkWaitNanos), bodyScheduler.transferNanosAhead(call.body()));
         boolean queueFull = queuedCount() >= MAX_QUEUED_PER_SLOT * server.slots()
                 || !(isTimely(run) || queue.acceptsLate(server.slots()));
         if (queueFull
                 || waitNanos > call.maxWaitNanos()
-                || !run.canMeetDeadline(now + waitNanos + bodyAdmission.transferNanos(call.body()))) {
+                || !run.canMeetDeadline(now + waitNanos + bodyScheduler.transferNanos(call.body()))) {
             return Optional.of(Refusal.Reason.BUSY);
         }
         return Optional.empty();
@@ -367,7 +367,7 @@
         RequestBody body = run.call().body();
         long slotWaitNanos = Math.max(
                 slotWaitNanos(ahead, server),
-                bodyAdmission.transferNanosAhead(body) + bodyAdmission.transferNanos(body));
+                bodyScheduler.transferNanosAhead(body) + bodyScheduler.transferNanos(body));
         long waitNanos = Math.max(slotWaitNanos, run.linkWaitNanos());
         return run.canMeetObjective(clock.now() + waitNanos);
     }
@@ -409,7 +409,7 @@
 
     private void refuseQueued(Refusal.Reason reason) {
         List<OwnerRun> refused = queue.drain();
-        refused.addAll(bodyAdmission.drain());
+        refused.addAll(bodyScheduler.drain());
         for (OwnerRun run : refused) {
             run.refuse(reason, false);
         }
@@ -417,7 +417,7 @@
 
     void onFinished(OwnerRun run) {
         queue.remove(run);
-        bodyAdmission.remove(run, clock.now());
+        bodyScheduler.remove(run, clock.now());
         if (running.remove(run)) {
             // Deferred, because a request may end while dispatch() is starting others.
             clock.defer(this::dispatch);
