--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -63,7 +63,7 @@
     private final RequestQueue queue = new RequestQueue();
     private final RequestBodyScheduler bodyScheduler;
 
-    private final StartRateBalancer servedShares = new StartRateBalancer();
+    private final StartRateBalancer startRateBalancer = new StartRateBalancer();
     private final Set<OwnerRun> running = new HashSet<>();
     private final Map<String, Boolean> departedIncarnations = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
@@ -289,7 +289,7 @@
      * @param listener is notified of the response, the refusal or the loss of the request
      */
     public Attempt offer(CallSpec call, AttemptListener listener) {
-        long advanceNanos = servedShares.onOffered(call, clock.now());
+        long advanceNanos = startRateBalancer.onOffered(call, clock.now());
         OwnerRun run = new OwnerRun(this, call, listener, advanceNanos);
         Optional<Refusal.Reason> reason = refusalReason(run);
         if (reason.isPresent()) {
@@ -403,7 +403,7 @@
             return;
         }
         running.add(run);
-        servedShares.onStarted(run.call(), clock.now());
+        startRateBalancer.onStarted(run.call(), clock.now());
         run.start(server, headerNames);
     }
 
