--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -424,7 +424,7 @@
         }
     }
 
-    long nextSequenceNumber() {
+    long nextArrivalNumber() {
         return ++lastSequenceNumber;
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -74,7 +74,7 @@
         this.effectiveObjectiveAt =
                 call.objectiveAt() + call.priority() * RequestQueue.PRIORITY_STEP_NANOS - advanceNanos;
         this.queuedAt = clock.now();
-        this.sequenceNumber = owner.nextSequenceNumber();
+        this.sequenceNumber = owner.nextArrivalNumber();
         if (owner.outgoingLink().isLarge(call.expectedResponseBytes())) {
             this.responseTransferNanos = owner.outgoingLink().transferNanos(call.expectedResponseBytes());
         }
