--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -75,7 +75,7 @@
     };
     private Optional<Backend> backend = Optional.empty();
     private boolean stopping;
-    private long lastSequenceNumber;
+    private long lastArrivalNumber;
 
     /**
      * @param clock time source; its tasks run on the same thread as this object's methods
@@ -425,7 +425,7 @@
     }
 
     long nextArrivalNumber() {
-        return ++lastSequenceNumber;
+        return ++lastArrivalNumber;
     }
 
     OutgoingLink outgoingLink() {
