--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -44,7 +44,7 @@
     private final CallSpec call;
     private final AttemptListener listener;
     private final long effectiveObjectiveAt;
-    private final long sequenceNumber;
+    private final long arrivalNumber;
     private long queuedAt;
     private long meanServiceNanos;
     private long medianServiceNanos;
@@ -74,7 +74,7 @@
         this.effectiveObjectiveAt =
                 call.objectiveAt() + call.priority() * RequestQueue.PRIORITY_STEP_NANOS - advanceNanos;
         this.queuedAt = clock.now();
-        this.sequenceNumber = owner.nextArrivalNumber();
+        this.arrivalNumber = owner.nextArrivalNumber();
         if (owner.outgoingLink().isLarge(call.expectedResponseBytes())) {
             this.responseTransferNanos = owner.outgoingLink().transferNanos(call.expectedResponseBytes());
         }
@@ -94,7 +94,7 @@
 
     /** Order of arrival, for requests with the same effective objective. */
     long sequenceNumber() {
-        return sequenceNumber;
+        return arrivalNumber;
     }
 
     /** Sets the expected service time of the request. */
