--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -93,7 +93,7 @@
     }
 
     /** Order of arrival, for requests with the same effective objective. */
-    long sequenceNumber() {
+    long arrivalNumber() {
         return arrivalNumber;
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/RequestQueue.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RequestQueue.java
@@ -20,7 +20,7 @@
     private static final double MAX_LATE_PER_SLOT = 0.5;
 
     private static final Comparator<OwnerRun> ORDER =
-            Comparator.comparingLong(OwnerRun::effectiveObjectiveAt).thenComparingLong(OwnerRun::sequenceNumber);
+            Comparator.comparingLong(OwnerRun::effectiveObjectiveAt).thenComparingLong(OwnerRun::arrivalNumber);
 
     private final TreeSet<OwnerRun> timely = new TreeSet<>(ORDER);
     private final TreeSet<OwnerRun> late = new TreeSet<>(ORDER);
