--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -29,7 +29,7 @@
      * Time reserved for the response to travel from the backend server to the entry node; the deadline passed to the
      * backend server is earlier by this.
      */
-    private static final long RESPONSE_RETURN_NANOS = 5_000_000L;
+    private static final long RESPONSE_TRANSIT_NANOS = 5_000_000L;
 
     /**
      * Multiple of the mean service time after which a response is overdue; the slowest responses of a healthy server
@@ -241,7 +241,7 @@
             return;
         }
         long now = clock.now();
-        long remainingMillis = (call.deadlineAt() - RESPONSE_RETURN_NANOS - now) / 1_000_000;
+        long remainingMillis = (call.deadlineAt() - RESPONSE_TRANSIT_NANOS - now) / 1_000_000;
         if (remainingMillis <= 0) {
             acquired.returnUnused();
             refuse(Refusal.Reason.EXPIRED, false);
