--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -265,7 +265,7 @@
         responseFlow.ifPresent(flow -> flow.finish(() -> {
             logIfLate(flow, true);
             responseFlow = Optional.empty();
-            cancelExpiry();
+            cancelDeadlineTimer();
             channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
         }));
         if (responseFlow.isPresent()) {
@@ -306,7 +306,7 @@
                         link.outgoing().queuedFlowCount());
     }
 
-    private void cancelExpiry() {
+    private void cancelDeadlineTimer() {
         deadlineTimer.ifPresent(timer -> timer.cancel(false));
         deadlineTimer = Optional.empty();
     }
@@ -358,7 +358,7 @@
             flow.cancel();
         });
         responseFlow = Optional.empty();
-        cancelExpiry();
+        cancelDeadlineTimer();
         if (bufferedBody != null) {
             bufferedBody.release();
             bufferedBody = null;
