--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -50,7 +50,7 @@
     private CompositeByteBuf bufferedBody;
     private boolean discardingBody;
     private Attempt attempt;
-    private String responseId = "";
+    private String requestId = "";
     private long responseStartedAt;
     private long objectiveAt;
     private long deadlineAt;
@@ -141,7 +141,7 @@
         Optional<CallSpec> call =
                 PeerCodec.decodeCall(request, Headers.endToEnd(request.headers()), body, System.nanoTime());
         if (call.isPresent()) {
-            responseId = call.get().id();
+            requestId = call.get().id();
             objectiveAt = call.get().objectiveAt();
             deadlineAt = call.get().deadlineAt();
             attempt = owner.offer(call.get(), this);
@@ -162,7 +162,7 @@
      */
     private void sendVersion(byte[] encodedUpdate) {
         long now = System.nanoTime();
-        responseId = "version";
+        requestId = "version";
         responseStartedAt = now;
         objectiveAt = now + VERSION_OBJECTIVE_NANOS;
         deadlineAt = now + VERSION_DEADLINE_NANOS;
@@ -285,7 +285,7 @@
                 .write(
                         Event.ANSWER_LATE_AT_LINK,
                         "id",
-                        responseId,
+                        requestId,
                         "left",
                         complete,
                         "sentBytes",
