--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -35,7 +35,7 @@
  * configuration version; confined to the event loop.
  */
 final class PeerHandler extends ChannelInboundHandlerAdapter implements AttemptListener, OutgoingLink.Sink {
-    private static final int MAX_BODY_PARTS = 1024;
+    private static final int MAX_BUFFER_COMPONENTS = 1024;
     /** Latency objective of sending a version; puts it before responses with a later objective. */
     private static final long VERSION_OBJECTIVE_NANOS = 200_000_000L;
     /** Deadline of sending a version; a node that has not received it by then has asked another node. */
@@ -97,7 +97,7 @@
             handleRequest();
             return;
         }
-        bufferedBody = Unpooled.compositeBuffer(MAX_BODY_PARTS);
+        bufferedBody = Unpooled.compositeBuffer(MAX_BUFFER_COMPONENTS);
     }
 
     private void sendContinue() {
