--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -44,7 +44,7 @@
     /** Upper limit for request bodies: a body is kept in memory because another attempt may have to send it again. */
     private static final long MAX_BODY_BYTES = 8 << 20;
 
-    private static final int MAX_COMPONENTS = 1024;
+    private static final int MAX_BUFFER_COMPONENTS = 1024;
     /** Reading from the connection stops when more messages than this wait for the current response to end. */
     private static final int MAX_PIPELINED_MESSAGES = 64;
 
@@ -140,7 +140,7 @@
             startCall(streamedBody);
             return;
         }
-        bufferedBody = Unpooled.compositeBuffer(MAX_COMPONENTS);
+        bufferedBody = Unpooled.compositeBuffer(MAX_BUFFER_COMPONENTS);
     }
 
     private CallerLimits limits() {
