--- a/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
@@ -13,7 +13,7 @@
  * attempt. A response that is too large to buffer is streamed instead.
  */
 final class EntryAttempt implements AttemptListener {
-    private static final int MAX_COMPONENTS = 1024;
+    private static final int MAX_BUFFER_COMPONENTS = 1024;
 
     private final EntryCall call;
     private final Candidate candidate;
@@ -66,7 +66,7 @@
         }
         status = responseStatus;
         headers = responseHeaders;
-        bufferedBody = Unpooled.compositeBuffer(MAX_COMPONENTS);
+        bufferedBody = Unpooled.compositeBuffer(MAX_BUFFER_COMPONENTS);
     }
 
     @Override
