--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -62,7 +62,7 @@
     private HttpRequest head;
     private CompositeByteBuf bufferedBody;
     private RequestBody streamedBody;
-    private long bufferedBytes;
+    private long bufferedBodyBytes;
     private CallHandle call;
     private boolean responsePending;
     private boolean keepAlive;
@@ -124,7 +124,7 @@
             return;
         }
         head = request;
-        bufferedBytes = 0;
+        bufferedBodyBytes = 0;
         long maxBytes = Math.min(MAX_BODY_BYTES, limits().maxBodyBytes());
         long length = HttpUtil.getContentLength(request, 0L);
         if (length > maxBytes) {
@@ -184,8 +184,8 @@
             processStreamedContent(content);
             return;
         }
-        bufferedBytes += content.content().readableBytes();
-        if (bufferedBytes > Math.min(MAX_BODY_BYTES, limits().maxBodyBytes())) {
+        bufferedBodyBytes += content.content().readableBytes();
+        if (bufferedBodyBytes > Math.min(MAX_BODY_BYTES, limits().maxBodyBytes())) {
             content.release();
             rejectAndClose(413, "request body exceeds the size limit");
             return;
