--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -57,7 +57,7 @@
 
     private final EntryServer server;
     private final EntryServices services;
-    private final ArrayDeque<Object> pipelined = new ArrayDeque<>();
+    private final ArrayDeque<Object> pipelinedMessages = new ArrayDeque<>();
     private Channel channel;
     private HttpRequest head;
     private CompositeByteBuf bufferedBody;
@@ -91,12 +91,12 @@
             ReferenceCountUtil.release(message);
             return;
         }
-        if (pipelined.isEmpty() && acceptsNow()) {
+        if (pipelinedMessages.isEmpty() && acceptsNow()) {
             process(message);
             return;
         }
-        pipelined.add(message);
-        if (pipelined.size() > MAX_PIPELINED_MESSAGES) {
+        pipelinedMessages.add(message);
+        if (pipelinedMessages.size() > MAX_PIPELINED_MESSAGES) {
             channel.config().setAutoRead(false);
         }
     }
@@ -322,10 +322,10 @@
     }
 
     private void processPipelined() {
-        while (acceptsNow() && !pipelined.isEmpty()) {
-            process(pipelined.poll());
+        while (acceptsNow() && !pipelinedMessages.isEmpty()) {
+            process(pipelinedMessages.poll());
         }
-        if (pipelined.size() <= MAX_PIPELINED_MESSAGES) {
+        if (pipelinedMessages.size() <= MAX_PIPELINED_MESSAGES) {
             channel.config().setAutoRead(true);
         }
     }
@@ -399,8 +399,8 @@
         closing = true;
         abandonCall();
         releaseBody();
-        while (!pipelined.isEmpty()) {
-            ReferenceCountUtil.release(pipelined.poll());
+        while (!pipelinedMessages.isEmpty()) {
+            ReferenceCountUtil.release(pipelinedMessages.poll());
         }
     }
 
