--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -91,7 +91,7 @@
             ReferenceCountUtil.release(message);
             return;
         }
-        if (pipelinedMessages.isEmpty() && acceptsNow()) {
+        if (pipelinedMessages.isEmpty() && canProcessNext()) {
             process(message);
             return;
         }
@@ -102,7 +102,7 @@
     }
 
     /** Whether the next message can be processed now: it belongs to the current request, or none is being answered. */
-    private boolean acceptsNow() {
+    private boolean canProcessNext() {
         return !responsePending || streamedBody != null;
     }
 
@@ -322,7 +322,7 @@
     }
 
     private void processPipelined() {
-        while (acceptsNow() && !pipelinedMessages.isEmpty()) {
+        while (canProcessNext() && !pipelinedMessages.isEmpty()) {
             process(pipelinedMessages.poll());
         }
         if (pipelinedMessages.size() <= MAX_PIPELINED_MESSAGES) {
