--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedSink.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedSink.java
@@ -46,7 +46,7 @@
     }
 
     @Override
-    public boolean writeChunk(ByteBuf bytes) {
+    public boolean writePart(ByteBuf bytes) {
         throw new IllegalStateException("answers are small here");
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
@@ -76,7 +76,7 @@
             return;
         }
         if (streaming) {
-            attempt.setAutoRead(call.sink().writeChunk(chunk));
+            attempt.setAutoRead(call.sink().writePart(chunk));
             return;
         }
         if (call.context().responseBuffers().tryReserve(bufferedBytes, chunk.readableBytes())) {
@@ -90,8 +90,8 @@
         bufferedBody = null;
         call.context().responseBuffers().release(bufferedBytes);
         bufferedBytes = 0;
-        call.sink().writeChunk(bufferedBody);
-        attempt.setAutoRead(call.sink().writeChunk(chunk));
+        call.sink().writePart(bufferedBody);
+        attempt.setAutoRead(call.sink().writePart(chunk));
     }
 
     @Override
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -273,7 +273,7 @@
     }
 
     @Override
-    public boolean writeChunk(ByteBuf chunk) {
+    public boolean writePart(ByteBuf chunk) {
         channel.writeAndFlush(new DefaultHttpContent(chunk));
         return channel.isWritable();
     }
