--- a/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
@@ -49,7 +49,7 @@
             return;
         }
         markEnded();
-        releaseBuffered();
+        releaseBufferedBody();
         if (attempt != null) {
             attempt.cancel();
         }
@@ -126,7 +126,7 @@
             return;
         }
         markEnded();
-        releaseBuffered();
+        releaseBufferedBody();
         if (streaming) {
             call.onStreamingEnded(this, false);
             return;
@@ -145,7 +145,7 @@
         ended = true;
     }
 
-    private void releaseBuffered() {
+    private void releaseBufferedBody() {
         if (bufferedBody != null) {
             bufferedBody.release();
             bufferedBody = null;
