--- a/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
@@ -79,7 +79,7 @@
             attempt.setAutoRead(call.sink().writePart(chunk));
             return;
         }
-        if (call.context().responseBuffers().tryReserve(bufferedBytes, chunk.readableBytes())) {
+        if (call.context().responseBufferBudget().tryReserve(bufferedBytes, chunk.readableBytes())) {
             bufferedBytes += chunk.readableBytes();
             bufferedBody.addComponent(true, chunk);
             return;
@@ -88,7 +88,7 @@
         call.onStreamingStarted(this, status, headers);
         ByteBuf bufferedBody = bufferedBody;
         bufferedBody = null;
-        call.context().responseBuffers().release(bufferedBytes);
+        call.context().responseBufferBudget().release(bufferedBytes);
         bufferedBytes = 0;
         call.sink().writePart(bufferedBody);
         attempt.setAutoRead(call.sink().writePart(chunk));
@@ -106,7 +106,7 @@
         }
         ByteBuf completeBody = bufferedBody;
         bufferedBody = null;
-        call.context().responseBuffers().release(bufferedBytes);
+        call.context().responseBufferBudget().release(bufferedBytes);
         bufferedBytes = 0;
         call.onResponse(this, status, headers, completeBody);
     }
@@ -149,7 +149,7 @@
         if (bufferedBody != null) {
             bufferedBody.release();
             bufferedBody = null;
-            call.context().responseBuffers().release(bufferedBytes);
+            call.context().responseBufferBudget().release(bufferedBytes);
             bufferedBytes = 0;
         }
     }
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
@@ -65,7 +65,7 @@
 
     /** Returns the number of bytes that buffered responses take up. */
     public long bufferedBytes() {
-        return context.responseBuffers().bytesInUse();
+        return context.responseBufferBudget().bytesInUse();
     }
 
     /**
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryContext.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryContext.java
@@ -19,7 +19,7 @@
  * @param retryBudget limits retries
  * @param responseEstimates expected sizes and durations of responses
  * @param callerRetryRates how often callers retry after a refusal
- * @param responseBuffers memory limit for buffered responses
+ * @param responseBufferBudget memory limit for buffered responses
  * @param counters metrics
  * @param log event log
  * @param random supplies random numbers, uniform in [0, 1)
@@ -34,7 +34,7 @@
         RetryBudget retryBudget,
         ResponseEstimator responseEstimates,
         CallerRetryRate callerRetryRates,
-        ResponseBufferBudget responseBuffers,
+        ResponseBufferBudget responseBufferBudget,
         Counters counters,
         EventLog log,
         DoubleSupplier random) {}
