--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
@@ -23,7 +23,7 @@
     private static final long RESPONSE_TRANSIT_NANOS = 10_000_000L;
 
     private final EntryContext context;
-    private final CallerWaitEstimator callerWaitTimes = new CallerWaitEstimator();
+    private final CallerWaitEstimator callerWaitEstimator = new CallerWaitEstimator();
     private long latestDeadline = Long.MAX_VALUE;
 
     /**
@@ -90,7 +90,7 @@
         HttpHeaders headers = Headers.endToEnd(request.headers());
         String id = headers.get(context.headerNames().requestId(), "");
         long callerTimeout = callerTimeoutNanos(headers);
-        long alreadyWaited = callerWaitTimes.waitedNanos(route.name(), callerTimeout);
+        long alreadyWaited = callerWaitEstimator.waitedNanos(route.name(), callerTimeout);
         long deadline = now + Math.max(1_000_000L, callerTimeout - RESPONSE_TRANSIT_NANOS);
         headers.remove(context.headerNames().deadline());
         headers.remove(context.headerNames().targetInstance());
