--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
@@ -24,7 +24,7 @@
 
     private final EntryContext context;
     private final CallerWaitEstimator callerWaitEstimator = new CallerWaitEstimator();
-    private long latestDeadline = Long.MAX_VALUE;
+    private long latestDeadlineAt = Long.MAX_VALUE;
 
     /**
      * @param clock clock whose tasks run on the same thread as everything here
@@ -74,7 +74,7 @@
      * @param latest latest deadline, on the scale of {@link System#nanoTime}
      */
     void capDeadlines(long latest) {
-        latestDeadline = latest;
+        latestDeadlineAt = latest;
     }
 
     /**
@@ -98,7 +98,7 @@
         if (route.timeoutNanos() > 0) {
             deadline = Math.min(deadline, now + route.timeoutNanos());
         }
-        deadline = Math.min(deadline, latestDeadline);
+        deadline = Math.min(deadline, latestDeadlineAt);
         long objective = route.objectiveNanos() > 0 ? now - alreadyWaited + route.objectiveNanos() : deadline;
         CallSpec spec = new CallSpec(
                 id,
