--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -57,7 +57,7 @@
     /** The previous attempt, which continues at a node that has gone silent. */
     private Optional<EntryAttempt> silentAttempt = Optional.empty();
 
-    private Clock.Timer deadlineAlarm;
+    private Clock.Timer deadlineTimer;
     private int attempts;
     private int possibleRuns;
     private int refusals;
@@ -104,7 +104,7 @@
         if (callerRetried) {
             context.callerRetryRates().onRetried(spec.requestClass());
         }
-        deadlineAlarm = context.clock().schedule(spec.deadlineAt() + DEADLINE_GRACE_NANOS, this::onDeadline);
+        deadlineTimer = context.clock().schedule(spec.deadlineAt() + DEADLINE_GRACE_NANOS, this::onDeadline);
         sendNext(false);
     }
 
@@ -450,8 +450,8 @@
 
     private void finish() {
         done = true;
-        if (deadlineAlarm != null) {
-            deadlineAlarm.cancel();
+        if (deadlineTimer != null) {
+            deadlineTimer.cancel();
         }
         cancelAttempts();
         discardServerFailure();
