--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -51,7 +51,7 @@
     private final boolean callerRetried;
     private final ResponseSink sink;
     private final CallTrace trace;
-    private final Set<String> triedNodes = new HashSet<>();
+    private final Set<String> triedNodeKeys = new HashSet<>();
     private final Set<String> busyNodes = new HashSet<>();
     private Optional<EntryAttempt> currentAttempt = Optional.empty();
     /** The previous attempt, which continues at a node that has gone silent. */
@@ -125,7 +125,7 @@
     }
 
     private Optional<CandidateChooser.Choice> chooseNode(long now) {
-        List<Candidate> candidates = context.candidates().candidatesFor(spec.service(), triedNodes, now);
+        List<Candidate> candidates = context.candidates().candidatesFor(spec.service(), triedNodeKeys, now);
         RequestProfile criteria = new RequestProfile(
                 spec.requestClass(),
                 spec.expectedResponseBytes() + spec.body().length(),
@@ -141,7 +141,7 @@
     private void startAttempt(CandidateChooser.Choice choice, long now) {
         attempts++;
         Candidate candidate = choice.candidate();
-        triedNodes.add(candidate.key());
+        triedNodeKeys.add(candidate.key());
         // A response of the backend server on this VM does not use the network link.
         int linkBytes = candidate.member().isPresent() ? spec.expectedResponseBytes() : 0;
         CallSpec attemptSpec = spec.forAttempt(attempts, choice.maxWaitNanos(), linkBytes);
@@ -165,7 +165,7 @@
                 && busyNodes.add(attempt.candidate().key())) {
             // The refusal carried the node's current load; the other nodes may be busier, so it may be chosen once
             // more.
-            triedNodes.remove(attempt.candidate().key());
+            triedNodeKeys.remove(attempt.candidate().key());
         }
         trace.recordDecisiveOutcome(attempt, refusal.reason().name());
         context.counters().increment(NodeMetricNames.ENTRY_REFUSALS_BY_REASON + refusal.reason());
