--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -52,7 +52,7 @@
     private final ResponseSink sink;
     private final CallTrace trace;
     private final Set<String> triedNodeKeys = new HashSet<>();
-    private final Set<String> busyNodes = new HashSet<>();
+    private final Set<String> busyNodeKeys = new HashSet<>();
     private Optional<EntryAttempt> currentAttempt = Optional.empty();
     /** The previous attempt, which continues at a node that has gone silent. */
     private Optional<EntryAttempt> silentAttempt = Optional.empty();
@@ -162,7 +162,7 @@
         }
         refusals++;
         if (refusal.reason() == Refusal.Reason.BUSY
-                && busyNodes.add(attempt.candidate().key())) {
+                && busyNodeKeys.add(attempt.candidate().key())) {
             // The refusal carried the node's current load; the other nodes may be busier, so it may be chosen once
             // more.
             triedNodeKeys.remove(attempt.candidate().key());
