--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -155,7 +155,7 @@
         if (done) {
             return;
         }
-        if (removeEndedAttempt(attempt)) {
+        if (removeAttempt(attempt)) {
             possibleRuns--;
             trace.recordOutcome(attempt, refusal.reason().name());
             return;
@@ -186,7 +186,7 @@
      *
      * @return whether it was the attempt at a silent node, so that the retry started alongside it goes on
      */
-    private boolean removeEndedAttempt(EntryAttempt attempt) {
+    private boolean removeAttempt(EntryAttempt attempt) {
         if (silentAttempt.isPresent() && silentAttempt.get() == attempt) {
             silentAttempt = Optional.empty();
             return true;
@@ -227,7 +227,7 @@
         if (done) {
             return;
         }
-        boolean retryInProgress = removeEndedAttempt(attempt);
+        boolean retryInProgress = removeAttempt(attempt);
         trace.recordOutcome(attempt, "LOST");
         trace.setCause(cause);
         context.log()
@@ -283,7 +283,7 @@
             body.release();
             return;
         }
-        boolean retryInProgress = removeEndedAttempt(attempt);
+        boolean retryInProgress = removeAttempt(attempt);
         possibleRuns += retryInProgress ? 0 : 1;
         if (status >= 500 && spec.kind().isRetryable()) {
             trace.recordDecisiveOutcome(attempt, "status " + status);
@@ -344,7 +344,7 @@
     /** Called when a response turned out too large to buffer; from now on it is passed on as it arrives. */
     void onStreamingStarted(EntryAttempt attempt, int status, HttpHeaders headers) {
         streamingAttempt = Optional.of(attempt);
-        removeEndedAttempt(attempt);
+        removeAttempt(attempt);
         cancelAttempts();
         currentAttempt = streamingAttempt;
         sink.beginStream(status, headers);
