--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -63,7 +63,7 @@
     private int refusals;
     private boolean retryGranted;
     private boolean done;
-    private long minWaitNanos = Long.MAX_VALUE;
+    private long shortestWaitNanos = Long.MAX_VALUE;
     private Optional<ServerFailure> serverFailure = Optional.empty();
     private Optional<EntryAttempt> streamingAttempt = Optional.empty();
 
@@ -172,7 +172,7 @@
         if (refusal.load().slots() > 0) {
             long waitNanos = refusal.load().waitNanos()
                     + refusal.load().meanNanos() / Math.max(1, refusal.load().slots());
-            minWaitNanos = Math.min(minWaitNanos, waitNanos);
+            shortestWaitNanos = Math.min(shortestWaitNanos, waitNanos);
         }
         if (refusal.reason() != Refusal.Reason.EXPIRED) {
             sendNext(refusal.rejectedByBackend());
@@ -409,7 +409,7 @@
 
     private void refuse() {
         finish();
-        double waitSeconds = minWaitNanos == Long.MAX_VALUE ? DEFAULT_RETRY_AFTER_S : minWaitNanos / 1e9;
+        double waitSeconds = shortestWaitNanos == Long.MAX_VALUE ? DEFAULT_RETRY_AFTER_S : shortestWaitNanos / 1e9;
         // Jitter, so that callers refused at the same time do not all retry at the same time.
         double jitteredSeconds = waitSeconds * (0.75 + 0.5 * context.random().getAsDouble());
         double retryAfterSeconds = Math.max(MIN_RETRY_AFTER_S, Math.min(MAX_RETRY_AFTER_S, jitteredSeconds));
