--- a/org.berylwick.node/src/org/berylwick/node/call/Backend.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Backend.java
@@ -20,7 +20,7 @@
     private final String service;
     private final ServerConnectionPool pool;
     private final ServiceTimeEstimator serviceTimes = new ServiceTimeEstimator();
-    private final LossRate losses = new LossRate();
+    private final LossRate lossRate = new LossRate();
     private long maxIdleNanos = DEFAULT_MAX_IDLE_NANOS;
     private int slots;
     private BackendState state;
@@ -96,12 +96,12 @@
     }
 
     LossRate losses() {
-        return losses;
+        return lossRate;
     }
 
     /** Records the end of a response. */
     void onResponse(long now) {
-        losses.onResponse(now);
+        lossRate.onResponse(now);
         lastResponseAt = now;
     }
 
