--- a/org.berylwick.node/src/org/berylwick/node/call/Backend.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Backend.java
@@ -95,7 +95,7 @@
         maxIdleNanos = Math.max(MIN_MAX_IDLE_NANOS, Math.min(maxIdleNanos, idleNanos / 2));
     }
 
-    LossRate losses() {
+    LossRate lossRate() {
         return lossRate;
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -142,7 +142,7 @@
      */
     private int lostPerMille(Backend server, long now) {
         int overduePerMille = 1_000 * overdueCount(now) / Math.max(MIN_RUNNING_FOR_LOSS_RATE, running.size());
-        return Math.max(server.losses().perMille(now), overduePerMille);
+        return Math.max(server.lossRate().perMille(now), overduePerMille);
     }
 
     private int overdueCount(long now) {
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -303,7 +303,7 @@
     @Override
     public void onEnd() {
         if (notExecuted) {
-            backend.losses().onLost(clock.now());
+            backend.lossRate().onLost(clock.now());
             connection = null;
             refuse(Refusal.Reason.TURNED_AWAY, true);
             return;
@@ -344,7 +344,7 @@
         if (finished) {
             return;
         }
-        backend.losses().onLost(clock.now());
+        backend.lossRate().onLost(clock.now());
         closeConnection();
         finish();
         owner.counters().increment(NodeMetricNames.OWNER_LOST);
