--- a/org.berylwick.node/src/org/berylwick/node/call/Backend.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Backend.java
@@ -19,7 +19,7 @@
     private final String incarnation;
     private final String service;
     private final ServerConnectionPool pool;
-    private final ServiceTimeEstimator serviceTimes = new ServiceTimeEstimator();
+    private final ServiceTimeEstimator serviceTimeEstimator = new ServiceTimeEstimator();
     private final LossRate lossRate = new LossRate();
     private long maxIdleNanos = DEFAULT_MAX_IDLE_NANOS;
     private int slots;
@@ -106,7 +106,7 @@
     }
 
     ServiceTimeEstimator serviceTimes() {
-        return serviceTimes;
+        return serviceTimeEstimator;
     }
 
     /** Applies a report; returns true if the state or the number of slots changed, false while draining. */
