--- a/org.berylwick.node/src/org/berylwick/node/call/Backend.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Backend.java
@@ -105,7 +105,7 @@
         lastResponseAt = now;
     }
 
-    ServiceTimeEstimator serviceTimes() {
+    ServiceTimeEstimator serviceTimeEstimator() {
         return serviceTimeEstimator;
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -119,7 +119,7 @@
                         running.size(),
                         queuedCount(),
                         server.slots(),
-                        server.serviceTimes().meanNanos(),
+                        server.serviceTimeEstimator().meanNanos(),
                         lostPerMille(server, now),
                         link.incoming().busyNanos(),
                         link.outgoing().busyNanos()))
@@ -132,7 +132,7 @@
 
     /** Service time of each class of request that the backend server has answered. */
     public List<ServiceTimeDistribution> serviceTimes() {
-        return backend.map(server -> server.serviceTimes().distributions()).orElse(List.of());
+        return backend.map(server -> server.serviceTimeEstimator().distributions()).orElse(List.of());
     }
 
     /**
@@ -339,7 +339,7 @@
             return Optional.of(Refusal.Reason.NOT_HERE);
         }
         Backend server = backend.orElseThrow();
-        run.setServiceTime(server.serviceTimes().distribution(call));
+        run.setServiceTime(server.serviceTimeEstimator().distribution(call));
         long now = clock.now();
         if (!run.canMeetDeadline(now)) {
             return Optional.of(Refusal.Reason.EXPIRED);
@@ -378,7 +378,7 @@
     }
 
     private static long slotWaitNanos(int ahead, Backend server) {
-        return new OwnerLoad(0, 0, server.slots(), server.serviceTimes().meanNanos()).waitNanos(ahead);
+        return new OwnerLoad(0, 0, server.slots(), server.serviceTimeEstimator().meanNanos()).waitNanos(ahead);
     }
 
     private void dispatch() {
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -309,7 +309,7 @@
             return;
         }
         long now = clock.now();
-        backend.serviceTimes().addSample(call, now - sentAt);
+        backend.serviceTimeEstimator().addSample(call, now - sentAt);
         backend.onResponse(now);
         connection = null;
         finish();
