--- a/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
@@ -42,7 +42,7 @@
 
     private final EventLoop loop;
     private final NodeSettings settings;
-    private final HeaderNames names;
+    private final HeaderNames headerNames;
     private final Owner owner;
     private final EventLog log;
     private int tries;
@@ -58,7 +58,7 @@
     public BackendProbe(EventLoop loop, NodeSettings settings, HeaderNames names, Owner owner, EventLog log) {
         this.loop = loop;
         this.settings = settings;
-        this.names = names;
+        this.headerNames = names;
         this.owner = owner;
         this.log = log;
     }
@@ -112,8 +112,8 @@
         if (!(result instanceof BufferedHttpCall.Result.Completed response) || response.status() != 200) {
             return Optional.empty();
         }
-        String incarnation = response.headers().get(names.instance(), "");
-        int slots = parseSlots(response.headers().get(names.load(), ""));
+        String incarnation = response.headers().get(headerNames.instance(), "");
+        int slots = parseSlots(response.headers().get(headerNames.load(), ""));
         if (incarnation.isBlank() || slots < 1) {
             return Optional.empty();
         }
