--- a/org.berylwick.node/src/org/berylwick/node/call/PeerServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerServer.java
@@ -28,7 +28,7 @@
     private final VmLink link;
     private final LongFunction<Optional<byte[]>> versionUpdates;
     private final Map<Channel, PeerHandler> handlers = new HashMap<>();
-    private Channel listener;
+    private Channel listenChannel;
 
     /**
      * @param loop event loop of this server and its connections
@@ -70,7 +70,7 @@
                     }
                 });
         ReceiveWindow.limitReceiveBuffer(bootstrap, link.incoming());
-        listener = bootstrap.bind(address).syncUninterruptibly().channel();
+        listenChannel = bootstrap.bind(address).syncUninterruptibly().channel();
     }
 
     /** Response bytes that have not been written to the sockets yet. */
@@ -90,8 +90,8 @@
 
     @Override
     public void close() {
-        if (listener != null) {
-            listener.close();
+        if (listenChannel != null) {
+            listenChannel.close();
         }
     }
 }
