--- a/org.berylwick.node/src/org/berylwick/node/call/RequestBodyScheduler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RequestBodyScheduler.java
@@ -24,7 +24,7 @@
     private static final long MAX_RECEIVING_NANOS = 60_000_000L;
 
     private final IncomingLink link;
-    private final RequestQueue waiting = new RequestQueue();
+    private final RequestQueue deferred = new RequestQueue();
     private final Set<OwnerRun> receiving = new LinkedHashSet<>();
 
     /** @param link incoming link of this VM */
@@ -33,7 +33,7 @@
     }
 
     int size() {
-        return waiting.size() + receiving.size();
+        return deferred.size() + receiving.size();
     }
 
     /** Time that the bodies accepted before this one still need on the link. */
@@ -59,9 +59,9 @@
             return;
         }
         if (canMeetObjective) {
-            waiting.addTimely(run);
+            deferred.addTimely(run);
         } else {
-            waiting.addLate(run);
+            deferred.addLate(run);
         }
         requestBodies(now);
     }
@@ -69,7 +69,7 @@
     /** Requests further bodies while the link has room for them; called when a chunk of a body has arrived. */
     void requestBodies(long now) {
         while (receivingNanos() < MAX_RECEIVING_NANOS) {
-            Optional<OwnerRun> next = waiting.poll(now);
+            Optional<OwnerRun> next = deferred.poll(now);
             if (next.isEmpty()) {
                 return;
             }
@@ -93,14 +93,14 @@
      */
     boolean remove(OwnerRun run, long now) {
         boolean wasReceiving = receiving.remove(run);
-        waiting.remove(run);
+        deferred.remove(run);
         requestBodies(now);
         return wasReceiving;
     }
 
     /** Removes all requests and returns them. */
     List<OwnerRun> drain() {
-        List<OwnerRun> all = waiting.drain();
+        List<OwnerRun> all = deferred.drain();
         all.addAll(receiving);
         receiving.clear();
         return all;
