--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -409,7 +409,7 @@
 
     private void refuseQueued(Refusal.Reason reason) {
         List<OwnerRun> refused = queue.drain();
-        refused.addAll(bodyScheduler.drain());
+        refused.addAll(bodyScheduler.removeAll());
         for (OwnerRun run : refused) {
             run.refuse(reason, false);
         }
--- a/org.berylwick.node/src/org/berylwick/node/call/RequestBodyScheduler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RequestBodyScheduler.java
@@ -99,7 +99,7 @@
     }
 
     /** Removes all requests and returns them. */
-    List<OwnerRun> drain() {
+    List<OwnerRun> removeAll() {
         List<OwnerRun> all = deferred.drain();
         all.addAll(receiving);
         receiving.clear();
