--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -408,7 +408,7 @@
     }
 
     private void refuseQueued(Refusal.Reason reason) {
-        List<OwnerRun> refused = queue.drain();
+        List<OwnerRun> refused = queue.removeAll();
         refused.addAll(bodyScheduler.removeAll());
         for (OwnerRun run : refused) {
             run.refuse(reason, false);
--- a/org.berylwick.node/src/org/berylwick/node/call/RequestBodyScheduler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RequestBodyScheduler.java
@@ -100,7 +100,7 @@
 
     /** Removes all requests and returns them. */
     List<OwnerRun> removeAll() {
-        List<OwnerRun> all = deferred.drain();
+        List<OwnerRun> all = deferred.removeAll();
         all.addAll(receiving);
         receiving.clear();
         return all;
--- a/org.berylwick.node/src/org/berylwick/node/call/RequestQueue.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RequestQueue.java
@@ -66,7 +66,7 @@
     }
 
     /** Removes and returns all requests. */
-    List<OwnerRun> drain() {
+    List<OwnerRun> removeAll() {
         List<OwnerRun> all = new ArrayList<>(timely);
         all.addAll(late);
         timely.clear();
