--- a/org.berylwick.node/src/org/berylwick/node/lib/OwnerLoad.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/OwnerLoad.java
@@ -8,11 +8,11 @@
  * @param slots number of requests that the backend server runs concurrently
  * @param meanNanos mean service time of a request
  * @param lostPerMille recent requests per thousand that the backend server lost or rejected
- * @param incomingNanos time until the request bodies in transit to the VM have been received over its link
+ * @param incomingLinkBusyNanos time until the request bodies in transit to the VM have been received over its link
  * @param outgoingNanos time until the large responses that are ready or being produced have been sent over its link
  */
 public record OwnerLoad(
-        int running, int queued, int slots, long meanNanos, int lostPerMille, long incomingNanos, long outgoingNanos) {
+        int running, int queued, int slots, long meanNanos, int lostPerMille, long incomingLinkBusyNanos, long outgoingNanos) {
     /** Load of a backend server of which nothing is known yet. */
     public static final OwnerLoad NONE = new OwnerLoad(0, 0, 0, 0, 0, 0, 0);
 
--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -123,7 +123,7 @@
     public void updateLoad(OwnerLoad received, long now) {
         load = received;
         inFlightAtLoadReport = inFlight;
-        incomingLinkFreeAt = now + received.incomingNanos();
+        incomingLinkFreeAt = now + received.incomingLinkBusyNanos();
         outgoingLinkFreeAt = now + received.outgoingNanos();
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
@@ -69,7 +69,7 @@
         out.writeShort(state.load().slots());
         out.writeInt((int) (state.load().meanNanos() / 1_000));
         out.writeShort(state.load().lostPerMille());
-        out.writeShort((int) Math.min(MAX_LINK_MILLIS, state.load().incomingNanos() / 1_000_000));
+        out.writeShort((int) Math.min(MAX_LINK_MILLIS, state.load().incomingLinkBusyNanos() / 1_000_000));
         out.writeShort((int) Math.min(MAX_LINK_MILLIS, state.load().outgoingNanos() / 1_000_000));
         writeString(state.zone(), out);
         writeString(state.service(), out);
