--- a/org.berylwick.node/src/org/berylwick/node/call/PeerCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerCodec.java
@@ -110,7 +110,7 @@
 
     private static String encodeLoad(OwnerLoad load) {
         return ";" + load.running() + ';' + load.queued() + ';' + load.slots() + ';' + load.meanNanos() / 1_000 + ';'
-                + load.lostPerMille() + ';' + toMillis(load.incomingLinkBusyNanos()) + ';' + toMillis(load.outgoingNanos());
+                + load.lostPerMille() + ';' + toMillis(load.incomingLinkBusyNanos()) + ';' + toMillis(load.outgoingLinkBusyNanos());
     }
 
     static Optional<Outcome> decodeOutcome(HttpHeaders headers) {
--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -124,7 +124,7 @@
         load = received;
         inFlightAtLoadReport = inFlight;
         incomingLinkFreeAt = now + received.incomingLinkBusyNanos();
-        outgoingLinkFreeAt = now + received.outgoingNanos();
+        outgoingLinkFreeAt = now + received.outgoingLinkBusyNanos();
     }
 
     /** Estimates the load of the network link of the node's VM from what this node has received and sent. */
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
@@ -70,7 +70,7 @@
         out.writeInt((int) (state.load().meanNanos() / 1_000));
         out.writeShort(state.load().lostPerMille());
         out.writeShort((int) Math.min(MAX_LINK_MILLIS, state.load().incomingLinkBusyNanos() / 1_000_000));
-        out.writeShort((int) Math.min(MAX_LINK_MILLIS, state.load().outgoingNanos() / 1_000_000));
+        out.writeShort((int) Math.min(MAX_LINK_MILLIS, state.load().outgoingLinkBusyNanos() / 1_000_000));
         writeString(state.zone(), out);
         writeString(state.service(), out);
         writeString(state.incarnation(), out);
