--- a/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
@@ -112,7 +112,7 @@
         if (!(result instanceof BufferedHttpCall.Result.Completed response) || response.status() != 200) {
             return Optional.empty();
         }
-        String incarnation = response.headers().get(headerNames.instance(), "");
+        String incarnation = response.headers().get(headerNames.incarnation(), "");
         int slots = parseSlots(response.headers().get(headerNames.load(), ""));
         if (incarnation.isBlank() || slots < 1) {
             return Optional.empty();
--- a/org.berylwick.node/src/org/berylwick/node/lib/HeaderNames.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/HeaderNames.java
@@ -10,7 +10,7 @@
  * @param load number of running and waiting requests and of slots of a backend server, separated by commas
  * @param notExecuted marks a response to a request that was not executed
  * @param callerService service of the VM on which the request originated
- * @param instance incarnation of the backend server that responds
+ * @param incarnation incarnation of the backend server that responds
  */
 public record HeaderNames(
         String requestId,
@@ -20,4 +20,4 @@
         String load,
         String notExecuted,
         String callerService,
-        String instance) {}
+        String incarnation) {}
