--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
@@ -93,7 +93,7 @@
         long alreadyWaited = callerWaitEstimator.waitedNanos(route.name(), callerTimeout);
         long deadline = now + Math.max(1_000_000L, callerTimeout - RESPONSE_TRANSIT_NANOS);
         headers.remove(context.headerNames().deadline());
-        headers.remove(context.headerNames().targetInstance());
+        headers.remove(context.headerNames().targetIncarnation());
         headers.remove(context.headerNames().callerService());
         if (route.timeoutNanos() > 0) {
             deadline = Math.min(deadline, now + route.timeoutNanos());
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -252,7 +252,7 @@
         connectionIdleNanos = acquired.servedRequests() == 0 ? 0 : now - acquired.idleSince();
         HttpHeaders headers = Headers.copy(call.headers());
         headers.set(headerNames.deadline(), remainingMillis);
-        headers.set(headerNames.targetInstance(), backend.incarnation());
+        headers.set(headerNames.targetIncarnation(), backend.incarnation());
         headers.set(headerNames.callerService(), call.callerService());
         HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, call.method(), call.uri(), headers);
         HttpConnection.setContentLength(head, call.body().length());
--- a/org.berylwick.node/src/org/berylwick/node/lib/HeaderNames.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/HeaderNames.java
@@ -6,7 +6,7 @@
  * @param requestId id of one attempt of a caller
  * @param deadline remaining time, in milliseconds, that the sender waits for the response
  * @param signature signature of a backend server over the body of its response
- * @param targetInstance incarnation of the backend server that the request is addressed to; no other may run it
+ * @param targetIncarnation incarnation of the backend server that the request is addressed to; no other may run it
  * @param load number of running and waiting requests and of slots of a backend server, separated by commas
  * @param notExecuted marks a response to a request that was not executed
  * @param callerService service of the VM on which the request originated
@@ -16,7 +16,7 @@
         String requestId,
         String deadline,
         String signature,
-        String targetInstance,
+        String targetIncarnation,
         String load,
         String notExecuted,
         String callerService,
