--- a/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
@@ -35,7 +35,7 @@
 class OwnerSilenceTest {
     private static final long MILLISECOND = 1_000_000L;
     private static final long SECOND = 1_000 * MILLISECOND;
-    private static final long HEARTBEAT_INTERVAL = 1_500 * MILLISECOND;
+    private static final long HEARTBEAT_NANOS = 1_500 * MILLISECOND;
     private static final HeaderNames HEADER_NAMES =
             new HeaderNames("id", "deadline", "signature", "target", "load", "not-run", "caller", "instance");
 
@@ -46,7 +46,7 @@
             address -> new RespondingServer(),
             HEADER_NAMES,
             VmLink.of(1_000, clock),
-            HEARTBEAT_INTERVAL,
+            HEARTBEAT_NANOS,
             new Counters(),
             log,
             () -> {});
