--- a/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
@@ -33,9 +33,9 @@
 
 /** When an owner marks a backend server absent that sends no heartbeats. */
 class OwnerSilenceTest {
-    private static final long MILLISECOND = 1_000_000L;
-    private static final long SECOND = 1_000 * MILLISECOND;
-    private static final long HEARTBEAT_NANOS = 1_500 * MILLISECOND;
+    private static final long NANOS_PER_MILLISECOND = 1_000_000L;
+    private static final long SECOND = 1_000 * NANOS_PER_MILLISECOND;
+    private static final long HEARTBEAT_NANOS = 1_500 * NANOS_PER_MILLISECOND;
     private static final HeaderNames HEADER_NAMES =
             new HeaderNames("id", "deadline", "signature", "target", "load", "not-run", "caller", "instance");
 
@@ -64,7 +64,7 @@
             HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
             head.headers().set(HEADER_NAMES.requestId(), request.headers().get(HEADER_NAMES.requestId()));
             head.headers().set(HEADER_NAMES.signature(), "s");
-            clock.after(20 * MILLISECOND, () -> {
+            clock.after(20 * NANOS_PER_MILLISECOND, () -> {
                 exchange.onHead(head);
                 exchange.onEnd();
             });
@@ -164,7 +164,7 @@
                 "work",
                 "caller",
                 new RequestClass(RouteKind.IDEMPOTENT, 1, 600),
-                clock.now() + 600 * MILLISECOND,
+                clock.now() + 600 * NANOS_PER_MILLISECOND,
                 clock.now() + 2 * SECOND,
                 0,
                 1,
@@ -182,7 +182,7 @@
     void backendServerThatRespondsStaysAvailableWithoutHeartbeats() {
         report();
         tickEverySecond();
-        sendRequestEvery(700 * MILLISECOND);
+        sendRequestEvery(700 * NANOS_PER_MILLISECOND);
         clock.runUntil(30 * SECOND);
         assertTrue(owner.acceptsRequestsFor("work"), "requests answered: " + responseCount);
         assertEquals(43, responseCount);
