--- a/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
@@ -34,7 +34,7 @@
 /** When an owner marks a backend server absent that sends no heartbeats. */
 class OwnerSilenceTest {
     private static final long NANOS_PER_MILLISECOND = 1_000_000L;
-    private static final long SECOND = 1_000 * NANOS_PER_MILLISECOND;
+    private static final long NANOS_PER_SECOND = 1_000 * NANOS_PER_MILLISECOND;
     private static final long HEARTBEAT_NANOS = 1_500 * NANOS_PER_MILLISECOND;
     private static final HeaderNames HEADER_NAMES =
             new HeaderNames("id", "deadline", "signature", "target", "load", "not-run", "caller", "instance");
@@ -150,7 +150,7 @@
 
     private void tickEverySecond() {
         owner.tick();
-        clock.after(SECOND, this::tickEverySecond);
+        clock.after(NANOS_PER_SECOND, this::tickEverySecond);
     }
 
     private void sendRequestEvery(long nanos) {
@@ -165,7 +165,7 @@
                 "caller",
                 new RequestClass(RouteKind.IDEMPOTENT, 1, 600),
                 clock.now() + 600 * NANOS_PER_MILLISECOND,
-                clock.now() + 2 * SECOND,
+                clock.now() + 2 * NANOS_PER_SECOND,
                 0,
                 1,
                 0);
@@ -183,7 +183,7 @@
         report();
         tickEverySecond();
         sendRequestEvery(700 * NANOS_PER_MILLISECOND);
-        clock.runUntil(30 * SECOND);
+        clock.runUntil(30 * NANOS_PER_SECOND);
         assertTrue(owner.acceptsRequestsFor("work"), "requests answered: " + responseCount);
         assertEquals(43, responseCount);
     }
@@ -193,9 +193,9 @@
     void idleBackendServerWithoutHeartbeatsIsMarkedAbsent() {
         report();
         tickEverySecond();
-        clock.runUntil(8 * SECOND);
+        clock.runUntil(8 * NANOS_PER_SECOND);
         assertTrue(owner.acceptsRequestsFor("work"));
-        clock.runUntil(11 * SECOND);
+        clock.runUntil(11 * NANOS_PER_SECOND);
         assertTrue(!owner.acceptsRequestsFor("work"));
     }
 }
