--- a/org.berylwick.test/tst/org/berylwick/node/call/RetryBudgetTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/RetryBudgetTest.java
@@ -15,8 +15,8 @@
 
 /** Tests that no window, wherever it begins, contains more retries than the fleet may send, nested calls included. */
 class RetryBudgetTest {
-    private static final long WINDOW = 10_000_000_000L;
-    private static final PlatformBounds BOUNDS = new PlatformBounds(0, 0, 0, 0.2, WINDOW, 58);
+    private static final long WINDOW_NANOS = 10_000_000_000L;
+    private static final PlatformBounds BOUNDS = new PlatformBounds(0, 0, 0, 0.2, WINDOW_NANOS, 58);
 
     /**
      * The backend servers reject nearly all requests, and each node retries whenever its budget permits. Each retry at
@@ -30,13 +30,13 @@
         Random random = new Random(seed);
         List<RetryBudget> budgets = new ArrayList<>();
         for (int i = 0; i < nodes; i++) {
-            budgets.add(new RetryBudget(BOUNDS, () -> nodes, () -> true, -WINDOW));
+            budgets.add(new RetryBudget(BOUNDS, () -> nodes, () -> true, -WINDOW_NANOS));
         }
         List<Long> requests = new ArrayList<>();
         List<Long> retries = new ArrayList<>();
         double pendingCalls = 0;
         long now = 0;
-        while (now < 4 * WINDOW) {
+        while (now < 4 * WINDOW_NANOS) {
             now += 5_000_000L + random.nextInt(10_000_000);
             RetryBudget budget = budgets.get(random.nextInt(nodes));
             budget.onRequest("calling", now);
@@ -65,11 +65,11 @@
         Random random = new Random(seed);
         List<RetryBudget> budgets = new ArrayList<>();
         for (int i = 0; i < nodes; i++) {
-            budgets.add(new RetryBudget(BOUNDS, () -> nodes, () -> true, -WINDOW));
+            budgets.add(new RetryBudget(BOUNDS, () -> nodes, () -> true, -WINDOW_NANOS));
         }
         List<Long> requests = new ArrayList<>();
         List<Long> retries = new ArrayList<>();
-        for (long now = 0; now < 4 * WINDOW; now += 5_000_000L + random.nextInt(10_000_000)) {
+        for (long now = 0; now < 4 * WINDOW_NANOS; now += 5_000_000L + random.nextInt(10_000_000)) {
             budgets.get(random.nextInt(nodes)).onRequest("calling", now);
             RetryBudget callerBudget = budgets.get(random.nextInt(nodes));
             if (random.nextInt(10) >= 7) {
@@ -104,7 +104,7 @@
         int nodes = 10;
         long retries = 0;
         for (int round = 0; round < 2; round++) {
-            long startedAt = round * WINDOW / 4;
+            long startedAt = round * WINDOW_NANOS / 4;
             boolean firstStart = round == 0;
             for (int i = 0; i < nodes; i++) {
                 long[] age = {0};
@@ -112,7 +112,7 @@
                         BOUNDS,
                         () -> firstStart || age[0] > 1_000 ? nodes : 1,
                         () -> firstStart,
-                        firstStart ? -WINDOW : startedAt);
+                        firstStart ? -WINDOW_NANOS : startedAt);
                 for (; age[0] < 4_000; age[0]++) {
                     retries += budget.tryAcquire("work", startedAt + age[0] * 1_000_000) ? 1 : 0;
                 }
@@ -124,7 +124,7 @@
 
     private static void assertWithinAllowance(List<Long> requests, List<Long> retries) {
         assertFalse(retries.isEmpty(), "no request was retried");
-        for (long from = WINDOW; from < 3 * WINDOW; from += WINDOW / 7) {
+        for (long from = WINDOW_NANOS; from < 3 * WINDOW_NANOS; from += WINDOW_NANOS / 7) {
             long allowed = (long) (0.2 * countWithin(requests, from) + 58);
             long sent = countWithin(retries, from);
             assertTrue(sent <= allowed, sent + " retries from " + from + ", allowed " + allowed);
@@ -132,6 +132,6 @@
     }
 
     private static long countWithin(List<Long> times, long from) {
-        return times.stream().filter(t -> t >= from && t < from + WINDOW).count();
+        return times.stream().filter(t -> t >= from && t < from + WINDOW_NANOS).count();
     }
 }
