--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -122,7 +122,7 @@
     private Node startWithoutReport(int number, String zone, Optional<RawServer> backend) {
         EventLog log = new EventLog("node-" + number, logOutput);
         logs.add(log);
-        Node node = new Node(new TestNodePorts(settings(number, zone, backend)), log);
+        Node node = new Node(new TestNodePlatform(settings(number, zone, backend)), log);
         nodes.add(node);
         node.start();
         return node;
@@ -353,10 +353,10 @@
     }
 
     /** In-memory platform of one node of the rig. */
-    private final class TestNodePorts implements NodePlatform {
+    private final class TestNodePlatform implements NodePlatform {
         private final NodeSettings settings;
 
-        TestNodePorts(NodeSettings settings) {
+        TestNodePlatform(NodeSettings settings) {
             this.settings = settings;
         }
 
