--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -25,7 +25,7 @@
     /** So many responses exceed the socket buffers of a connection whose peer does not read. */
     private static final int RESPONSE_COUNT = 8;
 
-    private static final double NARROW_MBPS = 30;
+    private static final double SLOW_LINK_MBPS = 30;
     private static final int WIDE_MBPS = 1_000;
     private static final int PACED_RESPONSE_BYTES = 4_500_000;
     private static final String LAST_CHUNK = "\r\n0\r\n\r\n";
@@ -198,7 +198,7 @@
         try (RawServer server = new RawServer((c, r) -> c.write(NodeRig.responseTo(r, pacedBody)));
                 NodeRig rig = new NodeRig()) {
             rig.configuration.publish(NodeRig.version(1));
-            Node node = rig.startWithLink(1, server, 1, NARROW_MBPS);
+            Node node = rig.startWithLink(1, server, 1, SLOW_LINK_MBPS);
             rig.awaitReady(1);
             try (Socket peer = rig.requestAsPeer(1, "p1", PACED_RESPONSE_BYTES, 9_000)) {
                 Await.until("the request reaches the backend server", () -> server.runs("p1") == 1, rig::logText);
