--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -26,7 +26,7 @@
     private static final int RESPONSE_COUNT = 8;
 
     private static final double SLOW_LINK_MBPS = 30;
-    private static final int WIDE_MBPS = 1_000;
+    private static final int FAST_LINK_MBPS = 1_000;
     private static final int PACED_RESPONSE_BYTES = 4_500_000;
     private static final String LAST_CHUNK = "\r\n0\r\n\r\n";
     /** Longer than a stop takes without pending requests. */
@@ -124,7 +124,7 @@
     @Test
     void callerGetsAResponseWhenItsOwnerExceedsTheGracePeriod() throws IOException {
         try (NodeRig rig = NodeRig.withEntryNode(versionWithSlowRoute());
-                ScriptedPeer owner = ScriptedPeer.startAnnounced(rig, WIDE_MBPS)) {
+                ScriptedPeer owner = ScriptedPeer.startAnnounced(rig, FAST_LINK_MBPS)) {
             CompletableFuture<String> response = CompletableFuture.supplyAsync(
                     () -> rig.send(1, NodeRig.request("GET", "/slow/x", "w1", HANG_MILLIS, "")));
             try (ScriptedPeer.Connection connection = owner.accept()) {
@@ -167,7 +167,7 @@
     @Test
     void stoppingEntryLimitsTheDeadlineSentToTheOwner() throws IOException {
         try (NodeRig rig = NodeRig.withEntryNode(versionWithSlowRoute());
-                ScriptedPeer owner = ScriptedPeer.startAnnounced(rig, WIDE_MBPS)) {
+                ScriptedPeer owner = ScriptedPeer.startAnnounced(rig, FAST_LINK_MBPS)) {
             CompletableFuture<Void> stopped =
                     CompletableFuture.runAsync(() -> rig.node(1).stop());
             Await.until("the node begins to stop", () -> rig.logText().contains(Event.STOPPING.name()), rig::logText);
