--- a/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
@@ -70,28 +70,28 @@
     }
 
     @Override
-    public void onBody(ByteBuf chunk) {
+    public void onBody(ByteBuf part) {
         if (ended) {
-            chunk.release();
+            part.release();
             return;
         }
         if (streaming) {
-            attempt.setAutoRead(call.sink().writePart(chunk));
+            attempt.setAutoRead(call.sink().writePart(part));
             return;
         }
-        if (call.context().responseBufferBudget().tryReserve(bufferedBytes, chunk.readableBytes())) {
-            bufferedBytes += chunk.readableBytes();
-            bufferedBody.addComponent(true, chunk);
+        if (call.context().responseBufferBudget().tryReserve(bufferedBytes, part.readableBytes())) {
+            bufferedBytes += part.readableBytes();
+            bufferedBody.addComponent(true, part);
             return;
         }
         streaming = true;
         call.onStreamingStarted(this, status, headers);
-        ByteBuf bufferedBody = bufferedBody;
+        ByteBuf bodySoFar = bufferedBody;
         bufferedBody = null;
         call.context().responseBufferBudget().release(bufferedBytes);
         bufferedBytes = 0;
-        call.sink().writePart(bufferedBody);
-        attempt.setAutoRead(call.sink().writePart(chunk));
+        call.sink().writePart(bodySoFar);
+        attempt.setAutoRead(call.sink().writePart(part));
     }
 
     @Override
