--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -211,10 +211,10 @@
     }
 
     /** Sends an owner a request for a large response, as another node would, and reads nothing of the response. */
-    Socket requestAsPeer(int owner, String id, int answerBytes, int deadlineMillis) throws IOException {
+    Socket requestAsPeer(int owner, String id, int responseBytes, int deadlineMillis) throws IOException {
         Socket socket = new Socket();
         socket.connect(peerAddress(owner));
-        String call = "work;caller;" + RouteKind.BULK.ordinal() + ";1;600;600;" + deadlineMillis + ";0;1;" + answerBytes
+        String call = "work;caller;" + RouteKind.BULK.ordinal() + ";1;600;600;" + deadlineMillis + ";0;1;" + responseBytes
                 + ";" + id;
         socket.getOutputStream()
                 .write(("GET /bulk/x HTTP/1.1\r\nbw-call: " + call + "\r\nx-request-id: " + id + "\r\n\r\n")
@@ -394,17 +394,17 @@
         public NodeDirectory directory(EventLoop loop) {
             return new NodeDirectory() {
                 @Override
-                public void register(String name, String ip, Consumer<Boolean> onAnswer) {
-                    loop.execute(() -> onAnswer.accept(true));
+                public void register(String name, String ip, Consumer<Boolean> onResult) {
+                    loop.execute(() -> onResult.accept(true));
                 }
 
                 @Override
-                public void list(Consumer<ListResult> onAnswer) {
+                public void list(Consumer<ListResult> onResult) {
                     List<String> ips = new ArrayList<>();
                     for (int i = 1; i <= 4; i++) {
                         ips.add(ip(i));
                     }
-                    loop.execute(() -> onAnswer.accept(new ListResult.Listed(ips)));
+                    loop.execute(() -> onResult.accept(new ListResult.Listed(ips)));
                 }
             };
         }
