--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -363,10 +363,10 @@
     /** Whether a request can meet its latency objective after the requests that would run before it. */
     private boolean isTimely(OwnerRun run) {
         Backend server = backend.orElseThrow();
-        int ahead = running.size() + queue.countTimelyAhead(run);
+        int requestsAhead = running.size() + queue.countTimelyAhead(run);
         RequestBody body = run.call().body();
         long slotWaitNanos = Math.max(
-                slotWaitNanos(ahead, server),
+                slotWaitNanos(requestsAhead, server),
                 bodyScheduler.transferNanosAhead(body) + bodyScheduler.transferNanos(body));
         long waitNanos = Math.max(slotWaitNanos, run.linkWaitNanos());
         return run.canMeetObjective(clock.now() + waitNanos);
@@ -377,8 +377,8 @@
         return slotWaitNanos(running.size() + queuedAhead, server);
     }
 
-    private static long slotWaitNanos(int ahead, Backend server) {
-        return new OwnerLoad(0, 0, server.slots(), server.serviceTimeEstimator().meanNanos()).waitNanos(ahead);
+    private static long slotWaitNanos(int requestsAhead, Backend server) {
+        return new OwnerLoad(0, 0, server.slots(), server.serviceTimeEstimator().meanNanos()).waitNanos(requestsAhead);
     }
 
     private void dispatch() {
