--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -393,9 +393,9 @@
     }
 
     @Override
-    public void setAutoRead(boolean on) {
+    public void setAutoRead(boolean autoRead) {
         if (connection != null) {
-            connection.setAutoRead(on);
+            connection.setAutoRead(autoRead);
         }
     }
 }
