--- a/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
@@ -159,9 +159,9 @@
     }
 
     @Override
-    public void setAutoRead(boolean on) {
+    public void setAutoRead(boolean autoRead) {
         if (connection != null) {
-            connection.setAutoRead(on);
+            connection.setAutoRead(autoRead);
         }
     }
 }
