--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -231,9 +231,9 @@
     }
 
     @Override
-    public void setSourceReading(boolean on) {
+    public void setSourceReading(boolean enabled) {
         if (attempt != null) {
-            attempt.setAutoRead(on);
+            attempt.setAutoRead(enabled);
         }
     }
 
