--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -273,8 +273,8 @@
     }
 
     @Override
-    public boolean writePart(ByteBuf chunk) {
-        channel.writeAndFlush(new DefaultHttpContent(chunk));
+    public boolean writePart(ByteBuf part) {
+        channel.writeAndFlush(new DefaultHttpContent(part));
         return channel.isWritable();
     }
 
