--- a/org.berylwick.node/src/org/berylwick/node/call/ResponseSink.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ResponseSink.java
@@ -22,7 +22,7 @@
      *
      * @return whether the caller keeps up with reading; if not, the response should not be read further for now
      */
-    boolean writePart(ByteBuf chunk);
+    boolean writePart(ByteBuf part);
 
     /** Ends the response that was begun. */
     void endStream();
