--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
@@ -33,7 +33,7 @@
      * @param starter sends attempts to owners
      * @param candidates supplies the nodes that may run a request
      * @param retryBudget limits retries
-     * @param responseBufferBytes memory limit for buffered responses
+     * @param maxBufferedBytes memory limit for buffered responses
      * @param instruments counters and event log
      * @param random supplies random numbers, uniform in [0, 1)
      */
@@ -44,7 +44,7 @@
             AttemptStarter starter,
             CandidateSource candidates,
             RetryBudget retryBudget,
-            long responseBufferBytes,
+            long maxBufferedBytes,
             Instruments instruments,
             DoubleSupplier random) {
         this.context = new EntryContext(
@@ -57,7 +57,7 @@
                 retryBudget,
                 new ResponseEstimator(),
                 new CallerRetryRate(),
-                new ResponseBufferBudget(responseBufferBytes),
+                new ResponseBufferBudget(maxBufferedBytes),
                 instruments.counters(),
                 instruments.log(),
                 random);
@@ -71,10 +71,10 @@
     /**
      * Limits the deadline of calls created from now on, because the process is being shut down.
      *
-     * @param latest latest deadline, on the scale of {@link System#nanoTime}
+     * @param latestAt latest deadline, on the scale of {@link System#nanoTime}
      */
-    void capDeadlines(long latest) {
-        latestDeadlineAt = latest;
+    void capDeadlines(long latestAt) {
+        latestDeadlineAt = latestAt;
     }
 
     /**
@@ -89,17 +89,17 @@
         long now = context.clock().now();
         HttpHeaders headers = Headers.endToEnd(request.headers());
         String id = headers.get(context.headerNames().requestId(), "");
-        long callerTimeout = callerTimeoutNanos(headers);
-        long alreadyWaited = callerWaitEstimator.waitedNanos(route.name(), callerTimeout);
-        long deadline = now + Math.max(1_000_000L, callerTimeout - RESPONSE_TRANSIT_NANOS);
+        long callerTimeoutNanos = callerTimeoutNanos(headers);
+        long waitedNanos = callerWaitEstimator.waitedNanos(route.name(), callerTimeoutNanos);
+        long deadlineAt = now + Math.max(1_000_000L, callerTimeoutNanos - RESPONSE_TRANSIT_NANOS);
         headers.remove(context.headerNames().deadline());
         headers.remove(context.headerNames().targetIncarnation());
         headers.remove(context.headerNames().callerService());
         if (route.timeoutNanos() > 0) {
-            deadline = Math.min(deadline, now + route.timeoutNanos());
+            deadlineAt = Math.min(deadlineAt, now + route.timeoutNanos());
         }
-        deadline = Math.min(deadline, latestDeadlineAt);
-        long objective = route.objectiveNanos() > 0 ? now - alreadyWaited + route.objectiveNanos() : deadline;
+        deadlineAt = Math.min(deadlineAt, latestDeadlineAt);
+        long objectiveAt = route.objectiveNanos() > 0 ? now - waitedNanos + route.objectiveNanos() : deadlineAt;
         CallSpec spec = new CallSpec(
                 id,
                 request.method(),
@@ -109,12 +109,12 @@
                 route.serviceAt(context.random().getAsDouble()),
                 context.callerService().get(),
                 RequestClass.of(route),
-                objective,
-                deadline,
+                objectiveAt,
+                deadlineAt,
                 0,
                 1,
                 (int) context.responseEstimates().expectedBytes(route));
-        return new EntryCall(context, route, spec, now, version.number(), alreadyWaited > 0, sink);
+        return new EntryCall(context, route, spec, now, version.number(), waitedNanos > 0, sink);
     }
 
     private long callerTimeoutNanos(HttpHeaders headers) {
