--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -126,7 +126,7 @@
 
     private Optional<CandidateChooser.Choice> chooseNode(long now) {
         List<Candidate> candidates = context.candidates().candidatesFor(spec.service(), triedNodeKeys, now);
-        RequestProfile criteria = new RequestProfile(
+        RequestProfile profile = new RequestProfile(
                 spec.requestClass(),
                 spec.expectedResponseBytes() + spec.body().length(),
                 context.responseEstimates().expectedNanos(route),
@@ -135,7 +135,7 @@
                 queueWaitUntil - now,
                 callerRetried ? 0 : context.callerRetryRates().retryRate(spec.requestClass()),
                 refusals + 1 >= MAX_REFUSALS);
-        return context.chooser().choose(candidates, criteria);
+        return context.chooser().choose(candidates, profile);
     }
 
     private void startAttempt(CandidateChooser.Choice choice, long now) {
@@ -256,10 +256,10 @@
         }
     }
 
-    private boolean mayRetry(int runsSoFar) {
+    private boolean mayRetry(int possibleRunsSoFar) {
         long requiredNanos = (long) (context.responseEstimates().expectedNanos(route) * MIN_RETRY_TIME_SHARE);
         return spec.kind().isRetryable()
-                && runsSoFar < Math.max(1, route.maxAttempts())
+                && possibleRunsSoFar < Math.max(1, route.maxAttempts())
                 && context.clock().now() + requiredNanos < spec.deadlineAt();
     }
 
