--- a/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/BackendProbe.java
@@ -51,14 +51,14 @@
     /**
      * @param loop event loop of this object and its connections
      * @param settings contain the service and the address of its backend server
-     * @param names names of the headers exchanged with the backend server
+     * @param headerNames names of the headers exchanged with the backend server
      * @param owner receives the result as a report
      * @param log receives events
      */
-    public BackendProbe(EventLoop loop, NodeSettings settings, HeaderNames names, Owner owner, EventLog log) {
+    public BackendProbe(EventLoop loop, NodeSettings settings, HeaderNames headerNames, Owner owner, EventLog log) {
         this.loop = loop;
         this.settings = settings;
-        this.headerNames = names;
+        this.headerNames = headerNames;
         this.owner = owner;
         this.log = log;
     }
