--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -83,7 +83,7 @@
         double refusalCost = 1 - (1 - REFUSAL_COST) * profile.callerRetryProbability();
         Candidate best = null;
         double bestCost = Double.MAX_VALUE;
-        double nextCost = Double.MAX_VALUE;
+        double secondBestCost = Double.MAX_VALUE;
         for (Candidate candidate : candidates) {
             long waitNanos = expectedWaitNanos(candidate, profile, averageMeanNanos);
             double latenessCost = latenessCost(candidate, profile, averageMeanNanos, waitNanos);
@@ -93,11 +93,11 @@
             double cost =
                     timeIndependentCost(candidate, profile) + latenessCost + random.getAsDouble() * MAX_COST_JITTER;
             if (cost < bestCost) {
-                nextCost = bestCost;
+                secondBestCost = bestCost;
                 bestCost = cost;
                 best = candidate;
-            } else if (cost < nextCost) {
-                nextCost = cost;
+            } else if (cost < secondBestCost) {
+                secondBestCost = cost;
             }
         }
         if (best == null) {
@@ -107,7 +107,7 @@
         double bestLatenessCost = latenessCost(best, profile, averageMeanNanos, waitNanos);
         double costMargin = profile.finalAttempt()
                 ? refusalCost - bestLatenessCost
-                : Math.min(refusalCost - bestLatenessCost, nextCost - bestCost);
+                : Math.min(refusalCost - bestLatenessCost, secondBestCost - bestCost);
         return Optional.of(new Choice(
                 best,
                 longestAcceptableWaitNanos(
