--- a/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
@@ -55,18 +55,18 @@
     /** A backend server that answers each request after 20 ms, on one shared connection. */
     private final class RespondingServer implements ServerConnectionPool, ServerConnection {
         @Override
-        public void acquire(long maxIdleNanos, Consumer<ServerConnection> onOpen, Consumer<String> onFailure) {
-            onOpen.accept(this);
+        public void acquire(long idleLimitNanos, Consumer<ServerConnection> onConnection, Consumer<String> onFailure) {
+            onConnection.accept(this);
         }
 
         @Override
-        public void send(HttpRequest request, RequestBody body, HttpResponseHandler exchange) {
+        public void send(HttpRequest request, RequestBody body, HttpResponseHandler handler) {
             HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
             head.headers().set(HEADER_NAMES.requestId(), request.headers().get(HEADER_NAMES.requestId()));
             head.headers().set(HEADER_NAMES.signature(), "s");
             clock.after(20 * NANOS_PER_MILLISECOND, () -> {
-                exchange.onHead(head);
-                exchange.onEnd();
+                handler.onHead(head);
+                handler.onEnd();
             });
         }
 
@@ -96,7 +96,7 @@
         }
 
         @Override
-        public void setAutoRead(boolean on) {
+        public void setAutoRead(boolean enabled) {
             // Responses have no body.
         }
 
