--- a/org.berylwick.node/src/org/berylwick/node/call/AttemptListener.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/AttemptListener.java
@@ -21,7 +21,7 @@
      */
     void onHead(int status, HttpHeaders headers, OwnerLoad load);
 
-    /** A chunk of the response body; the callee has to release it. */
+    /** A part of the response body; the callee has to release it. */
     void onBody(ByteBuf part);
 
     /** The response is complete. */
--- a/org.berylwick.node/src/org/berylwick/node/call/CallPath.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallPath.java
@@ -15,7 +15,7 @@
 
 /** Assembles the components that handle the requests of callers on a node. */
 public final class CallPath {
-    /** The memory of the process divided by this is the limit for buffered responses. */
+    /** Buffered responses may use the memory of the process divided by this. */
     private static final int BUFFER_MEMORY_DIVISOR = 6;
 
     /**
--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -7,7 +7,7 @@
 import org.berylwick.node.lib.ServiceTimeDistribution;
 
 /**
- * Chooses the node that runs a request by its expected cost to the caller. Stateless between requests.
+ * Chooses the node with the lowest expected cost to the caller to run a request. Keeps no state between requests.
  *
  * <p>Backend servers differ in speed, queue lengths are known only as last reported, and traffic between availability
  * zones is expensive. The cost combines these factors as fractions of the value of a request: the probability that it
@@ -115,8 +115,9 @@
     }
 
     /**
-     * Returns the expected wait for a slot and for the link: for the data in transit to the VM and, if the transfer is
-     * large, for the responses that leave before this one.
+     * Returns the expected wait for a slot or the link, whichever is longer. The wait for the link is that for the data
+     * in transit to the VM and, if the transfer is large, that for the responses to be sent before this one, less the
+     * service time.
      */
     private static long expectedWaitNanos(Candidate candidate, RequestProfile profile, double averageMeanNanos) {
         LinkLoad link = candidate.link();
@@ -156,6 +157,7 @@
         return Math.min(Math.max(0, profile.maxWaitNanos()), low + stalenessNanos);
     }
 
+    /** Returns the average of the mean service times of the candidates, 0 if none is known. */
     private static double averageMeanNanos(List<Candidate> candidates) {
         double sum = 0;
         int count = 0;
@@ -199,6 +201,10 @@
         return LATE_COST * lateProbability + (1 - LATE_COST) * missedProbability + ELAPSED_TIME_COST * elapsedFraction;
     }
 
+    /**
+     * Returns the measured service time of the request class at a candidate, or else an estimate from the speed of its
+     * backend server relative to the average.
+     */
     private static ServiceTimeDistribution serviceTimeOf(
             Candidate candidate, RequestProfile profile, double averageMeanNanos) {
         for (ServiceTimeDistribution serviceTime : candidate.serviceTimes()) {
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -32,7 +32,10 @@
      * Longer waits make other requests late, and a caller that is refused early still has time to retry.
      */
     private static final double MAX_QUEUE_WAIT_SHARE = 0.4;
-    /** Time after the deadline in which a last message of an owner that is still in transit is awaited. */
+    /**
+     * Time after the deadline during which the entry still waits for a last message of the owner, which may be in
+     * transit.
+     */
     private static final long DEADLINE_GRACE_NANOS = 10_000_000L;
     /** A retry needs at least this fraction of the request's expected duration before the deadline. */
     private static final double MIN_RETRY_TIME_SHARE = 0.5;
@@ -59,11 +62,15 @@
 
     private Clock.Timer deadlineTimer;
     private int attempts;
+    /** Number of attempts that may have run the request. */
     private int possibleRuns;
+
     private int refusals;
     private boolean retryGranted;
     private boolean done;
+    /** Shortest wait for a slot according to the loads in the refusals; determines the Retry-After time. */
     private long shortestWaitNanos = Long.MAX_VALUE;
+
     private Optional<ServerFailure> serverFailure = Optional.empty();
     private Optional<EntryAttempt> streamingAttempt = Optional.empty();
 
@@ -182,7 +189,7 @@
     }
 
     /**
-     * Removes an attempt that has ended.
+     * Removes an attempt that has ended or whose response is now streamed.
      *
      * @return whether it was the attempt at a silent node, so that the retry started alongside it goes on
      */
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCallFactory.java
@@ -33,7 +33,7 @@
      * @param starter sends attempts to owners
      * @param candidates supplies the nodes that may run a request
      * @param retryBudget limits retries
-     * @param maxBufferedBytes memory limit for buffered responses
+     * @param maxBufferedBytes maximum number of bytes that all buffered responses together may take up
      * @param instruments counters and event log
      * @param random supplies random numbers, uniform in [0, 1)
      */
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -48,6 +48,7 @@
     /** Reading from the connection stops when more messages than this wait for the current response to end. */
     private static final int MAX_PIPELINED_MESSAGES = 64;
 
+    /** Time for which input is still read and discarded before a connection is closed. */
     private static final long LINGER_MILLIS = 1_000;
     /** Retry-After of refusals that are not due to load: no configuration version yet, or the node is stopping. */
     private static final double UNAVAILABLE_RETRY_AFTER_S = 0.3;
@@ -343,7 +344,10 @@
         channel.eventLoop().schedule(() -> channel.close(), LINGER_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Closes the connection if it has been idle for longer than the limit. */
+    /**
+     * Closes the connection if it has been idle for longer than the limit; a request whose body is still incomplete
+     * then is rejected.
+     */
     void closeIfTimedOut(long now, long idleTimeoutNanos) {
         if (responsePending || closing || unsentResponses > 0) {
             return;
--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -32,7 +32,7 @@
  * that server another request.
  */
 public final class Owner {
-    /** Maximum number of requests waiting for a slot, per slot. */
+    /** Maximum number of queued requests per slot. */
     private static final int MAX_QUEUED_PER_SLOT = 8;
     /** Departed incarnations that are remembered, so that a delayed heartbeat does not register one of them again. */
     private static final int MAX_DEPARTED_INCARNATIONS = 64;
@@ -79,7 +79,7 @@
 
     /**
      * @param clock time source; its tasks run on the same thread as this object's methods
-     * @param connector creates the connections to a backend server at an address
+     * @param connector creates the connection pool for the backend server at an address
      * @param headerNames names of the headers exchanged with the backend server
      * @param link network link of this VM
      * @param heartbeatNanos interval between two heartbeats of the backend server
@@ -130,15 +130,16 @@
         return queue.size() + bodyScheduler.size();
     }
 
-    /** Service time of each class of request that the backend server has answered. */
+    /** Service time of each class of requests that the backend server has answered. */
     public List<ServiceTimeDistribution> serviceTimes() {
-        return backend.map(server -> server.serviceTimeEstimator().distributions()).orElse(List.of());
+        return backend.map(server -> server.serviceTimeEstimator().distributions())
+                .orElse(List.of());
     }
 
     /**
-     * Share of requests that the backend server loses. Overdue requests count as lost before their deadline passes:
-     * otherwise a backend server that stops responding would be sent requests until all its slots are taken, and answer
-     * none of them.
+     * Number of requests per thousand that the backend server loses. Overdue requests count as lost before their
+     * deadline passes: otherwise a backend server that stops responding would be sent requests until all its slots are
+     * taken, and answer none of them.
      */
     private int lostPerMille(Backend server, long now) {
         int overduePerMille = 1_000 * overdueCount(now) / Math.max(MIN_RUNNING_FOR_LOSS_RATE, running.size());
@@ -229,8 +230,8 @@
     }
 
     /**
-     * Marks a backend server absent from which nothing was received for too long, and closes idle connections; called
-     * about once a second.
+     * Closes idle connections to the backend server, and marks it absent if nothing has been received from it for too
+     * long, unless it is running a request that is not overdue. Called about once a second.
      */
     public void tick() {
         long now = clock.now();
@@ -268,7 +269,7 @@
         return count;
     }
 
-    /** Number of running and waiting requests. */
+    /** Number of running and queued requests. */
     public int pendingCount() {
         return running.size() + queuedCount();
     }
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -64,7 +64,7 @@
      * @param owner owner of the backend server to which the request is offered
      * @param call the request
      * @param listener is notified of the response, the refusal or the loss of the request
-     * @param advanceNanos time by which the request is moved forward in the queue; see {@link ServedShares}
+     * @param advanceNanos time by which the request is moved forward in the queue; see {@link StartRateBalancer}
      */
     OwnerRun(Owner owner, CallSpec call, AttemptListener listener, long advanceNanos) {
         this.owner = owner;
@@ -133,7 +133,10 @@
         updateAnnouncedBytes(0);
     }
 
-    /** Whether no response head was received although the request was sent much longer ago than the usual time. */
+    /**
+     * Whether no response head has arrived although the request was sent longer ago than a multiple of the mean service
+     * time.
+     */
     boolean isOverdue(long now) {
         long thresholdNanos = Math.max(MIN_OVERDUE_NANOS, OVERDUE_FACTOR * meanServiceNanos);
         return sentAt != 0 && !headForwarded && now - sentAt > thresholdNanos;
@@ -152,8 +155,8 @@
     }
 
     /**
-     * Waits for the complete body. If the sender keeps the body back until it is asked for it, the wait for that is
-     * limited to the maximum wait set by the entry node.
+     * Waits for the complete body. If the sender holds the body back until it is requested, the time until that request
+     * is limited to the maximum wait set by the entry node.
      */
     void awaitBody() {
         boolean awaitsContinue = call.body().isDeferred();
@@ -165,7 +168,7 @@
         return Math.min(call.deadlineAt(), queuedAt + call.maxWaitNanos());
     }
 
-    /** Asks the sender for the body, which is next to be transferred over the link. */
+    /** Requests the body from the sender, because it is the next one to be transferred over the link. */
     void requestBodyTransfer() {
         timeout.cancel();
         timeout = clock.schedule(call.deadlineAt(), this::onWaitTimeout);
@@ -281,7 +284,7 @@
         boolean idMissing = headers.get(headerNames.requestId()) == null;
         if (status < 300
                 && (idMissing || !headers.contains(headerNames.signature()) || headers.contains("Content-Encoding"))) {
-            failAsLost("answer without id, signature or plain body");
+            failAsLost("success response lacks the request id or the signature, or has a content encoding");
             return;
         }
         headForwarded = true;
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
@@ -79,8 +79,8 @@
             listener.onNodeSilent();
             return;
         }
-        // An owner forwards no incomplete request to its backend server, and the rest of this one is not sent any more:
-        // the request was not run.
+        // An owner never forwards an incomplete request to its backend server, and the rest of this one will not be
+        // sent, so it was not run.
         connection.abort();
         onFailure("silent");
     }
@@ -135,7 +135,7 @@
             listener.onLost("node " + member.ip() + ": " + cause);
             return;
         }
-        // An owner forwards no incomplete request to its backend server, so this one was not run.
+        // An owner never forwards an incomplete request to its backend server, so this one was not run.
         listener.onRefused(new Refusal(Refusal.Reason.UNREACHABLE, false, OwnerLoad.NONE));
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerCodec.java
@@ -9,9 +9,9 @@
 import org.berylwick.node.transport.RequestBody;
 
 /**
- * Encodes and decodes the headers that the entry node of a request, which received it from the caller, and its owner
- * exchange, one in each direction: fields separated by semicolons. Points in time are sent as the remaining
- * milliseconds, because clocks differ.
+ * Encodes and decodes the two headers that the entry node, which received a request from the caller, and the owner
+ * exchange: {@link Headers#CALL} describes the request, {@link Headers#OUTCOME} its outcome. Fields are separated by
+ * semicolons. Points in time are sent as the remaining milliseconds, because clocks differ.
  */
 final class PeerCodec {
     private static final int CALL_FIELDS = 11;
@@ -69,6 +69,7 @@
         if (text == null) {
             return Optional.empty();
         }
+        // The request id is the last field, so that it may contain semicolons.
         String[] fields = text.split(";", CALL_FIELDS);
         if (fields.length != CALL_FIELDS) {
             return Optional.empty();
@@ -110,7 +111,8 @@
 
     private static String encodeLoad(OwnerLoad load) {
         return ";" + load.running() + ';' + load.queued() + ';' + load.slots() + ';' + load.meanNanos() / 1_000 + ';'
-                + load.lostPerMille() + ';' + toMillis(load.incomingLinkBusyNanos()) + ';' + toMillis(load.outgoingLinkBusyNanos());
+                + load.lostPerMille() + ';' + toMillis(load.incomingLinkBusyNanos()) + ';'
+                + toMillis(load.outgoingLinkBusyNanos());
     }
 
     static Optional<Outcome> decodeOutcome(HttpHeaders headers) {
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerServer.java
@@ -35,8 +35,8 @@
      * @param address address to listen on
      * @param owner runs the requests at the backend server of this node
      * @param link network link of this VM
-     * @param versionUpdates for the number of the version that a node has, the encoded update to the current one, or
-     *     empty if there is none
+     * @param versionUpdates returns the encoded update from the version with the given number, which another node has,
+     *     to the current one; empty if there is none
      */
     public PeerServer(
             EventLoop loop,
--- a/org.berylwick.node/src/org/berylwick/node/call/Refusal.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Refusal.java
@@ -29,6 +29,7 @@
 
         private static final Reason[] VALUES = values();
 
+        /** Returns the reason with the given name, or {@link #BUSY} if the name is unknown. */
         static Reason fromName(String name) {
             for (Reason reason : VALUES) {
                 if (reason.name().equals(name)) {
--- a/org.berylwick.node/src/org/berylwick/node/call/RequestBodyScheduler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RequestBodyScheduler.java
@@ -11,10 +11,10 @@
  * Limits how many request bodies are transferred over this VM's incoming link at a time; confined to the event loop.
  *
  * <p>It guards against request bodies that are large for the link. If every entry sent its bodies at once, the link
- * would hold seconds of them, mixed with the heads that announce further requests and followed by calls that run for
- * only 50 ms. The backend server would be out of work, look idle and attract still more requests. So entries first send
- * the head alone. The owner refuses at once what would arrive too late, and requests the bodies of the others in the
- * order of its queue.
+ * would hold seconds of them, preceded by the heads that announce further ones and followed by calls that run for only
+ * 50 ms. The backend server would be out of work, look idle and attract still more requests. So entries first send the
+ * head alone. The owner refuses at once what would arrive too late, and requests the bodies of the others in the order
+ * of its queue.
  */
 final class RequestBodyScheduler {
     /**
@@ -66,7 +66,7 @@
         requestBodies(now);
     }
 
-    /** Requests further bodies while the link has room for them; called when a chunk of a body has arrived. */
+    /** Requests further bodies while the link has room for them; called when a part of a body has arrived. */
     void requestBodies(long now) {
         while (receivingNanos() < MAX_RECEIVING_NANOS) {
             Optional<OwnerRun> next = deferred.poll(now);
--- a/org.berylwick.node/src/org/berylwick/node/call/RequestQueue.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RequestQueue.java
@@ -7,14 +7,18 @@
 import java.util.TreeSet;
 
 /**
- * Requests that wait at the owner for their turn at one backend server. Confined to the event loop.
+ * Requests that wait at an owner for a slot of its backend server, or for the transfer of their bodies. Confined to the
+ * event loop.
  *
  * <p>Designed for bursts and for backend servers that are short of capacity. Requests that can still meet their latency
  * objective go first, in the order of their objectives; those that no longer can go after all of them. With a single
  * queue, a burst would leave a backlog in which every request is served late, long after the burst is over.
  */
 final class RequestQueue {
-    /** Delay added to the due time of a request for each priority level; bounded, so that no level starves. */
+    /**
+     * Delay added to the effective objective of a request for each priority level. It is finite, so that no level
+     * starves.
+     */
     static final long PRIORITY_STEP_NANOS = 100_000_000L;
     /** Maximum number of queued late requests per slot. They start only when no timely request is queued. */
     private static final double MAX_LATE_PER_SLOT = 0.5;
--- a/org.berylwick.node/src/org/berylwick/node/call/ResponseSink.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/ResponseSink.java
@@ -18,7 +18,7 @@
     void beginStream(int status, HttpHeaders headers);
 
     /**
-     * Sends a chunk of the response that was begun.
+     * Sends a part of the response that was begun.
      *
      * @return whether the caller keeps up with reading; if not, the response should not be read further for now
      */
--- a/org.berylwick.node/src/org/berylwick/node/call/StartRateBalancer.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/StartRateBalancer.java
@@ -5,7 +5,8 @@
 import org.berylwick.node.lib.RequestClass;
 
 /**
- * Balances between request classes which fraction of its recent requests an owner starts. Confined to the event loop.
+ * Keeps the fraction of recent requests that an owner starts similar for all request classes. Confined to the event
+ * loop.
  *
  * <p>When capacity is short, requests with a short latency objective would always start before those with a long one,
  * and starve them: calls of one service displaced the order requests of another. Requests of a class that was started
@@ -14,7 +15,10 @@
 final class StartRateBalancer {
     /** Time constant of the exponential decay of the counts. */
     private static final double DECAY_NANOS = 3e9;
-    /** How far requests of a class of which none was started are moved ahead of a class of which all were started. */
+    /**
+     * Time by which a class is moved forward if none of its requests were started, relative to a class of which all
+     * were started.
+     */
     private static final double MAX_ADVANCE_NANOS = 1.5e9;
 
     private final Map<RequestClass, Counts> byClass = new HashMap<>();
@@ -36,7 +40,7 @@
         }
     }
 
-    /** Counts an offered request and returns by how much to advance its due time. */
+    /** Counts an offered request and returns by how many nanoseconds to move it forward in the queue. */
     long onOffered(CallSpec call, long now) {
         Counts own = counts(call, now);
         own.offered++;
--- a/org.berylwick.node/src/org/berylwick/node/lib/OwnerLoad.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/OwnerLoad.java
@@ -9,10 +9,17 @@
  * @param meanNanos mean service time of a request
  * @param lostPerMille recent requests per thousand that the backend server lost or rejected
  * @param incomingLinkBusyNanos time until the request bodies in transit to the VM have been received over its link
- * @param outgoingLinkBusyNanos time until the large responses that are ready or being produced have been sent over its link
+ * @param outgoingLinkBusyNanos time until the large responses that are ready or being produced have been sent over its
+ *     link
  */
 public record OwnerLoad(
-        int running, int queued, int slots, long meanNanos, int lostPerMille, long incomingLinkBusyNanos, long outgoingLinkBusyNanos) {
+        int running,
+        int queued,
+        int slots,
+        long meanNanos,
+        int lostPerMille,
+        long incomingLinkBusyNanos,
+        long outgoingLinkBusyNanos) {
     /** Load of a backend server of which nothing is known yet. */
     public static final OwnerLoad NONE = new OwnerLoad(0, 0, 0, 0, 0, 0, 0);
 
--- a/org.berylwick.node/src/org/berylwick/node/lib/PlatformBounds.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/PlatformBounds.java
@@ -3,7 +3,7 @@
 /**
  * Limits that the deployment platform guarantees or requires.
  *
- * @param drainNanos longest time between the acknowledgement of a backend server's leave and the last request that may
+ * @param drainNanos longest time between the acknowledgement that a backend server leaves and the last request that may
  *     reach it
  * @param graceNanos time between the stop signal and the kill
  * @param convergenceNanos longest time between the acceptance of a configuration version and its installation on all
--- a/org.berylwick.node/src/org/berylwick/node/lib/RequestClass.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/RequestClass.java
@@ -4,7 +4,7 @@
  * A class of requests that share their statistics. There are too many routes to keep statistics for each, and requests
  * with the same kind, priority and latency objective have similar service times.
  *
- * @param kind whether the requests may be retried and have large responses
+ * @param kind whether the requests may be retried, and whether their responses are large
  * @param priority priority, 0 being the highest
  * @param objectiveMillis latency objective, 0 for none
  */
--- a/org.berylwick.node/src/org/berylwick/node/lib/Route.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/Route.java
@@ -7,7 +7,7 @@
  *
  * @param name name given by the operator
  * @param prefix path prefix, beginning and ending with a slash
- * @param kind whether the requests may be retried and have large responses
+ * @param kind whether the requests may be retried, and whether their responses are large
  * @param timeoutNanos longest time until a request is answered, 0 for no limit
  * @param objectiveNanos latency objective, 0 for none
  * @param maxAttempts maximum number of backend servers that one request may run on
--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -108,7 +108,7 @@
         return node;
     }
 
-    /** Starts a node whose settings declare a link of the given width; the loopback link itself is wide. */
+    /** Starts a node whose settings declare a link of the given bandwidth; the loopback interface itself is faster. */
     Node startWithLink(int number, RawServer backend, int slots, double mbps) {
         linkMbps.put(number, mbps);
         return start(number, "zone-a", Optional.of(backend), slots);
@@ -162,7 +162,7 @@
         Await.until("readiness of node " + number, () -> isReady(number), this::logText);
     }
 
-    /** Waits until a node other than its own has learned of a backend server by gossip. */
+    /** Waits until a node has learned by gossip of a backend server on the VM of another node. */
     void awaitMemberKnown(String incarnation) {
         Await.until(
                 "another node knows " + incarnation,
@@ -214,8 +214,8 @@
     Socket requestAsPeer(int owner, String id, int responseBytes, int deadlineMillis) throws IOException {
         Socket socket = new Socket();
         socket.connect(peerAddress(owner));
-        String call = "work;caller;" + RouteKind.BULK.ordinal() + ";1;600;600;" + deadlineMillis + ";0;1;" + responseBytes
-                + ";" + id;
+        String call = "work;caller;" + RouteKind.BULK.ordinal() + ";1;600;600;" + deadlineMillis + ";0;1;"
+                + responseBytes + ";" + id;
         socket.getOutputStream()
                 .write(("GET /bulk/x HTTP/1.1\r\nbw-call: " + call + "\r\nx-request-id: " + id + "\r\n\r\n")
                         .getBytes(StandardCharsets.ISO_8859_1));
--- a/org.berylwick.test/tst/org/berylwick/node/SilentBackendTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/SilentBackendTest.java
@@ -68,8 +68,8 @@
     }
 
     /**
-     * Heartbeats stop and all running requests are overdue: the backend server is sent no more requests, although some
-     * still hang there, until it reports again.
+     * Heartbeats stop and all running requests are overdue: the backend server is sent no more requests until it
+     * reports again, although a request still hangs there.
      */
     @Test
     void backendWithoutHeartbeatsIsMarkedAbsentWhileRequestsHang() throws InterruptedException {
--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -32,8 +32,11 @@
     /** Longer than a stop takes without pending requests. */
     private static final int PAUSE_MILLIS = 4_000;
 
+    /** Duration of a request that outlasts the grace period. */
     private static final int HANG_MILLIS = 12_000;
+
     private static final int RUN_MILLIS = 1_000;
+    /** Time after the start of the stop, shortly before the end of the grace period. */
     private static final int LATE_IN_GRACE_MILLIS = 5_000;
 
     private static final String LARGE_BODY = "x".repeat(RESPONSE_BYTES);
@@ -218,9 +221,8 @@
         try {
             peer.setSoTimeout(20_000);
             InputStream in = peer.getInputStream();
-            // Reads to the last chunk, not to the end of the stream: a node that is closed within this process may
-            // leave
-            // the connection open.
+            // Reads up to the last chunk instead of the end of the stream, because a node that is closed within this
+            // process may leave the connection open.
             while (!isComplete(received)) {
                 int n = in.read(buffer);
                 if (n < 0) {
--- a/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
@@ -31,7 +31,7 @@
 import org.berylwick.node.transport.VmLink;
 import org.junit.jupiter.api.Test;
 
-/** When an owner marks a backend server absent that sends no heartbeats. */
+/** Tests when an owner marks a backend server absent because it sends no heartbeats. */
 class OwnerSilenceTest {
     private static final long NANOS_PER_MILLISECOND = 1_000_000L;
     private static final long NANOS_PER_SECOND = 1_000 * NANOS_PER_MILLISECOND;
@@ -174,9 +174,9 @@
     }
 
     /**
-     * Guards against marking a backend server absent that answers all requests. Its heartbeats do not arrive, as
-     * happens while the sender's other calls to the node are delayed; without counting responses, it would be lost to
-     * its callers at the first moment without a running request.
+     * Guards against marking a backend server absent although it answers all requests. Its heartbeats do not arrive, as
+     * happens while the sender's other calls to the node are delayed. If responses did not count as activity, its
+     * callers would lose it at the first moment without a running request.
      */
     @Test
     void backendServerThatRespondsStaysAvailableWithoutHeartbeats() {
