--- a/org.berylwick.node/src/org/berylwick/node/call/RetryBudget.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RetryBudget.java
@@ -54,7 +54,7 @@
     public void onRequest(String service, long now) {
         Window window = windowOf(service);
         window.advance(now);
-        window.requests[window.index]++;
+        window.requests[window.currentIndex]++;
     }
 
     /** Takes one retry from the budget for a request that would otherwise fail; returns false if none is left. */
@@ -77,7 +77,7 @@
         if (window.sum(window.retries) + 1 > allowed) {
             return false;
         }
-        window.retries[window.index]++;
+        window.retries[window.currentIndex]++;
         return true;
     }
 
@@ -101,7 +101,7 @@
         private final long bucketNanos;
         private final int[] requests = new int[BUCKETS];
         private final int[] retries = new int[BUCKETS];
-        private int index;
+        private int currentIndex;
         private long currentBucket = Long.MIN_VALUE;
 
         Window(long bucketNanos) {
@@ -115,9 +115,9 @@
             }
             long steps = Math.min(BUCKETS, newBucket - currentBucket);
             for (long i = 0; i < steps; i++) {
-                index = (index + 1) % BUCKETS;
-                requests[index] = 0;
-                retries[index] = 0;
+                currentIndex = (currentIndex + 1) % BUCKETS;
+                requests[currentIndex] = 0;
+                retries[currentIndex] = 0;
             }
             currentBucket = Math.max(currentBucket, newBucket);
         }
