--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -50,7 +50,7 @@
     private final Route route;
     private final CallSpec spec;
     private final long receivedAt;
-    private final long queueWaitUntil;
+    private final long queueWaitEndsAt;
     private final boolean callerRetried;
     private final ResponseSink sink;
     private final CallTrace trace;
@@ -86,7 +86,7 @@
         this.route = route;
         this.spec = spec;
         this.receivedAt = receivedAt;
-        this.queueWaitUntil = receivedAt + (long) (MAX_QUEUE_WAIT_SHARE * (spec.objectiveAt() - receivedAt));
+        this.queueWaitEndsAt = receivedAt + (long) (MAX_QUEUE_WAIT_SHARE * (spec.objectiveAt() - receivedAt));
         this.callerRetried = callerRetried;
         this.sink = sink;
         this.trace = new CallTrace(context, spec, route, versionNumber, receivedAt);
@@ -139,7 +139,7 @@
                 context.responseEstimates().expectedNanos(route),
                 spec.objectiveAt() - now,
                 spec.deadlineAt() - now,
-                queueWaitUntil - now,
+                queueWaitEndsAt - now,
                 callerRetried ? 0 : context.callerRetryRates().retryRate(spec.requestClass()),
                 refusals + 1 >= MAX_REFUSALS);
         return context.chooser().choose(candidates, profile);
