--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -50,7 +50,7 @@
     private long medianServiceNanos;
     private long responseTransferNanos;
     private long announcedBytes;
-    private Clock.Timer timeout;
+    private Clock.Timer timer;
     private ServerConnection connection;
     private Backend backend;
     private HeaderNames headerNames;
@@ -160,7 +160,7 @@
      */
     void awaitBody() {
         boolean awaitsContinue = call.body().isDeferred();
-        timeout = clock.schedule(awaitsContinue ? maxWaitUntil() : call.deadlineAt(), this::onWaitTimeout);
+        timer = clock.schedule(awaitsContinue ? maxWaitUntil() : call.deadlineAt(), this::onWaitTimeout);
         call.body().subscribe(this);
     }
 
@@ -170,8 +170,8 @@
 
     /** Requests the body from the sender, because it is the next one to be transferred over the link. */
     void requestBodyTransfer() {
-        timeout.cancel();
-        timeout = clock.schedule(call.deadlineAt(), this::onWaitTimeout);
+        timer.cancel();
+        timer = clock.schedule(call.deadlineAt(), this::onWaitTimeout);
         call.body().requestFromSender();
     }
 
@@ -186,7 +186,7 @@
         if (finished) {
             return;
         }
-        timeout.cancel();
+        timer.cancel();
         queuedAt = clock.now();
         owner.onBodyComplete(this);
     }
@@ -199,7 +199,7 @@
         if (finished || backend != null) {
             return;
         }
-        timeout = clock.schedule(maxWaitUntil(), this::onWaitTimeout);
+        timer = clock.schedule(maxWaitUntil(), this::onWaitTimeout);
     }
 
     private void onWaitTimeout() {
@@ -222,10 +222,10 @@
     void start(Backend target, HeaderNames backendHeaderNames) {
         backend = target;
         headerNames = backendHeaderNames;
-        if (timeout != null) {
-            timeout.cancel();
+        if (timer != null) {
+            timer.cancel();
         }
-        timeout = clock.schedule(call.deadlineAt(), this::onDeadline);
+        timer = clock.schedule(call.deadlineAt(), this::onDeadline);
         long maxIdleNanos = call.kind().isRetryable() ? Long.MAX_VALUE : target.maxIdleNanos();
         target.pool().acquire(maxIdleNanos, this::send, this::onConnectFailed);
     }
@@ -368,8 +368,8 @@
     private void finish() {
         finished = true;
         withdrawAnnouncedBytes();
-        if (timeout != null) {
-            timeout.cancel();
+        if (timer != null) {
+            timer.cancel();
         }
         call.body().unsubscribe(this);
         owner.onFinished(this);
