--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -45,7 +45,7 @@
     private final AttemptListener listener;
     private final long effectiveObjectiveAt;
     private final long arrivalNumber;
-    private long queuedAt;
+    private long waitStartedAt;
     private long meanServiceNanos;
     private long medianServiceNanos;
     private long responseTransferNanos;
@@ -73,7 +73,7 @@
         this.listener = listener;
         this.effectiveObjectiveAt =
                 call.objectiveAt() + call.priority() * RequestQueue.PRIORITY_STEP_NANOS - advanceNanos;
-        this.queuedAt = clock.now();
+        this.waitStartedAt = clock.now();
         this.arrivalNumber = owner.nextArrivalNumber();
         if (owner.outgoingLink().isLarge(call.expectedResponseBytes())) {
             this.responseTransferNanos = owner.outgoingLink().transferNanos(call.expectedResponseBytes());
@@ -165,7 +165,7 @@
     }
 
     private long maxWaitUntil() {
-        return Math.min(call.deadlineAt(), queuedAt + call.maxWaitNanos());
+        return Math.min(call.deadlineAt(), waitStartedAt + call.maxWaitNanos());
     }
 
     /** Requests the body from the sender, because it is the next one to be transferred over the link. */
@@ -187,7 +187,7 @@
             return;
         }
         timer.cancel();
-        queuedAt = clock.now();
+        waitStartedAt = clock.now();
         owner.onBodyComplete(this);
     }
 
