--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -160,11 +160,11 @@
      */
     void awaitBody() {
         boolean awaitsContinue = call.body().isDeferred();
-        timer = clock.schedule(awaitsContinue ? maxWaitUntil() : call.deadlineAt(), this::onWaitTimeout);
+        timer = clock.schedule(awaitsContinue ? maxWaitEndsAt() : call.deadlineAt(), this::onWaitTimeout);
         call.body().subscribe(this);
     }
 
-    private long maxWaitUntil() {
+    private long maxWaitEndsAt() {
         return Math.min(call.deadlineAt(), waitStartedAt + call.maxWaitNanos());
     }
 
@@ -199,7 +199,7 @@
         if (finished || backend != null) {
             return;
         }
-        timer = clock.schedule(maxWaitUntil(), this::onWaitTimeout);
+        timer = clock.schedule(maxWaitEndsAt(), this::onWaitTimeout);
     }
 
     private void onWaitTimeout() {
