--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -53,7 +53,7 @@
     private static final int MIN_RUNNING_FOR_LOSS_RATE = 4;
 
     private final Clock clock;
-    private final Function<InetSocketAddress, ServerConnectionPool> connector;
+    private final Function<InetSocketAddress, ServerConnectionPool> poolFactory;
     private final HeaderNames headerNames;
     private final VmLink link;
     private final long heartbeatNanos;
@@ -97,7 +97,7 @@
             EventLog log,
             Runnable onBackendChange) {
         this.clock = clock;
-        this.connector = connector;
+        this.poolFactory = connector;
         this.headerNames = headerNames;
         this.link = link;
         this.bodyScheduler = new RequestBodyScheduler(link.incoming());
@@ -187,7 +187,7 @@
         if (current != null) {
             retire(current, "replaced by another incarnation");
         }
-        Backend replacement = new Backend(report, connector.apply(report.address()), clock.now());
+        Backend replacement = new Backend(report, poolFactory.apply(report.address()), clock.now());
         backend = Optional.of(replacement);
         notifyBackendChange(replacement);
         dispatch();
