--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -137,7 +137,7 @@
                     HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
         }
         if (length >= RequestBody.MIN_STREAMED_BYTES) {
-            streamedBody = RequestBody.incoming((int) length, services.link());
+            streamedBody = RequestBody.incoming((int) length, services.incomingLink());
             startCall(streamedBody);
             return;
         }
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryServer.java
@@ -55,7 +55,7 @@
                         channel.pipeline().addLast(new EntryHandler(EntryServer.this, services));
                     }
                 });
-        ReceiveWindow.limitReceiveBuffer(bootstrap, services.link());
+        ReceiveWindow.limitReceiveBuffer(bootstrap, services.incomingLink());
         listenChannel = bootstrap.bind(address).syncUninterruptibly().channel();
         eventLoop.schedule(this::closeIdleConnections, IDLE_CHECK_MILLIS, TimeUnit.MILLISECONDS);
     }
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryServices.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryServices.java
@@ -12,13 +12,13 @@
  *
  * @param version configuration version in force, empty until the first one is installed
  * @param callFactory creates calls
- * @param link incoming link of this VM
+ * @param incomingLink incoming link of this VM
  * @param counters metrics
  * @param log event log
  */
 record EntryServices(
         Supplier<Optional<ConfigurationVersion>> version,
         EntryCallFactory callFactory,
-        IncomingLink link,
+        IncomingLink incomingLink,
         Counters counters,
         EventLog log) {}
