--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -60,7 +60,7 @@
     private final EntryServices services;
     private final ArrayDeque<Object> pipelinedMessages = new ArrayDeque<>();
     private Channel channel;
-    private HttpRequest head;
+    private HttpRequest requestHead;
     private CompositeByteBuf bufferedBody;
     private RequestBody streamedBody;
     private long bufferedBodyBytes;
@@ -124,7 +124,7 @@
             rejectMalformed(request.decoderResult().cause());
             return;
         }
-        head = request;
+        requestHead = request;
         bufferedBodyBytes = 0;
         long maxBytes = Math.min(MAX_BODY_BYTES, limits().maxBodyBytes());
         long length = HttpUtil.getContentLength(request, 0L);
@@ -214,8 +214,8 @@
 
     /** Starts the call of a request whose head has been read. The call owns the body, which may be incomplete. */
     private void startCall(RequestBody requestBody) {
-        HttpRequest request = head;
-        head = null;
+        HttpRequest request = requestHead;
+        requestHead = null;
         responsePending = true;
         services.counters().increment(NodeMetricNames.ENTRY_REQUESTS);
         if (server.isRefusingNew()) {
@@ -355,7 +355,7 @@
         if (now - lastActivityAt <= (long) (idleTimeoutNanos * IDLE_TIMEOUT_FACTOR)) {
             return;
         }
-        if (head != null) {
+        if (requestHead != null) {
             rejectAndClose(408, "request body not received within the idle timeout");
             return;
         }
@@ -387,7 +387,7 @@
     }
 
     private boolean isReceiving() {
-        return head != null || streamedBody != null;
+        return requestHead != null || streamedBody != null;
     }
 
     @Override
@@ -416,7 +416,7 @@
     }
 
     private void releaseBody() {
-        head = null;
+        requestHead = null;
         if (bufferedBody != null) {
             bufferedBody.release();
             bufferedBody = null;
