--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -45,7 +45,7 @@
     private final VmLink link;
     private final LongFunction<Optional<byte[]>> versionUpdates;
     private Channel channel;
-    private HttpRequest head;
+    private HttpRequest requestHead;
     private RequestBody body;
     private CompositeByteBuf bufferedBody;
     private boolean discardingBody;
@@ -87,7 +87,7 @@
     }
 
     private void onRequestHead(HttpRequest request) {
-        head = request;
+        requestHead = request;
         discardingBody = false;
         long length = HttpUtil.getContentLength(request, 0L);
         if (length >= RequestBody.MIN_STREAMED_BYTES && length <= Integer.MAX_VALUE) {
@@ -137,7 +137,7 @@
     }
 
     private void handleRequest() {
-        HttpRequest request = head;
+        HttpRequest request = requestHead;
         Optional<CallSpec> call =
                 PeerCodec.decodeCall(request, Headers.endToEnd(request.headers()), body, System.nanoTime());
         if (call.isPresent()) {
