--- a/org.berylwick.node/src/org/berylwick/node/lib/ConfigurationVersion.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/ConfigurationVersion.java
@@ -12,7 +12,7 @@
 public final class ConfigurationVersion {
     private final long number;
     private final Map<String, List<Route>> routesByHost;
-    private final Map<String, Integer> maxConnections;
+    private final Map<String, Integer> maxConnectionsByService;
     private final Map<String, String> healthPaths;
     private final CallerLimits limits;
     private final byte[] encoded;
@@ -26,7 +26,7 @@
             hosts.put(entry.getKey(), List.copyOf(routes));
         }
         this.routesByHost = Map.copyOf(hosts);
-        this.maxConnections = Map.copyOf(builder.maxConnections);
+        this.maxConnectionsByService = Map.copyOf(builder.maxConnections);
         this.healthPaths = Map.copyOf(builder.healthPaths);
         this.limits = builder.limits;
         this.encoded = builder.encoded;
@@ -46,7 +46,7 @@
 
     /** Returns how many connections one backend server of a service accepts in total, 0 if unknown. */
     public int maxConnections(String service) {
-        return maxConnections.getOrDefault(service, 0);
+        return maxConnectionsByService.getOrDefault(service, 0);
     }
 
     /** Returns the path of the health check of a service, empty if it has none. */
