--- a/org.berylwick.node/src/org/berylwick/node/lib/ConfigurationVersion.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/ConfigurationVersion.java
@@ -26,7 +26,7 @@
             hosts.put(entry.getKey(), List.copyOf(routes));
         }
         this.routesByHost = Map.copyOf(hosts);
-        this.maxConnectionsByService = Map.copyOf(builder.maxConnections);
+        this.maxConnectionsByService = Map.copyOf(builder.maxConnectionsByService);
         this.healthPaths = Map.copyOf(builder.healthPaths);
         this.limits = builder.limits;
         this.encoded = builder.encoded;
@@ -94,7 +94,7 @@
         private final long number;
         private final byte[] encoded;
         private final Map<String, List<Route>> routesByHost = new HashMap<>();
-        private final Map<String, Integer> maxConnections = new HashMap<>();
+        private final Map<String, Integer> maxConnectionsByService = new HashMap<>();
         private final Map<String, String> healthPaths = new HashMap<>();
         private CallerLimits limits = new CallerLimits(16_384, 1 << 20, 3_000_000_000L, 15_000_000_000L);
 
@@ -117,7 +117,7 @@
 
         /** Adds a service and the number of connections that each of its backend servers accepts. */
         public Builder service(String name, int connections) {
-            maxConnections.put(name, connections);
+            maxConnectionsByService.put(name, connections);
             return this;
         }
 
@@ -150,7 +150,7 @@
 
         private void requireKnownServices(Route route) {
             for (WeightedService weightedService : route.weightedServices()) {
-                if (!maxConnections.containsKey(weightedService.service())) {
+                if (!maxConnectionsByService.containsKey(weightedService.service())) {
                     throw new IllegalArgumentException(
                             "route " + route.name() + " refers to unknown service " + weightedService.service());
                 }
