--- a/org.berylwick.node/src/org/berylwick/node/lib/ConfigurationVersion.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/ConfigurationVersion.java
@@ -13,7 +13,7 @@
     private final long number;
     private final Map<String, List<Route>> routesByHost;
     private final Map<String, Integer> maxConnectionsByService;
-    private final Map<String, String> healthPaths;
+    private final Map<String, String> healthPathByService;
     private final CallerLimits limits;
     private final byte[] encoded;
 
@@ -27,7 +27,7 @@
         }
         this.routesByHost = Map.copyOf(hosts);
         this.maxConnectionsByService = Map.copyOf(builder.maxConnectionsByService);
-        this.healthPaths = Map.copyOf(builder.healthPaths);
+        this.healthPathByService = Map.copyOf(builder.healthPaths);
         this.limits = builder.limits;
         this.encoded = builder.encoded;
     }
@@ -51,7 +51,7 @@
 
     /** Returns the path of the health check of a service, empty if it has none. */
     public Optional<String> healthPath(String service) {
-        return Optional.ofNullable(healthPaths.get(service)).filter(p -> p.startsWith("/"));
+        return Optional.ofNullable(healthPathByService.get(service)).filter(p -> p.startsWith("/"));
     }
 
     /** Returns the encoded form that this version was read from, as sent to other nodes. Must not be modified. */
