--- a/org.berylwick.node/src/org/berylwick/node/lib/ConfigurationVersion.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/ConfigurationVersion.java
@@ -27,7 +27,7 @@
         }
         this.routesByHost = Map.copyOf(hosts);
         this.maxConnectionsByService = Map.copyOf(builder.maxConnectionsByService);
-        this.healthPathByService = Map.copyOf(builder.healthPaths);
+        this.healthPathByService = Map.copyOf(builder.healthPathByService);
         this.limits = builder.limits;
         this.encoded = builder.encoded;
     }
@@ -95,7 +95,7 @@
         private final byte[] encoded;
         private final Map<String, List<Route>> routesByHost = new HashMap<>();
         private final Map<String, Integer> maxConnectionsByService = new HashMap<>();
-        private final Map<String, String> healthPaths = new HashMap<>();
+        private final Map<String, String> healthPathByService = new HashMap<>();
         private CallerLimits limits = new CallerLimits(16_384, 1 << 20, 3_000_000_000L, 15_000_000_000L);
 
         /**
@@ -126,7 +126,7 @@
          * health check.
          */
         public Builder service(String name, int connections, String healthPath) {
-            healthPaths.put(name, healthPath);
+            healthPathByService.put(name, healthPath);
             return service(name, connections);
         }
 
