--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -277,8 +277,8 @@
 
     private void logIfLate(OutgoingLink.Flow flow, boolean complete) {
         long now = System.nanoTime();
-        long waitingBytes = flow.queuedBytes();
-        if (complete && now <= objectiveAt || !link.outgoing().isLarge(flow.sentBytes() + waitingBytes)) {
+        long queuedBytes = flow.queuedBytes();
+        if (complete && now <= objectiveAt || !link.outgoing().isLarge(flow.sentBytes() + queuedBytes)) {
             return;
         }
         owner.log()
@@ -291,7 +291,7 @@
                         "sentBytes",
                         flow.sentBytes(),
                         "waitingBytes",
-                        waitingBytes,
+                        queuedBytes,
                         "forMs",
                         (now - responseStartedAt) / 1_000_000,
                         "lateMs",
