--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -150,8 +150,8 @@
         Candidate candidate = choice.candidate();
         triedNodeKeys.add(candidate.key());
         // A response of the backend server on this VM does not use the network link.
-        int linkBytes = candidate.member().isPresent() ? spec.expectedResponseBytes() : 0;
-        CallSpec attemptSpec = spec.forAttempt(attempts, choice.maxWaitNanos(), linkBytes);
+        int linkResponseBytes = candidate.member().isPresent() ? spec.expectedResponseBytes() : 0;
+        CallSpec attemptSpec = spec.forAttempt(attempts, choice.maxWaitNanos(), linkResponseBytes);
         EntryAttempt attempt = new EntryAttempt(this, candidate, now);
         currentAttempt = Optional.of(attempt);
         attempt.setAttempt(context.starter().start(candidate, attemptSpec, attempt));
@@ -207,8 +207,8 @@
      * arrives, or only its datagrams may be lost. So the request is also sent to another node if it may be retried.
      */
     void onNodeSilent(EntryAttempt attempt) {
-        boolean noSecondAttempt = done || streamingAttempt.isPresent() || silentAttempt.isPresent();
-        if (noSecondAttempt || refusals >= MAX_REFUSALS || !mayRetry(possibleRuns + 1)) {
+        boolean secondAttemptExcluded = done || streamingAttempt.isPresent() || silentAttempt.isPresent();
+        if (secondAttemptExcluded || refusals >= MAX_REFUSALS || !mayRetry(possibleRuns + 1)) {
             return;
         }
         long now = context.clock().now();
