--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -79,7 +79,7 @@
 
     /**
      * @param clock time source; its tasks run on the same thread as this object's methods
-     * @param connector creates the connection pool for the backend server at an address
+     * @param poolFactory creates the connection pool for the backend server at an address
      * @param headerNames names of the headers exchanged with the backend server
      * @param link network link of this VM
      * @param heartbeatNanos interval between two heartbeats of the backend server
@@ -89,7 +89,7 @@
      */
     public Owner(
             Clock clock,
-            Function<InetSocketAddress, ServerConnectionPool> connector,
+            Function<InetSocketAddress, ServerConnectionPool> poolFactory,
             HeaderNames headerNames,
             VmLink link,
             long heartbeatNanos,
@@ -97,7 +97,7 @@
             EventLog log,
             Runnable onBackendChange) {
         this.clock = clock;
-        this.poolFactory = connector;
+        this.poolFactory = poolFactory;
         this.headerNames = headerNames;
         this.link = link;
         this.bodyScheduler = new RequestBodyScheduler(link.incoming());
