--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateChooser.java
@@ -142,19 +142,19 @@
      */
     private static long longestAcceptableWaitNanos(
             Candidate candidate, RequestProfile profile, double averageMeanNanos, long minWaitNanos, double maxCost) {
-        long low = minWaitNanos;
-        long high = Math.max(minWaitNanos, profile.deadlineRemainingNanos());
+        long lowNanos = minWaitNanos;
+        long highNanos = Math.max(minWaitNanos, profile.deadlineRemainingNanos());
         for (int i = 0; i < BISECTION_STEPS; i++) {
-            long middle = low + (high - low) / 2;
-            if (latenessCost(candidate, profile, averageMeanNanos, middle) <= maxCost) {
-                low = middle;
+            long middleNanos = lowNanos + (highNanos - lowNanos) / 2;
+            if (latenessCost(candidate, profile, averageMeanNanos, middleNanos) <= maxCost) {
+                lowNanos = middleNanos;
             } else {
-                high = middle;
+                highNanos = middleNanos;
             }
         }
         long stalenessNanos = (long)
                 (STALENESS_MARGIN * Math.max(profile.objectiveRemainingNanos(), profile.deadlineRemainingNanos() / 4));
-        return Math.min(Math.max(0, profile.maxWaitNanos()), low + stalenessNanos);
+        return Math.min(Math.max(0, profile.maxWaitNanos()), lowNanos + stalenessNanos);
     }
 
     /** Returns the average of the mean service times of the candidates, 0 if none is known. */
