--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -284,7 +284,7 @@
         boolean idMissing = headers.get(headerNames.requestId()) == null;
         if (status < 300
                 && (idMissing || !headers.contains(headerNames.signature()) || headers.contains("Content-Encoding"))) {
-            failAsLost("success response lacks the request id or the signature, or has a content encoding");
+            failAsLost("answer without id, signature or plain body");
             return;
         }
         headForwarded = true;
