--- a/org.berylwick.node/src/org/berylwick/node/call/CallerRetryRate.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CallerRetryRate.java
@@ -5,7 +5,7 @@
 import org.berylwick.node.lib.RequestClass;
 
 /**
- * Estimates for each request class which fraction of the refused callers retry. Confined to the event loop.
+ * Estimates, for each request class, the fraction of refused callers that retry. Confined to the event loop.
  *
  * <p>This matters under overload: a request whose caller retries is best refused as soon as it would be late, because
  * others wait behind it. A call that a backend server makes while it processes another request is not retried: its
--- a/org.berylwick.node/src/org/berylwick/node/call/LossRate.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/LossRate.java
@@ -1,6 +1,6 @@
 package org.berylwick.node.call;
 
-/** Estimates which fraction of its recent requests a backend server lost or rejected. Confined to the event loop. */
+/** Estimates the fraction of recent requests that a backend server lost or rejected. Confined to the event loop. */
 final class LossRate {
     /** Weight of a new request; the estimate reflects about the last ten requests. */
     private static final double SMOOTHING_FACTOR = 0.1;
