--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -192,7 +192,7 @@
     }
 
     /**
-     * Guards against a process that exits with a response to another node still queued for the narrow outgoing link, so
+     * Guards against a process that exits with a response to another node still queued for the slow outgoing link, so
      * that the other node gets it truncated.
      */
     @Test
