--- a/org.berylwick.node/src/org/berylwick/node/call/Backend.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Backend.java
@@ -19,8 +19,8 @@
     private final String incarnation;
     private final String service;
     private final ServerConnectionPool pool;
-    private final ServiceTimeEstimator serviceTimes = new ServiceTimeEstimator();
-    private final LossRate losses = new LossRate();
+    private final ServiceTimeEstimator serviceTimeEstimator = new ServiceTimeEstimator();
+    private final LossRate lossRate = new LossRate();
     private long maxIdleNanos = DEFAULT_MAX_IDLE_NANOS;
     private int slots;
     private BackendState state;
@@ -95,18 +95,18 @@
         maxIdleNanos = Math.max(MIN_MAX_IDLE_NANOS, Math.min(maxIdleNanos, idleNanos / 2));
     }
 
-    LossRate losses() {
-        return losses;
+    LossRate lossRate() {
+        return lossRate;
     }
 
     /** Records the end of a response. */
     void onResponse(long now) {
-        losses.onResponse(now);
+        lossRate.onResponse(now);
         lastResponseAt = now;
     }
 
-    ServiceTimeEstimator serviceTimes() {
-        return serviceTimes;
+    ServiceTimeEstimator serviceTimeEstimator() {
+        return serviceTimeEstimator;
     }
 
     /** Applies a report; returns true if the state or the number of slots changed, false while draining. */
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryAttempt.java
@@ -13,7 +13,7 @@
  * attempt. A response that is too large to buffer is streamed instead.
  */
 final class EntryAttempt implements AttemptListener {
-    private static final int MAX_COMPONENTS = 1024;
+    private static final int MAX_BUFFER_COMPONENTS = 1024;
 
     private final EntryCall call;
     private final Candidate candidate;
@@ -21,7 +21,7 @@
     private Attempt attempt;
     private int status;
     private HttpHeaders headers;
-    private CompositeByteBuf buffered;
+    private CompositeByteBuf bufferedBody;
     private int bufferedBytes;
     private boolean streaming;
     private boolean ended;
@@ -49,7 +49,7 @@
             return;
         }
         markEnded();
-        releaseBuffered();
+        releaseBufferedBody();
         if (attempt != null) {
             attempt.cancel();
         }
@@ -66,32 +66,32 @@
         }
         status = responseStatus;
         headers = responseHeaders;
-        buffered = Unpooled.compositeBuffer(MAX_COMPONENTS);
+        bufferedBody = Unpooled.compositeBuffer(MAX_BUFFER_COMPONENTS);
     }
 
     @Override
-    public void onBody(ByteBuf chunk) {
+    public void onBody(ByteBuf part) {
         if (ended) {
-            chunk.release();
+            part.release();
             return;
         }
         if (streaming) {
-            attempt.setAutoRead(call.sink().writeChunk(chunk));
+            attempt.setAutoRead(call.sink().writePart(part));
             return;
         }
-        if (call.context().responseBuffers().tryReserve(bufferedBytes, chunk.readableBytes())) {
-            bufferedBytes += chunk.readableBytes();
-            buffered.addComponent(true, chunk);
+        if (call.context().responseBufferBudget().tryReserve(bufferedBytes, part.readableBytes())) {
+            bufferedBytes += part.readableBytes();
+            bufferedBody.addComponent(true, part);
             return;
         }
         streaming = true;
         call.onStreamingStarted(this, status, headers);
-        ByteBuf bufferedBody = buffered;
-        buffered = null;
-        call.context().responseBuffers().release(bufferedBytes);
+        ByteBuf bodySoFar = bufferedBody;
+        bufferedBody = null;
+        call.context().responseBufferBudget().release(bufferedBytes);
         bufferedBytes = 0;
-        call.sink().writeChunk(bufferedBody);
-        attempt.setAutoRead(call.sink().writeChunk(chunk));
+        call.sink().writePart(bodySoFar);
+        attempt.setAutoRead(call.sink().writePart(part));
     }
 
     @Override
@@ -104,9 +104,9 @@
             call.onStreamingEnded(this, true);
             return;
         }
-        ByteBuf completeBody = buffered;
-        buffered = null;
-        call.context().responseBuffers().release(bufferedBytes);
+        ByteBuf completeBody = bufferedBody;
+        bufferedBody = null;
+        call.context().responseBufferBudget().release(bufferedBytes);
         bufferedBytes = 0;
         call.onResponse(this, status, headers, completeBody);
     }
@@ -126,7 +126,7 @@
             return;
         }
         markEnded();
-        releaseBuffered();
+        releaseBufferedBody();
         if (streaming) {
             call.onStreamingEnded(this, false);
             return;
@@ -145,11 +145,11 @@
         ended = true;
     }
 
-    private void releaseBuffered() {
-        if (buffered != null) {
-            buffered.release();
-            buffered = null;
-            call.context().responseBuffers().release(bufferedBytes);
+    private void releaseBufferedBody() {
+        if (bufferedBody != null) {
+            bufferedBody.release();
+            bufferedBody = null;
+            call.context().responseBufferBudget().release(bufferedBytes);
             bufferedBytes = 0;
         }
     }
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryCall.java
@@ -32,7 +32,10 @@
      * Longer waits make other requests late, and a caller that is refused early still has time to retry.
      */
     private static final double MAX_QUEUE_WAIT_SHARE = 0.4;
-    /** Time after the deadline in which a last message of an owner that is still in transit is awaited. */
+    /**
+     * Time after the deadline during which the entry still waits for a last message of the owner, which may be in
+     * transit.
+     */
     private static final long DEADLINE_GRACE_NANOS = 10_000_000L;
     /** A retry needs at least this fraction of the request's expected duration before the deadline. */
     private static final double MIN_RETRY_TIME_SHARE = 0.5;
@@ -47,23 +50,27 @@
     private final Route route;
     private final CallSpec spec;
     private final long receivedAt;
-    private final long queueWaitUntil;
+    private final long queueWaitEndsAt;
     private final boolean callerRetried;
     private final ResponseSink sink;
     private final CallTrace trace;
-    private final Set<String> triedNodes = new HashSet<>();
-    private final Set<String> busyNodes = new HashSet<>();
+    private final Set<String> triedNodeKeys = new HashSet<>();
+    private final Set<String> busyNodeKeys = new HashSet<>();
     private Optional<EntryAttempt> currentAttempt = Optional.empty();
     /** The previous attempt, which continues at a node that has gone silent. */
     private Optional<EntryAttempt> silentAttempt = Optional.empty();
 
-    private Clock.Timer deadlineAlarm;
+    private Clock.Timer deadlineTimer;
     private int attempts;
+    /** Number of attempts that may have run the request. */
     private int possibleRuns;
+
     private int refusals;
     private boolean retryGranted;
     private boolean done;
-    private long minWaitNanos = Long.MAX_VALUE;
+    /** Shortest wait for a slot according to the loads in the refusals; determines the Retry-After time. */
+    private long shortestWaitNanos = Long.MAX_VALUE;
+
     private Optional<ServerFailure> serverFailure = Optional.empty();
     private Optional<EntryAttempt> streamingAttempt = Optional.empty();
 
@@ -79,7 +86,7 @@
         this.route = route;
         this.spec = spec;
         this.receivedAt = receivedAt;
-        this.queueWaitUntil = receivedAt + (long) (MAX_QUEUE_WAIT_SHARE * (spec.objectiveAt() - receivedAt));
+        this.queueWaitEndsAt = receivedAt + (long) (MAX_QUEUE_WAIT_SHARE * (spec.objectiveAt() - receivedAt));
         this.callerRetried = callerRetried;
         this.sink = sink;
         this.trace = new CallTrace(context, spec, route, versionNumber, receivedAt);
@@ -104,7 +111,7 @@
         if (callerRetried) {
             context.callerRetryRates().onRetried(spec.requestClass());
         }
-        deadlineAlarm = context.clock().schedule(spec.deadlineAt() + DEADLINE_GRACE_NANOS, this::onDeadline);
+        deadlineTimer = context.clock().schedule(spec.deadlineAt() + DEADLINE_GRACE_NANOS, this::onDeadline);
         sendNext(false);
     }
 
@@ -125,26 +132,26 @@
     }
 
     private Optional<CandidateChooser.Choice> chooseNode(long now) {
-        List<Candidate> candidates = context.candidates().candidatesFor(spec.service(), triedNodes, now);
-        RequestProfile criteria = new RequestProfile(
+        List<Candidate> candidates = context.candidates().candidatesFor(spec.service(), triedNodeKeys, now);
+        RequestProfile profile = new RequestProfile(
                 spec.requestClass(),
                 spec.expectedResponseBytes() + spec.body().length(),
                 context.responseEstimates().expectedNanos(route),
                 spec.objectiveAt() - now,
                 spec.deadlineAt() - now,
-                queueWaitUntil - now,
+                queueWaitEndsAt - now,
                 callerRetried ? 0 : context.callerRetryRates().retryRate(spec.requestClass()),
                 refusals + 1 >= MAX_REFUSALS);
-        return context.chooser().choose(candidates, criteria);
+        return context.chooser().choose(candidates, profile);
     }
 
     private void startAttempt(CandidateChooser.Choice choice, long now) {
         attempts++;
         Candidate candidate = choice.candidate();
-        triedNodes.add(candidate.key());
+        triedNodeKeys.add(candidate.key());
         // A response of the backend server on this VM does not use the network link.
-        int linkBytes = candidate.member().isPresent() ? spec.expectedResponseBytes() : 0;
-        CallSpec attemptSpec = spec.forAttempt(attempts, choice.maxWaitNanos(), linkBytes);
+        int linkResponseBytes = candidate.member().isPresent() ? spec.expectedResponseBytes() : 0;
+        CallSpec attemptSpec = spec.forAttempt(attempts, choice.maxWaitNanos(), linkResponseBytes);
         EntryAttempt attempt = new EntryAttempt(this, candidate, now);
         currentAttempt = Optional.of(attempt);
         attempt.setAttempt(context.starter().start(candidate, attemptSpec, attempt));
@@ -155,24 +162,24 @@
         if (done) {
             return;
         }
-        if (removeEndedAttempt(attempt)) {
+        if (removeAttempt(attempt)) {
             possibleRuns--;
             trace.recordOutcome(attempt, refusal.reason().name());
             return;
         }
         refusals++;
         if (refusal.reason() == Refusal.Reason.BUSY
-                && busyNodes.add(attempt.candidate().key())) {
+                && busyNodeKeys.add(attempt.candidate().key())) {
             // The refusal carried the node's current load; the other nodes may be busier, so it may be chosen once
             // more.
-            triedNodes.remove(attempt.candidate().key());
+            triedNodeKeys.remove(attempt.candidate().key());
         }
         trace.recordDecisiveOutcome(attempt, refusal.reason().name());
         context.counters().increment(NodeMetricNames.ENTRY_REFUSALS_BY_REASON + refusal.reason());
         if (refusal.load().slots() > 0) {
             long waitNanos = refusal.load().waitNanos()
                     + refusal.load().meanNanos() / Math.max(1, refusal.load().slots());
-            minWaitNanos = Math.min(minWaitNanos, waitNanos);
+            shortestWaitNanos = Math.min(shortestWaitNanos, waitNanos);
         }
         if (refusal.reason() != Refusal.Reason.EXPIRED) {
             sendNext(refusal.rejectedByBackend());
@@ -182,11 +189,11 @@
     }
 
     /**
-     * Removes an attempt that has ended.
+     * Removes an attempt that has ended or whose response is now streamed.
      *
      * @return whether it was the attempt at a silent node, so that the retry started alongside it goes on
      */
-    private boolean removeEndedAttempt(EntryAttempt attempt) {
+    private boolean removeAttempt(EntryAttempt attempt) {
         if (silentAttempt.isPresent() && silentAttempt.get() == attempt) {
             silentAttempt = Optional.empty();
             return true;
@@ -200,8 +207,8 @@
      * arrives, or only its datagrams may be lost. So the request is also sent to another node if it may be retried.
      */
     void onNodeSilent(EntryAttempt attempt) {
-        boolean noSecondAttempt = done || streamingAttempt.isPresent() || silentAttempt.isPresent();
-        if (noSecondAttempt || refusals >= MAX_REFUSALS || !mayRetry(possibleRuns + 1)) {
+        boolean secondAttemptExcluded = done || streamingAttempt.isPresent() || silentAttempt.isPresent();
+        if (secondAttemptExcluded || refusals >= MAX_REFUSALS || !mayRetry(possibleRuns + 1)) {
             return;
         }
         long now = context.clock().now();
@@ -227,7 +234,7 @@
         if (done) {
             return;
         }
-        boolean retryInProgress = removeEndedAttempt(attempt);
+        boolean retryInProgress = removeAttempt(attempt);
         trace.recordOutcome(attempt, "LOST");
         trace.setCause(cause);
         context.log()
@@ -256,10 +263,10 @@
         }
     }
 
-    private boolean mayRetry(int runsSoFar) {
+    private boolean mayRetry(int possibleRunsSoFar) {
         long requiredNanos = (long) (context.responseEstimates().expectedNanos(route) * MIN_RETRY_TIME_SHARE);
         return spec.kind().isRetryable()
-                && runsSoFar < Math.max(1, route.maxAttempts())
+                && possibleRunsSoFar < Math.max(1, route.maxAttempts())
                 && context.clock().now() + requiredNanos < spec.deadlineAt();
     }
 
@@ -283,7 +290,7 @@
             body.release();
             return;
         }
-        boolean retryInProgress = removeEndedAttempt(attempt);
+        boolean retryInProgress = removeAttempt(attempt);
         possibleRuns += retryInProgress ? 0 : 1;
         if (status >= 500 && spec.kind().isRetryable()) {
             trace.recordDecisiveOutcome(attempt, "status " + status);
@@ -344,7 +351,7 @@
     /** Called when a response turned out too large to buffer; from now on it is passed on as it arrives. */
     void onStreamingStarted(EntryAttempt attempt, int status, HttpHeaders headers) {
         streamingAttempt = Optional.of(attempt);
-        removeEndedAttempt(attempt);
+        removeAttempt(attempt);
         cancelAttempts();
         currentAttempt = streamingAttempt;
         sink.beginStream(status, headers);
@@ -409,7 +416,7 @@
 
     private void refuse() {
         finish();
-        double waitSeconds = minWaitNanos == Long.MAX_VALUE ? DEFAULT_RETRY_AFTER_S : minWaitNanos / 1e9;
+        double waitSeconds = shortestWaitNanos == Long.MAX_VALUE ? DEFAULT_RETRY_AFTER_S : shortestWaitNanos / 1e9;
         // Jitter, so that callers refused at the same time do not all retry at the same time.
         double jitteredSeconds = waitSeconds * (0.75 + 0.5 * context.random().getAsDouble());
         double retryAfterSeconds = Math.max(MIN_RETRY_AFTER_S, Math.min(MAX_RETRY_AFTER_S, jitteredSeconds));
@@ -450,8 +457,8 @@
 
     private void finish() {
         done = true;
-        if (deadlineAlarm != null) {
-            deadlineAlarm.cancel();
+        if (deadlineTimer != null) {
+            deadlineTimer.cancel();
         }
         cancelAttempts();
         discardServerFailure();
--- a/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/EntryHandler.java
@@ -44,10 +44,11 @@
     /** Upper limit for request bodies: a body is kept in memory because another attempt may have to send it again. */
     private static final long MAX_BODY_BYTES = 8 << 20;
 
-    private static final int MAX_COMPONENTS = 1024;
+    private static final int MAX_BUFFER_COMPONENTS = 1024;
     /** Reading from the connection stops when more messages than this wait for the current response to end. */
     private static final int MAX_PIPELINED_MESSAGES = 64;
 
+    /** Time for which input is still read and discarded before a connection is closed. */
     private static final long LINGER_MILLIS = 1_000;
     /** Retry-After of refusals that are not due to load: no configuration version yet, or the node is stopping. */
     private static final double UNAVAILABLE_RETRY_AFTER_S = 0.3;
@@ -57,12 +58,12 @@
 
     private final EntryServer server;
     private final EntryServices services;
-    private final ArrayDeque<Object> pipelined = new ArrayDeque<>();
+    private final ArrayDeque<Object> pipelinedMessages = new ArrayDeque<>();
     private Channel channel;
-    private HttpRequest head;
+    private HttpRequest requestHead;
     private CompositeByteBuf bufferedBody;
     private RequestBody streamedBody;
-    private long bufferedBytes;
+    private long bufferedBodyBytes;
     private CallHandle call;
     private boolean responsePending;
     private boolean keepAlive;
@@ -91,18 +92,18 @@
             ReferenceCountUtil.release(message);
             return;
         }
-        if (pipelined.isEmpty() && acceptsNow()) {
+        if (pipelinedMessages.isEmpty() && canProcessNext()) {
             process(message);
             return;
         }
-        pipelined.add(message);
-        if (pipelined.size() > MAX_PIPELINED_MESSAGES) {
+        pipelinedMessages.add(message);
+        if (pipelinedMessages.size() > MAX_PIPELINED_MESSAGES) {
             channel.config().setAutoRead(false);
         }
     }
 
     /** Whether the next message can be processed now: it belongs to the current request, or none is being answered. */
-    private boolean acceptsNow() {
+    private boolean canProcessNext() {
         return !responsePending || streamedBody != null;
     }
 
@@ -123,8 +124,8 @@
             rejectMalformed(request.decoderResult().cause());
             return;
         }
-        head = request;
-        bufferedBytes = 0;
+        requestHead = request;
+        bufferedBodyBytes = 0;
         long maxBytes = Math.min(MAX_BODY_BYTES, limits().maxBodyBytes());
         long length = HttpUtil.getContentLength(request, 0L);
         if (length > maxBytes) {
@@ -136,11 +137,11 @@
                     HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
         }
         if (length >= RequestBody.MIN_STREAMED_BYTES) {
-            streamedBody = RequestBody.incoming((int) length, services.link());
+            streamedBody = RequestBody.incoming((int) length, services.incomingLink());
             startCall(streamedBody);
             return;
         }
-        bufferedBody = Unpooled.compositeBuffer(MAX_COMPONENTS);
+        bufferedBody = Unpooled.compositeBuffer(MAX_BUFFER_COMPONENTS);
     }
 
     private CallerLimits limits() {
@@ -184,8 +185,8 @@
             processStreamedContent(content);
             return;
         }
-        bufferedBytes += content.content().readableBytes();
-        if (bufferedBytes > Math.min(MAX_BODY_BYTES, limits().maxBodyBytes())) {
+        bufferedBodyBytes += content.content().readableBytes();
+        if (bufferedBodyBytes > Math.min(MAX_BODY_BYTES, limits().maxBodyBytes())) {
             content.release();
             rejectAndClose(413, "request body exceeds the size limit");
             return;
@@ -213,8 +214,8 @@
 
     /** Starts the call of a request whose head has been read. The call owns the body, which may be incomplete. */
     private void startCall(RequestBody requestBody) {
-        HttpRequest request = head;
-        head = null;
+        HttpRequest request = requestHead;
+        requestHead = null;
         responsePending = true;
         services.counters().increment(NodeMetricNames.ENTRY_REQUESTS);
         if (server.isRefusingNew()) {
@@ -273,8 +274,8 @@
     }
 
     @Override
-    public boolean writeChunk(ByteBuf chunk) {
-        channel.writeAndFlush(new DefaultHttpContent(chunk));
+    public boolean writePart(ByteBuf part) {
+        channel.writeAndFlush(new DefaultHttpContent(part));
         return channel.isWritable();
     }
 
@@ -322,10 +323,10 @@
     }
 
     private void processPipelined() {
-        while (acceptsNow() && !pipelined.isEmpty()) {
-            process(pipelined.poll());
+        while (canProcessNext() && !pipelinedMessages.isEmpty()) {
+            process(pipelinedMessages.poll());
         }
-        if (pipelined.size() <= MAX_PIPELINED_MESSAGES) {
+        if (pipelinedMessages.size() <= MAX_PIPELINED_MESSAGES) {
             channel.config().setAutoRead(true);
         }
     }
@@ -343,7 +344,10 @@
         channel.eventLoop().schedule(() -> channel.close(), LINGER_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Closes the connection if it has been idle for longer than the limit. */
+    /**
+     * Closes the connection if it has been idle for longer than the limit; a request whose body is still incomplete
+     * then is rejected.
+     */
     void closeIfTimedOut(long now, long idleTimeoutNanos) {
         if (responsePending || closing || unsentResponses > 0) {
             return;
@@ -351,7 +355,7 @@
         if (now - lastActivityAt <= (long) (idleTimeoutNanos * IDLE_TIMEOUT_FACTOR)) {
             return;
         }
-        if (head != null) {
+        if (requestHead != null) {
             rejectAndClose(408, "request body not received within the idle timeout");
             return;
         }
@@ -383,7 +387,7 @@
     }
 
     private boolean isReceiving() {
-        return head != null || streamedBody != null;
+        return requestHead != null || streamedBody != null;
     }
 
     @Override
@@ -399,8 +403,8 @@
         closing = true;
         abandonCall();
         releaseBody();
-        while (!pipelined.isEmpty()) {
-            ReferenceCountUtil.release(pipelined.poll());
+        while (!pipelinedMessages.isEmpty()) {
+            ReferenceCountUtil.release(pipelinedMessages.poll());
         }
     }
 
@@ -412,7 +416,7 @@
     }
 
     private void releaseBody() {
-        head = null;
+        requestHead = null;
         if (bufferedBody != null) {
             bufferedBody.release();
             bufferedBody = null;
--- a/org.berylwick.node/src/org/berylwick/node/call/Owner.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/Owner.java
@@ -32,7 +32,7 @@
  * that server another request.
  */
 public final class Owner {
-    /** Maximum number of requests waiting for a slot, per slot. */
+    /** Maximum number of queued requests per slot. */
     private static final int MAX_QUEUED_PER_SLOT = 8;
     /** Departed incarnations that are remembered, so that a delayed heartbeat does not register one of them again. */
     private static final int MAX_DEPARTED_INCARNATIONS = 64;
@@ -53,7 +53,7 @@
     private static final int MIN_RUNNING_FOR_LOSS_RATE = 4;
 
     private final Clock clock;
-    private final Function<InetSocketAddress, ServerConnectionPool> connector;
+    private final Function<InetSocketAddress, ServerConnectionPool> poolFactory;
     private final HeaderNames headerNames;
     private final VmLink link;
     private final long heartbeatNanos;
@@ -61,9 +61,9 @@
     private final EventLog log;
     private final Runnable onBackendChange;
     private final RequestQueue queue = new RequestQueue();
-    private final RequestBodyScheduler bodyAdmission;
+    private final RequestBodyScheduler bodyScheduler;
 
-    private final StartRateBalancer servedShares = new StartRateBalancer();
+    private final StartRateBalancer startRateBalancer = new StartRateBalancer();
     private final Set<OwnerRun> running = new HashSet<>();
     private final Map<String, Boolean> departedIncarnations = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
@@ -75,11 +75,11 @@
     };
     private Optional<Backend> backend = Optional.empty();
     private boolean stopping;
-    private long lastSequenceNumber;
+    private long lastArrivalNumber;
 
     /**
      * @param clock time source; its tasks run on the same thread as this object's methods
-     * @param connector creates the connections to a backend server at an address
+     * @param poolFactory creates the connection pool for the backend server at an address
      * @param headerNames names of the headers exchanged with the backend server
      * @param link network link of this VM
      * @param heartbeatNanos interval between two heartbeats of the backend server
@@ -89,7 +89,7 @@
      */
     public Owner(
             Clock clock,
-            Function<InetSocketAddress, ServerConnectionPool> connector,
+            Function<InetSocketAddress, ServerConnectionPool> poolFactory,
             HeaderNames headerNames,
             VmLink link,
             long heartbeatNanos,
@@ -97,10 +97,10 @@
             EventLog log,
             Runnable onBackendChange) {
         this.clock = clock;
-        this.connector = connector;
+        this.poolFactory = poolFactory;
         this.headerNames = headerNames;
         this.link = link;
-        this.bodyAdmission = new RequestBodyScheduler(link.incoming());
+        this.bodyScheduler = new RequestBodyScheduler(link.incoming());
         this.heartbeatNanos = heartbeatNanos;
         this.counters = counters;
         this.log = log;
@@ -119,7 +119,7 @@
                         running.size(),
                         queuedCount(),
                         server.slots(),
-                        server.serviceTimes().meanNanos(),
+                        server.serviceTimeEstimator().meanNanos(),
                         lostPerMille(server, now),
                         link.incoming().busyNanos(),
                         link.outgoing().busyNanos()))
@@ -127,22 +127,23 @@
     }
 
     private int queuedCount() {
-        return queue.size() + bodyAdmission.size();
+        return queue.size() + bodyScheduler.size();
     }
 
-    /** Service time of each class of request that the backend server has answered. */
+    /** Service time of each class of requests that the backend server has answered. */
     public List<ServiceTimeDistribution> serviceTimes() {
-        return backend.map(server -> server.serviceTimes().distributions()).orElse(List.of());
+        return backend.map(server -> server.serviceTimeEstimator().distributions())
+                .orElse(List.of());
     }
 
     /**
-     * Share of requests that the backend server loses. Overdue requests count as lost before their deadline passes:
-     * otherwise a backend server that stops responding would be sent requests until all its slots are taken, and answer
-     * none of them.
+     * Number of requests per thousand that the backend server loses. Overdue requests count as lost before their
+     * deadline passes: otherwise a backend server that stops responding would be sent requests until all its slots are
+     * taken, and answer none of them.
      */
     private int lostPerMille(Backend server, long now) {
         int overduePerMille = 1_000 * overdueCount(now) / Math.max(MIN_RUNNING_FOR_LOSS_RATE, running.size());
-        return Math.max(server.losses().perMille(now), overduePerMille);
+        return Math.max(server.lossRate().perMille(now), overduePerMille);
     }
 
     private int overdueCount(long now) {
@@ -186,7 +187,7 @@
         if (current != null) {
             retire(current, "replaced by another incarnation");
         }
-        Backend replacement = new Backend(report, connector.apply(report.address()), clock.now());
+        Backend replacement = new Backend(report, poolFactory.apply(report.address()), clock.now());
         backend = Optional.of(replacement);
         notifyBackendChange(replacement);
         dispatch();
@@ -229,8 +230,8 @@
     }
 
     /**
-     * Marks a backend server absent from which nothing was received for too long, and closes idle connections; called
-     * about once a second.
+     * Closes idle connections to the backend server, and marks it absent if nothing has been received from it for too
+     * long, unless it is running a request that is not overdue. Called about once a second.
      */
     public void tick() {
         long now = clock.now();
@@ -268,7 +269,7 @@
         return count;
     }
 
-    /** Number of running and waiting requests. */
+    /** Number of running and queued requests. */
     public int pendingCount() {
         return running.size() + queuedCount();
     }
@@ -289,7 +290,7 @@
      * @param listener is notified of the response, the refusal or the loss of the request
      */
     public Attempt offer(CallSpec call, AttemptListener listener) {
-        long advanceNanos = servedShares.onOffered(call, clock.now());
+        long advanceNanos = startRateBalancer.onOffered(call, clock.now());
         OwnerRun run = new OwnerRun(this, call, listener, advanceNanos);
         Optional<Refusal.Reason> reason = refusalReason(run);
         if (reason.isPresent()) {
@@ -303,19 +304,19 @@
             enqueue(run);
         } else {
             run.awaitBody();
-            bodyAdmission.add(run, isTimely(run), clock.now());
+            bodyScheduler.add(run, isTimely(run), clock.now());
         }
         return run;
     }
 
     /** A part of a request body has arrived, which leaves room on the link for further bodies. */
     void onBodyPart() {
-        bodyAdmission.requestBodies(clock.now());
+        bodyScheduler.requestBodies(clock.now());
     }
 
     /** The body of a request is complete. */
     void onBodyComplete(OwnerRun run) {
-        if (bodyAdmission.remove(run, clock.now())) {
+        if (bodyScheduler.remove(run, clock.now())) {
             enqueue(run);
         }
     }
@@ -339,7 +340,7 @@
             return Optional.of(Refusal.Reason.NOT_HERE);
         }
         Backend server = backend.orElseThrow();
-        run.setServiceTime(server.serviceTimes().distribution(call));
+        run.setServiceTime(server.serviceTimeEstimator().distribution(call));
         long now = clock.now();
         if (!run.canMeetDeadline(now)) {
             return Optional.of(Refusal.Reason.EXPIRED);
@@ -349,12 +350,12 @@
             return Optional.empty();
         }
         long waitNanos = Math.max(
-                Math.max(expectedWaitNanos(run, server), linkWaitNanos), bodyAdmission.transferNanosAhead(call.body()));
+                Math.max(expectedWaitNanos(run, server), linkWaitNanos), bodyScheduler.transferNanosAhead(call.body()));
         boolean queueFull = queuedCount() >= MAX_QUEUED_PER_SLOT * server.slots()
                 || !(isTimely(run) || queue.acceptsLate(server.slots()));
         if (queueFull
                 || waitNanos > call.maxWaitNanos()
-                || !run.canMeetDeadline(now + waitNanos + bodyAdmission.transferNanos(call.body()))) {
+                || !run.canMeetDeadline(now + waitNanos + bodyScheduler.transferNanos(call.body()))) {
             return Optional.of(Refusal.Reason.BUSY);
         }
         return Optional.empty();
@@ -363,11 +364,11 @@
     /** Whether a request can meet its latency objective after the requests that would run before it. */
     private boolean isTimely(OwnerRun run) {
         Backend server = backend.orElseThrow();
-        int ahead = running.size() + queue.countTimelyAhead(run);
+        int requestsAhead = running.size() + queue.countTimelyAhead(run);
         RequestBody body = run.call().body();
         long slotWaitNanos = Math.max(
-                slotWaitNanos(ahead, server),
-                bodyAdmission.transferNanosAhead(body) + bodyAdmission.transferNanos(body));
+                slotWaitNanos(requestsAhead, server),
+                bodyScheduler.transferNanosAhead(body) + bodyScheduler.transferNanos(body));
         long waitNanos = Math.max(slotWaitNanos, run.linkWaitNanos());
         return run.canMeetObjective(clock.now() + waitNanos);
     }
@@ -377,8 +378,8 @@
         return slotWaitNanos(running.size() + queuedAhead, server);
     }
 
-    private static long slotWaitNanos(int ahead, Backend server) {
-        return new OwnerLoad(0, 0, server.slots(), server.serviceTimes().meanNanos()).waitNanos(ahead);
+    private static long slotWaitNanos(int requestsAhead, Backend server) {
+        return new OwnerLoad(0, 0, server.slots(), server.serviceTimeEstimator().meanNanos()).waitNanos(requestsAhead);
     }
 
     private void dispatch() {
@@ -403,13 +404,13 @@
             return;
         }
         running.add(run);
-        servedShares.onStarted(run.call(), clock.now());
+        startRateBalancer.onStarted(run.call(), clock.now());
         run.start(server, headerNames);
     }
 
     private void refuseQueued(Refusal.Reason reason) {
-        List<OwnerRun> refused = queue.drain();
-        refused.addAll(bodyAdmission.drain());
+        List<OwnerRun> refused = queue.removeAll();
+        refused.addAll(bodyScheduler.removeAll());
         for (OwnerRun run : refused) {
             run.refuse(reason, false);
         }
@@ -417,15 +418,15 @@
 
     void onFinished(OwnerRun run) {
         queue.remove(run);
-        bodyAdmission.remove(run, clock.now());
+        bodyScheduler.remove(run, clock.now());
         if (running.remove(run)) {
             // Deferred, because a request may end while dispatch() is starting others.
             clock.defer(this::dispatch);
         }
     }
 
-    long nextSequenceNumber() {
-        return ++lastSequenceNumber;
+    long nextArrivalNumber() {
+        return ++lastArrivalNumber;
     }
 
     OutgoingLink outgoingLink() {
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -29,7 +29,7 @@
      * Time reserved for the response to travel from the backend server to the entry node; the deadline passed to the
      * backend server is earlier by this.
      */
-    private static final long RESPONSE_RETURN_NANOS = 5_000_000L;
+    private static final long RESPONSE_TRANSIT_NANOS = 5_000_000L;
 
     /**
      * Multiple of the mean service time after which a response is overdue; the slowest responses of a healthy server
@@ -44,13 +44,13 @@
     private final CallSpec call;
     private final AttemptListener listener;
     private final long effectiveObjectiveAt;
-    private final long sequenceNumber;
-    private long queuedAt;
+    private final long arrivalNumber;
+    private long waitStartedAt;
     private long meanServiceNanos;
     private long medianServiceNanos;
     private long responseTransferNanos;
     private long announcedBytes;
-    private Clock.Timer timeout;
+    private Clock.Timer timer;
     private ServerConnection connection;
     private Backend backend;
     private HeaderNames headerNames;
@@ -64,7 +64,7 @@
      * @param owner owner of the backend server to which the request is offered
      * @param call the request
      * @param listener is notified of the response, the refusal or the loss of the request
-     * @param advanceNanos time by which the request is moved forward in the queue; see {@link ServedShares}
+     * @param advanceNanos time by which the request is moved forward in the queue; see {@link StartRateBalancer}
      */
     OwnerRun(Owner owner, CallSpec call, AttemptListener listener, long advanceNanos) {
         this.owner = owner;
@@ -73,8 +73,8 @@
         this.listener = listener;
         this.effectiveObjectiveAt =
                 call.objectiveAt() + call.priority() * RequestQueue.PRIORITY_STEP_NANOS - advanceNanos;
-        this.queuedAt = clock.now();
-        this.sequenceNumber = owner.nextSequenceNumber();
+        this.waitStartedAt = clock.now();
+        this.arrivalNumber = owner.nextArrivalNumber();
         if (owner.outgoingLink().isLarge(call.expectedResponseBytes())) {
             this.responseTransferNanos = owner.outgoingLink().transferNanos(call.expectedResponseBytes());
         }
@@ -93,8 +93,8 @@
     }
 
     /** Order of arrival, for requests with the same effective objective. */
-    long sequenceNumber() {
-        return sequenceNumber;
+    long arrivalNumber() {
+        return arrivalNumber;
     }
 
     /** Sets the expected service time of the request. */
@@ -133,7 +133,10 @@
         updateAnnouncedBytes(0);
     }
 
-    /** Whether no response head was received although the request was sent much longer ago than the usual time. */
+    /**
+     * Whether no response head has arrived although the request was sent longer ago than a multiple of the mean service
+     * time.
+     */
     boolean isOverdue(long now) {
         long thresholdNanos = Math.max(MIN_OVERDUE_NANOS, OVERDUE_FACTOR * meanServiceNanos);
         return sentAt != 0 && !headForwarded && now - sentAt > thresholdNanos;
@@ -152,23 +155,23 @@
     }
 
     /**
-     * Waits for the complete body. If the sender keeps the body back until it is asked for it, the wait for that is
-     * limited to the maximum wait set by the entry node.
+     * Waits for the complete body. If the sender holds the body back until it is requested, the time until that request
+     * is limited to the maximum wait set by the entry node.
      */
     void awaitBody() {
         boolean awaitsContinue = call.body().isDeferred();
-        timeout = clock.schedule(awaitsContinue ? maxWaitUntil() : call.deadlineAt(), this::onWaitTimeout);
+        timer = clock.schedule(awaitsContinue ? maxWaitEndsAt() : call.deadlineAt(), this::onWaitTimeout);
         call.body().subscribe(this);
     }
 
-    private long maxWaitUntil() {
-        return Math.min(call.deadlineAt(), queuedAt + call.maxWaitNanos());
+    private long maxWaitEndsAt() {
+        return Math.min(call.deadlineAt(), waitStartedAt + call.maxWaitNanos());
     }
 
-    /** Asks the sender for the body, which is next to be transferred over the link. */
+    /** Requests the body from the sender, because it is the next one to be transferred over the link. */
     void requestBodyTransfer() {
-        timeout.cancel();
-        timeout = clock.schedule(call.deadlineAt(), this::onWaitTimeout);
+        timer.cancel();
+        timer = clock.schedule(call.deadlineAt(), this::onWaitTimeout);
         call.body().requestFromSender();
     }
 
@@ -183,8 +186,8 @@
         if (finished) {
             return;
         }
-        timeout.cancel();
-        queuedAt = clock.now();
+        timer.cancel();
+        waitStartedAt = clock.now();
         owner.onBodyComplete(this);
     }
 
@@ -196,7 +199,7 @@
         if (finished || backend != null) {
             return;
         }
-        timeout = clock.schedule(maxWaitUntil(), this::onWaitTimeout);
+        timer = clock.schedule(maxWaitEndsAt(), this::onWaitTimeout);
     }
 
     private void onWaitTimeout() {
@@ -219,10 +222,10 @@
     void start(Backend target, HeaderNames backendHeaderNames) {
         backend = target;
         headerNames = backendHeaderNames;
-        if (timeout != null) {
-            timeout.cancel();
+        if (timer != null) {
+            timer.cancel();
         }
-        timeout = clock.schedule(call.deadlineAt(), this::onDeadline);
+        timer = clock.schedule(call.deadlineAt(), this::onDeadline);
         long maxIdleNanos = call.kind().isRetryable() ? Long.MAX_VALUE : target.maxIdleNanos();
         target.pool().acquire(maxIdleNanos, this::send, this::onConnectFailed);
     }
@@ -241,7 +244,7 @@
             return;
         }
         long now = clock.now();
-        long remainingMillis = (call.deadlineAt() - RESPONSE_RETURN_NANOS - now) / 1_000_000;
+        long remainingMillis = (call.deadlineAt() - RESPONSE_TRANSIT_NANOS - now) / 1_000_000;
         if (remainingMillis <= 0) {
             acquired.returnUnused();
             refuse(Refusal.Reason.EXPIRED, false);
@@ -252,7 +255,7 @@
         connectionIdleNanos = acquired.servedRequests() == 0 ? 0 : now - acquired.idleSince();
         HttpHeaders headers = Headers.copy(call.headers());
         headers.set(headerNames.deadline(), remainingMillis);
-        headers.set(headerNames.targetInstance(), backend.incarnation());
+        headers.set(headerNames.targetIncarnation(), backend.incarnation());
         headers.set(headerNames.callerService(), call.callerService());
         HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, call.method(), call.uri(), headers);
         HttpConnection.setContentLength(head, call.body().length());
@@ -303,13 +306,13 @@
     @Override
     public void onEnd() {
         if (notExecuted) {
-            backend.losses().onLost(clock.now());
+            backend.lossRate().onLost(clock.now());
             connection = null;
             refuse(Refusal.Reason.TURNED_AWAY, true);
             return;
         }
         long now = clock.now();
-        backend.serviceTimes().addSample(call, now - sentAt);
+        backend.serviceTimeEstimator().addSample(call, now - sentAt);
         backend.onResponse(now);
         connection = null;
         finish();
@@ -344,7 +347,7 @@
         if (finished) {
             return;
         }
-        backend.losses().onLost(clock.now());
+        backend.lossRate().onLost(clock.now());
         closeConnection();
         finish();
         owner.counters().increment(NodeMetricNames.OWNER_LOST);
@@ -365,8 +368,8 @@
     private void finish() {
         finished = true;
         withdrawAnnouncedBytes();
-        if (timeout != null) {
-            timeout.cancel();
+        if (timer != null) {
+            timer.cancel();
         }
         call.body().unsubscribe(this);
         owner.onFinished(this);
@@ -393,9 +396,9 @@
     }
 
     @Override
-    public void setAutoRead(boolean on) {
+    public void setAutoRead(boolean autoRead) {
         if (connection != null) {
-            connection.setAutoRead(on);
+            connection.setAutoRead(autoRead);
         }
     }
 }
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerHandler.java
@@ -35,7 +35,7 @@
  * configuration version; confined to the event loop.
  */
 final class PeerHandler extends ChannelInboundHandlerAdapter implements AttemptListener, OutgoingLink.Sink {
-    private static final int MAX_BODY_PARTS = 1024;
+    private static final int MAX_BUFFER_COMPONENTS = 1024;
     /** Latency objective of sending a version; puts it before responses with a later objective. */
     private static final long VERSION_OBJECTIVE_NANOS = 200_000_000L;
     /** Deadline of sending a version; a node that has not received it by then has asked another node. */
@@ -45,12 +45,12 @@
     private final VmLink link;
     private final LongFunction<Optional<byte[]>> versionUpdates;
     private Channel channel;
-    private HttpRequest head;
+    private HttpRequest requestHead;
     private RequestBody body;
     private CompositeByteBuf bufferedBody;
     private boolean discardingBody;
     private Attempt attempt;
-    private String responseId = "";
+    private String requestId = "";
     private long responseStartedAt;
     private long objectiveAt;
     private long deadlineAt;
@@ -87,7 +87,7 @@
     }
 
     private void onRequestHead(HttpRequest request) {
-        head = request;
+        requestHead = request;
         discardingBody = false;
         long length = HttpUtil.getContentLength(request, 0L);
         if (length >= RequestBody.MIN_STREAMED_BYTES && length <= Integer.MAX_VALUE) {
@@ -97,7 +97,7 @@
             handleRequest();
             return;
         }
-        bufferedBody = Unpooled.compositeBuffer(MAX_BODY_PARTS);
+        bufferedBody = Unpooled.compositeBuffer(MAX_BUFFER_COMPONENTS);
     }
 
     private void sendContinue() {
@@ -137,11 +137,11 @@
     }
 
     private void handleRequest() {
-        HttpRequest request = head;
+        HttpRequest request = requestHead;
         Optional<CallSpec> call =
                 PeerCodec.decodeCall(request, Headers.endToEnd(request.headers()), body, System.nanoTime());
         if (call.isPresent()) {
-            responseId = call.get().id();
+            requestId = call.get().id();
             objectiveAt = call.get().objectiveAt();
             deadlineAt = call.get().deadlineAt();
             attempt = owner.offer(call.get(), this);
@@ -162,7 +162,7 @@
      */
     private void sendVersion(byte[] encodedUpdate) {
         long now = System.nanoTime();
-        responseId = "version";
+        requestId = "version";
         responseStartedAt = now;
         objectiveAt = now + VERSION_OBJECTIVE_NANOS;
         deadlineAt = now + VERSION_DEADLINE_NANOS;
@@ -231,9 +231,9 @@
     }
 
     @Override
-    public void setSourceReading(boolean on) {
+    public void setSourceReading(boolean enabled) {
         if (attempt != null) {
-            attempt.setAutoRead(on);
+            attempt.setAutoRead(enabled);
         }
     }
 
@@ -265,7 +265,7 @@
         responseFlow.ifPresent(flow -> flow.finish(() -> {
             logIfLate(flow, true);
             responseFlow = Optional.empty();
-            cancelExpiry();
+            cancelDeadlineTimer();
             channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
         }));
         if (responseFlow.isPresent()) {
@@ -277,21 +277,21 @@
 
     private void logIfLate(OutgoingLink.Flow flow, boolean complete) {
         long now = System.nanoTime();
-        long waitingBytes = flow.queuedBytes();
-        if (complete && now <= objectiveAt || !link.outgoing().isLarge(flow.sentBytes() + waitingBytes)) {
+        long queuedBytes = flow.queuedBytes();
+        if (complete && now <= objectiveAt || !link.outgoing().isLarge(flow.sentBytes() + queuedBytes)) {
             return;
         }
         owner.log()
                 .write(
                         Event.ANSWER_LATE_AT_LINK,
                         "id",
-                        responseId,
+                        requestId,
                         "left",
                         complete,
                         "sentBytes",
                         flow.sentBytes(),
                         "waitingBytes",
-                        waitingBytes,
+                        queuedBytes,
                         "forMs",
                         (now - responseStartedAt) / 1_000_000,
                         "lateMs",
@@ -306,7 +306,7 @@
                         link.outgoing().queuedFlowCount());
     }
 
-    private void cancelExpiry() {
+    private void cancelDeadlineTimer() {
         deadlineTimer.ifPresent(timer -> timer.cancel(false));
         deadlineTimer = Optional.empty();
     }
@@ -358,7 +358,7 @@
             flow.cancel();
         });
         responseFlow = Optional.empty();
-        cancelExpiry();
+        cancelDeadlineTimer();
         if (bufferedBody != null) {
             bufferedBody.release();
             bufferedBody = null;
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerServer.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerServer.java
@@ -28,15 +28,15 @@
     private final VmLink link;
     private final LongFunction<Optional<byte[]>> versionUpdates;
     private final Map<Channel, PeerHandler> handlers = new HashMap<>();
-    private Channel listener;
+    private Channel listenChannel;
 
     /**
      * @param loop event loop of this server and its connections
      * @param address address to listen on
      * @param owner runs the requests at the backend server of this node
      * @param link network link of this VM
-     * @param versionUpdates for the number of the version that a node has, the encoded update to the current one, or
-     *     empty if there is none
+     * @param versionUpdates returns the encoded update from the version with the given number, which another node has,
+     *     to the current one; empty if there is none
      */
     public PeerServer(
             EventLoop loop,
@@ -70,7 +70,7 @@
                     }
                 });
         ReceiveWindow.limitReceiveBuffer(bootstrap, link.incoming());
-        listener = bootstrap.bind(address).syncUninterruptibly().channel();
+        listenChannel = bootstrap.bind(address).syncUninterruptibly().channel();
     }
 
     /** Response bytes that have not been written to the sockets yet. */
@@ -90,8 +90,8 @@
 
     @Override
     public void close() {
-        if (listener != null) {
-            listener.close();
+        if (listenChannel != null) {
+            listenChannel.close();
         }
     }
 }
--- a/org.berylwick.node/src/org/berylwick/node/call/RequestBodyScheduler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/RequestBodyScheduler.java
@@ -11,10 +11,10 @@
  * Limits how many request bodies are transferred over this VM's incoming link at a time; confined to the event loop.
  *
  * <p>It guards against request bodies that are large for the link. If every entry sent its bodies at once, the link
- * would hold seconds of them, mixed with the heads that announce further requests and followed by calls that run for
- * only 50 ms. The backend server would be out of work, look idle and attract still more requests. So entries first send
- * the head alone. The owner refuses at once what would arrive too late, and requests the bodies of the others in the
- * order of its queue.
+ * would hold seconds of them, preceded by the heads that announce further ones and followed by calls that run for only
+ * 50 ms. The backend server would be out of work, look idle and attract still more requests. So entries first send the
+ * head alone. The owner refuses at once what would arrive too late, and requests the bodies of the others in the order
+ * of its queue.
  */
 final class RequestBodyScheduler {
     /**
@@ -24,7 +24,7 @@
     private static final long MAX_RECEIVING_NANOS = 60_000_000L;
 
     private final IncomingLink link;
-    private final RequestQueue waiting = new RequestQueue();
+    private final RequestQueue deferred = new RequestQueue();
     private final Set<OwnerRun> receiving = new LinkedHashSet<>();
 
     /** @param link incoming link of this VM */
@@ -33,7 +33,7 @@
     }
 
     int size() {
-        return waiting.size() + receiving.size();
+        return deferred.size() + receiving.size();
     }
 
     /** Time that the bodies accepted before this one still need on the link. */
@@ -59,17 +59,17 @@
             return;
         }
         if (canMeetObjective) {
-            waiting.addTimely(run);
+            deferred.addTimely(run);
         } else {
-            waiting.addLate(run);
+            deferred.addLate(run);
         }
         requestBodies(now);
     }
 
-    /** Requests further bodies while the link has room for them; called when a chunk of a body has arrived. */
+    /** Requests further bodies while the link has room for them; called when a part of a body has arrived. */
     void requestBodies(long now) {
         while (receivingNanos() < MAX_RECEIVING_NANOS) {
-            Optional<OwnerRun> next = waiting.poll(now);
+            Optional<OwnerRun> next = deferred.poll(now);
             if (next.isEmpty()) {
                 return;
             }
@@ -93,14 +93,14 @@
      */
     boolean remove(OwnerRun run, long now) {
         boolean wasReceiving = receiving.remove(run);
-        waiting.remove(run);
+        deferred.remove(run);
         requestBodies(now);
         return wasReceiving;
     }
 
     /** Removes all requests and returns them. */
-    List<OwnerRun> drain() {
-        List<OwnerRun> all = waiting.drain();
+    List<OwnerRun> removeAll() {
+        List<OwnerRun> all = deferred.removeAll();
         all.addAll(receiving);
         receiving.clear();
         return all;
--- a/org.berylwick.node/src/org/berylwick/node/lib/ConfigurationVersion.java
+++ b/org.berylwick.node/src/org/berylwick/node/lib/ConfigurationVersion.java
@@ -12,8 +12,8 @@
 public final class ConfigurationVersion {
     private final long number;
     private final Map<String, List<Route>> routesByHost;
-    private final Map<String, Integer> maxConnections;
-    private final Map<String, String> healthPaths;
+    private final Map<String, Integer> maxConnectionsByService;
+    private final Map<String, String> healthPathByService;
     private final CallerLimits limits;
     private final byte[] encoded;
 
@@ -26,8 +26,8 @@
             hosts.put(entry.getKey(), List.copyOf(routes));
         }
         this.routesByHost = Map.copyOf(hosts);
-        this.maxConnections = Map.copyOf(builder.maxConnections);
-        this.healthPaths = Map.copyOf(builder.healthPaths);
+        this.maxConnectionsByService = Map.copyOf(builder.maxConnectionsByService);
+        this.healthPathByService = Map.copyOf(builder.healthPathByService);
         this.limits = builder.limits;
         this.encoded = builder.encoded;
     }
@@ -46,12 +46,12 @@
 
     /** Returns how many connections one backend server of a service accepts in total, 0 if unknown. */
     public int maxConnections(String service) {
-        return maxConnections.getOrDefault(service, 0);
+        return maxConnectionsByService.getOrDefault(service, 0);
     }
 
     /** Returns the path of the health check of a service, empty if it has none. */
     public Optional<String> healthPath(String service) {
-        return Optional.ofNullable(healthPaths.get(service)).filter(p -> p.startsWith("/"));
+        return Optional.ofNullable(healthPathByService.get(service)).filter(p -> p.startsWith("/"));
     }
 
     /** Returns the encoded form that this version was read from, as sent to other nodes. Must not be modified. */
@@ -94,8 +94,8 @@
         private final long number;
         private final byte[] encoded;
         private final Map<String, List<Route>> routesByHost = new HashMap<>();
-        private final Map<String, Integer> maxConnections = new HashMap<>();
-        private final Map<String, String> healthPaths = new HashMap<>();
+        private final Map<String, Integer> maxConnectionsByService = new HashMap<>();
+        private final Map<String, String> healthPathByService = new HashMap<>();
         private CallerLimits limits = new CallerLimits(16_384, 1 << 20, 3_000_000_000L, 15_000_000_000L);
 
         /**
@@ -117,7 +117,7 @@
 
         /** Adds a service and the number of connections that each of its backend servers accepts. */
         public Builder service(String name, int connections) {
-            maxConnections.put(name, connections);
+            maxConnectionsByService.put(name, connections);
             return this;
         }
 
@@ -126,7 +126,7 @@
          * health check.
          */
         public Builder service(String name, int connections, String healthPath) {
-            healthPaths.put(name, healthPath);
+            healthPathByService.put(name, healthPath);
             return service(name, connections);
         }
 
@@ -150,7 +150,7 @@
 
         private void requireKnownServices(Route route) {
             for (WeightedService weightedService : route.weightedServices()) {
-                if (!maxConnections.containsKey(weightedService.service())) {
+                if (!maxConnectionsByService.containsKey(weightedService.service())) {
                     throw new IllegalArgumentException(
                             "route " + route.name() + " refers to unknown service " + weightedService.service());
                 }
--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -123,8 +123,8 @@
     public void updateLoad(OwnerLoad received, long now) {
         load = received;
         inFlightAtLoadReport = inFlight;
-        incomingLinkFreeAt = now + received.incomingNanos();
-        outgoingLinkFreeAt = now + received.outgoingNanos();
+        incomingLinkFreeAt = now + received.incomingLinkBusyNanos();
+        outgoingLinkFreeAt = now + received.outgoingLinkBusyNanos();
     }
 
     /** Estimates the load of the network link of the node's VM from what this node has received and sent. */
--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -45,7 +45,7 @@
  * HTTP requests as callers do.
  */
 final class NodeRig implements AutoCloseable {
-    static final HeaderNames NAMES = new HeaderNames(
+    static final HeaderNames HEADER_NAMES = new HeaderNames(
             "x-request-id", "x-deadline", "x-signature", "x-target", "x-load", "x-not-run", "x-caller", "x-instance");
 
     static final int GRACE_PERIOD_MILLIS = 6_000;
@@ -108,7 +108,7 @@
         return node;
     }
 
-    /** Starts a node whose settings declare a link of the given width; the loopback link itself is wide. */
+    /** Starts a node whose settings declare a link of the given bandwidth; the loopback interface itself is faster. */
     Node startWithLink(int number, RawServer backend, int slots, double mbps) {
         linkMbps.put(number, mbps);
         return start(number, "zone-a", Optional.of(backend), slots);
@@ -122,7 +122,7 @@
     private Node startWithoutReport(int number, String zone, Optional<RawServer> backend) {
         EventLog log = new EventLog("node-" + number, logOutput);
         logs.add(log);
-        Node node = new Node(new TestNodePorts(settings(number, zone, backend)), log);
+        Node node = new Node(new TestNodePlatform(settings(number, zone, backend)), log);
         nodes.add(node);
         node.start();
         return node;
@@ -162,7 +162,7 @@
         Await.until("readiness of node " + number, () -> isReady(number), this::logText);
     }
 
-    /** Waits until a node other than its own has learned of a backend server by gossip. */
+    /** Waits until a node has learned by gossip of a backend server on the VM of another node. */
     void awaitMemberKnown(String incarnation) {
         Await.until(
                 "another node knows " + incarnation,
@@ -211,11 +211,11 @@
     }
 
     /** Sends an owner a request for a large response, as another node would, and reads nothing of the response. */
-    Socket requestAsPeer(int owner, String id, int answerBytes, int deadlineMillis) throws IOException {
+    Socket requestAsPeer(int owner, String id, int responseBytes, int deadlineMillis) throws IOException {
         Socket socket = new Socket();
         socket.connect(peerAddress(owner));
-        String call = "work;caller;" + RouteKind.BULK.ordinal() + ";1;600;600;" + deadlineMillis + ";0;1;" + answerBytes
-                + ";" + id;
+        String call = "work;caller;" + RouteKind.BULK.ordinal() + ";1;600;600;" + deadlineMillis + ";0;1;"
+                + responseBytes + ";" + id;
         socket.getOutputStream()
                 .write(("GET /bulk/x HTTP/1.1\r\nbw-call: " + call + "\r\nx-request-id: " + id + "\r\n\r\n")
                         .getBytes(StandardCharsets.ISO_8859_1));
@@ -353,10 +353,10 @@
     }
 
     /** In-memory platform of one node of the rig. */
-    private final class TestNodePorts implements NodePlatform {
+    private final class TestNodePlatform implements NodePlatform {
         private final NodeSettings settings;
 
-        TestNodePorts(NodeSettings settings) {
+        TestNodePlatform(NodeSettings settings) {
             this.settings = settings;
         }
 
@@ -377,7 +377,7 @@
 
         @Override
         public HeaderNames headerNames() {
-            return NAMES;
+            return HEADER_NAMES;
         }
 
         @Override
@@ -394,17 +394,17 @@
         public NodeDirectory directory(EventLoop loop) {
             return new NodeDirectory() {
                 @Override
-                public void register(String name, String ip, Consumer<Boolean> onAnswer) {
-                    loop.execute(() -> onAnswer.accept(true));
+                public void register(String name, String ip, Consumer<Boolean> onResult) {
+                    loop.execute(() -> onResult.accept(true));
                 }
 
                 @Override
-                public void list(Consumer<ListResult> onAnswer) {
+                public void list(Consumer<ListResult> onResult) {
                     List<String> ips = new ArrayList<>();
                     for (int i = 1; i <= 4; i++) {
                         ips.add(ip(i));
                     }
-                    loop.execute(() -> onAnswer.accept(new ListResult.Listed(ips)));
+                    loop.execute(() -> onResult.accept(new ListResult.Listed(ips)));
                 }
             };
         }
--- a/org.berylwick.test/tst/org/berylwick/node/StopTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/StopTest.java
@@ -25,15 +25,18 @@
     /** So many responses exceed the socket buffers of a connection whose peer does not read. */
     private static final int RESPONSE_COUNT = 8;
 
-    private static final double NARROW_MBPS = 30;
-    private static final int WIDE_MBPS = 1_000;
+    private static final double SLOW_LINK_MBPS = 30;
+    private static final int FAST_LINK_MBPS = 1_000;
     private static final int PACED_RESPONSE_BYTES = 4_500_000;
     private static final String LAST_CHUNK = "\r\n0\r\n\r\n";
     /** Longer than a stop takes without pending requests. */
     private static final int PAUSE_MILLIS = 4_000;
 
+    /** Duration of a request that outlasts the grace period. */
     private static final int HANG_MILLIS = 12_000;
+
     private static final int RUN_MILLIS = 1_000;
+    /** Time after the start of the stop, shortly before the end of the grace period. */
     private static final int LATE_IN_GRACE_MILLIS = 5_000;
 
     private static final String LARGE_BODY = "x".repeat(RESPONSE_BYTES);
@@ -124,7 +127,7 @@
     @Test
     void callerGetsAResponseWhenItsOwnerExceedsTheGracePeriod() throws IOException {
         try (NodeRig rig = NodeRig.withEntryNode(versionWithSlowRoute());
-                ScriptedPeer owner = ScriptedPeer.startAnnounced(rig, WIDE_MBPS)) {
+                ScriptedPeer owner = ScriptedPeer.startAnnounced(rig, FAST_LINK_MBPS)) {
             CompletableFuture<String> response = CompletableFuture.supplyAsync(
                     () -> rig.send(1, NodeRig.request("GET", "/slow/x", "w1", HANG_MILLIS, "")));
             try (ScriptedPeer.Connection connection = owner.accept()) {
@@ -167,7 +170,7 @@
     @Test
     void stoppingEntryLimitsTheDeadlineSentToTheOwner() throws IOException {
         try (NodeRig rig = NodeRig.withEntryNode(versionWithSlowRoute());
-                ScriptedPeer owner = ScriptedPeer.startAnnounced(rig, WIDE_MBPS)) {
+                ScriptedPeer owner = ScriptedPeer.startAnnounced(rig, FAST_LINK_MBPS)) {
             CompletableFuture<Void> stopped =
                     CompletableFuture.runAsync(() -> rig.node(1).stop());
             Await.until("the node begins to stop", () -> rig.logText().contains(Event.STOPPING.name()), rig::logText);
@@ -189,7 +192,7 @@
     }
 
     /**
-     * Guards against a process that exits with a response to another node still queued for the narrow outgoing link, so
+     * Guards against a process that exits with a response to another node still queued for the slow outgoing link, so
      * that the other node gets it truncated.
      */
     @Test
@@ -198,7 +201,7 @@
         try (RawServer server = new RawServer((c, r) -> c.write(NodeRig.responseTo(r, pacedBody)));
                 NodeRig rig = new NodeRig()) {
             rig.configuration.publish(NodeRig.version(1));
-            Node node = rig.startWithLink(1, server, 1, NARROW_MBPS);
+            Node node = rig.startWithLink(1, server, 1, SLOW_LINK_MBPS);
             rig.awaitReady(1);
             try (Socket peer = rig.requestAsPeer(1, "p1", PACED_RESPONSE_BYTES, 9_000)) {
                 Await.until("the request reaches the backend server", () -> server.runs("p1") == 1, rig::logText);
@@ -218,9 +221,8 @@
         try {
             peer.setSoTimeout(20_000);
             InputStream in = peer.getInputStream();
-            // Reads to the last chunk, not to the end of the stream: a node that is closed within this process may
-            // leave
-            // the connection open.
+            // Reads up to the last chunk instead of the end of the stream, because a node that is closed within this
+            // process may leave the connection open.
             while (!isComplete(received)) {
                 int n = in.read(buffer);
                 if (n < 0) {
--- a/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/call/OwnerSilenceTest.java
@@ -31,12 +31,12 @@
 import org.berylwick.node.transport.VmLink;
 import org.junit.jupiter.api.Test;
 
-/** When an owner marks a backend server absent that sends no heartbeats. */
+/** Tests when an owner marks a backend server absent because it sends no heartbeats. */
 class OwnerSilenceTest {
-    private static final long MILLISECOND = 1_000_000L;
-    private static final long SECOND = 1_000 * MILLISECOND;
-    private static final long HEARTBEAT_INTERVAL = 1_500 * MILLISECOND;
-    private static final HeaderNames NAMES =
+    private static final long NANOS_PER_MILLISECOND = 1_000_000L;
+    private static final long NANOS_PER_SECOND = 1_000 * NANOS_PER_MILLISECOND;
+    private static final long HEARTBEAT_NANOS = 1_500 * NANOS_PER_MILLISECOND;
+    private static final HeaderNames HEADER_NAMES =
             new HeaderNames("id", "deadline", "signature", "target", "load", "not-run", "caller", "instance");
 
     private final VirtualClock clock = new VirtualClock();
@@ -44,9 +44,9 @@
     private final Owner owner = new Owner(
             clock,
             address -> new RespondingServer(),
-            NAMES,
+            HEADER_NAMES,
             VmLink.of(1_000, clock),
-            HEARTBEAT_INTERVAL,
+            HEARTBEAT_NANOS,
             new Counters(),
             log,
             () -> {});
@@ -55,18 +55,18 @@
     /** A backend server that answers each request after 20 ms, on one shared connection. */
     private final class RespondingServer implements ServerConnectionPool, ServerConnection {
         @Override
-        public void acquire(long maxIdleNanos, Consumer<ServerConnection> onOpen, Consumer<String> onFailure) {
-            onOpen.accept(this);
+        public void acquire(long idleLimitNanos, Consumer<ServerConnection> onConnection, Consumer<String> onFailure) {
+            onConnection.accept(this);
         }
 
         @Override
-        public void send(HttpRequest request, RequestBody body, HttpResponseHandler exchange) {
+        public void send(HttpRequest request, RequestBody body, HttpResponseHandler handler) {
             HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-            head.headers().set(NAMES.requestId(), request.headers().get(NAMES.requestId()));
-            head.headers().set(NAMES.signature(), "s");
-            clock.after(20 * MILLISECOND, () -> {
-                exchange.onHead(head);
-                exchange.onEnd();
+            head.headers().set(HEADER_NAMES.requestId(), request.headers().get(HEADER_NAMES.requestId()));
+            head.headers().set(HEADER_NAMES.signature(), "s");
+            clock.after(20 * NANOS_PER_MILLISECOND, () -> {
+                handler.onHead(head);
+                handler.onEnd();
             });
         }
 
@@ -96,7 +96,7 @@
         }
 
         @Override
-        public void setAutoRead(boolean on) {
+        public void setAutoRead(boolean enabled) {
             // Responses have no body.
         }
 
@@ -150,11 +150,11 @@
 
     private void tickEverySecond() {
         owner.tick();
-        clock.after(SECOND, this::tickEverySecond);
+        clock.after(NANOS_PER_SECOND, this::tickEverySecond);
     }
 
     private void sendRequestEvery(long nanos) {
-        HttpHeaders headers = Headers.empty().set(NAMES.requestId(), "r");
+        HttpHeaders headers = Headers.empty().set(HEADER_NAMES.requestId(), "r");
         CallSpec call = new CallSpec(
                 "r",
                 HttpMethod.GET,
@@ -164,8 +164,8 @@
                 "work",
                 "caller",
                 new RequestClass(RouteKind.IDEMPOTENT, 1, 600),
-                clock.now() + 600 * MILLISECOND,
-                clock.now() + 2 * SECOND,
+                clock.now() + 600 * NANOS_PER_MILLISECOND,
+                clock.now() + 2 * NANOS_PER_SECOND,
                 0,
                 1,
                 0);
@@ -174,16 +174,16 @@
     }
 
     /**
-     * Guards against marking a backend server absent that answers all requests. Its heartbeats do not arrive, as
-     * happens while the sender's other calls to the node are delayed; without counting responses, it would be lost to
-     * its callers at the first moment without a running request.
+     * Guards against marking a backend server absent although it answers all requests. Its heartbeats do not arrive, as
+     * happens while the sender's other calls to the node are delayed. If responses did not count as activity, its
+     * callers would lose it at the first moment without a running request.
      */
     @Test
     void backendServerThatRespondsStaysAvailableWithoutHeartbeats() {
         report();
         tickEverySecond();
-        sendRequestEvery(700 * MILLISECOND);
-        clock.runUntil(30 * SECOND);
+        sendRequestEvery(700 * NANOS_PER_MILLISECOND);
+        clock.runUntil(30 * NANOS_PER_SECOND);
         assertTrue(owner.acceptsRequestsFor("work"), "requests answered: " + responseCount);
         assertEquals(43, responseCount);
     }
@@ -193,9 +193,9 @@
     void idleBackendServerWithoutHeartbeatsIsMarkedAbsent() {
         report();
         tickEverySecond();
-        clock.runUntil(8 * SECOND);
+        clock.runUntil(8 * NANOS_PER_SECOND);
         assertTrue(owner.acceptsRequestsFor("work"));
-        clock.runUntil(11 * SECOND);
+        clock.runUntil(11 * NANOS_PER_SECOND);
         assertTrue(!owner.acceptsRequestsFor("work"));
     }
 }
