--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedAttempt.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedAttempt.java
@@ -230,5 +230,5 @@
     public void setAutoRead(boolean on) {}
 
     @Override
-    public void onNodeSilent() {}
+    public void onMemberSilent() {}
 }
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
@@ -71,7 +71,7 @@
     }
 
     @Override
-    public void onNodeSilent() {
+    public void onMemberSilent() {
         if (finished || connection == null) {
             return;
         }
--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -144,7 +144,7 @@
          * Called when neither datagrams nor response bytes arrive from the node any more. Either the node has failed or
          * only its datagrams are lost; in the second case a request that is running there continues.
          */
-        void onNodeSilent();
+        void onMemberSilent();
     }
 
     /**
@@ -195,7 +195,7 @@
             return;
         }
         onFailure("silent", now);
-        overdue.forEach(PendingRequest::onNodeSilent);
+        overdue.forEach(PendingRequest::onMemberSilent);
     }
 
     /** Records a successful call, which ends the series of failures. */
