--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -46,7 +46,7 @@
     /** Changes within this time are sent in one broadcast. */
     private static final long COALESCING_WINDOW_NANOS = 15_000_000L;
 
-    private static final int MAX_PEER_ADDRESSES = 3;
+    private static final int MAX_PEER_ADDRESSES_PER_DATAGRAM = 3;
     private static final int INITIAL_BUFFER_BYTES = 160;
     /**
      * Addresses of other nodes take up a quarter of a datagram and are only needed by nodes that missed each other's
@@ -258,14 +258,14 @@
             return List.of();
         }
         // Two nodes that never learned of each other get the other's address from a third node within a few rounds.
-        List<String> sample = new ArrayList<>(MAX_PEER_ADDRESSES);
+        List<String> sample = new ArrayList<>(MAX_PEER_ADDRESSES_PER_DATAGRAM);
         int skip = ThreadLocalRandom.current().nextInt(lastHeardByAddress.size());
         for (String address : lastHeardByAddress.keySet()) {
             if (skip-- > 0) {
                 continue;
             }
             sample.add(address);
-            if (sample.size() == MAX_PEER_ADDRESSES) {
+            if (sample.size() == MAX_PEER_ADDRESSES_PER_DATAGRAM) {
                 break;
             }
         }
