--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -69,7 +69,7 @@
     private final EventLog log;
     private final BiConsumer<Member, MemberTable.UpdateResult> onStateReceived;
     /** When the latest datagram came from each address; for one that has not sent any yet, when it was added. */
-    private final Map<String, Long> lastHeardByAddress = new HashMap<>();
+    private final Map<String, Long> lastDatagramAtByAddress = new HashMap<>();
 
     private Channel channel;
     private long round;
@@ -121,10 +121,10 @@
 
     /** Adds an address where a node may be running, and requests its state immediately. */
     public void addPeerAddress(String address) {
-        if (address.equals(ip) || lastHeardByAddress.containsKey(address)) {
+        if (address.equals(ip) || lastDatagramAtByAddress.containsKey(address)) {
             return;
         }
-        lastHeardByAddress.put(address, System.nanoTime());
+        lastDatagramAtByAddress.put(address, System.nanoTime());
         if (channel != null) {
             send(List.of(address), true);
         }
@@ -132,7 +132,7 @@
 
     /** Number of addresses to which this node sends its state. */
     public int peerAddressCount() {
-        return lastHeardByAddress.size();
+        return lastDatagramAtByAddress.size();
     }
 
     /** Time without a datagram after which a node counts as silent; grows with the length of a round. */
@@ -205,7 +205,7 @@
     }
 
     private long periodNanos() {
-        long period = PERIOD_PER_NODE_NANOS * (lastHeardByAddress.size() + 1);
+        long period = PERIOD_PER_NODE_NANOS * (lastDatagramAtByAddress.size() + 1);
         return Math.max(MIN_PERIOD_NANOS, Math.min(MAX_PERIOD_NANOS, period));
     }
 
@@ -222,9 +222,9 @@
 
     private void broadcast(boolean replyRequested) {
         long now = System.nanoTime();
-        List<String> withoutReplyRequest = new ArrayList<>(lastHeardByAddress.size());
+        List<String> withoutReplyRequest = new ArrayList<>(lastDatagramAtByAddress.size());
         List<String> withReplyRequest = new ArrayList<>();
-        for (Map.Entry<String, Long> peer : lastHeardByAddress.entrySet()) {
+        for (Map.Entry<String, Long> peer : lastDatagramAtByAddress.entrySet()) {
             boolean unresponsive = now - peer.getValue() > UNRESPONSIVE_NANOS;
             if (unresponsive && round % 10 != 0) {
                 continue;
@@ -254,13 +254,13 @@
     }
 
     private List<String> samplePeerAddresses() {
-        if (lastHeardByAddress.size() < 2) {
+        if (lastDatagramAtByAddress.size() < 2) {
             return List.of();
         }
         // Two nodes that never learned of each other get the other's address from a third node within a few rounds.
         List<String> sample = new ArrayList<>(MAX_PEER_ADDRESSES_PER_DATAGRAM);
-        int skip = ThreadLocalRandom.current().nextInt(lastHeardByAddress.size());
-        for (String address : lastHeardByAddress.keySet()) {
+        int skip = ThreadLocalRandom.current().nextInt(lastDatagramAtByAddress.size());
+        for (String address : lastDatagramAtByAddress.keySet()) {
             if (skip-- > 0) {
                 continue;
             }
@@ -274,7 +274,7 @@
 
     private void receive(String from, NodeStateCodec.Message message) {
         long now = System.nanoTime();
-        boolean newSender = lastHeardByAddress.put(from, now) == null;
+        boolean newSender = lastDatagramAtByAddress.put(from, now) == null;
         MemberTable.UpdateResult result = table.update(from, message.state(), now);
         if (newSender || message.replyRequested()) {
             send(List.of(from), false);
