--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -140,7 +140,7 @@
                 peerServer,
                 () -> {
                     leaving = true;
-                    gossip.broadcastNow();
+                    gossip.scheduleBroadcast();
                 },
                 shutdownComplete::countDown);
     }
@@ -315,14 +315,14 @@
     }
 
     private void onBackendChange() {
-        gossip.broadcastNow();
+        gossip.scheduleBroadcast();
     }
 
     private void onInstalled(VersionUpdater.Origin origin) {
         // A node that read the version from the store announces it to all nodes. One that fetched it from another
         // availability zone announces it to its own zone, so that the nodes there need not fetch it from afar.
         switch (origin) {
-            case STORE -> gossip.broadcastNow();
+            case STORE -> gossip.scheduleBroadcast();
             case FAR -> gossip.broadcastToZoneNow(settings.zone());
             case NEAR -> {}
         }
--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -145,7 +145,7 @@
      * sent together: a node that has just started learns of its backend server, the version and other nodes at about
      * the same time, and must not spend scarce CPU time on a broadcast for each.
      */
-    public void broadcastNow() {
+    public void scheduleBroadcast() {
         pendingChanges++;
         if (pendingChanges > 1) {
             return;
