--- a/org.berylwick.node/src/org/berylwick/node/member/HeartbeatProtocol.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/HeartbeatProtocol.java
@@ -5,15 +5,15 @@
 /** Decodes the heartbeat calls that backend servers send to the node on their VM. */
 public interface HeartbeatProtocol {
     /** A decoded call of a backend server. */
-    sealed interface Announcement {
+    sealed interface DecodedCall {
         /** A heartbeat with the state of the backend server. */
-        record Report(BackendReport report) implements Announcement {}
+        record Report(BackendReport report) implements DecodedCall {}
 
         /** The backend server deregisters; this incarnation will not return. */
-        record Leave(String incarnation) implements Announcement {}
+        record Leave(String incarnation) implements DecodedCall {}
 
         /** The call could not be decoded. */
-        record Malformed(String reason) implements Announcement {}
+        record Malformed(String reason) implements DecodedCall {}
     }
 
     /**
@@ -23,7 +23,7 @@
      * @param uri request URI
      * @param body request body
      */
-    Announcement read(String method, String uri, byte[] body);
+    DecodedCall read(String method, String uri, byte[] body);
 
     /** The response body that acknowledges a heartbeat. */
     byte[] acknowledgement();
--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -413,13 +413,13 @@
     /** Heartbeats with a body of the form {@code PORT SEQUENCE STATE SLOTS SERVICE}. */
     private static final class PlainTextHeartbeats implements HeartbeatProtocol {
         @Override
-        public Announcement read(String method, String uri, byte[] body) {
+        public DecodedCall read(String method, String uri, byte[] body) {
             String incarnation = uri.substring(1);
             if ("DELETE".equals(method)) {
-                return new Announcement.Leave(incarnation);
+                return new DecodedCall.Leave(incarnation);
             }
             String[] fields = new String(body, StandardCharsets.US_ASCII).split(" ");
-            return new Announcement.Report(new BackendReport(
+            return new DecodedCall.Report(new BackendReport(
                     incarnation,
                     fields[4],
                     new InetSocketAddress("127.0.0.1", Integer.parseInt(fields[0])),
--- a/org.berylwick.test/tst/org/berylwick/platform/CodecsTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/CodecsTest.java
@@ -9,7 +9,7 @@
 import org.berylwick.node.lib.BackendState;
 import org.berylwick.node.lib.ConfigurationVersion;
 import org.berylwick.node.lib.RouteKind;
-import org.berylwick.node.member.HeartbeatProtocol.Announcement;
+import org.berylwick.node.member.HeartbeatProtocol.DecodedCall;
 import org.berylwick.node.version.ConfigurationSource.ReadResult;
 import org.junit.jupiter.api.Test;
 
@@ -92,12 +92,12 @@
         byte[] body = ("{\"address\":\"10.0.0.1:5\",\"info\":{\"service\":\"s\",\"slots\":12},"
                         + "\"status\":{\"state\":\"draining\",\"seq\":4,\"warmupLeftS\":1.5}}")
                 .getBytes(StandardCharsets.UTF_8);
-        Announcement.Report report =
-                assertInstanceOf(Announcement.Report.class, codec.read("PUT", "/instances/i-1", body));
+        DecodedCall.Report report =
+                assertInstanceOf(DecodedCall.Report.class, codec.read("PUT", "/instances/i-1", body));
         assertEquals(BackendState.DRAINING, report.report().state());
         assertEquals(1_500_000_000L, report.report().warmUpNanos());
-        assertEquals(new Announcement.Leave("i-1"), codec.read("DELETE", "/instances/i-1", new byte[0]));
-        assertInstanceOf(Announcement.Malformed.class, codec.read("PUT", "/instances/i-1", new byte[3]));
-        assertInstanceOf(Announcement.Malformed.class, codec.read("PUT", "/other", body));
+        assertEquals(new DecodedCall.Leave("i-1"), codec.read("DELETE", "/instances/i-1", new byte[0]));
+        assertInstanceOf(DecodedCall.Malformed.class, codec.read("PUT", "/instances/i-1", new byte[3]));
+        assertInstanceOf(DecodedCall.Malformed.class, codec.read("PUT", "/other", body));
     }
 }
