--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -370,7 +370,7 @@
 
     private BufferedHttpServer.Response handleHeartbeat(BufferedHttpServer.Request request) {
         HeartbeatProtocol protocol = platform.heartbeatProtocol();
-        switch (protocol.read(request.method(), request.uri(), request.body())) {
+        switch (protocol.decode(request.method(), request.uri(), request.body())) {
             case HeartbeatProtocol.DecodedCall.Report report -> owner.onReport(report.report());
             case HeartbeatProtocol.DecodedCall.Leave leave -> owner.onLeave(leave.incarnation());
             case HeartbeatProtocol.DecodedCall.Malformed malformed -> {
--- a/org.berylwick.node/src/org/berylwick/node/member/HeartbeatProtocol.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/HeartbeatProtocol.java
@@ -23,7 +23,7 @@
      * @param uri request URI
      * @param body request body
      */
-    DecodedCall read(String method, String uri, byte[] body);
+    DecodedCall decode(String method, String uri, byte[] body);
 
     /** The response body that acknowledges a heartbeat. */
     byte[] acknowledgement();
--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -413,7 +413,7 @@
     /** Heartbeats with a body of the form {@code PORT SEQUENCE STATE SLOTS SERVICE}. */
     private static final class PlainTextHeartbeats implements HeartbeatProtocol {
         @Override
-        public DecodedCall read(String method, String uri, byte[] body) {
+        public DecodedCall decode(String method, String uri, byte[] body) {
             String incarnation = uri.substring(1);
             if ("DELETE".equals(method)) {
                 return new DecodedCall.Leave(incarnation);
--- a/org.berylwick.test/tst/org/berylwick/platform/CodecsTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/CodecsTest.java
@@ -93,11 +93,11 @@
                         + "\"status\":{\"state\":\"draining\",\"seq\":4,\"warmupLeftS\":1.5}}")
                 .getBytes(StandardCharsets.UTF_8);
         DecodedCall.Report report =
-                assertInstanceOf(DecodedCall.Report.class, codec.read("PUT", "/instances/i-1", body));
+                assertInstanceOf(DecodedCall.Report.class, codec.decode("PUT", "/instances/i-1", body));
         assertEquals(BackendState.DRAINING, report.report().state());
         assertEquals(1_500_000_000L, report.report().warmUpNanos());
-        assertEquals(new DecodedCall.Leave("i-1"), codec.read("DELETE", "/instances/i-1", new byte[0]));
-        assertInstanceOf(DecodedCall.Malformed.class, codec.read("PUT", "/instances/i-1", new byte[3]));
-        assertInstanceOf(DecodedCall.Malformed.class, codec.read("PUT", "/other", body));
+        assertEquals(new DecodedCall.Leave("i-1"), codec.decode("DELETE", "/instances/i-1", new byte[0]));
+        assertInstanceOf(DecodedCall.Malformed.class, codec.decode("PUT", "/instances/i-1", new byte[3]));
+        assertInstanceOf(DecodedCall.Malformed.class, codec.decode("PUT", "/other", body));
     }
 }
--- a/org.berylwick.test/tst/org/berylwick/platform/InvalidPlatformInputTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/InvalidPlatformInputTest.java
@@ -41,7 +41,7 @@
             + "\"zone\":\"a\",\"slots\":12},\"status\":{\"state\":\"ready\",\"seq\":4,\"warmupLeftS\":1.5}}";
 
     private static DecodedCall decodeHeartbeat(String body) {
-        return new HeartbeatCodec().read("PUT", "/instances/i-1", body.getBytes(StandardCharsets.UTF_8));
+        return new HeartbeatCodec().decode("PUT", "/instances/i-1", body.getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
@@ -87,7 +87,7 @@
 
     @Property(tries = 3_000)
     void mutatedHeartbeatsNeitherThrowNorYieldAnUnusableBackendServer(@ForAll("mutated") byte[] body) {
-        if (new HeartbeatCodec().read("PUT", "/instances/i-1", body) instanceof DecodedCall.Report decoded) {
+        if (new HeartbeatCodec().decode("PUT", "/instances/i-1", body) instanceof DecodedCall.Report decoded) {
             BackendReport report = decoded.report();
             assertTrue(report.slots() > 0);
             assertTrue(report.sequence() >= 0);
