--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -18,7 +18,7 @@
      * Minimum time since a request was sent before it is reported as pending on a silent node. A request sent just now
      * has not been ignored, even if the node has been silent for long.
      */
-    private static final long MIN_OVERDUE_NANOS = 500_000_000L;
+    private static final long MIN_PENDING_NANOS = 500_000_000L;
 
     private final String ip;
     private final BiConsumer<Member, String> onSuspected;
@@ -187,7 +187,7 @@
         }
         List<PendingRequest> overdue = new ArrayList<>();
         outstanding.forEach((request, sentAt) -> {
-            if (now - sentAt > MIN_OVERDUE_NANOS) {
+            if (now - sentAt > MIN_PENDING_NANOS) {
                 overdue.add(request);
             }
         });
