--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -23,7 +23,7 @@
     private final String ip;
     private final BiConsumer<Member, String> onSuspected;
     private NodeState state;
-    private long lastHeardAt;
+    private long lastDatagramAt;
     private long suspectUntil;
     private int consecutiveFailures;
     private OwnerLoad load = OwnerLoad.NONE;
@@ -45,7 +45,7 @@
         this.onSuspected = onSuspected;
         this.ip = ip;
         this.state = state;
-        this.lastHeardAt = now;
+        this.lastDatagramAt = now;
         this.suspectUntil = now;
         this.lastProgressAt = now;
         updateLoad(state.load(), now);
@@ -63,7 +63,7 @@
 
     /** When the latest datagram was received from the node, in {@link System#nanoTime} terms. */
     public long lastHeardAt() {
-        return lastHeardAt;
+        return lastDatagramAt;
     }
 
     /** The latest load received from the node, by gossip or with a response. */
@@ -111,7 +111,7 @@
     void update(NodeState received, long now) {
         boolean restarted = received.bootId() != state.bootId();
         state = received;
-        lastHeardAt = now;
+        lastDatagramAt = now;
         updateLoad(received.load(), now);
         if (restarted) {
             consecutiveFailures = 0;
@@ -182,7 +182,7 @@
      * the node within the timeout.
      */
     void notifyIfSilent(long timeoutNanos, long now) {
-        if (now - lastHeardAt <= timeoutNanos || now - lastProgressAt <= timeoutNanos) {
+        if (now - lastDatagramAt <= timeoutNanos || now - lastProgressAt <= timeoutNanos) {
             return;
         }
         List<PendingRequest> overdue = new ArrayList<>();
