--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -29,7 +29,7 @@
     private OwnerLoad load = OwnerLoad.NONE;
     private String lastUsedIncarnation = "";
     /** Requests without a complete response yet, and when each was sent. */
-    private final Map<PendingRequest, Long> outstanding = new HashMap<>();
+    private final Map<PendingRequest, Long> pendingRequests = new HashMap<>();
 
     private long lastProgressAt;
     private int inFlight;
@@ -162,14 +162,14 @@
             outgoingLinkFreeAt = Math.max(now, outgoingLinkFreeAt) + link.transferNanos(expectedResponseBytes);
         }
         inFlight++;
-        outstanding.put(request, now);
+        pendingRequests.put(request, now);
         lastUsedIncarnation = state.incarnation();
     }
 
     /** Records that a request sent to the node has ended, in whatever way. */
     public void onRequestEnded(PendingRequest request) {
         inFlight--;
-        outstanding.remove(request);
+        pendingRequests.remove(request);
     }
 
     /** Records that bytes of a response were received from the node. */
@@ -186,7 +186,7 @@
             return;
         }
         List<PendingRequest> overdue = new ArrayList<>();
-        outstanding.forEach((request, sentAt) -> {
+        pendingRequests.forEach((request, sentAt) -> {
             if (now - sentAt > MIN_PENDING_NANOS) {
                 overdue.add(request);
             }
