--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -31,7 +31,7 @@
     /** Requests without a complete response yet, and when each was sent. */
     private final Map<PendingRequest, Long> pendingRequests = new HashMap<>();
 
-    private long lastProgressAt;
+    private long lastResponseProgressAt;
     private int inFlight;
     private int inFlightAtLoadReport;
     /** When all request bodies known to be in transit to the node will have been received over its VM's link. */
@@ -47,7 +47,7 @@
         this.state = state;
         this.lastDatagramAt = now;
         this.suspectUntil = now;
-        this.lastProgressAt = now;
+        this.lastResponseProgressAt = now;
         updateLoad(state.load(), now);
     }
 
@@ -174,7 +174,7 @@
 
     /** Records that bytes of a response were received from the node. */
     public void onResponseProgress(long now) {
-        lastProgressAt = now;
+        lastResponseProgressAt = now;
     }
 
     /**
@@ -182,7 +182,7 @@
      * the node within the timeout.
      */
     void notifyIfSilent(long timeoutNanos, long now) {
-        if (now - lastDatagramAt <= timeoutNanos || now - lastProgressAt <= timeoutNanos) {
+        if (now - lastDatagramAt <= timeoutNanos || now - lastResponseProgressAt <= timeoutNanos) {
             return;
         }
         List<PendingRequest> overdue = new ArrayList<>();
