--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -275,7 +275,7 @@
             boolean eligible = state.zone().equals(settings.zone())
                     && state.storeReachable()
                     && !state.leaving()
-                    && now - member.lastHeardAt() < silenceThreshold;
+                    && now - member.lastDatagramAt() < silenceThreshold;
             if (eligible && precedesAsReader(member)) {
                 precedingReaders++;
             }
@@ -365,7 +365,7 @@
                 "failures",
                 member.consecutiveFailures(),
                 "unheardMs",
-                (System.nanoTime() - member.lastHeardAt()) / 1_000_000);
+                (System.nanoTime() - member.lastDatagramAt()) / 1_000_000);
     }
 
     private BufferedHttpServer.Response handleHeartbeat(BufferedHttpServer.Request request) {
--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateSampler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateSampler.java
@@ -106,7 +106,7 @@
     }
 
     private boolean isSuspect(Member member, long now) {
-        return member.isSuspect(now) || now - member.lastHeardAt() > silenceThresholdNanos.getAsLong();
+        return member.isSuspect(now) || now - member.lastDatagramAt() > silenceThresholdNanos.getAsLong();
     }
 
     private Candidate localCandidate(long now) {
@@ -131,7 +131,7 @@
                 member.load(),
                 member.state().requestTimes(),
                 member.estimatedRequestCount(),
-                Math.max(0, member.state().warmUpRemainingNanos() - (now - member.lastHeardAt())),
+                Math.max(0, member.state().warmUpRemainingNanos() - (now - member.lastDatagramAt())),
                 member.linkLoad(now),
                 distance(member),
                 member.isIncarnationUnused(),
--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -62,7 +62,7 @@
     }
 
     /** When the latest datagram was received from the node, in {@link System#nanoTime} terms. */
-    public long lastHeardAt() {
+    public long lastDatagramAt() {
         return lastDatagramAt;
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
@@ -86,7 +86,7 @@
     public int countHeardWithin(long spanNanos, long now) {
         int count = 0;
         for (Member member : byIp.values()) {
-            if (now - member.lastHeardAt() <= spanNanos) {
+            if (now - member.lastDatagramAt() <= spanNanos) {
                 count++;
             }
         }
@@ -107,7 +107,7 @@
         List<Member> expired = new ArrayList<>();
         for (Member member : byIp.values()) {
             member.pool().evictIdle();
-            if (now - member.lastHeardAt() > EXPIRY_NANOS) {
+            if (now - member.lastDatagramAt() > EXPIRY_NANOS) {
                 expired.add(member);
             }
         }
