--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -221,7 +221,7 @@
                 () -> versionKeeper.version().map(v -> v.number()).orElse(0L));
         counters.registerGauge(
                 NodeMetricNames.MEMBERS_HEARD,
-                () -> members.countHeardWithin(gossip.silenceTimeoutNanos(), System.nanoTime()));
+                () -> members.countReachableWithin(gossip.silenceTimeoutNanos(), System.nanoTime()));
         counters.registerGauge(
                 NodeMetricNames.OWNER_CONNECTIONS_OPENED,
                 () -> owner.backend().map(Backend::connectionsOpened).orElse(0L));
--- a/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
@@ -83,7 +83,7 @@
     }
 
     /** Counts the nodes from which a datagram was received within the given time. */
-    public int countHeardWithin(long spanNanos, long now) {
+    public int countReachableWithin(long spanNanos, long now) {
         int count = 0;
         for (Member member : byIp.values()) {
             if (now - member.lastDatagramAt() <= spanNanos) {
