--- a/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
@@ -28,7 +28,7 @@
     private final Gossip gossip;
     private final Counters counters;
     private final EventLog log;
-    private final String name;
+    private final String vmName;
     private final String ip;
     private long retryMillis = INITIAL_RETRY_MILLIS;
     private boolean directoryRead;
@@ -55,7 +55,7 @@
         this.gossip = gossip;
         this.counters = counters;
         this.log = log;
-        this.name = name;
+        this.vmName = name;
         this.ip = ip;
     }
 
@@ -70,7 +70,7 @@
     }
 
     private void register() {
-        directory.register(name, ip, registered -> {
+        directory.register(vmName, ip, registered -> {
             if (!registered) {
                 counters.increment(NodeMetricNames.DIRECTORY_FAILURES);
                 loop.schedule(this::register, nextRetryDelayMillis(), TimeUnit.MILLISECONDS);
