--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateSampler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateSampler.java
@@ -129,7 +129,7 @@
         return new Candidate(
                 Optional.of(member),
                 member.load(),
-                member.state().requestTimes(),
+                member.state().serviceTimes(),
                 member.estimatedRequestCount(),
                 Math.max(0, member.state().warmUpRemainingNanos() - (now - member.lastDatagramAt())),
                 member.linkLoad(now),
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeState.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeState.java
@@ -20,7 +20,7 @@
  * @param backendState whether its backend server accepts requests
  * @param warmUpRemainingNanos how much longer its backend server responds slowly after its start
  * @param load load of its backend server
- * @param requestTimes execution times measured on its backend server, one entry per request class seen so far
+ * @param serviceTimes execution times measured on its backend server, one entry per request class seen so far
  */
 public record NodeState(
         long bootId,
@@ -35,11 +35,11 @@
         BackendState backendState,
         long warmUpRemainingNanos,
         OwnerLoad load,
-        List<ServiceTimeDistribution> requestTimes) {
+        List<ServiceTimeDistribution> serviceTimes) {
     /** Largest bandwidth that fits the encoded field; faster links are sent as this value. */
     public static final int MAX_LINK_MBPS = 65_535;
 
     public NodeState {
-        requestTimes = List.copyOf(requestTimes);
+        serviceTimes = List.copyOf(serviceTimes);
     }
 }
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
@@ -74,8 +74,8 @@
         writeString(state.zone(), out);
         writeString(state.service(), out);
         writeString(state.incarnation(), out);
-        out.writeByte(state.requestTimes().size());
-        for (ServiceTimeDistribution time : state.requestTimes()) {
+        out.writeByte(state.serviceTimes().size());
+        for (ServiceTimeDistribution time : state.serviceTimes()) {
             out.writeByte(time.requestClass().kind().ordinal());
             out.writeByte(time.requestClass().priority());
             out.writeInt(time.requestClass().objectiveMillis());
