--- a/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
@@ -19,7 +19,7 @@
     private static final int FLAG_REPLY_REQUESTED = 4;
 
     private static final double PER_MILLE = 1e3;
-    private static final long MAX_LINK_MILLIS = 65_535;
+    private static final long MAX_LINK_BUSY_MILLIS = 65_535;
     private static final RouteKind[] ROUTE_KINDS = RouteKind.values();
 
     private NodeStateCodec() {}
@@ -69,8 +69,8 @@
         out.writeShort(state.load().slots());
         out.writeInt((int) (state.load().meanNanos() / 1_000));
         out.writeShort(state.load().lostPerMille());
-        out.writeShort((int) Math.min(MAX_LINK_MILLIS, state.load().incomingNanos() / 1_000_000));
-        out.writeShort((int) Math.min(MAX_LINK_MILLIS, state.load().outgoingNanos() / 1_000_000));
+        out.writeShort((int) Math.min(MAX_LINK_BUSY_MILLIS, state.load().incomingNanos() / 1_000_000));
+        out.writeShort((int) Math.min(MAX_LINK_BUSY_MILLIS, state.load().outgoingNanos() / 1_000_000));
         writeString(state.zone(), out);
         writeString(state.service(), out);
         writeString(state.incarnation(), out);
