--- a/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
@@ -24,7 +24,7 @@
 
     private NodeStateCodec() {}
 
-    private static List<ServiceTimeDistribution> readRequestTimes(ByteBuf in) {
+    private static List<ServiceTimeDistribution> readServiceTimes(ByteBuf in) {
         int count = in.readUnsignedByte();
         List<ServiceTimeDistribution> times = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
@@ -112,7 +112,7 @@
             String zone = readString(in);
             String service = readString(in);
             String incarnation = readString(in);
-            List<ServiceTimeDistribution> requestTimes = readRequestTimes(in);
+            List<ServiceTimeDistribution> requestTimes = readServiceTimes(in);
             NodeState state = new NodeState(
                     bootId,
                     sequence,
