--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -243,7 +243,7 @@
         boolean includePeerAddresses = replyRequested || round % ROUNDS_PER_PEER_EXCHANGE == 0;
         List<String> peerAddresses = includePeerAddresses ? samplePeerAddresses() : List.of();
         ByteBuf bytes = Unpooled.buffer(INITIAL_BUFFER_BYTES);
-        NodeStateCodec.write(new NodeStateCodec.Message(ownState.get(), replyRequested, peerAddresses), bytes);
+        NodeStateCodec.encode(new NodeStateCodec.Message(ownState.get(), replyRequested, peerAddresses), bytes);
         counters.add(NodeMetricNames.GOSSIP_SENT_DATAGRAMS, addresses.size());
         counters.add(NodeMetricNames.GOSSIP_SENT_BYTES, (long) bytes.readableBytes() * addresses.size());
         for (String address : addresses) {
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
@@ -51,7 +51,7 @@
     public record Message(NodeState state, boolean replyRequested, List<String> peerAddresses) {}
 
     /** Encodes a datagram. */
-    public static void write(Message message, ByteBuf out) {
+    public static void encode(Message message, ByteBuf out) {
         NodeState state = message.state();
         out.writeInt(MAGIC);
         int flags = (state.storeReachable() ? FLAG_STORE_REACHABLE : 0)
--- a/org.berylwick.test/tst/org/berylwick/node/member/NodeStateCodecTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/member/NodeStateCodecTest.java
@@ -49,7 +49,7 @@
                         new ServiceTimeDistribution(new RequestClass(RouteKind.BULK, 0, 100), 7_000L, 0.5)));
         NodeStateCodec.Message message = new NodeStateCodec.Message(nodeState, flag, List.of("10.0.0.1", "10.0.0.2"));
         ByteBuf encoded = Unpooled.buffer();
-        NodeStateCodec.write(message, encoded);
+        NodeStateCodec.encode(message, encoded);
         assertEquals(Optional.of(message), NodeStateCodec.read(encoded));
     }
 
@@ -59,7 +59,7 @@
         NodeState state = new NodeState(
                 1, 1, "zone", 100, 1, true, false, "service", "i-1", BackendState.READY, 0, OwnerLoad.NONE, List.of());
         ByteBuf encoded = Unpooled.buffer();
-        NodeStateCodec.write(new NodeStateCodec.Message(state, false, List.of("10.0.0.1")), encoded);
+        NodeStateCodec.encode(new NodeStateCodec.Message(state, false, List.of("10.0.0.1")), encoded);
         if (truncatedLength < encoded.readableBytes()) {
             assertTrue(NodeStateCodec.read(encoded.slice(0, truncatedLength)).isEmpty());
         }
