--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -301,7 +301,7 @@
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
             counters.increment(NodeMetricNames.GOSSIP_RECEIVED_DATAGRAMS);
             String from = packet.sender().getAddress().getHostAddress();
-            NodeStateCodec.read(packet.content()).ifPresent(message -> receive(from, message));
+            NodeStateCodec.decode(packet.content()).ifPresent(message -> receive(from, message));
         }
 
         @Override
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
@@ -89,7 +89,7 @@
     }
 
     /** Decodes a datagram; empty if the bytes are not a valid datagram. */
-    public static Optional<Message> read(ByteBuf in) {
+    public static Optional<Message> decode(ByteBuf in) {
         try {
             if (in.readInt() != MAGIC) {
                 return Optional.empty();
--- a/org.berylwick.test/tst/org/berylwick/node/member/NodeStateCodecTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/member/NodeStateCodecTest.java
@@ -50,18 +50,18 @@
         NodeStateCodec.Message message = new NodeStateCodec.Message(nodeState, flag, List.of("10.0.0.1", "10.0.0.2"));
         ByteBuf encoded = Unpooled.buffer();
         NodeStateCodec.encode(message, encoded);
-        assertEquals(Optional.of(message), NodeStateCodec.read(encoded));
+        assertEquals(Optional.of(message), NodeStateCodec.decode(encoded));
     }
 
     @Property(tries = 500)
     void invalidOrTruncatedDatagramIsRejected(@ForAll byte[] bytes, @ForAll @IntRange(max = 200) int truncatedLength) {
-        NodeStateCodec.read(Unpooled.wrappedBuffer(bytes));
+        NodeStateCodec.decode(Unpooled.wrappedBuffer(bytes));
         NodeState state = new NodeState(
                 1, 1, "zone", 100, 1, true, false, "service", "i-1", BackendState.READY, 0, OwnerLoad.NONE, List.of());
         ByteBuf encoded = Unpooled.buffer();
         NodeStateCodec.encode(new NodeStateCodec.Message(state, false, List.of("10.0.0.1")), encoded);
         if (truncatedLength < encoded.readableBytes()) {
-            assertTrue(NodeStateCodec.read(encoded.slice(0, truncatedLength)).isEmpty());
+            assertTrue(NodeStateCodec.decode(encoded.slice(0, truncatedLength)).isEmpty());
         }
     }
 }
