--- a/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
@@ -39,7 +39,7 @@
     private static final long MIN_INSTALL_INTERVAL_NANOS = 250_000_000L;
 
     private final EventLoop loop;
-    private final ConfigurationSource source;
+    private final ConfigurationSource store;
     private final MemberTable table;
     private final String zone;
     private final BooleanSupplier isReader;
@@ -76,7 +76,7 @@
             Counters counters,
             EventLog log) {
         this.loop = loop;
-        this.source = source;
+        this.store = source;
         this.table = table;
         this.zone = zone;
         this.isReader = isReader;
@@ -140,7 +140,7 @@
         }
         reading = true;
         counters.increment(NodeMetricNames.STORE_READS);
-        source.read(consistency, result -> {
+        store.read(consistency, result -> {
             reading = false;
             onReadResult(result);
         });
@@ -237,7 +237,7 @@
         }
         watching = true;
         counters.increment(NodeMetricNames.STORE_WATCHES);
-        source.watch(revision, WATCH_TIMEOUT_MILLIS, result -> {
+        store.watch(revision, WATCH_TIMEOUT_MILLIS, result -> {
             watching = false;
             onReadResult(result);
         });
@@ -296,7 +296,7 @@
 
     private void onFetched(Member sender, byte[] encoded) {
         Origin origin = sender.state().zone().equals(zone) ? Origin.NEAR : Origin.FAR;
-        switch (source.decode(encoded)) {
+        switch (store.decode(encoded)) {
             case ConfigurationSource.ReadResult.Found found -> install(found.version(), sender.ip(), origin);
             case ConfigurationSource.ReadResult.Invalid invalid ->
                 log.write(Event.VERSION_REFUSED, "from", sender.ip(), "why", invalid.reason());
