--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -230,7 +230,7 @@
 
     private void tick() {
         owner.tick();
-        versionKeeper.tick();
+        versionKeeper.resumeIfReader();
         logReadinessChange();
     }
 
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
@@ -124,7 +124,7 @@
     }
 
     /** Resumes reading and watching the store if this node has become a reader; called about once per second. */
-    public void tick() {
+    public void resumeIfReader() {
         if (!reading && !watching && isReader.getAsBoolean()) {
             read();
         }
