--- a/org.berylwick.test/tst/org/berylwick/node/MembershipTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/MembershipTest.java
@@ -34,7 +34,7 @@
      * deregistered: an earlier heartbeat that was delayed in the network, or a later one, must not make it ready again.
      */
     @Test
-    void delayedHeartbeatDoesNotUndoAcknowledgedLeave() {
+    void heartbeatDoesNotUndoAcknowledgedDrainOrDeregistration() {
         try (RawServer server = new RawServer(NodeRig::respondOk);
                 NodeRig rig = new NodeRig()) {
             rig.configuration.publish(NodeRig.version(1));
