--- a/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
@@ -39,7 +39,7 @@
                                         List.of(new WeightedService("caller-1", 1)))));
     }
 
-    private static void answerWithHealth(String incarnation, int status, RawServer.Connection c, RawServer.Request r)
+    private static void respondWithHealth(String incarnation, int status, RawServer.Connection c, RawServer.Request r)
             throws IOException {
         if (!r.path().equals(HEALTH_PATH)) {
             NodeRig.respondOk(c, r);
@@ -55,7 +55,7 @@
      */
     @Test
     void restartedNodeServesBeforeNextHeartbeat() {
-        try (RawServer server = new RawServer((c, r) -> answerWithHealth("i-running", 200, c, r));
+        try (RawServer server = new RawServer((c, r) -> respondWithHealth("i-running", 200, c, r));
                 NodeRig rig = new NodeRig()) {
             rig.configuration.publish(version());
             rig.startWithoutReport(1, server);
@@ -77,7 +77,7 @@
         List<String> requestedPaths = new CopyOnWriteArrayList<>();
         try (RawServer server = new RawServer((c, r) -> {
                     requestedPaths.add(r.path());
-                    answerWithHealth("i-leaving", 503, c, r);
+                    respondWithHealth("i-leaving", 503, c, r);
                 });
                 NodeRig rig = new NodeRig()) {
             rig.configuration.publish(version());
@@ -95,7 +95,7 @@
      */
     @Test
     void firstHeartbeatReplacesProbedIncarnation() {
-        try (RawServer server = new RawServer((c, r) -> answerWithHealth("i-old", 200, c, r));
+        try (RawServer server = new RawServer((c, r) -> respondWithHealth("i-old", 200, c, r));
                 NodeRig rig = new NodeRig()) {
             rig.configuration.publish(version());
             rig.startWithoutReport(1, server);
