--- a/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
@@ -23,7 +23,7 @@
 class SilentNodeTest {
     private static final int LINK_MBPS = 100;
     /** On a link this slow, a body is sent only after the receiver has requested it by {@code 100 Continue}. */
-    private static final int NARROW_MBPS = 5;
+    private static final int SLOW_LINK_MBPS = 5;
 
     private static final int BODY_LENGTH = 60_000;
     /** Longer than the time without a datagram after which a node counts as silent, in a fleet of two nodes. */
@@ -102,7 +102,7 @@
                 });
                 NodeRig rig = NodeRig.withEntryNode(
                         versionWith(NodeRig.route("slow", "/slow/", RouteKind.NON_IDEMPOTENT, 12_000)));
-                ScriptedPeer silentPeer = ScriptedPeer.startAnnounced(rig, NARROW_MBPS)) {
+                ScriptedPeer silentPeer = ScriptedPeer.startAnnounced(rig, SLOW_LINK_MBPS)) {
             CompletableFuture<String> response = CompletableFuture.supplyAsync(
                     () -> rig.send(1, NodeRig.request("POST", "/slow/x", "b4", 12_000, body)));
             try (ScriptedPeer.Connection call = silentPeer.accept()) {
