--- a/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
@@ -25,7 +25,7 @@
     /** On a link this slow, a body is sent only after the receiver has requested it by {@code 100 Continue}. */
     private static final int SLOW_LINK_MBPS = 5;
 
-    private static final int BODY_LENGTH = 60_000;
+    private static final int BODY_BYTES = 60_000;
     /** Longer than the time without a datagram after which a node counts as silent, in a fleet of two nodes. */
     private static final int LONGER_THAN_SILENCE_TIMEOUT_MILLIS = 2_500;
     /** Longer than a gossip round; at the end of each round pending requests of silent nodes are notified. */
@@ -95,9 +95,9 @@
      */
     @Test
     void requestIsRetriedWhenSilentNodeHasNotRequestedItsBody() throws Exception {
-        String body = "b".repeat(BODY_LENGTH);
+        String body = "b".repeat(BODY_BYTES);
         try (RawServer server = new RawServer((c, r) -> {
-                    c.read(BODY_LENGTH);
+                    c.read(BODY_BYTES);
                     NodeRig.respondOk(c, r);
                 });
                 NodeRig rig = NodeRig.withEntryNode(
