--- a/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
@@ -29,7 +29,7 @@
 /** Tests how versions reach nodes that do not watch the store, at a cost that a slow link and a slow CPU can bear. */
 @Timeout(60)
 class VersionSpreadTest {
-    private static final int NARROW_MBPS = 2;
+    private static final int SLOW_LINK_MBPS = 2;
     private static final int BURST_VERSIONS = 40;
     private static final int BURST_INTERVAL_MILLIS = 25;
 
@@ -158,7 +158,7 @@
         try (RawServer server = new RawServer(NodeRig::respondOk);
                 NodeRig rig = new NodeRig()) {
             rig.configuration.publish(NodeRig.version(1));
-            rig.startWithLink(1, server, 1, NARROW_MBPS);
+            rig.startWithLink(1, server, 1, SLOW_LINK_MBPS);
             rig.awaitReady(1);
             try (Socket connection = new Socket()) {
                 connection.connect(rig.peerAddress(1));
@@ -171,7 +171,7 @@
                 long millis = (System.nanoTime() - requestedAt) / 1_000_000;
                 assertTrue(response.startsWith("HTTP/1.1 200") && !response.endsWith("[closed]"));
                 assertTrue(
-                        millis > response.length() * 8 / (1_000 * NARROW_MBPS) / 2,
+                        millis > response.length() * 8 / (1_000 * SLOW_LINK_MBPS) / 2,
                         response.length() + " bytes in " + millis + " ms");
             }
         }
