--- a/org.berylwick.node/src/org/berylwick/node/member/NodeDirectory.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeDirectory.java
@@ -17,11 +17,11 @@
     /**
      * Registers this node.
      *
-     * @param name name of its VM
+     * @param vmName name of its VM
      * @param ip IP address of its VM
      * @param onResult receives whether the node is registered
      */
-    void register(String name, String ip, Consumer<Boolean> onResult);
+    void register(String vmName, String ip, Consumer<Boolean> onResult);
 
     /** Lists the registered nodes. */
     void list(Consumer<ListResult> onResult);
