--- a/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
@@ -39,7 +39,7 @@
      * @param gossip receives the addresses that were found
      * @param counters metrics of this node
      * @param log event log of this node
-     * @param name name of this VM, the key of its directory entry
+     * @param vmName name of this VM, the key of its directory entry
      * @param ip IP address of this VM
      */
     public NodeDiscovery(
@@ -48,14 +48,14 @@
             Gossip gossip,
             Counters counters,
             EventLog log,
-            String name,
+            String vmName,
             String ip) {
         this.loop = loop;
         this.directory = directory;
         this.gossip = gossip;
         this.counters = counters;
         this.log = log;
-        this.vmName = name;
+        this.vmName = vmName;
         this.ip = ip;
     }
 
