--- a/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
@@ -28,14 +28,14 @@
         int count = in.readUnsignedByte();
         List<ServiceTimeDistribution> times = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            int kind = in.readUnsignedByte();
+            int kindOrdinal = in.readUnsignedByte();
             int priority = in.readByte();
             int objectiveMillis = in.readInt();
             long medianNanos = in.readInt() * 1_000L;
-            double spread = in.readUnsignedShort() / PER_MILLE;
-            if (kind < ROUTE_KINDS.length && medianNanos > 0) {
+            double logStdDev = in.readUnsignedShort() / PER_MILLE;
+            if (kindOrdinal < ROUTE_KINDS.length && medianNanos > 0) {
                 times.add(new ServiceTimeDistribution(
-                        new RequestClass(ROUTE_KINDS[kind], priority, objectiveMillis), medianNanos, spread));
+                        new RequestClass(ROUTE_KINDS[kindOrdinal], priority, objectiveMillis), medianNanos, logStdDev));
             }
         }
         return times;
@@ -112,7 +112,7 @@
             String zone = readString(in);
             String service = readString(in);
             String incarnation = readString(in);
-            List<ServiceTimeDistribution> requestTimes = readServiceTimes(in);
+            List<ServiceTimeDistribution> serviceTimes = readServiceTimes(in);
             NodeState state = new NodeState(
                     bootId,
                     sequence,
@@ -126,10 +126,10 @@
                     backendState,
                     warmUpRemainingNanos,
                     load,
-                    requestTimes);
-            int count = in.readUnsignedByte();
-            List<String> peerAddresses = new ArrayList<>(count);
-            for (int i = 0; i < count; i++) {
+                    serviceTimes);
+            int peerAddressCount = in.readUnsignedByte();
+            List<String> peerAddresses = new ArrayList<>(peerAddressCount);
+            for (int i = 0; i < peerAddressCount; i++) {
                 peerAddresses.add(readString(in));
             }
             return Optional.of(new Message(state, (flags & FLAG_REPLY_REQUESTED) != 0, peerAddresses));
