--- a/org.berylwick.node/src/org/berylwick/node/version/VersionDeltaCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionDeltaCodec.java
@@ -241,9 +241,9 @@
 
         BlockIndex(byte[] bytes) {
             this.bytes = bytes;
-            int size = Integer.highestOneBit(Math.max(16, bytes.length / BLOCK_BYTES * 2)) * 2;
-            mask = size - 1;
-            offsets = new int[size];
+            int bucketCount = Integer.highestOneBit(Math.max(16, bytes.length / BLOCK_BYTES * 2)) * 2;
+            mask = bucketCount - 1;
+            offsets = new int[bucketCount];
             for (int position = 0; position + BLOCK_BYTES <= bytes.length; position += BLOCK_BYTES) {
                 offsets[bucket(hash(bytes, position))] = position + 1;
             }
