--- a/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
@@ -28,7 +28,7 @@
         encodedByNumber.put(newestNumber, version.encoded());
         deltasByBase.clear();
         long totalBytes =
-                encodedByNumber.values().stream().mapToLong(s -> s.length).sum();
+                encodedByNumber.values().stream().mapToLong(encoded -> encoded.length).sum();
         while (encodedByNumber.size() > 1 && (encodedByNumber.size() > MAX_VERSIONS || totalBytes > MAX_BYTES)) {
             Map.Entry<Long, byte[]> oldest =
                     encodedByNumber.entrySet().iterator().next();
