--- a/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
@@ -58,7 +58,7 @@
 
     /**
      * @param loop event loop on which everything runs
-     * @param source store of the accepted versions
+     * @param store store of the accepted versions
      * @param table the other nodes
      * @param zone availability zone of this node
      * @param isReader whether this node is one of the readers that watch the store for its zone
@@ -68,7 +68,7 @@
      */
     public VersionUpdater(
             EventLoop loop,
-            ConfigurationSource source,
+            ConfigurationSource store,
             MemberTable table,
             String zone,
             BooleanSupplier isReader,
@@ -76,7 +76,7 @@
             Counters counters,
             EventLog log) {
         this.loop = loop;
-        this.store = source;
+        this.store = store;
         this.table = table;
         this.zone = zone;
         this.isReader = isReader;
