--- a/org.berylwick.test/tst/org/berylwick/node/version/VersionDeltaCodecTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/version/VersionDeltaCodecTest.java
@@ -42,10 +42,10 @@
     }
 
     @Property(tries = 60)
-    void editedVersionIsRestoredFromSmallDelta(@ForAll Random random, @ForAll @IntRange(max = 30) int edits) {
+    void editedVersionIsRestoredFromSmallDelta(@ForAll Random random, @ForAll @IntRange(max = 30) int editCount) {
         List<String> routes = randomRoutes(random);
         byte[] base = encode(routes);
-        for (int i = 0; i < edits; i++) {
+        for (int i = 0; i < editCount; i++) {
             int position = random.nextInt(routes.size());
             switch (random.nextInt(3)) {
                 case 0 -> routes.remove(position);
@@ -56,7 +56,7 @@
         byte[] target = encode(routes);
         byte[] delta = VersionDeltaCodec.encode(base, target);
         assertArrayEquals(target, VersionDeltaCodec.decode(base, delta).orElseThrow());
-        assertTrue(delta.length < 40 + 110 * edits, delta.length + " bytes for " + edits + " edits");
+        assertTrue(delta.length < 40 + 110 * editCount, delta.length + " bytes for " + editCount + " edits");
     }
 
     @Property(tries = 300)
