--- a/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
@@ -27,8 +27,9 @@
         newestNumber = version.number();
         encodedByNumber.put(newestNumber, version.encoded());
         deltasByBase.clear();
-        long totalBytes =
-                encodedByNumber.values().stream().mapToLong(encoded -> encoded.length).sum();
+        long totalBytes = encodedByNumber.values().stream()
+                .mapToLong(encoded -> encoded.length)
+                .sum();
         while (encodedByNumber.size() > 1 && (encodedByNumber.size() > MAX_VERSIONS || totalBytes > MAX_BYTES)) {
             Map.Entry<Long, byte[]> oldest =
                     encodedByNumber.entrySet().iterator().next();
