--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -32,8 +32,9 @@
  */
 public final class Gossip implements AutoCloseable {
     /**
-     * Time between two rounds, per node in the fleet, so that a node receives equally many datagrams per second in a
-     * large fleet: with 13 nodes each sends every 0.5 s, with 76 nodes every 1.9 s.
+     * Time by which each node in the fleet lengthens the period between two rounds. Between the minimum and the maximum
+     * period, a node therefore does not receive more datagrams per second in a larger fleet. With 13 nodes each node
+     * sends every 0.5 s, with 76 nodes every 1.9 s.
      */
     private static final long PERIOD_PER_NODE_NANOS = 25_000_000L;
 
@@ -43,20 +44,20 @@
     private static final double SILENCE_TIMEOUT_ROUNDS = 3.5;
 
     private static final long[] REPEAT_DELAYS_MILLIS = {40, 80};
-    /** Changes within this time are sent in one broadcast. */
+    /** Changes that follow each other within this time are sent in one broadcast. */
     private static final long COALESCING_WINDOW_NANOS = 15_000_000L;
 
     private static final int MAX_PEER_ADDRESSES_PER_DATAGRAM = 3;
     private static final int INITIAL_BUFFER_BYTES = 160;
     /**
-     * Addresses of other nodes take up a quarter of a datagram and are only needed by nodes that missed each other's
-     * start, so they are not included in every round.
+     * Number of rounds of which one includes addresses of other nodes. They take up a quarter of a datagram and are
+     * only needed by nodes that missed each other's start.
      */
     private static final int ROUNDS_PER_PEER_EXCHANGE = 4;
 
     /**
-     * After this time without a datagram from an address, this node sends to it only in every tenth round, and requests
-     * a reply.
+     * An address from which no datagram was received for this long is unresponsive: this node sends to it only in every
+     * tenth round, and then requests a reply.
      */
     private static final long UNRESPONSIVE_NANOS = 15_000_000_000L;
 
@@ -68,7 +69,10 @@
     private final Counters counters;
     private final EventLog log;
     private final BiConsumer<Member, MemberTable.UpdateResult> onStateReceived;
-    /** When the latest datagram came from each address; for one that has not sent any yet, when it was added. */
+    /**
+     * The addresses to which this node sends its state, and when the latest datagram was received from each. For an
+     * address from which none was received yet, it is the time when the address was added.
+     */
     private final Map<String, Long> lastDatagramAtByAddress = new HashMap<>();
 
     private Channel channel;
@@ -141,9 +145,11 @@
     }
 
     /**
-     * Sends the state to all nodes immediately, and repeats that twice shortly after. Changes in quick succession are
-     * sent together: a node that has just started learns of its backend server, the version and other nodes at about
-     * the same time, and must not spend scarce CPU time on a broadcast for each.
+     * Sends a changed state to all nodes, and repeats that twice shortly after. The first broadcast is sent immediately
+     * unless the previous one was less than {@link #COALESCING_WINDOW_NANOS} ago or no round has been run yet. Then it
+     * is delayed, and changes in quick succession are sent together: a node that has just started learns of its backend
+     * server, the version and other nodes at about the same time, and must not spend scarce CPU time on a broadcast for
+     * each.
      */
     public void scheduleBroadcast() {
         pendingChanges++;
@@ -170,7 +176,7 @@
         }
     }
 
-    /** Schedules the next repeat. A change in between is broadcast immediately and restarts the count of repeats. */
+    /** Schedules the next repeat of a broadcast. A change in between restarts the count of repeats. */
     private void scheduleRepeat() {
         loop.schedule(
                 () -> {
@@ -235,7 +241,7 @@
         send(withReplyRequest, true);
     }
 
-    /** Sends the current state in one and the same datagram to each of the addresses. */
+    /** Sends the current state to the addresses; it is encoded only once. */
     private void send(List<String> addresses, boolean replyRequested) {
         if (!channel.isActive() || addresses.isEmpty()) {
             return;
@@ -257,7 +263,7 @@
         if (lastDatagramAtByAddress.size() < 2) {
             return List.of();
         }
-        // Two nodes that never learned of each other get the other's address from a third node within a few rounds.
+        // Each of two nodes that do not know each other gets the other's address from a third node within a few rounds.
         List<String> sample = new ArrayList<>(MAX_PEER_ADDRESSES_PER_DATAGRAM);
         int skip = ThreadLocalRandom.current().nextInt(lastDatagramAtByAddress.size());
         for (String address : lastDatagramAtByAddress.keySet()) {
--- a/org.berylwick.node/src/org/berylwick/node/member/HeartbeatProtocol.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/HeartbeatProtocol.java
@@ -2,9 +2,9 @@
 
 import org.berylwick.node.lib.BackendReport;
 
-/** Decodes the heartbeat calls that backend servers send to the node on their VM. */
+/** Decodes the calls by which backend servers report to, and deregister from, the node on their VM. */
 public interface HeartbeatProtocol {
-    /** A decoded call of a backend server. */
+    /** Result of decoding a call of a backend server. */
     sealed interface DecodedCall {
         /** A heartbeat with the state of the backend server. */
         record Report(BackendReport report) implements DecodedCall {}
@@ -25,6 +25,6 @@
      */
     DecodedCall decode(String method, String uri, byte[] body);
 
-    /** The response body that acknowledges a heartbeat. */
+    /** The response body that acknowledges a heartbeat or a deregistration. */
     byte[] acknowledgement();
 }
--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -15,8 +15,8 @@
     private static final long MIN_SUSPICION_NANOS = 100_000_000L;
     private static final long MAX_SUSPICION_NANOS = 2_000_000_000L;
     /**
-     * Minimum time since a request was sent before it is reported as pending on a silent node. A request sent just now
-     * has not been ignored, even if the node has been silent for long.
+     * Minimum time for which a request has been pending before it is notified that its node is silent. A request that
+     * was sent only just now may still be answered, however long the node has been silent.
      */
     private static final long MIN_PENDING_NANOS = 500_000_000L;
 
@@ -28,7 +28,7 @@
     private int consecutiveFailures;
     private OwnerLoad load = OwnerLoad.NONE;
     private String lastUsedIncarnation = "";
-    /** Requests without a complete response yet, and when each was sent. */
+    /** Requests that were sent to the node and have not ended, and when each was sent. */
     private final Map<PendingRequest, Long> pendingRequests = new HashMap<>();
 
     private long lastResponseProgressAt;
@@ -71,14 +71,14 @@
         return load;
     }
 
-    /** Number of requests that this node sent there and that have not ended. */
+    /** Number of requests that this node has sent to the other one and that have not ended. */
     public int inFlight() {
         return inFlight;
     }
 
     /**
-     * Estimates how many requests are running or queued there now: the number in the latest load, corrected by the
-     * requests that this node has sent and completed since.
+     * Estimates how many requests are running or queued on the node now: the number in the latest load that was
+     * received, plus the requests that this node has sent since, minus those that have ended since.
      */
     public int estimatedRequestCount() {
         return Math.max(inFlight, load.running() + load.queued() + inFlight - inFlightAtLoadReport);
@@ -127,7 +127,10 @@
         outgoingLinkFreeAt = now + received.outgoingNanos();
     }
 
-    /** Estimates the load of the network link of the node's VM from what this node has received and sent. */
+    /**
+     * Estimates the load of the network link of the node's VM from the latest load that was received, and the requests
+     * that this node has sent since.
+     */
     public LinkLoad linkLoad(long now) {
         return new LinkLoad(
                 Math.max(0, incomingLinkFreeAt - now), Math.max(0, outgoingLinkFreeAt - now), state.linkMbps());
@@ -138,11 +141,11 @@
         return !state.incarnation().equals(lastUsedIncarnation);
     }
 
-    /** A request that waits for a response of this member. */
+    /** A request that was sent to the node and has not ended. */
     public interface PendingRequest {
         /**
-         * Called when neither datagrams nor response bytes arrive from the node any more. Either the node has failed or
-         * only its datagrams are lost; in the second case a request that is running there continues.
+         * Called when neither datagrams nor response bytes were received from the node for some time. Either the node
+         * has failed, or only its datagrams are lost; in the second case the request may still be running there.
          */
         void onMemberSilent();
     }
@@ -178,8 +181,8 @@
     }
 
     /**
-     * Notifies requests that have been pending for a while if neither datagrams nor response bytes were received from
-     * the node within the timeout.
+     * Notifies requests that have been pending for longer than {@link #MIN_PENDING_NANOS}, and makes the node suspect, if
+     * neither datagrams nor response bytes were received from the node within the timeout.
      */
     void notifyIfSilent(long timeoutNanos, long now) {
         if (now - lastDatagramAt <= timeoutNanos || now - lastResponseProgressAt <= timeoutNanos) {
@@ -205,7 +208,7 @@
 
     /**
      * Records a call that failed because of the node or the network. The node is suspect for a time that doubles with
-     * each consecutive failure.
+     * each consecutive failure up to a maximum.
      *
      * @param cause cause of the failure, for the log
      * @param now in {@link System#nanoTime} terms
--- a/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
@@ -93,7 +93,7 @@
         return count;
     }
 
-    /** Notifies pending requests of nodes that have been silent for longer than the timeout. */
+    /** Notifies requests that are pending on nodes that have been silent for longer than the timeout. */
     public void notifySilent(long timeoutNanos, long now) {
         for (Member member : List.copyOf(byIp.values())) {
             member.notifyIfSilent(timeoutNanos, now);
@@ -101,7 +101,8 @@
     }
 
     /**
-     * Removes nodes that have been silent for longer than the expiry time, and closes idle connections of all nodes.
+     * Removes nodes from which nothing was received for {@link #EXPIRY_NANOS}, and closes idle connections to all
+     * nodes.
      */
     public void removeExpired(long now) {
         List<Member> expired = new ArrayList<>();
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeDirectory.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeDirectory.java
@@ -17,7 +17,7 @@
     /**
      * Registers this node.
      *
-     * @param vmName name of its VM
+     * @param vmName name of its VM, the key of its entry
      * @param ip IP address of its VM
      * @param onResult receives whether the node is registered
      */
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
@@ -16,8 +16,9 @@
     private static final long INITIAL_RETRY_MILLIS = 150;
     private static final long MAX_RETRY_MILLIS = 2_000;
     /**
-     * The refresh interval grows with the number of nodes, so that the directory's load stays the same. Nodes normally
-     * learn of each other by gossip; the directory only recovers what lost datagrams missed.
+     * Time by which each node in the fleet lengthens the interval between two reads of the directory, so that the load
+     * on the directory does not grow with the fleet. Nodes normally learn of each other by gossip; the directory is
+     * only needed to find those that were missed because datagrams were lost.
      */
     private static final long REFRESH_MILLIS_PER_NODE = 1_500;
 
@@ -36,7 +37,7 @@
     /**
      * @param loop event loop on which everything runs
      * @param directory persistent list of all nodes
-     * @param gossip receives the addresses that were found
+     * @param gossip receives the addresses of the nodes in the directory
      * @param counters metrics of this node
      * @param log event log of this node
      * @param vmName name of this VM, the key of its directory entry
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeState.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeState.java
@@ -11,16 +11,16 @@
  * @param bootId identifies one run of the node process; differs after a restart
  * @param sequence increases with each state that the node sends during one run
  * @param zone availability zone
- * @param linkMbps bandwidth of its VM's network link in Mbit/s, at most {@link #MAX_LINK_MBPS}
+ * @param linkMbps bandwidth of the network link of the node's VM in Mbit/s, at most {@link #MAX_LINK_MBPS}
  * @param version number of the configuration version in force on the node, 0 for none
  * @param storeReachable whether the platform's store answered its latest call
  * @param leaving whether the node is shutting down and should get no more requests from other nodes
- * @param service service that its backend server provides
+ * @param service name of the service that its backend server provides
  * @param incarnation identifies one run of its backend server
  * @param backendState whether its backend server accepts requests
  * @param warmUpRemainingNanos how much longer its backend server responds slowly after its start
  * @param load load of its backend server
- * @param serviceTimes execution times measured on its backend server, one entry per request class seen so far
+ * @param serviceTimes service times measured at its backend server, one entry per request class seen so far
  */
 public record NodeState(
         long bootId,
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
@@ -50,7 +50,7 @@
      */
     public record Message(NodeState state, boolean replyRequested, List<String> peerAddresses) {}
 
-    /** Encodes a datagram. */
+    /** Encodes a datagram. Times are rounded down to microseconds or milliseconds. */
     public static void encode(Message message, ByteBuf out) {
         NodeState state = message.state();
         out.writeInt(MAGIC);
@@ -134,11 +134,12 @@
             }
             return Optional.of(new Message(state, (flags & FLAG_REPLY_REQUESTED) != 0, peerAddresses));
         } catch (IndexOutOfBoundsException e) {
-            // A truncated datagram is ignored; its sender sends its state again in the next gossip round.
+            // A truncated datagram is ignored; the node that sent it sends its state again in the next gossip round.
             return Optional.empty();
         }
     }
 
+    /** Writes a string with its length in one byte; only the first 255 bytes of a longer string are written. */
     private static void writeString(String text, ByteBuf out) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         int length = Math.min(bytes.length, 255);
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionDeltaCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionDeltaCodec.java
@@ -13,8 +13,8 @@
  * Encodes and decodes deltas between two encoded versions: from the base version, which the receiver already has, to
  * the target version.
  *
- * <p>Versions are large, consecutive ones mostly differ in a few routes, and on a slow link new versions may be
- * accepted faster than complete ones can be sent.
+ * <p>Deltas are used because complete versions are large: on a slow link, new versions may be accepted faster than
+ * complete ones can be sent. Consecutive versions mostly differ in only a few routes.
  *
  * <p>A delta consists of the CRC-32 of the target (4 bytes), followed by a raw DEFLATE stream that contains the length
  * of the target and a sequence of instructions. An instruction begins with twice the number of bytes it produces, plus
@@ -22,7 +22,10 @@
  * numbers are unsigned LEB128.
  */
 public final class VersionDeltaCodec {
-    /** Minimum length of a common byte sequence that is found as a copy; about a quarter of an encoded route. */
+    /**
+     * Length of the blocks of the base that are searched for in the target, and thereby the minimum length of a common
+     * byte sequence that is found between the common start and the common end; about a quarter of an encoded route.
+     */
     private static final int BLOCK_BYTES = 32;
 
     private static final int HASH_MULTIPLIER = 0x01000193;
@@ -236,6 +239,7 @@
         private static final int REMOVED_BYTE_MULTIPLIER = power(HASH_MULTIPLIER, BLOCK_BYTES);
 
         private final byte[] bytes;
+        /** For each hash bucket, the offset of a block plus one; 0 if the bucket is empty. */
         private final int[] offsets;
         private final int mask;
 
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionFetcher.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionFetcher.java
@@ -24,7 +24,7 @@
 final class VersionFetcher {
     /**
      * Delay before a version announced by a node in another zone is fetched. A node in this zone will probably have the
-     * version shortly after, and fetching it there causes no traffic between zones.
+     * version shortly after, and fetching it from that node causes no traffic between zones.
      */
     private static final long OTHER_ZONE_DELAY_NANOS = 40_000_000L;
 
@@ -73,7 +73,8 @@
      * Schedules a fetch if the version in force on another node is newer than the one here.
      *
      * @param member node whose state was received
-     * @param notBefore earliest time at which the next version may be installed, in {@link System#nanoTime} terms
+     * @param notBefore earliest time of the fetch, in {@link System#nanoTime} terms; the next version may not be
+     *     installed earlier
      */
     void onMemberUpdated(Member member, long notBefore) {
         if (fetchScheduled || fetching || member.state().version() <= currentNumber.getAsLong()) {
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
@@ -20,6 +20,7 @@
     private static final byte[] EMPTY = new byte[0];
 
     private final LinkedHashMap<Long, byte[]> encodedByNumber = new LinkedHashMap<>();
+    /** Deltas to the newest version that were already computed, by the number of their base. */
     private final Map<Long, byte[]> deltasByBase = new HashMap<>();
     private long newestNumber;
 
@@ -39,8 +40,8 @@
     }
 
     /**
-     * Returns a delta from the given version to the newest one, or the complete newest version if the given one is no
-     * longer kept here.
+     * Returns a delta from the given version to the newest one. If the given version is not kept here, the delta
+     * contains the complete newest version.
      *
      * @param baseNumber number of the version that the receiver has, 0 for none
      * @return empty if there is no newer version here
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
@@ -19,9 +19,10 @@
  * Keeps this node on the newest accepted configuration version. Confined to the event loop.
  *
  * <p>A few nodes in each availability zone, its readers, watch the store. The others learn of a new version by gossip
- * and fetch it from another node, preferably one in their own zone. In addition every node polls the store at intervals
- * that grow with the fleet, so that all nodes together cause about one read per second: a watch whose connection is
- * dead cannot be told from one that has no changes to report. Only a version with a higher number is ever installed.
+ * and fetch it from another node, preferably one in their own zone. In addition every node polls the store, because a
+ * watch whose connection is dead cannot be told from one that has no changes to report. The polling interval grows with
+ * the fleet, so that all nodes together cause about one read per second. Only a version with a higher number than the
+ * one in force is ever installed.
  */
 public final class VersionUpdater {
     /** Path on which a node serves its version to others; the number of the version that the caller has is appended. */
@@ -33,8 +34,8 @@
     private static final long POLL_MILLIS_PER_NODE = 1_000;
     private static final long MIN_POLL_MILLIS = 2_000;
     /**
-     * Minimum time between two installations. If versions are accepted faster, only the newest is installed: each
-     * installation parses the complete version, which is expensive on VMs with 0.3 of a CPU core.
+     * Minimum time between two installations. If versions are accepted faster, only the newest one is read and
+     * installed, because each read parses the complete version, which is expensive on VMs with 0.3 of a CPU core.
      */
     private static final long MIN_INSTALL_INTERVAL_NANOS = 250_000_000L;
 
@@ -123,7 +124,10 @@
         schedulePoll();
     }
 
-    /** Resumes reading and watching the store if this node has become a reader; called about once per second. */
+    /**
+     * Reads the newest version from the store and then watches it, if this node has become a reader; called about once
+     * per second.
+     */
     public void resumeIfReader() {
         if (!reading && !watching && isReader.getAsBoolean()) {
             read();
@@ -170,7 +174,7 @@
                 scheduleRetry(this::read);
             }
             case ConfigurationSource.ReadResult.HistoryGone gone -> {
-                // Retried with a delay: a store that has dropped its history under overload must not be read in a tight
+                // The read is delayed: a store that has dropped its history under overload must not be read in a tight
                 // loop.
                 counters.increment(NodeMetricNames.STORE_HISTORY_GONE);
                 scheduleRetry(this::read);
@@ -183,8 +187,8 @@
     }
 
     /**
-     * Resumes the watch after a version was read. During a burst of versions it waits instead and then reads only the
-     * newest one, because a watch would return each of them.
+     * Resumes the watch after a version was read. During a burst of versions, the newest one is read after a delay
+     * instead, because a watch would return each of them.
      */
     private void continueReading(boolean inBurst) {
         if (!inBurst || reading) {
--- a/org.berylwick.test/tst/org/berylwick/node/InMemoryConfigurationStore.java
+++ b/org.berylwick.test/tst/org/berylwick/node/InMemoryConfigurationStore.java
@@ -35,7 +35,7 @@
         waiting.forEach(Runnable::run);
     }
 
-    /** Adds a version that can be decoded but not read from the store, as if only another node had it. */
+    /** Adds a version that the nodes can decode but not read from the store, as if only another node had it. */
     synchronized void addUnpublished(ConfigurationVersion version) {
         versions.put(version.number(), version);
     }
--- a/org.berylwick.test/tst/org/berylwick/node/MembershipTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/MembershipTest.java
@@ -30,8 +30,9 @@
     }
 
     /**
-     * Guards against requests being sent to a backend server after its node has acknowledged that it is draining or has
-     * deregistered: an earlier heartbeat that was delayed in the network, or a later one, must not make it ready again.
+     * Guards against requests being sent to a backend server after its node has acknowledged its report that it is
+     * draining, or its deregistration. Neither an earlier heartbeat that was delayed in the network nor a later one may
+     * make it ready again.
      */
     @Test
     void heartbeatDoesNotUndoAcknowledgedDrainOrDeregistration() {
@@ -53,9 +54,9 @@
     }
 
     /**
-     * Guards against a delayed heartbeat of a crashed incarnation replacing the incarnation that runs now. A heartbeat
-     * of an incarnation that the node has never seen is also recognised as delayed: its sequence number is higher than
-     * that of the running incarnation, which has just started.
+     * Guards against a delayed heartbeat of a crashed incarnation replacing the incarnation that is running now. This
+     * also applies to an incarnation that the node has never seen: the sequence number of its heartbeat is higher than
+     * that of the running incarnation, which has just started, so the heartbeat must be delayed.
      */
     @Test
     void delayedHeartbeatOfEarlierIncarnationIsIgnored() {
--- a/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
@@ -51,7 +51,8 @@
 
     /**
      * Guards against a restarted node refusing callers until the next heartbeat of its backend server, which is already
-     * running. The node sends a health check, which tells it the incarnation, and serves requests from then on.
+     * running. The node sends it a health check, learns its incarnation from the response, and serves requests from
+     * then on.
      */
     @Test
     void restartedNodeServesBeforeNextHeartbeat() {
@@ -110,8 +111,8 @@
 
     /**
      * Guards against a backend server idling while its node stops. The platform needs two seconds to route the node's
-     * callers elsewhere; until then the node must keep serving requests from other nodes. The readiness checks tell the
-     * node that its callers have been routed elsewhere.
+     * callers elsewhere; until then the node must keep serving requests from other nodes. It learns from two failed
+     * readiness checks that its callers have been routed elsewhere.
      */
     @Test
     void stoppingNodeServesOtherNodesUntilItsCallersAreGone() throws InterruptedException {
@@ -133,6 +134,7 @@
                 NodeRig.sleep(60);
             }
             NodeRig.sleep(300);
+            // The second failed readiness check, after which the node assumes that its callers are routed elsewhere.
             rig.isReady(1);
             long callersGoneAt = System.nanoTime();
             stopThread.join();
@@ -170,6 +172,7 @@
                     Thread.ofPlatform().start(() -> outerResponse[0] = rig.call(1, "POST", "/pay/x", "outer", ""));
             Await.until("start of the request at the backend server", () -> server.runs("outer") == 1, rig::logText);
             Thread stopThread = Thread.ofPlatform().start(stoppingNode::stop);
+            // Two failed readiness checks, after which the node assumes that its callers are routed elsewhere.
             rig.isReady(1);
             NodeRig.sleep(700);
             rig.isReady(1);
--- a/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
@@ -28,7 +28,7 @@
     private static final int BODY_BYTES = 60_000;
     /** Longer than the time without a datagram after which a node counts as silent, in a fleet of two nodes. */
     private static final int LONGER_THAN_SILENCE_TIMEOUT_MILLIS = 2_500;
-    /** Longer than a gossip round; at the end of each round pending requests of silent nodes are notified. */
+    /** Longer than a gossip round; in each round, requests that are pending on silent nodes are notified. */
     private static final int LONGER_THAN_GOSSIP_ROUND_MILLIS = 1_200;
 
     @Test
@@ -46,7 +46,7 @@
             callThread.join();
             assertTrue(response[0].endsWith("ok"), response[0]);
             assertTrue(
-                    System.nanoTime() - startedAt < 10_000_000_000L, "the request was not retried before its deadline");
+                    System.nanoTime() - startedAt < 10_000_000_000L, "the request was not answered within 10 s");
         }
     }
 
@@ -69,7 +69,7 @@
         }
     }
 
-    /** Abandoning a non-idempotent request would only lose its response, since it cannot be retried. */
+    /** Abandoning a non-idempotent request would only lose its response, since it must not be run a second time. */
     @Test
     void nonIdempotentRequestIsNotRetriedWhenNodeIsSilent() throws Exception {
         try (RawServer server = new RawServer(NodeRig::respondOk);
@@ -144,8 +144,8 @@
     }
 
     /**
-     * The log entry of a call that ended at its deadline must name the node it was waiting for; otherwise the cause
-     * could not be found.
+     * The log entry of a call that ended at its deadline must name the node for which the call was waiting; otherwise
+     * the cause could not be found.
      */
     @Test
     void logOfExpiredCallNamesTheNodeItWaitedFor() throws IOException {
--- a/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Tests how versions reach nodes that do not watch the store, at a cost that a slow link and a slow CPU can bear. */
+/** Tests that versions reach nodes that do not watch the store without overloading a slow link or a slow CPU. */
 @Timeout(60)
 class VersionSpreadTest {
     private static final int SLOW_LINK_MBPS = 2;
@@ -77,7 +77,7 @@
         }
     }
 
-    /** Guards against sending each version completely; an encoded version has about 100 KB here. */
+    /** Guards against sending each version completely; an encoded version in this test has about 100 KB. */
     @Test
     void onlyChangesAreSentToNodeWithEarlierVersion() {
         try (NodeRig rig = new NodeRig()) {
@@ -98,7 +98,7 @@
 
     /**
      * Two nodes have different content for the same version number, so that a delta from that version cannot be
-     * applied. Guards against requesting the same delta again without end: the complete version must be fetched next.
+     * applied. Guards against requesting the same delta forever: the complete version must be fetched next.
      */
     @Test
     void fullVersionIsFetchedWhenDeltaDoesNotApply() throws IOException {
--- a/org.berylwick.test/tst/org/berylwick/node/member/NodeStateCodecTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/member/NodeStateCodecTest.java
@@ -19,7 +19,8 @@
 import org.berylwick.node.lib.ServiceTimeDistribution;
 
 /**
- * Tests that an encoded datagram is decoded to the same content, and that arbitrary or truncated bytes are rejected.
+ * Tests that an encoded datagram is decoded to the same content, that a truncated one is rejected, and that arbitrary
+ * bytes cause no exception.
  */
 class NodeStateCodecTest {
     @Property(tries = 200)
--- a/org.berylwick.test/tst/org/berylwick/node/version/VersionDeltaCodecTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/version/VersionDeltaCodecTest.java
@@ -80,7 +80,7 @@
     }
 
     /**
-     * The 212,632 bytes of the version are sent as 25,542 to a node that has no version, and as 22 to one that lacks
+     * A version of 212,632 bytes takes 25,542 bytes for a node that has no version, and 22 bytes for a node that lacks
      * only the change of one weight.
      */
     @Example
