--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -62,7 +62,7 @@
     private static final long UNRESPONSIVE_NANOS = 15_000_000_000L;
 
     private final EventLoop loop;
-    private final String ip;
+    private final String ownIp;
     private final int port;
     private final MemberTable table;
     private final Supplier<NodeState> ownState;
@@ -102,7 +102,7 @@
             EventLog log,
             BiConsumer<Member, MemberTable.UpdateResult> onStateReceived) {
         this.loop = loop;
-        this.ip = ip;
+        this.ownIp = ip;
         this.port = port;
         this.table = table;
         this.ownState = ownState;
@@ -117,7 +117,7 @@
                 .group(loop)
                 .channel(NioDatagramChannel.class)
                 .handler(new Receiver())
-                .bind(new InetSocketAddress(ip, port))
+                .bind(new InetSocketAddress(ownIp, port))
                 .syncUninterruptibly()
                 .channel();
         loop.execute(this::runRound);
@@ -125,7 +125,7 @@
 
     /** Adds an address where a node may be running, and requests its state immediately. */
     public void addPeerAddress(String address) {
-        if (address.equals(ip) || lastDatagramAtByAddress.containsKey(address)) {
+        if (address.equals(ownIp) || lastDatagramAtByAddress.containsKey(address)) {
             return;
         }
         lastDatagramAtByAddress.put(address, System.nanoTime());
