--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -371,9 +371,9 @@
     private BufferedHttpServer.Response handleHeartbeat(BufferedHttpServer.Request request) {
         HeartbeatProtocol protocol = platform.heartbeatProtocol();
         switch (protocol.decode(request.method(), request.uri(), request.body())) {
-            case HeartbeatProtocol.DecodedCall.Report report -> owner.onReport(report.report());
-            case HeartbeatProtocol.DecodedCall.Leave leave -> owner.onLeave(leave.incarnation());
-            case HeartbeatProtocol.DecodedCall.Malformed malformed -> {
+            case HeartbeatProtocol.DecodeResult.Report report -> owner.onReport(report.report());
+            case HeartbeatProtocol.DecodeResult.Leave leave -> owner.onLeave(leave.incarnation());
+            case HeartbeatProtocol.DecodeResult.Malformed malformed -> {
                 log.write(Event.BACKEND_REPORT_IGNORED, "incarnation", "", "why", malformed.reason());
                 return BufferedHttpServer.Response.ofStatus(400);
             }
--- a/org.berylwick.node/src/org/berylwick/node/member/HeartbeatProtocol.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/HeartbeatProtocol.java
@@ -5,15 +5,15 @@
 /** Decodes the calls by which backend servers report to, and deregister from, the node on their VM. */
 public interface HeartbeatProtocol {
     /** Result of decoding a call of a backend server. */
-    sealed interface DecodedCall {
+    sealed interface DecodeResult {
         /** A heartbeat with the state of the backend server. */
-        record Report(BackendReport report) implements DecodedCall {}
+        record Report(BackendReport report) implements DecodeResult {}
 
         /** The backend server deregisters; this incarnation will not return. */
-        record Leave(String incarnation) implements DecodedCall {}
+        record Leave(String incarnation) implements DecodeResult {}
 
         /** The call could not be decoded. */
-        record Malformed(String reason) implements DecodedCall {}
+        record Malformed(String reason) implements DecodeResult {}
     }
 
     /**
@@ -23,7 +23,7 @@
      * @param uri request URI
      * @param body request body
      */
-    DecodedCall decode(String method, String uri, byte[] body);
+    DecodeResult decode(String method, String uri, byte[] body);
 
     /** The response body that acknowledges a heartbeat or a deregistration. */
     byte[] acknowledgement();
--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -413,13 +413,13 @@
     /** Heartbeats with a body of the form {@code PORT SEQUENCE STATE SLOTS SERVICE}. */
     private static final class PlainTextHeartbeats implements HeartbeatProtocol {
         @Override
-        public DecodedCall decode(String method, String uri, byte[] body) {
+        public DecodeResult decode(String method, String uri, byte[] body) {
             String incarnation = uri.substring(1);
             if ("DELETE".equals(method)) {
-                return new DecodedCall.Leave(incarnation);
+                return new DecodeResult.Leave(incarnation);
             }
             String[] fields = new String(body, StandardCharsets.US_ASCII).split(" ");
-            return new DecodedCall.Report(new BackendReport(
+            return new DecodeResult.Report(new BackendReport(
                     incarnation,
                     fields[4],
                     new InetSocketAddress("127.0.0.1", Integer.parseInt(fields[0])),
--- a/org.berylwick.test/tst/org/berylwick/platform/CodecsTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/CodecsTest.java
@@ -9,7 +9,7 @@
 import org.berylwick.node.lib.BackendState;
 import org.berylwick.node.lib.ConfigurationVersion;
 import org.berylwick.node.lib.RouteKind;
-import org.berylwick.node.member.HeartbeatProtocol.DecodedCall;
+import org.berylwick.node.member.HeartbeatProtocol.DecodeResult;
 import org.berylwick.node.version.ConfigurationSource.ReadResult;
 import org.junit.jupiter.api.Test;
 
@@ -92,12 +92,12 @@
         byte[] body = ("{\"address\":\"10.0.0.1:5\",\"info\":{\"service\":\"s\",\"slots\":12},"
                         + "\"status\":{\"state\":\"draining\",\"seq\":4,\"warmupLeftS\":1.5}}")
                 .getBytes(StandardCharsets.UTF_8);
-        DecodedCall.Report report =
-                assertInstanceOf(DecodedCall.Report.class, codec.decode("PUT", "/instances/i-1", body));
+        DecodeResult.Report report =
+                assertInstanceOf(DecodeResult.Report.class, codec.decode("PUT", "/instances/i-1", body));
         assertEquals(BackendState.DRAINING, report.report().state());
         assertEquals(1_500_000_000L, report.report().warmUpNanos());
-        assertEquals(new DecodedCall.Leave("i-1"), codec.decode("DELETE", "/instances/i-1", new byte[0]));
-        assertInstanceOf(DecodedCall.Malformed.class, codec.decode("PUT", "/instances/i-1", new byte[3]));
-        assertInstanceOf(DecodedCall.Malformed.class, codec.decode("PUT", "/other", body));
+        assertEquals(new DecodeResult.Leave("i-1"), codec.decode("DELETE", "/instances/i-1", new byte[0]));
+        assertInstanceOf(DecodeResult.Malformed.class, codec.decode("PUT", "/instances/i-1", new byte[3]));
+        assertInstanceOf(DecodeResult.Malformed.class, codec.decode("PUT", "/other", body));
     }
 }
--- a/org.berylwick.test/tst/org/berylwick/platform/InvalidPlatformInputTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/InvalidPlatformInputTest.java
@@ -24,7 +24,7 @@
 import net.jqwik.api.Provide;
 import org.berylwick.node.lib.BackendReport;
 import org.berylwick.node.lib.BackendState;
-import org.berylwick.node.member.HeartbeatProtocol.DecodedCall;
+import org.berylwick.node.member.HeartbeatProtocol.DecodeResult;
 import org.berylwick.node.member.NodeDirectory.ListResult;
 import org.berylwick.node.transport.BufferedHttpServer;
 import org.berylwick.node.version.ConfigurationSource;
@@ -40,13 +40,13 @@
     private static final String HEARTBEAT = "{\"address\":\"10.0.0.1:5\",\"info\":{\"service\":\"s\",\"version\":\"v1\","
             + "\"zone\":\"a\",\"slots\":12},\"status\":{\"state\":\"ready\",\"seq\":4,\"warmupLeftS\":1.5}}";
 
-    private static DecodedCall decodeHeartbeat(String body) {
+    private static DecodeResult decodeHeartbeat(String body) {
         return new HeartbeatCodec().decode("PUT", "/instances/i-1", body.getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
     void heartbeatsWithMissingOrInvalidFieldsAreMalformed() {
-        assertInstanceOf(DecodedCall.Report.class, decodeHeartbeat(HEARTBEAT));
+        assertInstanceOf(DecodeResult.Report.class, decodeHeartbeat(HEARTBEAT));
         List<String> invalidBodies = List.of(
                 HEARTBEAT.replace("\"state\":\"ready\",", ""),
                 HEARTBEAT.replace("\"ready\"", "\"sleeping\""),
@@ -64,7 +64,7 @@
                 "null",
                 "");
         for (String body : invalidBodies) {
-            assertInstanceOf(DecodedCall.Malformed.class, decodeHeartbeat(body), body);
+            assertInstanceOf(DecodeResult.Malformed.class, decodeHeartbeat(body), body);
         }
     }
 
@@ -87,7 +87,7 @@
 
     @Property(tries = 3_000)
     void mutatedHeartbeatsNeitherThrowNorYieldAnUnusableBackendServer(@ForAll("mutated") byte[] body) {
-        if (new HeartbeatCodec().decode("PUT", "/instances/i-1", body) instanceof DecodedCall.Report decoded) {
+        if (new HeartbeatCodec().decode("PUT", "/instances/i-1", body) instanceof DecodeResult.Report decoded) {
             BackendReport report = decoded.report();
             assertTrue(report.slots() > 0);
             assertTrue(report.sequence() >= 0);
