--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -84,7 +84,7 @@
 
     /**
      * @param loop event loop on which everything runs
-     * @param ip IP address of this node
+     * @param ownIp IP address of this node
      * @param port UDP port, the same on all nodes
      * @param table stores the states that are received
      * @param ownState supplies the current state of this node
@@ -94,7 +94,7 @@
      */
     public Gossip(
             EventLoop loop,
-            String ip,
+            String ownIp,
             int port,
             MemberTable table,
             Supplier<NodeState> ownState,
@@ -102,7 +102,7 @@
             EventLog log,
             BiConsumer<Member, MemberTable.UpdateResult> onStateReceived) {
         this.loop = loop;
-        this.ownIp = ip;
+        this.ownIp = ownIp;
         this.port = port;
         this.table = table;
         this.ownState = ownState;
@@ -278,12 +278,12 @@
         return sample;
     }
 
-    private void receive(String from, NodeStateCodec.Message message) {
+    private void receive(String senderIp, NodeStateCodec.Message message) {
         long now = System.nanoTime();
-        boolean newSender = lastDatagramAtByAddress.put(from, now) == null;
-        MemberTable.UpdateResult result = table.update(from, message.state(), now);
+        boolean newSender = lastDatagramAtByAddress.put(senderIp, now) == null;
+        MemberTable.UpdateResult result = table.update(senderIp, message.state(), now);
         if (newSender || message.replyRequested()) {
-            send(List.of(from), false);
+            send(List.of(senderIp), false);
         }
         for (String peerAddress : message.peerAddresses()) {
             if (!table.find(peerAddress).isPresent()) {
@@ -291,7 +291,7 @@
             }
         }
         if (result != MemberTable.UpdateResult.STALE) {
-            table.find(from).ifPresent(member -> onStateReceived.accept(member, result));
+            table.find(senderIp).ifPresent(member -> onStateReceived.accept(member, result));
         }
     }
 
@@ -306,8 +306,8 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
             counters.increment(NodeMetricNames.GOSSIP_RECEIVED_DATAGRAMS);
-            String from = packet.sender().getAddress().getHostAddress();
-            NodeStateCodec.decode(packet.content()).ifPresent(message -> receive(from, message));
+            String senderIp = packet.sender().getAddress().getHostAddress();
+            NodeStateCodec.decode(packet.content()).ifPresent(message -> receive(senderIp, message));
         }
 
         @Override
