--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -104,8 +104,8 @@
         return pool;
     }
 
-    void setPool(ConnectionPool connections) {
-        pool = connections;
+    void setPool(ConnectionPool newPool) {
+        pool = newPool;
     }
 
     void update(NodeState received, long now) {
