--- a/org.berylwick.test/tst/org/berylwick/node/member/NodeStateCodecTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/member/NodeStateCodecTest.java
@@ -31,7 +31,7 @@
             @ForAll BackendState backendState,
             @ForAll @IntRange(max = 60_000) int number,
             @ForAll @AlphaChars @StringLength(max = 40) String text) {
-        NodeState nodeState = new NodeState(
+        NodeState state = new NodeState(
                 bootId,
                 7,
                 text,
@@ -48,7 +48,7 @@
                         new ServiceTimeDistribution(
                                 new RequestClass(RouteKind.NON_IDEMPOTENT, 3, number), 1_000L * (number + 1), 0.25),
                         new ServiceTimeDistribution(new RequestClass(RouteKind.BULK, 0, 100), 7_000L, 0.5)));
-        NodeStateCodec.Message message = new NodeStateCodec.Message(nodeState, flag, List.of("10.0.0.1", "10.0.0.2"));
+        NodeStateCodec.Message message = new NodeStateCodec.Message(state, flag, List.of("10.0.0.1", "10.0.0.2"));
         ByteBuf encoded = Unpooled.buffer();
         NodeStateCodec.encode(message, encoded);
         assertEquals(Optional.of(message), NodeStateCodec.decode(encoded));
