--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -181,8 +181,8 @@
     }
 
     /**
-     * Notifies requests that have been pending for longer than {@link #MIN_PENDING_NANOS}, and makes the node suspect, if
-     * neither datagrams nor response bytes were received from the node within the timeout.
+     * Notifies requests that have been pending for longer than {@link #MIN_PENDING_NANOS}, and makes the node suspect,
+     * if neither datagrams nor response bytes were received from the node within the timeout.
      */
     void notifyIfSilent(long timeoutNanos, long now) {
         if (now - lastDatagramAt <= timeoutNanos || now - lastResponseProgressAt <= timeoutNanos) {
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionDeltaCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionDeltaCodec.java
@@ -241,6 +241,7 @@
         private final byte[] bytes;
         /** For each hash bucket, the offset of a block plus one; 0 if the bucket is empty. */
         private final int[] offsets;
+
         private final int mask;
 
         BlockIndex(byte[] bytes) {
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionHistory.java
@@ -22,6 +22,7 @@
     private final LinkedHashMap<Long, byte[]> encodedByNumber = new LinkedHashMap<>();
     /** Deltas to the newest version that were already computed, by the number of their base. */
     private final Map<Long, byte[]> deltasByBase = new HashMap<>();
+
     private long newestNumber;
 
     void add(ConfigurationVersion version) {
--- a/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
@@ -45,8 +45,7 @@
             rig.start(2, Optional.of(server));
             callThread.join();
             assertTrue(response[0].endsWith("ok"), response[0]);
-            assertTrue(
-                    System.nanoTime() - startedAt < 10_000_000_000L, "the request was not answered within 10 s");
+            assertTrue(System.nanoTime() - startedAt < 10_000_000_000L, "the request was not answered within 10 s");
         }
     }
 
