--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -140,7 +140,7 @@
                 peerServer,
                 () -> {
                     leaving = true;
-                    gossip.broadcastNow();
+                    gossip.scheduleBroadcast();
                 },
                 shutdownComplete::countDown);
     }
@@ -221,7 +221,7 @@
                 () -> versionKeeper.version().map(v -> v.number()).orElse(0L));
         counters.registerGauge(
                 NodeMetricNames.MEMBERS_HEARD,
-                () -> members.countHeardWithin(gossip.silenceTimeoutNanos(), System.nanoTime()));
+                () -> members.countReachableWithin(gossip.silenceTimeoutNanos(), System.nanoTime()));
         counters.registerGauge(
                 NodeMetricNames.OWNER_CONNECTIONS_OPENED,
                 () -> owner.backend().map(Backend::connectionsOpened).orElse(0L));
@@ -230,7 +230,7 @@
 
     private void tick() {
         owner.tick();
-        versionKeeper.tick();
+        versionKeeper.resumeIfReader();
         logReadinessChange();
     }
 
@@ -275,7 +275,7 @@
             boolean eligible = state.zone().equals(settings.zone())
                     && state.storeReachable()
                     && !state.leaving()
-                    && now - member.lastHeardAt() < silenceThreshold;
+                    && now - member.lastDatagramAt() < silenceThreshold;
             if (eligible && precedesAsReader(member)) {
                 precedingReaders++;
             }
@@ -315,14 +315,14 @@
     }
 
     private void onBackendChange() {
-        gossip.broadcastNow();
+        gossip.scheduleBroadcast();
     }
 
     private void onInstalled(VersionUpdater.Origin origin) {
         // A node that read the version from the store announces it to all nodes. One that fetched it from another
         // availability zone announces it to its own zone, so that the nodes there need not fetch it from afar.
         switch (origin) {
-            case STORE -> gossip.broadcastNow();
+            case STORE -> gossip.scheduleBroadcast();
             case FAR -> gossip.broadcastToZoneNow(settings.zone());
             case NEAR -> {}
         }
@@ -365,15 +365,15 @@
                 "failures",
                 member.consecutiveFailures(),
                 "unheardMs",
-                (System.nanoTime() - member.lastHeardAt()) / 1_000_000);
+                (System.nanoTime() - member.lastDatagramAt()) / 1_000_000);
     }
 
     private BufferedHttpServer.Response handleHeartbeat(BufferedHttpServer.Request request) {
         HeartbeatProtocol protocol = platform.heartbeatProtocol();
-        switch (protocol.read(request.method(), request.uri(), request.body())) {
-            case HeartbeatProtocol.Announcement.Report report -> owner.onReport(report.report());
-            case HeartbeatProtocol.Announcement.Leave leave -> owner.onLeave(leave.incarnation());
-            case HeartbeatProtocol.Announcement.Malformed malformed -> {
+        switch (protocol.decode(request.method(), request.uri(), request.body())) {
+            case HeartbeatProtocol.DecodeResult.Report report -> owner.onReport(report.report());
+            case HeartbeatProtocol.DecodeResult.Leave leave -> owner.onLeave(leave.incarnation());
+            case HeartbeatProtocol.DecodeResult.Malformed malformed -> {
                 log.write(Event.BACKEND_REPORT_IGNORED, "incarnation", "", "why", malformed.reason());
                 return BufferedHttpServer.Response.ofStatus(400);
             }
--- a/org.berylwick.node/src/org/berylwick/node/call/CandidateSampler.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/CandidateSampler.java
@@ -106,7 +106,7 @@
     }
 
     private boolean isSuspect(Member member, long now) {
-        return member.isSuspect(now) || now - member.lastHeardAt() > silenceThresholdNanos.getAsLong();
+        return member.isSuspect(now) || now - member.lastDatagramAt() > silenceThresholdNanos.getAsLong();
     }
 
     private Candidate localCandidate(long now) {
@@ -129,9 +129,9 @@
         return new Candidate(
                 Optional.of(member),
                 member.load(),
-                member.state().requestTimes(),
+                member.state().serviceTimes(),
                 member.estimatedRequestCount(),
-                Math.max(0, member.state().warmUpRemainingNanos() - (now - member.lastHeardAt())),
+                Math.max(0, member.state().warmUpRemainingNanos() - (now - member.lastDatagramAt())),
                 member.linkLoad(now),
                 distance(member),
                 member.isIncarnationUnused(),
--- a/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Gossip.java
@@ -32,8 +32,9 @@
  */
 public final class Gossip implements AutoCloseable {
     /**
-     * Time between two rounds, per node in the fleet, so that a node receives equally many datagrams per second in a
-     * large fleet: with 13 nodes each sends every 0.5 s, with 76 nodes every 1.9 s.
+     * Time by which each node in the fleet lengthens the period between two rounds. Between the minimum and the maximum
+     * period, a node therefore does not receive more datagrams per second in a larger fleet. With 13 nodes each node
+     * sends every 0.5 s, with 76 nodes every 1.9 s.
      */
     private static final long PERIOD_PER_NODE_NANOS = 25_000_000L;
 
@@ -43,33 +44,36 @@
     private static final double SILENCE_TIMEOUT_ROUNDS = 3.5;
 
     private static final long[] REPEAT_DELAYS_MILLIS = {40, 80};
-    /** Changes within this time are sent in one broadcast. */
+    /** Changes that follow each other within this time are sent in one broadcast. */
     private static final long COALESCING_WINDOW_NANOS = 15_000_000L;
 
-    private static final int MAX_PEER_ADDRESSES = 3;
+    private static final int MAX_PEER_ADDRESSES_PER_DATAGRAM = 3;
     private static final int INITIAL_BUFFER_BYTES = 160;
     /**
-     * Addresses of other nodes take up a quarter of a datagram and are only needed by nodes that missed each other's
-     * start, so they are not included in every round.
+     * Number of rounds of which one includes addresses of other nodes. They take up a quarter of a datagram and are
+     * only needed by nodes that missed each other's start.
      */
     private static final int ROUNDS_PER_PEER_EXCHANGE = 4;
 
     /**
-     * After this time without a datagram from an address, this node sends to it only in every tenth round, and requests
-     * a reply.
+     * An address from which no datagram was received for this long is unresponsive: this node sends to it only in every
+     * tenth round, and then requests a reply.
      */
     private static final long UNRESPONSIVE_NANOS = 15_000_000_000L;
 
     private final EventLoop loop;
-    private final String ip;
+    private final String ownIp;
     private final int port;
     private final MemberTable table;
     private final Supplier<NodeState> ownState;
     private final Counters counters;
     private final EventLog log;
     private final BiConsumer<Member, MemberTable.UpdateResult> onStateReceived;
-    /** When the latest datagram came from each address; for one that has not sent any yet, when it was added. */
-    private final Map<String, Long> lastHeardByAddress = new HashMap<>();
+    /**
+     * The addresses to which this node sends its state, and when the latest datagram was received from each. For an
+     * address from which none was received yet, it is the time when the address was added.
+     */
+    private final Map<String, Long> lastDatagramAtByAddress = new HashMap<>();
 
     private Channel channel;
     private long round;
@@ -80,7 +84,7 @@
 
     /**
      * @param loop event loop on which everything runs
-     * @param ip IP address of this node
+     * @param ownIp IP address of this node
      * @param port UDP port, the same on all nodes
      * @param table stores the states that are received
      * @param ownState supplies the current state of this node
@@ -90,7 +94,7 @@
      */
     public Gossip(
             EventLoop loop,
-            String ip,
+            String ownIp,
             int port,
             MemberTable table,
             Supplier<NodeState> ownState,
@@ -98,7 +102,7 @@
             EventLog log,
             BiConsumer<Member, MemberTable.UpdateResult> onStateReceived) {
         this.loop = loop;
-        this.ip = ip;
+        this.ownIp = ownIp;
         this.port = port;
         this.table = table;
         this.ownState = ownState;
@@ -113,7 +117,7 @@
                 .group(loop)
                 .channel(NioDatagramChannel.class)
                 .handler(new Receiver())
-                .bind(new InetSocketAddress(ip, port))
+                .bind(new InetSocketAddress(ownIp, port))
                 .syncUninterruptibly()
                 .channel();
         loop.execute(this::runRound);
@@ -121,10 +125,10 @@
 
     /** Adds an address where a node may be running, and requests its state immediately. */
     public void addPeerAddress(String address) {
-        if (address.equals(ip) || lastHeardByAddress.containsKey(address)) {
+        if (address.equals(ownIp) || lastDatagramAtByAddress.containsKey(address)) {
             return;
         }
-        lastHeardByAddress.put(address, System.nanoTime());
+        lastDatagramAtByAddress.put(address, System.nanoTime());
         if (channel != null) {
             send(List.of(address), true);
         }
@@ -132,7 +136,7 @@
 
     /** Number of addresses to which this node sends its state. */
     public int peerAddressCount() {
-        return lastHeardByAddress.size();
+        return lastDatagramAtByAddress.size();
     }
 
     /** Time without a datagram after which a node counts as silent; grows with the length of a round. */
@@ -141,11 +145,13 @@
     }
 
     /**
-     * Sends the state to all nodes immediately, and repeats that twice shortly after. Changes in quick succession are
-     * sent together: a node that has just started learns of its backend server, the version and other nodes at about
-     * the same time, and must not spend scarce CPU time on a broadcast for each.
+     * Sends a changed state to all nodes, and repeats that twice shortly after. The first broadcast is sent immediately
+     * unless the previous one was less than {@link #COALESCING_WINDOW_NANOS} ago or no round has been run yet. Then it
+     * is delayed, and changes in quick succession are sent together: a node that has just started learns of its backend
+     * server, the version and other nodes at about the same time, and must not spend scarce CPU time on a broadcast for
+     * each.
      */
-    public void broadcastNow() {
+    public void scheduleBroadcast() {
         pendingChanges++;
         if (pendingChanges > 1) {
             return;
@@ -170,7 +176,7 @@
         }
     }
 
-    /** Schedules the next repeat. A change in between is broadcast immediately and restarts the count of repeats. */
+    /** Schedules the next repeat of a broadcast. A change in between restarts the count of repeats. */
     private void scheduleRepeat() {
         loop.schedule(
                 () -> {
@@ -205,7 +211,7 @@
     }
 
     private long periodNanos() {
-        long period = PERIOD_PER_NODE_NANOS * (lastHeardByAddress.size() + 1);
+        long period = PERIOD_PER_NODE_NANOS * (lastDatagramAtByAddress.size() + 1);
         return Math.max(MIN_PERIOD_NANOS, Math.min(MAX_PERIOD_NANOS, period));
     }
 
@@ -222,9 +228,9 @@
 
     private void broadcast(boolean replyRequested) {
         long now = System.nanoTime();
-        List<String> withoutReplyRequest = new ArrayList<>(lastHeardByAddress.size());
+        List<String> withoutReplyRequest = new ArrayList<>(lastDatagramAtByAddress.size());
         List<String> withReplyRequest = new ArrayList<>();
-        for (Map.Entry<String, Long> peer : lastHeardByAddress.entrySet()) {
+        for (Map.Entry<String, Long> peer : lastDatagramAtByAddress.entrySet()) {
             boolean unresponsive = now - peer.getValue() > UNRESPONSIVE_NANOS;
             if (unresponsive && round % 10 != 0) {
                 continue;
@@ -235,7 +241,7 @@
         send(withReplyRequest, true);
     }
 
-    /** Sends the current state in one and the same datagram to each of the addresses. */
+    /** Sends the current state to the addresses; it is encoded only once. */
     private void send(List<String> addresses, boolean replyRequested) {
         if (!channel.isActive() || addresses.isEmpty()) {
             return;
@@ -243,7 +249,7 @@
         boolean includePeerAddresses = replyRequested || round % ROUNDS_PER_PEER_EXCHANGE == 0;
         List<String> peerAddresses = includePeerAddresses ? samplePeerAddresses() : List.of();
         ByteBuf bytes = Unpooled.buffer(INITIAL_BUFFER_BYTES);
-        NodeStateCodec.write(new NodeStateCodec.Message(ownState.get(), replyRequested, peerAddresses), bytes);
+        NodeStateCodec.encode(new NodeStateCodec.Message(ownState.get(), replyRequested, peerAddresses), bytes);
         counters.add(NodeMetricNames.GOSSIP_SENT_DATAGRAMS, addresses.size());
         counters.add(NodeMetricNames.GOSSIP_SENT_BYTES, (long) bytes.readableBytes() * addresses.size());
         for (String address : addresses) {
@@ -254,30 +260,30 @@
     }
 
     private List<String> samplePeerAddresses() {
-        if (lastHeardByAddress.size() < 2) {
+        if (lastDatagramAtByAddress.size() < 2) {
             return List.of();
         }
-        // Two nodes that never learned of each other get the other's address from a third node within a few rounds.
-        List<String> sample = new ArrayList<>(MAX_PEER_ADDRESSES);
-        int skip = ThreadLocalRandom.current().nextInt(lastHeardByAddress.size());
-        for (String address : lastHeardByAddress.keySet()) {
+        // Each of two nodes that do not know each other gets the other's address from a third node within a few rounds.
+        List<String> sample = new ArrayList<>(MAX_PEER_ADDRESSES_PER_DATAGRAM);
+        int skip = ThreadLocalRandom.current().nextInt(lastDatagramAtByAddress.size());
+        for (String address : lastDatagramAtByAddress.keySet()) {
             if (skip-- > 0) {
                 continue;
             }
             sample.add(address);
-            if (sample.size() == MAX_PEER_ADDRESSES) {
+            if (sample.size() == MAX_PEER_ADDRESSES_PER_DATAGRAM) {
                 break;
             }
         }
         return sample;
     }
 
-    private void receive(String from, NodeStateCodec.Message message) {
+    private void receive(String senderIp, NodeStateCodec.Message message) {
         long now = System.nanoTime();
-        boolean newSender = lastHeardByAddress.put(from, now) == null;
-        MemberTable.UpdateResult result = table.update(from, message.state(), now);
+        boolean newSender = lastDatagramAtByAddress.put(senderIp, now) == null;
+        MemberTable.UpdateResult result = table.update(senderIp, message.state(), now);
         if (newSender || message.replyRequested()) {
-            send(List.of(from), false);
+            send(List.of(senderIp), false);
         }
         for (String peerAddress : message.peerAddresses()) {
             if (!table.find(peerAddress).isPresent()) {
@@ -285,7 +291,7 @@
             }
         }
         if (result != MemberTable.UpdateResult.STALE) {
-            table.find(from).ifPresent(member -> onStateReceived.accept(member, result));
+            table.find(senderIp).ifPresent(member -> onStateReceived.accept(member, result));
         }
     }
 
@@ -300,8 +306,8 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
             counters.increment(NodeMetricNames.GOSSIP_RECEIVED_DATAGRAMS);
-            String from = packet.sender().getAddress().getHostAddress();
-            NodeStateCodec.read(packet.content()).ifPresent(message -> receive(from, message));
+            String senderIp = packet.sender().getAddress().getHostAddress();
+            NodeStateCodec.decode(packet.content()).ifPresent(message -> receive(senderIp, message));
         }
 
         @Override
--- a/org.berylwick.node/src/org/berylwick/node/member/HeartbeatProtocol.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/HeartbeatProtocol.java
@@ -2,18 +2,18 @@
 
 import org.berylwick.node.lib.BackendReport;
 
-/** Decodes the heartbeat calls that backend servers send to the node on their VM. */
+/** Decodes the calls by which backend servers report to, and deregister from, the node on their VM. */
 public interface HeartbeatProtocol {
-    /** A decoded call of a backend server. */
-    sealed interface Announcement {
+    /** Result of decoding a call of a backend server. */
+    sealed interface DecodeResult {
         /** A heartbeat with the state of the backend server. */
-        record Report(BackendReport report) implements Announcement {}
+        record Report(BackendReport report) implements DecodeResult {}
 
         /** The backend server deregisters; this incarnation will not return. */
-        record Leave(String incarnation) implements Announcement {}
+        record Leave(String incarnation) implements DecodeResult {}
 
         /** The call could not be decoded. */
-        record Malformed(String reason) implements Announcement {}
+        record Malformed(String reason) implements DecodeResult {}
     }
 
     /**
@@ -23,8 +23,8 @@
      * @param uri request URI
      * @param body request body
      */
-    Announcement read(String method, String uri, byte[] body);
+    DecodeResult decode(String method, String uri, byte[] body);
 
-    /** The response body that acknowledges a heartbeat. */
+    /** The response body that acknowledges a heartbeat or a deregistration. */
     byte[] acknowledgement();
 }
--- a/org.berylwick.node/src/org/berylwick/node/member/Member.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/Member.java
@@ -15,23 +15,23 @@
     private static final long MIN_SUSPICION_NANOS = 100_000_000L;
     private static final long MAX_SUSPICION_NANOS = 2_000_000_000L;
     /**
-     * Minimum time since a request was sent before it is reported as pending on a silent node. A request sent just now
-     * has not been ignored, even if the node has been silent for long.
+     * Minimum time for which a request has been pending before it is notified that its node is silent. A request that
+     * was sent only just now may still be answered, however long the node has been silent.
      */
-    private static final long MIN_OVERDUE_NANOS = 500_000_000L;
+    private static final long MIN_PENDING_NANOS = 500_000_000L;
 
     private final String ip;
     private final BiConsumer<Member, String> onSuspected;
     private NodeState state;
-    private long lastHeardAt;
+    private long lastDatagramAt;
     private long suspectUntil;
     private int consecutiveFailures;
     private OwnerLoad load = OwnerLoad.NONE;
     private String lastUsedIncarnation = "";
-    /** Requests without a complete response yet, and when each was sent. */
-    private final Map<PendingRequest, Long> outstanding = new HashMap<>();
+    /** Requests that were sent to the node and have not ended, and when each was sent. */
+    private final Map<PendingRequest, Long> pendingRequests = new HashMap<>();
 
-    private long lastProgressAt;
+    private long lastResponseProgressAt;
     private int inFlight;
     private int inFlightAtLoadReport;
     /** When all request bodies known to be in transit to the node will have been received over its VM's link. */
@@ -45,9 +45,9 @@
         this.onSuspected = onSuspected;
         this.ip = ip;
         this.state = state;
-        this.lastHeardAt = now;
+        this.lastDatagramAt = now;
         this.suspectUntil = now;
-        this.lastProgressAt = now;
+        this.lastResponseProgressAt = now;
         updateLoad(state.load(), now);
     }
 
@@ -62,8 +62,8 @@
     }
 
     /** When the latest datagram was received from the node, in {@link System#nanoTime} terms. */
-    public long lastHeardAt() {
-        return lastHeardAt;
+    public long lastDatagramAt() {
+        return lastDatagramAt;
     }
 
     /** The latest load received from the node, by gossip or with a response. */
@@ -71,14 +71,14 @@
         return load;
     }
 
-    /** Number of requests that this node sent there and that have not ended. */
+    /** Number of requests that this node has sent to the other one and that have not ended. */
     public int inFlight() {
         return inFlight;
     }
 
     /**
-     * Estimates how many requests are running or queued there now: the number in the latest load, corrected by the
-     * requests that this node has sent and completed since.
+     * Estimates how many requests are running or queued on the node now: the number in the latest load that was
+     * received, plus the requests that this node has sent since, minus those that have ended since.
      */
     public int estimatedRequestCount() {
         return Math.max(inFlight, load.running() + load.queued() + inFlight - inFlightAtLoadReport);
@@ -104,14 +104,14 @@
         return pool;
     }
 
-    void setPool(ConnectionPool connections) {
-        pool = connections;
+    void setPool(ConnectionPool newPool) {
+        pool = newPool;
     }
 
     void update(NodeState received, long now) {
         boolean restarted = received.bootId() != state.bootId();
         state = received;
-        lastHeardAt = now;
+        lastDatagramAt = now;
         updateLoad(received.load(), now);
         if (restarted) {
             consecutiveFailures = 0;
@@ -127,7 +127,10 @@
         outgoingLinkFreeAt = now + received.outgoingLinkBusyNanos();
     }
 
-    /** Estimates the load of the network link of the node's VM from what this node has received and sent. */
+    /**
+     * Estimates the load of the network link of the node's VM from the latest load that was received, and the requests
+     * that this node has sent since.
+     */
     public LinkLoad linkLoad(long now) {
         return new LinkLoad(
                 Math.max(0, incomingLinkFreeAt - now), Math.max(0, outgoingLinkFreeAt - now), state.linkMbps());
@@ -138,13 +141,13 @@
         return !state.incarnation().equals(lastUsedIncarnation);
     }
 
-    /** A request that waits for a response of this member. */
+    /** A request that was sent to the node and has not ended. */
     public interface PendingRequest {
         /**
-         * Called when neither datagrams nor response bytes arrive from the node any more. Either the node has failed or
-         * only its datagrams are lost; in the second case a request that is running there continues.
+         * Called when neither datagrams nor response bytes were received from the node for some time. Either the node
+         * has failed, or only its datagrams are lost; in the second case the request may still be running there.
          */
-        void onNodeSilent();
+        void onMemberSilent();
     }
 
     /**
@@ -162,32 +165,32 @@
             outgoingLinkFreeAt = Math.max(now, outgoingLinkFreeAt) + link.transferNanos(expectedResponseBytes);
         }
         inFlight++;
-        outstanding.put(request, now);
+        pendingRequests.put(request, now);
         lastUsedIncarnation = state.incarnation();
     }
 
     /** Records that a request sent to the node has ended, in whatever way. */
     public void onRequestEnded(PendingRequest request) {
         inFlight--;
-        outstanding.remove(request);
+        pendingRequests.remove(request);
     }
 
     /** Records that bytes of a response were received from the node. */
     public void onResponseProgress(long now) {
-        lastProgressAt = now;
+        lastResponseProgressAt = now;
     }
 
     /**
-     * Notifies requests that have been pending for a while if neither datagrams nor response bytes were received from
-     * the node within the timeout.
+     * Notifies requests that have been pending for longer than {@link #MIN_PENDING_NANOS}, and makes the node suspect,
+     * if neither datagrams nor response bytes were received from the node within the timeout.
      */
     void notifyIfSilent(long timeoutNanos, long now) {
-        if (now - lastHeardAt <= timeoutNanos || now - lastProgressAt <= timeoutNanos) {
+        if (now - lastDatagramAt <= timeoutNanos || now - lastResponseProgressAt <= timeoutNanos) {
             return;
         }
         List<PendingRequest> overdue = new ArrayList<>();
-        outstanding.forEach((request, sentAt) -> {
-            if (now - sentAt > MIN_OVERDUE_NANOS) {
+        pendingRequests.forEach((request, sentAt) -> {
+            if (now - sentAt > MIN_PENDING_NANOS) {
                 overdue.add(request);
             }
         });
@@ -195,7 +198,7 @@
             return;
         }
         onFailure("silent", now);
-        overdue.forEach(PendingRequest::onNodeSilent);
+        overdue.forEach(PendingRequest::onMemberSilent);
     }
 
     /** Records a successful call, which ends the series of failures. */
@@ -205,7 +208,7 @@
 
     /**
      * Records a call that failed because of the node or the network. The node is suspect for a time that doubles with
-     * each consecutive failure.
+     * each consecutive failure up to a maximum.
      *
      * @param cause cause of the failure, for the log
      * @param now in {@link System#nanoTime} terms
--- a/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/MemberTable.java
@@ -83,17 +83,17 @@
     }
 
     /** Counts the nodes from which a datagram was received within the given time. */
-    public int countHeardWithin(long spanNanos, long now) {
+    public int countReachableWithin(long spanNanos, long now) {
         int count = 0;
         for (Member member : byIp.values()) {
-            if (now - member.lastHeardAt() <= spanNanos) {
+            if (now - member.lastDatagramAt() <= spanNanos) {
                 count++;
             }
         }
         return count;
     }
 
-    /** Notifies pending requests of nodes that have been silent for longer than the timeout. */
+    /** Notifies requests that are pending on nodes that have been silent for longer than the timeout. */
     public void notifySilent(long timeoutNanos, long now) {
         for (Member member : List.copyOf(byIp.values())) {
             member.notifyIfSilent(timeoutNanos, now);
@@ -101,13 +101,14 @@
     }
 
     /**
-     * Removes nodes that have been silent for longer than the expiry time, and closes idle connections of all nodes.
+     * Removes nodes from which nothing was received for {@link #EXPIRY_NANOS}, and closes idle connections to all
+     * nodes.
      */
     public void removeExpired(long now) {
         List<Member> expired = new ArrayList<>();
         for (Member member : byIp.values()) {
             member.pool().evictIdle();
-            if (now - member.lastHeardAt() > EXPIRY_NANOS) {
+            if (now - member.lastDatagramAt() > EXPIRY_NANOS) {
                 expired.add(member);
             }
         }
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeDiscovery.java
@@ -16,8 +16,9 @@
     private static final long INITIAL_RETRY_MILLIS = 150;
     private static final long MAX_RETRY_MILLIS = 2_000;
     /**
-     * The refresh interval grows with the number of nodes, so that the directory's load stays the same. Nodes normally
-     * learn of each other by gossip; the directory only recovers what lost datagrams missed.
+     * Time by which each node in the fleet lengthens the interval between two reads of the directory, so that the load
+     * on the directory does not grow with the fleet. Nodes normally learn of each other by gossip; the directory is
+     * only needed to find those that were missed because datagrams were lost.
      */
     private static final long REFRESH_MILLIS_PER_NODE = 1_500;
 
@@ -28,7 +29,7 @@
     private final Gossip gossip;
     private final Counters counters;
     private final EventLog log;
-    private final String name;
+    private final String vmName;
     private final String ip;
     private long retryMillis = INITIAL_RETRY_MILLIS;
     private boolean directoryRead;
@@ -36,10 +37,10 @@
     /**
      * @param loop event loop on which everything runs
      * @param directory persistent list of all nodes
-     * @param gossip receives the addresses that were found
+     * @param gossip receives the addresses of the nodes in the directory
      * @param counters metrics of this node
      * @param log event log of this node
-     * @param name name of this VM, the key of its directory entry
+     * @param vmName name of this VM, the key of its directory entry
      * @param ip IP address of this VM
      */
     public NodeDiscovery(
@@ -48,14 +49,14 @@
             Gossip gossip,
             Counters counters,
             EventLog log,
-            String name,
+            String vmName,
             String ip) {
         this.loop = loop;
         this.directory = directory;
         this.gossip = gossip;
         this.counters = counters;
         this.log = log;
-        this.name = name;
+        this.vmName = vmName;
         this.ip = ip;
     }
 
@@ -70,7 +71,7 @@
     }
 
     private void register() {
-        directory.register(name, ip, registered -> {
+        directory.register(vmName, ip, registered -> {
             if (!registered) {
                 counters.increment(NodeMetricNames.DIRECTORY_FAILURES);
                 loop.schedule(this::register, nextRetryDelayMillis(), TimeUnit.MILLISECONDS);
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
@@ -19,23 +19,23 @@
     private static final int FLAG_REPLY_REQUESTED = 4;
 
     private static final double PER_MILLE = 1e3;
-    private static final long MAX_LINK_MILLIS = 65_535;
+    private static final long MAX_LINK_BUSY_MILLIS = 65_535;
     private static final RouteKind[] ROUTE_KINDS = RouteKind.values();
 
     private NodeStateCodec() {}
 
-    private static List<ServiceTimeDistribution> readRequestTimes(ByteBuf in) {
+    private static List<ServiceTimeDistribution> readServiceTimes(ByteBuf in) {
         int count = in.readUnsignedByte();
         List<ServiceTimeDistribution> times = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            int kind = in.readUnsignedByte();
+            int kindOrdinal = in.readUnsignedByte();
             int priority = in.readByte();
             int objectiveMillis = in.readInt();
             long medianNanos = in.readInt() * 1_000L;
-            double spread = in.readUnsignedShort() / PER_MILLE;
-            if (kind < ROUTE_KINDS.length && medianNanos > 0) {
+            double logStdDev = in.readUnsignedShort() / PER_MILLE;
+            if (kindOrdinal < ROUTE_KINDS.length && medianNanos > 0) {
                 times.add(new ServiceTimeDistribution(
-                        new RequestClass(ROUTE_KINDS[kind], priority, objectiveMillis), medianNanos, spread));
+                        new RequestClass(ROUTE_KINDS[kindOrdinal], priority, objectiveMillis), medianNanos, logStdDev));
             }
         }
         return times;
@@ -50,8 +50,8 @@
      */
     public record Message(NodeState state, boolean replyRequested, List<String> peerAddresses) {}
 
-    /** Encodes a datagram. */
-    public static void write(Message message, ByteBuf out) {
+    /** Encodes a datagram. Times are rounded down to microseconds or milliseconds. */
+    public static void encode(Message message, ByteBuf out) {
         NodeState state = message.state();
         out.writeInt(MAGIC);
         int flags = (state.storeReachable() ? FLAG_STORE_REACHABLE : 0)
@@ -69,13 +69,13 @@
         out.writeShort(state.load().slots());
         out.writeInt((int) (state.load().meanNanos() / 1_000));
         out.writeShort(state.load().lostPerMille());
-        out.writeShort((int) Math.min(MAX_LINK_MILLIS, state.load().incomingLinkBusyNanos() / 1_000_000));
-        out.writeShort((int) Math.min(MAX_LINK_MILLIS, state.load().outgoingLinkBusyNanos() / 1_000_000));
+        out.writeShort((int) Math.min(MAX_LINK_BUSY_MILLIS, state.load().incomingLinkBusyNanos() / 1_000_000));
+        out.writeShort((int) Math.min(MAX_LINK_BUSY_MILLIS, state.load().outgoingLinkBusyNanos() / 1_000_000));
         writeString(state.zone(), out);
         writeString(state.service(), out);
         writeString(state.incarnation(), out);
-        out.writeByte(state.requestTimes().size());
-        for (ServiceTimeDistribution time : state.requestTimes()) {
+        out.writeByte(state.serviceTimes().size());
+        for (ServiceTimeDistribution time : state.serviceTimes()) {
             out.writeByte(time.requestClass().kind().ordinal());
             out.writeByte(time.requestClass().priority());
             out.writeInt(time.requestClass().objectiveMillis());
@@ -89,7 +89,7 @@
     }
 
     /** Decodes a datagram; empty if the bytes are not a valid datagram. */
-    public static Optional<Message> read(ByteBuf in) {
+    public static Optional<Message> decode(ByteBuf in) {
         try {
             if (in.readInt() != MAGIC) {
                 return Optional.empty();
@@ -112,7 +112,7 @@
             String zone = readString(in);
             String service = readString(in);
             String incarnation = readString(in);
-            List<ServiceTimeDistribution> requestTimes = readRequestTimes(in);
+            List<ServiceTimeDistribution> serviceTimes = readServiceTimes(in);
             NodeState state = new NodeState(
                     bootId,
                     sequence,
@@ -126,19 +126,21 @@
                     backendState,
                     warmUpRemainingNanos,
                     load,
-                    requestTimes);
-            int count = in.readUnsignedByte();
-            List<String> peerAddresses = new ArrayList<>(count);
-            for (int i = 0; i < count; i++) {
+                    serviceTimes);
+            int peerAddressCount = in.readUnsignedByte();
+            List<String> peerAddresses = new ArrayList<>(peerAddressCount);
+            for (int i = 0; i < peerAddressCount; i++) {
                 peerAddresses.add(readString(in));
             }
             return Optional.of(new Message(state, (flags & FLAG_REPLY_REQUESTED) != 0, peerAddresses));
         } catch (IndexOutOfBoundsException e) {
-            // A truncated datagram is ignored; its sender sends its state again in the next gossip round.
+            // A truncated datagram is ignored; the node that sent it sends its state again in the next gossip round.
             return Optional.empty();
         }
     }
 
+    /** Writes a string with its length in one byte; only the first 255 bytes of a longer string are written. */
+
     private static void writeString(String text, ByteBuf out) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         int length = Math.min(bytes.length, 255);
--- a/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
+++ b/org.berylwick.node/src/org/berylwick/node/version/VersionUpdater.java
@@ -19,9 +19,10 @@
  * Keeps this node on the newest accepted configuration version. Confined to the event loop.
  *
  * <p>A few nodes in each availability zone, its readers, watch the store. The others learn of a new version by gossip
- * and fetch it from another node, preferably one in their own zone. In addition every node polls the store at intervals
- * that grow with the fleet, so that all nodes together cause about one read per second: a watch whose connection is
- * dead cannot be told from one that has no changes to report. Only a version with a higher number is ever installed.
+ * and fetch it from another node, preferably one in their own zone. In addition every node polls the store, because a
+ * watch whose connection is dead cannot be told from one that has no changes to report. The polling interval grows with
+ * the fleet, so that all nodes together cause about one read per second. Only a version with a higher number than the
+ * one in force is ever installed.
  */
 public final class VersionUpdater {
     /** Path on which a node serves its version to others; the number of the version that the caller has is appended. */
@@ -33,13 +34,13 @@
     private static final long POLL_MILLIS_PER_NODE = 1_000;
     private static final long MIN_POLL_MILLIS = 2_000;
     /**
-     * Minimum time between two installations. If versions are accepted faster, only the newest is installed: each
-     * installation parses the complete version, which is expensive on VMs with 0.3 of a CPU core.
+     * Minimum time between two installations. If versions are accepted faster, only the newest one is read and
+     * installed, because each read parses the complete version, which is expensive on VMs with 0.3 of a CPU core.
      */
     private static final long MIN_INSTALL_INTERVAL_NANOS = 250_000_000L;
 
     private final EventLoop loop;
-    private final ConfigurationSource source;
+    private final ConfigurationSource store;
     private final MemberTable table;
     private final String zone;
     private final BooleanSupplier isReader;
@@ -58,7 +59,7 @@
 
     /**
      * @param loop event loop on which everything runs
-     * @param source store of the accepted versions
+     * @param store store of the accepted versions
      * @param table the other nodes
      * @param zone availability zone of this node
      * @param isReader whether this node is one of the readers that watch the store for its zone
@@ -68,7 +69,7 @@
      */
     public VersionUpdater(
             EventLoop loop,
-            ConfigurationSource source,
+            ConfigurationSource store,
             MemberTable table,
             String zone,
             BooleanSupplier isReader,
@@ -76,7 +77,7 @@
             Counters counters,
             EventLog log) {
         this.loop = loop;
-        this.source = source;
+        this.store = store;
         this.table = table;
         this.zone = zone;
         this.isReader = isReader;
@@ -123,8 +124,11 @@
         schedulePoll();
     }
 
-    /** Resumes reading and watching the store if this node has become a reader; called about once per second. */
-    public void tick() {
+    /**
+     * Reads the newest version from the store and then watches it, if this node has become a reader; called about once
+     * per second.
+     */
+    public void resumeIfReader() {
         if (!reading && !watching && isReader.getAsBoolean()) {
             read();
         }
@@ -140,7 +144,7 @@
         }
         reading = true;
         counters.increment(NodeMetricNames.STORE_READS);
-        source.read(consistency, result -> {
+        store.read(consistency, result -> {
             reading = false;
             onReadResult(result);
         });
@@ -170,7 +174,7 @@
                 scheduleRetry(this::read);
             }
             case ConfigurationSource.ReadResult.HistoryGone gone -> {
-                // Retried with a delay: a store that has dropped its history under overload must not be read in a tight
+                // The read is delayed: a store that has dropped its history under overload must not be read in a tight
                 // loop.
                 counters.increment(NodeMetricNames.STORE_HISTORY_GONE);
                 scheduleRetry(this::read);
@@ -183,8 +187,8 @@
     }
 
     /**
-     * Resumes the watch after a version was read. During a burst of versions it waits instead and then reads only the
-     * newest one, because a watch would return each of them.
+     * Resumes the watch after a version was read. During a burst of versions, the newest one is read after a delay
+     * instead, because a watch would return each of them.
      */
     private void continueReading(boolean inBurst) {
         if (!inBurst || reading) {
@@ -237,7 +241,7 @@
         }
         watching = true;
         counters.increment(NodeMetricNames.STORE_WATCHES);
-        source.watch(revision, WATCH_TIMEOUT_MILLIS, result -> {
+        store.watch(revision, WATCH_TIMEOUT_MILLIS, result -> {
             watching = false;
             onReadResult(result);
         });
@@ -296,7 +300,7 @@
 
     private void onFetched(Member sender, byte[] encoded) {
         Origin origin = sender.state().zone().equals(zone) ? Origin.NEAR : Origin.FAR;
-        switch (source.decode(encoded)) {
+        switch (store.decode(encoded)) {
             case ConfigurationSource.ReadResult.Found found -> install(found.version(), sender.ip(), origin);
             case ConfigurationSource.ReadResult.Invalid invalid ->
                 log.write(Event.VERSION_REFUSED, "from", sender.ip(), "why", invalid.reason());
--- a/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
+++ b/org.berylwick.test/tst/org/berylwick/node/NodeRig.java
@@ -175,7 +175,7 @@
     /** Sends a node state to node 1 in a gossip datagram, as another node would. */
     void sendStateToFirstNode(DatagramSocket from, NodeState state) throws IOException {
         ByteBuf bytes = Unpooled.buffer();
-        NodeStateCodec.write(new NodeStateCodec.Message(state, false, List.of()), bytes);
+        NodeStateCodec.encode(new NodeStateCodec.Message(state, false, List.of()), bytes);
         from.send(new DatagramPacket(bytes.array(), bytes.readableBytes(), gossipAddress(1)));
     }
 
@@ -413,13 +413,13 @@
     /** Heartbeats with a body of the form {@code PORT SEQUENCE STATE SLOTS SERVICE}. */
     private static final class PlainTextHeartbeats implements HeartbeatProtocol {
         @Override
-        public Announcement read(String method, String uri, byte[] body) {
+        public DecodeResult decode(String method, String uri, byte[] body) {
             String incarnation = uri.substring(1);
             if ("DELETE".equals(method)) {
-                return new Announcement.Leave(incarnation);
+                return new DecodeResult.Leave(incarnation);
             }
             String[] fields = new String(body, StandardCharsets.US_ASCII).split(" ");
-            return new Announcement.Report(new BackendReport(
+            return new DecodeResult.Report(new BackendReport(
                     incarnation,
                     fields[4],
                     new InetSocketAddress("127.0.0.1", Integer.parseInt(fields[0])),
--- a/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/RestartTest.java
@@ -39,7 +39,7 @@
                                         List.of(new WeightedService("caller-1", 1)))));
     }
 
-    private static void answerWithHealth(String incarnation, int status, RawServer.Connection c, RawServer.Request r)
+    private static void respondWithHealth(String incarnation, int status, RawServer.Connection c, RawServer.Request r)
             throws IOException {
         if (!r.path().equals(HEALTH_PATH)) {
             NodeRig.respondOk(c, r);
@@ -51,11 +51,12 @@
 
     /**
      * Guards against a restarted node refusing callers until the next heartbeat of its backend server, which is already
-     * running. The node sends a health check, which tells it the incarnation, and serves requests from then on.
+     * running. The node sends it a health check, learns its incarnation from the response, and serves requests from
+     * then on.
      */
     @Test
     void restartedNodeServesBeforeNextHeartbeat() {
-        try (RawServer server = new RawServer((c, r) -> answerWithHealth("i-running", 200, c, r));
+        try (RawServer server = new RawServer((c, r) -> respondWithHealth("i-running", 200, c, r));
                 NodeRig rig = new NodeRig()) {
             rig.configuration.publish(version());
             rig.startWithoutReport(1, server);
@@ -77,7 +78,7 @@
         List<String> requestedPaths = new CopyOnWriteArrayList<>();
         try (RawServer server = new RawServer((c, r) -> {
                     requestedPaths.add(r.path());
-                    answerWithHealth("i-leaving", 503, c, r);
+                    respondWithHealth("i-leaving", 503, c, r);
                 });
                 NodeRig rig = new NodeRig()) {
             rig.configuration.publish(version());
@@ -95,7 +96,7 @@
      */
     @Test
     void firstHeartbeatReplacesProbedIncarnation() {
-        try (RawServer server = new RawServer((c, r) -> answerWithHealth("i-old", 200, c, r));
+        try (RawServer server = new RawServer((c, r) -> respondWithHealth("i-old", 200, c, r));
                 NodeRig rig = new NodeRig()) {
             rig.configuration.publish(version());
             rig.startWithoutReport(1, server);
@@ -110,8 +111,8 @@
 
     /**
      * Guards against a backend server idling while its node stops. The platform needs two seconds to route the node's
-     * callers elsewhere; until then the node must keep serving requests from other nodes. The readiness checks tell the
-     * node that its callers have been routed elsewhere.
+     * callers elsewhere; until then the node must keep serving requests from other nodes. It learns from two failed
+     * readiness checks that its callers have been routed elsewhere.
      */
     @Test
     void stoppingNodeServesOtherNodesUntilItsCallersAreGone() throws InterruptedException {
@@ -133,6 +134,7 @@
                 NodeRig.sleep(60);
             }
             NodeRig.sleep(300);
+            // The second failed readiness check, after which the node assumes that its callers are routed elsewhere.
             rig.isReady(1);
             long callersGoneAt = System.nanoTime();
             stopThread.join();
@@ -170,6 +172,7 @@
                     Thread.ofPlatform().start(() -> outerResponse[0] = rig.call(1, "POST", "/pay/x", "outer", ""));
             Await.until("start of the request at the backend server", () -> server.runs("outer") == 1, rig::logText);
             Thread stopThread = Thread.ofPlatform().start(stoppingNode::stop);
+            // Two failed readiness checks, after which the node assumes that its callers are routed elsewhere.
             rig.isReady(1);
             NodeRig.sleep(700);
             rig.isReady(1);
--- a/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/SilentNodeTest.java
@@ -23,12 +23,12 @@
 class SilentNodeTest {
     private static final int LINK_MBPS = 100;
     /** On a link this slow, a body is sent only after the receiver has requested it by {@code 100 Continue}. */
-    private static final int NARROW_MBPS = 5;
+    private static final int SLOW_LINK_MBPS = 5;
 
-    private static final int BODY_LENGTH = 60_000;
+    private static final int BODY_BYTES = 60_000;
     /** Longer than the time without a datagram after which a node counts as silent, in a fleet of two nodes. */
     private static final int LONGER_THAN_SILENCE_TIMEOUT_MILLIS = 2_500;
-    /** Longer than a gossip round; at the end of each round pending requests of silent nodes are notified. */
+    /** Longer than a gossip round; in each round, requests that are pending on silent nodes are notified. */
     private static final int LONGER_THAN_GOSSIP_ROUND_MILLIS = 1_200;
 
     @Test
@@ -45,8 +45,7 @@
             rig.start(2, Optional.of(server));
             callThread.join();
             assertTrue(response[0].endsWith("ok"), response[0]);
-            assertTrue(
-                    System.nanoTime() - startedAt < 10_000_000_000L, "the request was not retried before its deadline");
+            assertTrue(System.nanoTime() - startedAt < 10_000_000_000L, "the request was not answered within 10 s");
         }
     }
 
@@ -69,7 +68,7 @@
         }
     }
 
-    /** Abandoning a non-idempotent request would only lose its response, since it cannot be retried. */
+    /** Abandoning a non-idempotent request would only lose its response, since it must not be run a second time. */
     @Test
     void nonIdempotentRequestIsNotRetriedWhenNodeIsSilent() throws Exception {
         try (RawServer server = new RawServer(NodeRig::respondOk);
@@ -95,14 +94,14 @@
      */
     @Test
     void requestIsRetriedWhenSilentNodeHasNotRequestedItsBody() throws Exception {
-        String body = "b".repeat(BODY_LENGTH);
+        String body = "b".repeat(BODY_BYTES);
         try (RawServer server = new RawServer((c, r) -> {
-                    c.read(BODY_LENGTH);
+                    c.read(BODY_BYTES);
                     NodeRig.respondOk(c, r);
                 });
                 NodeRig rig = NodeRig.withEntryNode(
                         versionWith(NodeRig.route("slow", "/slow/", RouteKind.NON_IDEMPOTENT, 12_000)));
-                ScriptedPeer silentPeer = ScriptedPeer.startAnnounced(rig, NARROW_MBPS)) {
+                ScriptedPeer silentPeer = ScriptedPeer.startAnnounced(rig, SLOW_LINK_MBPS)) {
             CompletableFuture<String> response = CompletableFuture.supplyAsync(
                     () -> rig.send(1, NodeRig.request("POST", "/slow/x", "b4", 12_000, body)));
             try (ScriptedPeer.Connection call = silentPeer.accept()) {
@@ -144,8 +143,8 @@
     }
 
     /**
-     * The log entry of a call that ended at its deadline must name the node it was waiting for; otherwise the cause
-     * could not be found.
+     * The log entry of a call that ended at its deadline must name the node for which the call was waiting; otherwise
+     * the cause could not be found.
      */
     @Test
     void logOfExpiredCallNamesTheNodeItWaitedFor() throws IOException {
--- a/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/VersionSpreadTest.java
@@ -26,10 +26,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Tests how versions reach nodes that do not watch the store, at a cost that a slow link and a slow CPU can bear. */
+/** Tests that versions reach nodes that do not watch the store without overloading a slow link or a slow CPU. */
 @Timeout(60)
 class VersionSpreadTest {
-    private static final int NARROW_MBPS = 2;
+    private static final int SLOW_LINK_MBPS = 2;
     private static final int BURST_VERSIONS = 40;
     private static final int BURST_INTERVAL_MILLIS = 25;
 
@@ -77,7 +77,7 @@
         }
     }
 
-    /** Guards against sending each version completely; an encoded version has about 100 KB here. */
+    /** Guards against sending each version completely; an encoded version in this test has about 100 KB. */
     @Test
     void onlyChangesAreSentToNodeWithEarlierVersion() {
         try (NodeRig rig = new NodeRig()) {
@@ -98,7 +98,7 @@
 
     /**
      * Two nodes have different content for the same version number, so that a delta from that version cannot be
-     * applied. Guards against requesting the same delta again without end: the complete version must be fetched next.
+     * applied. Guards against requesting the same delta forever: the complete version must be fetched next.
      */
     @Test
     void fullVersionIsFetchedWhenDeltaDoesNotApply() throws IOException {
@@ -158,7 +158,7 @@
         try (RawServer server = new RawServer(NodeRig::respondOk);
                 NodeRig rig = new NodeRig()) {
             rig.configuration.publish(NodeRig.version(1));
-            rig.startWithLink(1, server, 1, NARROW_MBPS);
+            rig.startWithLink(1, server, 1, SLOW_LINK_MBPS);
             rig.awaitReady(1);
             try (Socket connection = new Socket()) {
                 connection.connect(rig.peerAddress(1));
@@ -171,7 +171,7 @@
                 long millis = (System.nanoTime() - requestedAt) / 1_000_000;
                 assertTrue(response.startsWith("HTTP/1.1 200") && !response.endsWith("[closed]"));
                 assertTrue(
-                        millis > response.length() * 8 / (1_000 * NARROW_MBPS) / 2,
+                        millis > response.length() * 8 / (1_000 * SLOW_LINK_MBPS) / 2,
                         response.length() + " bytes in " + millis + " ms");
             }
         }
--- a/org.berylwick.test/tst/org/berylwick/node/member/NodeStateCodecTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/member/NodeStateCodecTest.java
@@ -19,7 +19,8 @@
 import org.berylwick.node.lib.ServiceTimeDistribution;
 
 /**
- * Tests that an encoded datagram is decoded to the same content, and that arbitrary or truncated bytes are rejected.
+ * Tests that an encoded datagram is decoded to the same content, that a truncated one is rejected, and that arbitrary
+ * bytes cause no exception.
  */
 class NodeStateCodecTest {
     @Property(tries = 200)
@@ -30,7 +31,7 @@
             @ForAll BackendState backendState,
             @ForAll @IntRange(max = 60_000) int number,
             @ForAll @AlphaChars @StringLength(max = 40) String text) {
-        NodeState nodeState = new NodeState(
+        NodeState state = new NodeState(
                 bootId,
                 7,
                 text,
@@ -47,21 +48,21 @@
                         new ServiceTimeDistribution(
                                 new RequestClass(RouteKind.NON_IDEMPOTENT, 3, number), 1_000L * (number + 1), 0.25),
                         new ServiceTimeDistribution(new RequestClass(RouteKind.BULK, 0, 100), 7_000L, 0.5)));
-        NodeStateCodec.Message message = new NodeStateCodec.Message(nodeState, flag, List.of("10.0.0.1", "10.0.0.2"));
+        NodeStateCodec.Message message = new NodeStateCodec.Message(state, flag, List.of("10.0.0.1", "10.0.0.2"));
         ByteBuf encoded = Unpooled.buffer();
-        NodeStateCodec.write(message, encoded);
-        assertEquals(Optional.of(message), NodeStateCodec.read(encoded));
+        NodeStateCodec.encode(message, encoded);
+        assertEquals(Optional.of(message), NodeStateCodec.decode(encoded));
     }
 
     @Property(tries = 500)
     void invalidOrTruncatedDatagramIsRejected(@ForAll byte[] bytes, @ForAll @IntRange(max = 200) int truncatedLength) {
-        NodeStateCodec.read(Unpooled.wrappedBuffer(bytes));
+        NodeStateCodec.decode(Unpooled.wrappedBuffer(bytes));
         NodeState state = new NodeState(
                 1, 1, "zone", 100, 1, true, false, "service", "i-1", BackendState.READY, 0, OwnerLoad.NONE, List.of());
         ByteBuf encoded = Unpooled.buffer();
-        NodeStateCodec.write(new NodeStateCodec.Message(state, false, List.of("10.0.0.1")), encoded);
+        NodeStateCodec.encode(new NodeStateCodec.Message(state, false, List.of("10.0.0.1")), encoded);
         if (truncatedLength < encoded.readableBytes()) {
-            assertTrue(NodeStateCodec.read(encoded.slice(0, truncatedLength)).isEmpty());
+            assertTrue(NodeStateCodec.decode(encoded.slice(0, truncatedLength)).isEmpty());
         }
     }
 }
