--- a/org.berylwick/src/org/berylwick/internal/spread/Backoff.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Backoff.java
@@ -10,7 +10,7 @@
  */
 public final class Backoff {
     private final RandomGenerator random;
-    private final long firstMillis;
+    private final long initialMillis;
     private final long maxMillis;
     private int failures;
 
@@ -22,13 +22,13 @@
      */
     public Backoff(RandomGenerator random, long firstMillis, long maxMillis) {
         this.random = random;
-        this.firstMillis = firstMillis;
+        this.initialMillis = firstMillis;
         this.maxMillis = maxMillis;
     }
 
     /** Notes a failure; tells how long to wait, in milliseconds. */
     public long nextMillis() {
-        long bound = Math.min(maxMillis, firstMillis << Math.min(failures, 20));
+        long bound = Math.min(maxMillis, initialMillis << Math.min(failures, 20));
         failures++;
         return random.nextLong(bound + 1);
     }
