--- a/org.berylwick.test/tst/org/berylwick/internal/spread/RateTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/RateTest.java
@@ -49,7 +49,7 @@
         Backoff backoff = new Backoff(new Random(failures), 200, 5_000);
         long bound = 200;
         for (int i = 0; i < failures; i++) {
-            long wait = backoff.nextMillis();
+            long wait = backoff.nextDelayMillis();
             assertTrue(wait >= 0 && wait <= bound, wait + " after " + i + " failures");
             bound = Math.min(5_000, bound * 2);
         }
--- a/org.berylwick/src/org/berylwick/internal/spread/Backoff.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Backoff.java
@@ -27,7 +27,7 @@
     }
 
     /** Notes a failure; tells how long to wait, in milliseconds. */
-    public long nextMillis() {
+    public long nextDelayMillis() {
         long bound = Math.min(maxMillis, initialMillis << Math.min(failures, 20));
         failures++;
         return random.nextLong(bound + 1);
--- a/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
@@ -151,7 +151,7 @@
         links.remove(link.stream);
         if (link.outgoing) {
             Backoff backoff = backoff(link.address);
-            retries.put(link.address, new Retry(backoff, Deadline.afterMillis(time, backoff.nextMillis())));
+            retries.put(link.address, new Retry(backoff, Deadline.afterMillis(time, backoff.nextDelayMillis())));
         }
     }
 
