--- a/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
@@ -26,7 +26,7 @@
     private static final EventLog EVENTS = new EventLog(LinkTable.class);
     private static final long FIRST_BACKOFF_MILLIS = 200;
     private static final long MAX_BACKOFF_MILLIS = 5_000;
-    private static final long HELLO_MILLIS = 3_000;
+    private static final long HELLO_TIMEOUT_MILLIS = 3_000;
     private static final long SURPLUS_GRACE_MILLIS = 10_000;
     private static final double ADMITTED_PER_SECOND = 50;
     private static final double ADMITTED_BURST = 20;
@@ -176,7 +176,7 @@
         List<PeerLink> silent = new ArrayList<>();
         long now = time.nanoTime();
         for (PeerLink l : all()) {
-            long limit = l.isOpen() ? tuning.silence() : HELLO_MILLIS;
+            long limit = l.isOpen() ? tuning.silence() : HELLO_TIMEOUT_MILLIS;
             if (now - l.receivedAtNanos > limit * 1_000_000L) {
                 EVENTS.log(MembershipEvent.STREAM_SILENT, l.address);
                 ended(l);
