--- a/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
@@ -27,7 +27,7 @@
     private static final long FIRST_BACKOFF_MILLIS = 200;
     private static final long MAX_BACKOFF_MILLIS = 5_000;
     private static final long HELLO_TIMEOUT_MILLIS = 3_000;
-    private static final long SURPLUS_GRACE_MILLIS = 10_000;
+    private static final long UNCHOSEN_STREAM_GRACE_MILLIS = 10_000;
     private static final double ADMITTED_PER_SECOND = 50;
     private static final double ADMITTED_BURST = 20;
     private static final long RETRY_AFTER_MILLIS = 1_000;
@@ -104,7 +104,7 @@
             }
         }
         Set<String> wanted = chosen.stream().map(Member::instance).collect(Collectors.toSet());
-        long graceNanos = SURPLUS_GRACE_MILLIS * 1_000_000L;
+        long graceNanos = UNCHOSEN_STREAM_GRACE_MILLIS * 1_000_000L;
         for (PeerLink l : all()) {
             boolean surplus = l.outgoing
                     && l.isOpen()
