--- a/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
@@ -29,7 +29,7 @@
     private static final long HELLO_TIMEOUT_MILLIS = 3_000;
     private static final long UNCHOSEN_STREAM_GRACE_MILLIS = 10_000;
     private static final double ADMISSIONS_PER_SECOND = 50;
-    private static final double ADMITTED_BURST = 20;
+    private static final double ADMISSION_BURST = 20;
     private static final long RETRY_AFTER_MILLIS = 1_000;
 
     private final SpreadTuning tuning;
@@ -57,7 +57,7 @@
         this.time = time;
         this.random = random;
         this.metrics = metrics;
-        this.admission = new TokenBucket(time, ADMISSIONS_PER_SECOND, ADMITTED_BURST);
+        this.admission = new TokenBucket(time, ADMISSIONS_PER_SECOND, ADMISSION_BURST);
     }
 
     Optional<PeerLink> find(PeerStream stream) {
