--- a/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
@@ -24,7 +24,7 @@
 /** The streams to other daemons: which to open, to admit and to close; for the spreading duty's thread alone. */
 final class LinkTable {
     private static final EventLog EVENTS = new EventLog(LinkTable.class);
-    private static final long FIRST_BACKOFF_MILLIS = 200;
+    private static final long INITIAL_BACKOFF_MILLIS = 200;
     private static final long MAX_BACKOFF_MILLIS = 5_000;
     private static final long HELLO_TIMEOUT_MILLIS = 3_000;
     private static final long UNCHOSEN_STREAM_GRACE_MILLIS = 10_000;
@@ -157,7 +157,7 @@
 
     private Backoff backoff(HostPort address) {
         Retry known = retries.get(address);
-        return known == null ? new Backoff(random, FIRST_BACKOFF_MILLIS, MAX_BACKOFF_MILLIS) : known.backoff();
+        return known == null ? new Backoff(random, INITIAL_BACKOFF_MILLIS, MAX_BACKOFF_MILLIS) : known.backoff();
     }
 
     /** Ends a stream. */
