--- a/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
@@ -133,7 +133,7 @@
     }
 
     /** The peer at the other end said who it is. */
-    void established(PeerLink link, Member peer) {
+    void onEstablished(PeerLink link, Member peer) {
         link.peer = Optional.of(peer);
         link.address = peer.address();
         retries.remove(peer.address());
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -211,7 +211,7 @@
             case Result.Ok<Member, String>(Member peer)
             when peer.instance().equals(self.current().instance()) -> links.drop(link);
             case Result.Ok<Member, String>(Member peer) -> {
-                links.established(link, peer);
+                links.onEstablished(link, peer);
                 if (!link.outgoing) {
                     hello(link);
                 }
