--- a/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
@@ -65,7 +65,7 @@
     }
 
     /** All links whose peers are known. */
-    List<PeerLink> open() {
+    List<PeerLink> established() {
         return links.values().stream().filter(PeerLink::isOpen).toList();
     }
 
--- a/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
@@ -117,7 +117,7 @@
         boolean versionOnly = before.filter(b -> b.withVersion(now.version(), now.installedAtEpochMillis())
                         .equals(now))
                 .isPresent();
-        for (PeerLink l : links.open()) {
+        for (PeerLink l : links.established()) {
             if (l != source) {
                 (versionOnly ? l.reports : l.records).add(now.instance());
             }
@@ -203,17 +203,17 @@
     void flush() {
         if (recordsDue.filter(d -> d.isPast(time)).isPresent()) {
             recordsDue = Optional.empty();
-            links.open().forEach(this::flushRecords);
+            links.established().forEach(this::flushRecords);
         }
         if (reportsDue.filter(d -> d.isPast(time)).isPresent()) {
             reportsDue = Optional.empty();
-            links.open().forEach(this::flushReports);
+            links.established().forEach(this::flushReports);
         }
     }
 
     /** Sends everything at once, before the daemon leaves. */
     void flushNow() {
-        links.open().forEach(this::flushRecords);
+        links.established().forEach(this::flushRecords);
     }
 
     private void flushRecords(PeerLink link) {
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -138,7 +138,7 @@
         work();
         Deadline wait = gossip.nextFlush(nextUpkeep);
         ring.poll(wait.remainingNanos(time)).ifPresent(this::handle);
-        openLinks = links.open().size();
+        openLinks = links.established().size();
     }
 
     /** Does what is due and takes what came in, without waiting. */
@@ -157,7 +157,7 @@
         }
         heartbeats();
         gossip.flush();
-        openLinks = links.open().size();
+        openLinks = links.established().size();
     }
 
     private void handle(SpreadEvent event) {
@@ -173,7 +173,7 @@
                 });
             case SpreadEvent.Installed() -> {
                 gossip.merge(List.of(), null);
-                links.open().forEach(this::notice);
+                links.established().forEach(this::notice);
             }
             case SpreadEvent.Found(List<HostPort> addresses) -> {
                 found = List.copyOf(addresses);
@@ -236,7 +236,7 @@
     private void join() {
         List<HostPort> shuffled = new ArrayList<>(found);
         shuffled.remove(self.current().address());
-        if (!links.open().isEmpty()) {
+        if (!links.established().isEmpty()) {
             table.view().all().stream()
                     .filter(m -> m.state() != Member.State.GONE)
                     .forEach(m -> shuffled.remove(m.address()));
@@ -268,7 +268,7 @@
 
     private void heartbeats() {
         long now = time.nanoTime();
-        for (PeerLink l : links.open()) {
+        for (PeerLink l : links.established()) {
             if (now - l.nextHeartbeatNanos >= 0) {
                 heartbeat(l);
             }
@@ -313,7 +313,7 @@
         detector.forgettable().forEach(table::forget);
         links.reconcile(choose(me)).forEach(this::hello);
         // Who was refused or found nobody tries the same addresses again, each after its own wait.
-        if (links.open().isEmpty()) {
+        if (links.established().isEmpty()) {
             join();
         }
         if (nextProbe.isPast(time)) {
@@ -348,7 +348,7 @@
     private void doubt(Member member) {
         Member now = table.view().find(member.instance()).orElse(member);
         List<Member> helpers = new ArrayList<>();
-        for (PeerLink l : links.open()) {
+        for (PeerLink l : links.established()) {
             if (helpers.size() < HELPERS && !l.peer.get().instance().equals(now.instance())) {
                 helpers.add(l.peer.get());
             }
