--- a/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
@@ -141,7 +141,7 @@
     }
 
     /** The peer admits nobody now. */
-    void refused(PeerLink link, long retryAfterMillis) {
+    void onRefused(PeerLink link, long retryAfterMillis) {
         retries.put(link.address, new Retry(backoff(link.address), Deadline.afterMillis(time, retryAfterMillis)));
         drop(link);
     }
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -197,7 +197,7 @@
             case HEARTBEAT -> received(link, message.getHeartbeat());
             case SUMMARY -> gossip.received(message.getSummary(), link);
             case REPORTS -> gossip.received(message.getReports(), link);
-            case REFUSED -> links.refused(link, message.getRefused().getRetryAfterMs());
+            case REFUSED -> links.onRefused(link, message.getRefused().getRetryAfterMs());
             case BODY_NOT_SET -> {}
         }
     }
