--- a/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
@@ -147,7 +147,7 @@
     }
 
     /** A stream ended by itself. */
-    void ended(PeerLink link) {
+    void onClosed(PeerLink link) {
         links.remove(link.stream);
         if (link.outgoing) {
             Backoff backoff = backoff(link.address);
@@ -179,7 +179,7 @@
             long limit = l.isOpen() ? tuning.silence() : HELLO_TIMEOUT_MILLIS;
             if (now - l.receivedAtNanos > limit * 1_000_000L) {
                 EVENTS.log(MembershipEvent.STREAM_SILENT, l.address);
-                ended(l);
+                onClosed(l);
                 l.stream.close();
                 silent.add(l);
             }
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -168,7 +168,7 @@
                         .ifPresent(l -> handle(l, message));
             case SpreadEvent.Closed(PeerStream stream, String reason) ->
                 links.find(stream).ifPresent(l -> {
-                    links.ended(l);
+                    links.onClosed(l);
                     l.peer.or(() -> memberAt(l.address)).ifPresent(this::doubt);
                 });
             case SpreadEvent.Installed() -> {
