--- a/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
@@ -142,7 +142,7 @@
 
     /** The peer admits nobody now. */
     void onRefused(PeerLink link, long retryAfterMillis) {
-        retries.put(link.address, new Retry(backoff(link.address), Deadline.afterMillis(time, retryAfterMillis)));
+        retries.put(link.address, new Retry(backoffFor(link.address), Deadline.afterMillis(time, retryAfterMillis)));
         drop(link);
     }
 
@@ -150,12 +150,12 @@
     void onClosed(PeerLink link) {
         links.remove(link.stream);
         if (link.outgoing) {
-            Backoff backoff = backoff(link.address);
+            Backoff backoff = backoffFor(link.address);
             retries.put(link.address, new Retry(backoff, Deadline.afterMillis(time, backoff.nextDelayMillis())));
         }
     }
 
-    private Backoff backoff(HostPort address) {
+    private Backoff backoffFor(HostPort address) {
         Retry known = retries.get(address);
         return known == null ? new Backoff(random, INITIAL_BACKOFF_MILLIS, MAX_BACKOFF_MILLIS) : known.backoff();
     }
