--- a/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
@@ -112,7 +112,7 @@
                     && linked.containsAll(wanted)
                     && time.nanoTime() - l.openedAtNanos > graceNanos;
             if (surplus) {
-                drop(l);
+                close(l);
             }
         }
         return opened;
@@ -143,7 +143,7 @@
     /** The peer admits nobody now. */
     void onRefused(PeerLink link, long retryAfterMillis) {
         retries.put(link.address, new Retry(backoffFor(link.address), Deadline.afterMillis(time, retryAfterMillis)));
-        drop(link);
+        close(link);
     }
 
     /** A stream ended by itself. */
@@ -161,7 +161,7 @@
     }
 
     /** Ends a stream. */
-    void drop(PeerLink link) {
+    void close(PeerLink link) {
         links.remove(link.stream);
         link.stream.close();
     }
@@ -189,6 +189,6 @@
 
     /** Ends all streams. */
     void closeAll() {
-        all().forEach(this::drop);
+        all().forEach(this::close);
     }
 }
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -206,10 +206,10 @@
         switch (MemberMessages.toMember(hello.getSelf())) {
             case Result.Err<Member, String>(String detail) -> {
                 EVENTS.log(MembershipEvent.UNREADABLE_RECORD, link.address, detail);
-                links.drop(link);
+                links.close(link);
             }
             case Result.Ok<Member, String>(Member peer)
-            when peer.instance().equals(self.current().instance()) -> links.drop(link);
+            when peer.instance().equals(self.current().instance()) -> links.close(link);
             case Result.Ok<Member, String>(Member peer) -> {
                 links.onEstablished(link, peer);
                 if (!link.outgoing) {
