--- a/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
@@ -172,7 +172,7 @@
      *
      * @return the links that were ended
      */
-    List<PeerLink> dropSilent() {
+    List<PeerLink> closeSilent() {
         List<PeerLink> silent = new ArrayList<>();
         long now = time.nanoTime();
         for (PeerLink l : all()) {
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -308,7 +308,7 @@
     private void upkeep() {
         Member me = self.current();
         gossip.merge(List.of(), null);
-        links.dropSilent().forEach(l -> l.peer.or(() -> memberAt(l.address)).ifPresent(this::doubt));
+        links.closeSilent().forEach(l -> l.peer.or(() -> memberAt(l.address)).ifPresent(this::doubt));
         gossip.merge(detector.expired(table.view()), null);
         detector.forgettable().forEach(table::forget);
         links.reconcile(choose(me)).forEach(this::hello);
