--- a/org.berylwick/src/org/berylwick/internal/spread/ManifestDelta.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/ManifestDelta.java
@@ -38,14 +38,14 @@
         List<String> removed = base.parts().keySet().stream()
                 .filter(k -> !target.parts().containsKey(k))
                 .toList();
-        int inherited = inherited(base, target);
+        int inherited = countInherited(base, target);
         List<String> ancestors =
                 target.ancestors().subList(0, target.ancestors().size() - inherited);
         return new ManifestDelta(
                 target.number(), target.previousDigest(), ancestors, inherited, target.audit(), set, removed);
     }
 
-    private static int inherited(Manifest base, Manifest target) {
+    private static int countInherited(Manifest base, Manifest target) {
         long passed = target.number() - base.number();
         int rest = (int) Math.max(0, target.ancestors().size() - passed);
         boolean shared = rest <= base.ancestors().size()
