--- a/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
@@ -33,7 +33,7 @@
  */
 final class MembershipGossip {
     private static final EventLog EVENTS = new EventLog(MembershipGossip.class);
-    private static final int MAX_RECORDS = 200;
+    private static final int MAX_RECORDS_PER_MESSAGE = 200;
 
     private final SpreadTuning tuning;
     private final SelfMember self;
@@ -229,7 +229,7 @@
         for (String instance : link.records) {
             view.find(instance).ifPresent(m -> delta.addMembers(MemberMessages.toMessage(m)));
             link.reports.remove(instance);
-            if (delta.getMembersCount() == MAX_RECORDS) {
+            if (delta.getMembersCount() == MAX_RECORDS_PER_MESSAGE) {
                 link.send(PeerMessage.newBuilder().setMembership(delta).build());
                 delta.clear();
             }
