--- a/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
@@ -44,7 +44,7 @@
     private final SpreadMetrics metrics;
     private Optional<Deadline> recordsDue = Optional.empty();
     private Optional<Deadline> reportsDue = Optional.empty();
-    private MembershipView indexed = MembershipView.EMPTY;
+    private MembershipView indexedView = MembershipView.EMPTY;
     private Map<Long, Member> byIncarnation = Map.of();
 
     MembershipGossip(
@@ -166,12 +166,12 @@
 
     private void index() {
         MembershipView view = table.view();
-        if (view == indexed) {
+        if (view == indexedView) {
             return;
         }
         Map<Long, Member> index = new HashMap<>();
         view.all().forEach(m -> index.put(MemberHash.ofIncarnation(m), m));
-        indexed = view;
+        indexedView = view;
         byIncarnation = index;
     }
 
