--- a/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
@@ -45,7 +45,7 @@
     private Optional<Deadline> recordsDue = Optional.empty();
     private Optional<Deadline> reportsDue = Optional.empty();
     private MembershipView indexedView = MembershipView.EMPTY;
-    private Map<Long, Member> byIncarnation = Map.of();
+    private Map<Long, Member> byIncarnationHash = Map.of();
 
     MembershipGossip(
             SpreadTuning tuning,
@@ -155,7 +155,7 @@
         index();
         List<Member> records = new ArrayList<>();
         for (int i = 0; i < reports.getMembersCount(); i++) {
-            Member m = byIncarnation.get(reports.getMembers(i));
+            Member m = byIncarnationHash.get(reports.getMembers(i));
             if (m != null && m.version() <= reports.getVersion()) {
                 long at = reports.getInstalledAtEpochMs() + reports.getInstalledAfterMs(i);
                 records.add(m.withVersion(reports.getVersion(), at));
@@ -172,7 +172,7 @@
         Map<Long, Member> index = new HashMap<>();
         view.all().forEach(m -> index.put(MemberHash.ofIncarnation(m), m));
         indexedView = view;
-        byIncarnation = index;
+        byIncarnationHash = index;
     }
 
     /** Answers a summary with what its sender lacks. */
