--- a/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
@@ -72,7 +72,7 @@
             if (m.instance().equals(self.current().instance())) {
                 refute(m);
             } else {
-                others.add(source == null ? m : soften(before, m));
+                others.add(source == null ? m : downgradeToSuspect(before, m));
             }
         }
         others.add(self.current());
@@ -91,7 +91,7 @@
      * Takes another daemon's giving up of a member for a suspicion: when regions that lost each other meet again, each
      * has given up the other's members, and none of those may drop out before it had time to refute.
      */
-    private static Member soften(MembershipView before, Member claim) {
+    private static Member downgradeToSuspect(MembershipView before, Member claim) {
         boolean inUse = before.find(claim.instance())
                 .filter(m -> m.incarnation() == claim.incarnation())
                 .filter(m -> m.state().compareTo(Member.State.SUSPECT) <= 0)
