--- a/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
@@ -79,7 +79,7 @@
         List<Member> changed = table.mergeAll(others);
         for (Member m : changed) {
             detector.changed(m);
-            log(before.find(m.instance()), m);
+            logStateChange(before.find(m.instance()), m);
             pass(before.find(m.instance()), m, source);
         }
         if (source != null) {
@@ -107,7 +107,7 @@
         });
     }
 
-    private static void log(Optional<Member> before, Member now) {
+    private static void logStateChange(Optional<Member> before, Member now) {
         if (before.map(Member::state).filter(s -> s == now.state()).isEmpty()) {
             EVENTS.log(MembershipEvent.STATE, now.instance(), now.state(), now.incarnation());
         }
