--- a/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
@@ -80,7 +80,7 @@
         for (Member m : changed) {
             detector.changed(m);
             logStateChange(before.find(m.instance()), m);
-            pass(before.find(m.instance()), m, source);
+            enqueue(before.find(m.instance()), m, source);
         }
         if (source != null) {
             records.forEach(m -> settle(m, source));
@@ -113,7 +113,7 @@
         }
     }
 
-    private void pass(Optional<Member> before, Member now, PeerLink source) {
+    private void enqueue(Optional<Member> before, Member now, PeerLink source) {
         boolean versionOnly = before.filter(b -> b.withVersion(now.version(), now.installedAtEpochMillis())
                         .equals(now))
                 .isPresent();
