--- a/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
@@ -83,7 +83,7 @@
             enqueue(before.find(m.instance()), m, source);
         }
         if (source != null) {
-            records.forEach(m -> settle(m, source));
+            records.forEach(m -> dequeueEcho(m, source));
         }
     }
 
@@ -130,7 +130,7 @@
     }
 
     /** What a peer sent need not be sent back to it. */
-    private void settle(Member sent, PeerLink source) {
+    private void dequeueEcho(Member sent, PeerLink source) {
         table.view().find(sent.instance()).filter(sent::equals).ifPresent(m -> {
             source.records.remove(m.instance());
             source.reports.remove(m.instance());
