--- a/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
@@ -138,7 +138,7 @@
     }
 
     /** Takes in full records. */
-    void received(MembershipDelta delta, PeerLink source) {
+    void onDelta(MembershipDelta delta, PeerLink source) {
         List<Member> records = new ArrayList<>();
         for (MemberRecord r : delta.getMembersList()) {
             switch (MemberMessages.toMember(r)) {
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -193,7 +193,7 @@
         switch (message.getBodyCase()) {
             case HELLO -> greeted(link, message.getHello());
             case VERSION -> told(link, message.getVersion());
-            case MEMBERSHIP -> gossip.received(message.getMembership(), link);
+            case MEMBERSHIP -> gossip.onDelta(message.getMembership(), link);
             case HEARTBEAT -> received(link, message.getHeartbeat());
             case SUMMARY -> gossip.received(message.getSummary(), link);
             case REPORTS -> gossip.received(message.getReports(), link);
