--- a/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
@@ -151,7 +151,7 @@
     }
 
     /** Takes in version reports. */
-    void received(VersionReports reports, PeerLink source) {
+    void onReports(VersionReports reports, PeerLink source) {
         index();
         List<Member> records = new ArrayList<>();
         for (int i = 0; i < reports.getMembersCount(); i++) {
