--- a/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
@@ -152,7 +152,7 @@
 
     /** Takes in version reports. */
     void onReports(VersionReports reports, PeerLink source) {
-        index();
+        refreshIndex();
         List<Member> records = new ArrayList<>();
         for (int i = 0; i < reports.getMembersCount(); i++) {
             Member m = byIncarnationHash.get(reports.getMembers(i));
@@ -164,7 +164,7 @@
         merge(records, source);
     }
 
-    private void index() {
+    private void refreshIndex() {
         MembershipView view = table.view();
         if (view == indexedView) {
             return;
