--- a/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
@@ -176,7 +176,7 @@
     }
 
     /** Answers a summary with what its sender lacks. */
-    void received(MembershipSummary summary, PeerLink source) {
+    void onSummary(MembershipSummary summary, PeerLink source) {
         Set<Long> known = new HashSet<>(summary.getRecordsList());
         for (Member m : table.view().all()) {
             if (!known.contains(MemberHash.ofState(m))) {
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -195,7 +195,7 @@
             case VERSION -> told(link, message.getVersion());
             case MEMBERSHIP -> gossip.onDelta(message.getMembership(), link);
             case HEARTBEAT -> received(link, message.getHeartbeat());
-            case SUMMARY -> gossip.received(message.getSummary(), link);
+            case SUMMARY -> gossip.onSummary(message.getSummary(), link);
             case REPORTS -> gossip.onReports(message.getReports(), link);
             case REFUSED -> links.onRefused(link, message.getRefused().getRetryAfterMs());
             case BODY_NOT_SET -> {}
