--- a/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
@@ -187,7 +187,7 @@
     }
 
     /** Tells a peer which records are known here. */
-    void summarise(PeerLink link) {
+    void sendSummary(PeerLink link) {
         MembershipSummary.Builder summary = MembershipSummary.newBuilder();
         table.view().all().forEach(m -> summary.addRecords(MemberHash.ofState(m)));
         link.send(PeerMessage.newBuilder().setSummary(summary).build());
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -299,7 +299,7 @@
             return;
         }
         if (own.states() != theirs.states()) {
-            gossip.summarise(link);
+            gossip.sendSummary(link);
         } else {
             gossip.reportAll(link);
         }
