--- a/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
@@ -194,7 +194,7 @@
     }
 
     /** Has all versions in force told to a peer. */
-    void reportAll(PeerLink link) {
+    void enqueueAllReports(PeerLink link) {
         table.view().all().forEach(m -> link.reports.add(m.instance()));
         reportsDue = Optional.of(Deadline.afterMillis(time, 0));
     }
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -301,7 +301,7 @@
         if (own.states() != theirs.states()) {
             gossip.sendSummary(link);
         } else {
-            gossip.reportAll(link);
+            gossip.enqueueAllReports(link);
         }
     }
 
