--- a/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
@@ -212,7 +212,7 @@
     }
 
     /** Sends everything at once, before the daemon leaves. */
-    void flushNow() {
+    void flushRecordsNow() {
         links.established().forEach(this::flushRecords);
     }
 
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -371,7 +371,7 @@
     public void close() {
         closed = true;
         gossip.merge(List.of(), null);
-        gossip.flushNow();
+        gossip.flushRecordsNow();
         links.closeAll();
     }
 }
