--- a/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
@@ -258,10 +258,10 @@
         }
         link.reports.clear();
         byVersion.forEach((version, members) -> link.send(
-                PeerMessage.newBuilder().setReports(reports(version, members)).build()));
+                PeerMessage.newBuilder().setReports(toReports(version, members)).build()));
     }
 
-    private static VersionReports reports(long version, List<Member> members) {
+    private static VersionReports toReports(long version, List<Member> members) {
         long earliest =
                 members.stream().mapToLong(Member::installedAtEpochMillis).min().orElse(0);
         VersionReports.Builder reports =
