--- a/org.berylwick/src/org/berylwick/internal/spread/PeerChooser.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/PeerChooser.java
@@ -20,7 +20,7 @@
  * join zones at many points. The same members give the same choice, and a change of one member changes few streams.
  */
 public final class PeerChooser {
-    private static final Comparator<Placed> RING = Comparator.<Placed, String>comparing(
+    private static final Comparator<Placed> RING_ORDER = Comparator.<Placed, String>comparing(
                     p -> p.member.place().region())
             .thenComparing(p -> p.member.place().availabilityZone())
             .thenComparingLong(Placed::hash)
@@ -45,7 +45,7 @@
                 .filter(m -> !m.instance().equals(self.instance()))
                 .filter(m -> m.state() == Member.State.UP || m.state() == Member.State.STARTING)
                 .map(Placed::of)
-                .sorted(RING)
+                .sorted(RING_ORDER)
                 .toList();
         Map<String, Member> chosen = new LinkedHashMap<>();
         if (ring.isEmpty()) {
@@ -53,7 +53,7 @@
         }
         Placed here = Placed.of(self);
         Member next = ring.stream()
-                .filter(p -> RING.compare(p, here) > 0)
+                .filter(p -> RING_ORDER.compare(p, here) > 0)
                 .findFirst()
                 .orElse(ring.getFirst())
                 .member();
