--- a/org.berylwick/src/org/berylwick/internal/spread/PeerChooser.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/PeerChooser.java
@@ -20,15 +20,15 @@
  * join zones at many points. The same members give the same choice, and a change of one member changes few streams.
  */
 public final class PeerChooser {
-    private static final Comparator<Placed> RING_ORDER = Comparator.<Placed, String>comparing(
+    private static final Comparator<RingEntry> RING_ORDER = Comparator.<RingEntry, String>comparing(
                     p -> p.member.place().region())
             .thenComparing(p -> p.member.place().availabilityZone())
-            .thenComparingLong(Placed::hash)
+            .thenComparingLong(RingEntry::hash)
             .thenComparing(p -> p.member.instance());
 
-    private record Placed(Member member, long hash) {
-        private static Placed of(Member member) {
-            return new Placed(member, MemberHash.of(member.instance()));
+    private record RingEntry(Member member, long hash) {
+        private static RingEntry of(Member member) {
+            return new RingEntry(member, MemberHash.of(member.instance()));
         }
     }
 
@@ -41,23 +41,23 @@
      * @param fanOut most streams to open
      */
     public static List<Member> choose(Member self, Collection<Member> members, int fanOut) {
-        List<Placed> ring = members.stream()
+        List<RingEntry> ring = members.stream()
                 .filter(m -> !m.instance().equals(self.instance()))
                 .filter(m -> m.state() == Member.State.UP || m.state() == Member.State.STARTING)
-                .map(Placed::of)
+                .map(RingEntry::of)
                 .sorted(RING_ORDER)
                 .toList();
         Map<String, Member> chosen = new LinkedHashMap<>();
         if (ring.isEmpty()) {
             return List.of();
         }
-        Placed here = Placed.of(self);
+        RingEntry here = RingEntry.of(self);
         Member next = ring.stream()
                 .filter(p -> RING_ORDER.compare(p, here) > 0)
                 .findFirst()
                 .orElse(ring.getFirst())
                 .member();
-        List<Member> live = ring.stream().map(Placed::member).toList();
+        List<Member> live = ring.stream().map(RingEntry::member).toList();
         chosen.put(next.instance(), next);
         Predicate<Member> sameZone = m -> m.place().equals(self.place());
         Predicate<Member> sameRegion =
