--- a/org.berylwick/src/org/berylwick/internal/spread/PeerChooser.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/PeerChooser.java
@@ -64,13 +64,13 @@
                 m -> m.place().region().equals(self.place().region());
         List<Predicate<Member>> turns = List.of(sameZone.negate(), sameZone, sameRegion.negate(), sameZone);
         for (int i = 0; chosen.size() < Math.min(fanOut, live.size()); i++) {
-            Optional<Member> best = best(self, live, chosen, turns.get(i % turns.size()));
-            best.or(() -> best(self, live, chosen, m -> true)).ifPresent(m -> chosen.put(m.instance(), m));
+            Optional<Member> best = highestRanked(self, live, chosen, turns.get(i % turns.size()));
+            best.or(() -> highestRanked(self, live, chosen, m -> true)).ifPresent(m -> chosen.put(m.instance(), m));
         }
         return new ArrayList<>(chosen.values());
     }
 
-    private static Optional<Member> best(
+    private static Optional<Member> highestRanked(
             Member self, List<Member> live, Map<String, Member> chosen, Predicate<Member> wanted) {
         return live.stream()
                 .filter(m -> !chosen.containsKey(m.instance()))
