--- a/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
@@ -119,7 +119,7 @@
                 .isPresent();
         for (PeerLink l : links.established()) {
             if (l != source) {
-                (versionOnly ? l.reports : l.records).add(now.instance());
+                (versionOnly ? l.reports : l.pendingRecords).add(now.instance());
             }
         }
         if (versionOnly) {
@@ -132,7 +132,7 @@
     /** What a peer sent need not be sent back to it. */
     private void dequeueEcho(Member sent, PeerLink source) {
         table.view().find(sent.instance()).filter(sent::equals).ifPresent(m -> {
-            source.records.remove(m.instance());
+            source.pendingRecords.remove(m.instance());
             source.reports.remove(m.instance());
         });
     }
@@ -180,7 +180,7 @@
         Set<Long> known = new HashSet<>(summary.getRecordsList());
         for (Member m : table.view().all()) {
             if (!known.contains(MemberHash.ofState(m))) {
-                source.records.add(m.instance());
+                source.pendingRecords.add(m.instance());
             }
         }
         recordsDue = Optional.of(Deadline.afterMillis(time, 0));
@@ -217,7 +217,7 @@
     }
 
     private void flushRecords(PeerLink link) {
-        if (link.records.isEmpty()) {
+        if (link.pendingRecords.isEmpty()) {
             return;
         }
         if (!link.stream.isReady()) {
@@ -226,7 +226,7 @@
         }
         MembershipView view = table.view();
         MembershipDelta.Builder delta = MembershipDelta.newBuilder();
-        for (String instance : link.records) {
+        for (String instance : link.pendingRecords) {
             view.find(instance).ifPresent(m -> delta.addMembers(MemberMessages.toMessage(m)));
             link.reports.remove(instance);
             if (delta.getMembersCount() == MAX_RECORDS_PER_MESSAGE) {
@@ -234,7 +234,7 @@
                 delta.clear();
             }
         }
-        link.records.clear();
+        link.pendingRecords.clear();
         if (delta.getMembersCount() > 0) {
             link.send(PeerMessage.newBuilder().setMembership(delta).build());
         }
--- a/org.berylwick/src/org/berylwick/internal/spread/PeerLink.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/PeerLink.java
@@ -19,7 +19,7 @@
     final PeerStream stream;
     final boolean outgoing;
     final long openedAtNanos;
-    final Set<String> records = new LinkedHashSet<>();
+    final Set<String> pendingRecords = new LinkedHashSet<>();
     final Set<String> reports = new LinkedHashSet<>();
     HostPort address;
     Optional<Member> peer = Optional.empty();
