--- a/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
@@ -119,7 +119,7 @@
                 .isPresent();
         for (PeerLink l : links.established()) {
             if (l != source) {
-                (versionOnly ? l.reports : l.pendingRecords).add(now.instance());
+                (versionOnly ? l.pendingReports : l.pendingRecords).add(now.instance());
             }
         }
         if (versionOnly) {
@@ -133,7 +133,7 @@
     private void dequeueEcho(Member sent, PeerLink source) {
         table.view().find(sent.instance()).filter(sent::equals).ifPresent(m -> {
             source.pendingRecords.remove(m.instance());
-            source.reports.remove(m.instance());
+            source.pendingReports.remove(m.instance());
         });
     }
 
@@ -195,7 +195,7 @@
 
     /** Has all versions in force told to a peer. */
     void enqueueAllReports(PeerLink link) {
-        table.view().all().forEach(m -> link.reports.add(m.instance()));
+        table.view().all().forEach(m -> link.pendingReports.add(m.instance()));
         reportsDue = Optional.of(Deadline.afterMillis(time, 0));
     }
 
@@ -228,7 +228,7 @@
         MembershipDelta.Builder delta = MembershipDelta.newBuilder();
         for (String instance : link.pendingRecords) {
             view.find(instance).ifPresent(m -> delta.addMembers(MemberMessages.toMessage(m)));
-            link.reports.remove(instance);
+            link.pendingReports.remove(instance);
             if (delta.getMembersCount() == MAX_RECORDS_PER_MESSAGE) {
                 link.send(PeerMessage.newBuilder().setMembership(delta).build());
                 delta.clear();
@@ -241,7 +241,7 @@
     }
 
     private void flushReports(PeerLink link) {
-        if (link.reports.isEmpty()) {
+        if (link.pendingReports.isEmpty()) {
             return;
         }
         if (!link.stream.isReady()) {
@@ -250,13 +250,13 @@
         }
         MembershipView view = table.view();
         Map<Long, List<Member>> byVersion = new HashMap<>();
-        for (String instance : link.reports) {
+        for (String instance : link.pendingReports) {
             view.find(instance)
                     .ifPresent(m -> byVersion
                             .computeIfAbsent(m.version(), v -> new ArrayList<>())
                             .add(m));
         }
-        link.reports.clear();
+        link.pendingReports.clear();
         byVersion.forEach((version, members) -> link.send(
                 PeerMessage.newBuilder().setReports(toReports(version, members)).build()));
     }
--- a/org.berylwick/src/org/berylwick/internal/spread/PeerLink.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/PeerLink.java
@@ -20,7 +20,7 @@
     final boolean outgoing;
     final long openedAtNanos;
     final Set<String> pendingRecords = new LinkedHashSet<>();
-    final Set<String> reports = new LinkedHashSet<>();
+    final Set<String> pendingReports = new LinkedHashSet<>();
     HostPort address;
     Optional<Member> peer = Optional.empty();
     long receivedAtNanos;
