--- a/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
@@ -177,7 +177,7 @@
         long now = time.nanoTime();
         for (PeerLink l : all()) {
             long limit = l.isOpen() ? tuning.silence() : HELLO_TIMEOUT_MILLIS;
-            if (now - l.receivedAtNanos > limit * 1_000_000L) {
+            if (now - l.lastReceivedNanos > limit * 1_000_000L) {
                 EVENTS.log(MembershipEvent.STREAM_SILENT, l.address);
                 onClosed(l);
                 l.stream.close();
--- a/org.berylwick/src/org/berylwick/internal/spread/PeerLink.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/PeerLink.java
@@ -23,7 +23,7 @@
     final Set<String> pendingReports = new LinkedHashSet<>();
     HostPort address;
     Optional<Member> peer = Optional.empty();
-    long receivedAtNanos;
+    long lastReceivedNanos;
     long nextHeartbeatNanos;
     long peerVersion;
     long toldVersion;
@@ -36,7 +36,7 @@
         this.outgoing = outgoing;
         this.address = address;
         this.openedAtNanos = nowNanos;
-        this.receivedAtNanos = nowNanos;
+        this.lastReceivedNanos = nowNanos;
         this.nextHeartbeatNanos = nowNanos;
     }
 
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -189,7 +189,7 @@
     }
 
     private void handle(PeerLink link, PeerMessage message) {
-        link.receivedAtNanos = time.nanoTime();
+        link.lastReceivedNanos = time.nanoTime();
         switch (message.getBodyCase()) {
             case HELLO -> greeted(link, message.getHello());
             case VERSION -> told(link, message.getVersion());
