--- a/org.berylwick/src/org/berylwick/internal/spread/PeerLink.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/PeerLink.java
@@ -26,7 +26,7 @@
     long lastReceivedNanos;
     long nextHeartbeatNanos;
     long peerVersion;
-    long toldVersion;
+    long advertisedVersion;
     private Hashes lastOwn = new Hashes(0, 0);
     private Hashes lastTheirs = new Hashes(0, 0);
     private int compared;
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -225,7 +225,7 @@
 
     private void hello(PeerLink link) {
         VersionId id = installed.snapshot().id();
-        link.toldVersion = id.number();
+        link.advertisedVersion = id.number();
         link.send(PeerMessage.newBuilder()
                 .setHello(Hello.newBuilder()
                         .setSelf(MemberMessages.toMessage(self.current()))
@@ -259,10 +259,10 @@
 
     private void notice(PeerLink link) {
         VersionId id = installed.snapshot().id();
-        if (id.number() <= link.peerVersion || id.number() <= link.toldVersion) {
+        if (id.number() <= link.peerVersion || id.number() <= link.advertisedVersion) {
             return;
         }
-        link.toldVersion = id.number();
+        link.advertisedVersion = id.number();
         link.send(PeerMessage.newBuilder().setVersion(VersionServer.notice(id)).build());
     }
 
