--- a/org.berylwick/src/org/berylwick/internal/spread/PeerLink.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/PeerLink.java
@@ -27,7 +27,7 @@
     long nextHeartbeatNanos;
     long peerVersion;
     long advertisedVersion;
-    private Hashes lastOwn = new Hashes(0, 0);
+    private Hashes lastLocalHashes = new Hashes(0, 0);
     private Hashes lastTheirs = new Hashes(0, 0);
     private int compared;
 
@@ -55,9 +55,9 @@
      * @return whether they differ and neither is just changing
      */
     boolean differs(Hashes own, Hashes theirs, int settled) {
-        boolean still = own.equals(lastOwn) && theirs.equals(lastTheirs);
+        boolean still = own.equals(lastLocalHashes) && theirs.equals(lastTheirs);
         boolean first = compared == 0;
-        lastOwn = own;
+        lastLocalHashes = own;
         lastTheirs = theirs;
         compared = still && !first ? compared + 1 : 1;
         if (own.equals(theirs)) {
