--- a/org.berylwick/src/org/berylwick/internal/spread/PeerLink.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/PeerLink.java
@@ -28,7 +28,7 @@
     long peerVersion;
     long advertisedVersion;
     private Hashes lastLocalHashes = new Hashes(0, 0);
-    private Hashes lastTheirs = new Hashes(0, 0);
+    private Hashes lastPeerHashes = new Hashes(0, 0);
     private int compared;
 
     PeerLink(PeerStream stream, boolean outgoing, HostPort address, long nowNanos) {
@@ -55,10 +55,10 @@
      * @return whether they differ and neither is just changing
      */
     boolean differs(Hashes own, Hashes theirs, int settled) {
-        boolean still = own.equals(lastLocalHashes) && theirs.equals(lastTheirs);
+        boolean still = own.equals(lastLocalHashes) && theirs.equals(lastPeerHashes);
         boolean first = compared == 0;
         lastLocalHashes = own;
-        lastTheirs = theirs;
+        lastPeerHashes = theirs;
         compared = still && !first ? compared + 1 : 1;
         if (own.equals(theirs)) {
             return false;
