--- a/org.berylwick/src/org/berylwick/internal/spread/PeerLink.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/PeerLink.java
@@ -29,7 +29,7 @@
     long advertisedVersion;
     private Hashes lastLocalHashes = new Hashes(0, 0);
     private Hashes lastPeerHashes = new Hashes(0, 0);
-    private int compared;
+    private int stableHeartbeats;
 
     PeerLink(PeerStream stream, boolean outgoing, HostPort address, long nowNanos) {
         this.stream = stream;
@@ -56,15 +56,15 @@
      */
     boolean differs(Hashes own, Hashes theirs, int settled) {
         boolean still = own.equals(lastLocalHashes) && theirs.equals(lastPeerHashes);
-        boolean first = compared == 0;
+        boolean first = stableHeartbeats == 0;
         lastLocalHashes = own;
         lastPeerHashes = theirs;
-        compared = still && !first ? compared + 1 : 1;
+        stableHeartbeats = still && !first ? stableHeartbeats + 1 : 1;
         if (own.equals(theirs)) {
             return false;
         }
-        if (first || compared > settled) {
-            compared = 1;
+        if (first || stableHeartbeats > settled) {
+            stableHeartbeats = 1;
             return true;
         }
         return false;
