--- a/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
@@ -66,7 +66,7 @@
 
     /** All links whose peers are known. */
     List<PeerLink> established() {
-        return links.values().stream().filter(PeerLink::isOpen).toList();
+        return links.values().stream().filter(PeerLink::isEstablished).toList();
     }
 
     Collection<PeerLink> all() {
@@ -107,7 +107,7 @@
         long graceNanos = UNCHOSEN_STREAM_GRACE_MILLIS * 1_000_000L;
         for (PeerLink l : all()) {
             boolean surplus = l.outgoing
-                    && l.isOpen()
+                    && l.isEstablished()
                     && !wanted.contains(l.peer.get().instance())
                     && linked.containsAll(wanted)
                     && time.nanoTime() - l.openedAtNanos > graceNanos;
@@ -176,7 +176,7 @@
         List<PeerLink> silent = new ArrayList<>();
         long now = time.nanoTime();
         for (PeerLink l : all()) {
-            long limit = l.isOpen() ? tuning.silence() : HELLO_TIMEOUT_MILLIS;
+            long limit = l.isEstablished() ? tuning.silence() : HELLO_TIMEOUT_MILLIS;
             if (now - l.lastReceivedNanos > limit * 1_000_000L) {
                 EVENTS.log(MembershipEvent.STREAM_SILENT, l.address);
                 onClosed(l);
--- a/org.berylwick/src/org/berylwick/internal/spread/PeerLink.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/PeerLink.java
@@ -40,7 +40,7 @@
         this.nextHeartbeatNanos = nowNanos;
     }
 
-    boolean isOpen() {
+    boolean isEstablished() {
         return peer.isPresent();
     }
 
