--- a/org.berylwick/src/org/berylwick/internal/spread/PeerLink.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/PeerLink.java
@@ -54,7 +54,7 @@
      * @param settled heartbeats over which both tables must have stood still to count as different
      * @return whether they differ and neither is just changing
      */
-    boolean differs(Hashes own, Hashes theirs, int settled) {
+    boolean needsSync(Hashes own, Hashes theirs, int settled) {
         boolean still = own.equals(lastLocalHashes) && theirs.equals(lastPeerHashes);
         boolean first = stableHeartbeats == 0;
         lastLocalHashes = own;
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -295,7 +295,7 @@
         offered(link, beat.getVersion());
         Hashes own = table.hashes();
         Hashes theirs = new Hashes(beat.getMembersDigest(), beat.getReportsDigest());
-        if (!link.differs(own, theirs, SETTLED_HEARTBEATS)) {
+        if (!link.needsSync(own, theirs, SETTLED_HEARTBEATS)) {
             return;
         }
         if (own.states() != theirs.states()) {
