--- a/org.berylwick/src/org/berylwick/internal/spread/Prober.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Prober.java
@@ -18,7 +18,7 @@
  * two daemons alone does not make either suspect the other.
  */
 final class Prober {
-    private static final long PROBE_MILLIS = 1_500;
+    private static final long PROBE_TIMEOUT_MILLIS = 1_500;
 
     private final PeerCalls calls;
     private final Consumer<SpreadEvent> events;
@@ -38,7 +38,7 @@
                 return;
             }
         }
-        Deadline deadline = Deadline.afterMillis(time, PROBE_MILLIS);
+        Deadline deadline = Deadline.afterMillis(time, PROBE_TIMEOUT_MILLIS);
         List<CompletableFuture<Optional<ProbeReply>>> probes = new ArrayList<>();
         probes.add(calls.probe(member.address(), deadline));
         helpers.forEach(h -> probes.add(calls.probeThrough(h.address(), member.address(), deadline)));
