--- a/org.berylwick/src/org/berylwick/internal/spread/Prober.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Prober.java
@@ -23,7 +23,7 @@
     private final PeerCalls calls;
     private final Consumer<SpreadEvent> events;
     private final TimeSource time;
-    private final Set<String> underWay = new HashSet<>();
+    private final Set<String> inFlight = new HashSet<>();
 
     Prober(PeerCalls calls, Consumer<SpreadEvent> events, TimeSource time) {
         this.calls = calls;
@@ -33,8 +33,8 @@
 
     /** Probes a member; the outcome comes as an event. */
     void probe(Member member, List<Member> helpers) {
-        synchronized (underWay) {
-            if (!underWay.add(member.instance())) {
+        synchronized (inFlight) {
+            if (!inFlight.add(member.instance())) {
                 return;
             }
         }
@@ -43,8 +43,8 @@
         probes.add(calls.probe(member.address(), deadline));
         helpers.forEach(h -> probes.add(calls.probeThrough(h.address(), member.address(), deadline)));
         CompletableFuture.allOf(probes.toArray(CompletableFuture[]::new)).whenComplete((done, failure) -> {
-            synchronized (underWay) {
-                underWay.remove(member.instance());
+            synchronized (inFlight) {
+                inFlight.remove(member.instance());
             }
             // An address may have been given to another daemon meanwhile; only the name tells.
             boolean answered = failure == null
