--- a/org.berylwick.daemon/src/org/berylwick/daemon/duty/ReaderRole.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/duty/ReaderRole.java
@@ -155,7 +155,7 @@
         }
         freshness.heardNow();
         long now = time.epochMillis();
-        ReaderLease lease = object.map(ReaderRole::decode).orElse(ReaderLease.NONE);
+        ReaderLease lease = object.map(ReaderRole::decode).orElse(ReaderLease.EMPTY);
         switch (lease.decide(settings.instance(), now, settings.spread().readers(), now + LEASE_MILLIS)) {
             case ReaderLease.Decision.Full() -> give("all places are taken");
             case ReaderLease.Decision.Write(ReaderLease next, int newSlot) -> {
@@ -176,7 +176,7 @@
         return switch (ConfigurationCodec.decode(object.value(), ReaderLease.class)) {
             case Result.Ok<ReaderLease, String>(ReaderLease lease) -> lease;
             // Nothing but places is lost with an unreadable lease, and the next write makes it readable.
-            case Result.Err<ReaderLease, String> ignored -> ReaderLease.NONE;
+            case Result.Err<ReaderLease, String> ignored -> ReaderLease.EMPTY;
         };
     }
 
--- a/org.berylwick.test/tst/org/berylwick/internal/spread/ReaderLeaseTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/ReaderLeaseTest.java
@@ -22,7 +22,7 @@
     @Property(seed = "5")
     void neverMoreHoldersThanPlacesWhoeverComesWhen(
             @ForAll @Size(max = 60) List<@IntRange(min = 0, max = 5) Integer> who) {
-        ReaderLease lease = ReaderLease.NONE;
+        ReaderLease lease = ReaderLease.EMPTY;
         Map<String, Long> heldUntil = new HashMap<>();
         for (int now = 0; now < who.size(); now++) {
             String instance = "d" + who.get(now);
--- a/org.berylwick/src/org/berylwick/internal/spread/ReaderLease.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/ReaderLease.java
@@ -14,7 +14,7 @@
  */
 public record ReaderLease(List<Holder> holders) {
     /** Nobody. */
-    public static final ReaderLease NONE = new ReaderLease(List.of());
+    public static final ReaderLease EMPTY = new ReaderLease(List.of());
 
     /**
      * One reader.
