--- a/org.berylwick.daemon/src/org/berylwick/daemon/duty/ReaderRole.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/duty/ReaderRole.java
@@ -156,7 +156,7 @@
         freshness.heardNow();
         long now = time.epochMillis();
         ReaderLease lease = object.map(ReaderRole::decode).orElse(ReaderLease.EMPTY);
-        switch (lease.decide(settings.instance(), now, settings.spread().readers(), now + LEASE_MILLIS)) {
+        switch (lease.acquireOrRenew(settings.instance(), now, settings.spread().readers(), now + LEASE_MILLIS)) {
             case ReaderLease.Decision.Full() -> give("all places are taken");
             case ReaderLease.Decision.Write(ReaderLease next, int newSlot) -> {
                 budget.charge(1);
--- a/org.berylwick.test/tst/org/berylwick/internal/spread/ReaderLeaseTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/ReaderLeaseTest.java
@@ -26,7 +26,7 @@
         Map<String, Long> heldUntil = new HashMap<>();
         for (int now = 0; now < who.size(); now++) {
             String instance = "d" + who.get(now);
-            if (lease.decide(instance, now, PLACES, now + LEASE)
+            if (lease.acquireOrRenew(instance, now, PLACES, now + LEASE)
                     instanceof ReaderLease.Decision.Write(ReaderLease next, int slot)) {
                 assertTrue(slot < PLACES);
                 lease = next;
@@ -41,9 +41,9 @@
     @Test
     void placeOfADaemonThatDiedIsTakenOnceItLapsed() {
         ReaderLease full = new ReaderLease(List.of(new ReaderLease.Holder("a", 10), new ReaderLease.Holder("b", 20)));
-        assertInstanceOf(ReaderLease.Decision.Full.class, full.decide("c", 9, PLACES, 19));
+        assertInstanceOf(ReaderLease.Decision.Full.class, full.acquireOrRenew("c", 9, PLACES, 19));
         ReaderLease.Decision.Write taken =
-                assertInstanceOf(ReaderLease.Decision.Write.class, full.decide("c", 10, PLACES, 20));
+                assertInstanceOf(ReaderLease.Decision.Write.class, full.acquireOrRenew("c", 10, PLACES, 20));
         assertEquals(1, taken.slot());
         assertEquals(
                 List.of("b", "c"),
@@ -57,6 +57,6 @@
     @Test
     void holderThatSleptPastItsLeaseFindsThePlacesTaken() {
         ReaderLease others = new ReaderLease(List.of(new ReaderLease.Holder("b", 30), new ReaderLease.Holder("c", 30)));
-        assertInstanceOf(ReaderLease.Decision.Full.class, others.decide("a", 25, PLACES, 35));
+        assertInstanceOf(ReaderLease.Decision.Full.class, others.acquireOrRenew("a", 25, PLACES, 35));
     }
 }
--- a/org.berylwick/src/org/berylwick/internal/spread/ReaderLease.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/ReaderLease.java
@@ -46,7 +46,7 @@
      * @param places most readers of the zone
      * @param untilEpochMillis when its own hold would lapse
      */
-    public Decision decide(String instance, long nowEpochMillis, int places, long untilEpochMillis) {
+    public Decision acquireOrRenew(String instance, long nowEpochMillis, int places, long untilEpochMillis) {
         List<Holder> next = new ArrayList<>();
         boolean held = false;
         for (Holder h : holders) {
