--- a/org.berylwick.bench/src/org/berylwick/bench/control/ModelFleet.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/control/ModelFleet.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.berylwick.internal.kernel.Ring;
 import org.berylwick.internal.membership.MembershipTable;
-import org.berylwick.internal.spread.ReceivedVersion;
+import org.berylwick.internal.spread.VersionDeltaDecoder;
 import org.berylwick.internal.spread.SelfMember;
 import org.berylwick.internal.spread.SpreadEvent;
 import org.berylwick.internal.spread.SpreadMetrics;
@@ -149,7 +149,7 @@
                     .encode(installed.snapshot().id().number())
                     .orElseThrow();
             bytes += gzip.length + FRAME_BYTES + CALL_BYTES;
-            if (ReceivedVersion.decode(gzip, installed.inForce())
+            if (VersionDeltaDecoder.decode(gzip, installed.inForce())
                     instanceof Result.Ok<VersionContent, String>(VersionContent content)) {
                 installed.install(content);
             }
--- a/org.berylwick.daemon/src/org/berylwick/daemon/duty/VersionPull.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/duty/VersionPull.java
@@ -5,7 +5,7 @@
 import org.berylwick.internal.event.VersionEvent;
 import org.berylwick.internal.kernel.Duty;
 import org.berylwick.internal.kernel.Ring;
-import org.berylwick.internal.spread.ReceivedVersion;
+import org.berylwick.internal.spread.VersionDeltaDecoder;
 import org.berylwick.internal.spread.SpreadMetrics;
 import org.berylwick.internal.spread.Spreader;
 import org.berylwick.internal.version.InstalledVersion;
@@ -79,7 +79,7 @@
         }
         Result<VersionContent, PeerError> fetched = client.fetchVersion(
                         offer.address(), held, Deadline.afterMillis(time, FETCH_MILLIS))
-                .flatMap(gzip -> ReceivedVersion.decode(gzip, base).mapError(PeerError.Malformed::new));
+                .flatMap(gzip -> VersionDeltaDecoder.decode(gzip, base).mapError(PeerError.Malformed::new));
         switch (fetched) {
             case Result.Err<VersionContent, PeerError>(PeerError error) -> {
                 metrics.pullFailed();
--- a/org.berylwick.test/tst/org/berylwick/internal/spread/MemoryNetwork.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/MemoryNetwork.java
@@ -96,7 +96,7 @@
                     .versions
                     .encode(installed.snapshot().id().number())
                     .orElseThrow();
-            if (ReceivedVersion.decode(gzip, installed.inForce())
+            if (VersionDeltaDecoder.decode(gzip, installed.inForce())
                     instanceof Result.Ok<VersionContent, String>(VersionContent content)) {
                 installed.install(content);
             }
--- a/org.berylwick.test/tst/org/berylwick/internal/spread/VersionTransferTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/VersionTransferTest.java
@@ -74,7 +74,7 @@
             previous = content.id();
         }
         byte[] gzip = server.encode(late.snapshot().id().number()).orElseThrow();
-        VersionContent received = decoded(ReceivedVersion.decode(gzip, late.inForce()));
+        VersionContent received = decoded(VersionDeltaDecoder.decode(gzip, late.inForce()));
         assertEquals(ahead.snapshot().id(), received.id());
         assertArrayEquals(ahead.inForce().manifestBytes(), received.manifestBytes());
         assertEquals(ahead.inForce().parts().keySet(), received.parts().keySet());
@@ -99,7 +99,7 @@
         ahead.install(second);
         byte[] gzip = server.encode(1).orElseThrow().clone();
         gzip[at % gzip.length] ^= flip;
-        if (ReceivedVersion.decode(gzip, holding(first).inForce())
+        if (VersionDeltaDecoder.decode(gzip, holding(first).inForce())
                 instanceof Result.Ok<VersionContent, String>(VersionContent content)) {
             assertEquals(second.id(), content.id());
             assertEquals(second.parts().keySet(), content.parts().keySet());
@@ -119,7 +119,7 @@
         byte[] gzip = server.encode(1).orElseThrow();
         assertInstanceOf(
                 Result.Err.class,
-                ReceivedVersion.decode(gzip, holding(first, second).inForce()));
+                VersionDeltaDecoder.decode(gzip, holding(first, second).inForce()));
         assertTrue(new VersionServer(new InstalledVersion(time)).encode(0).isEmpty());
     }
 }
--- a/org.berylwick/src/org/berylwick/internal/spread/ReceivedVersion.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/VersionDeltaDecoder.java
@@ -22,10 +22,10 @@
  * <p>Nothing of the peer is trusted but the name of the version: the manifest must have the digest of that name, and
  * each part the digest that the manifest gives.
  */
-public final class ReceivedVersion {
+public final class VersionDeltaDecoder {
     private static final int MAX_BYTES = 64 << 20;
 
-    private ReceivedVersion() {}
+    private VersionDeltaDecoder() {}
 
     /**
      * Decodes what {@link VersionServer#encode} wrote.
