--- a/org.berylwick/src/org/berylwick/internal/spread/VersionDeltaDecoder.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/VersionDeltaDecoder.java
@@ -23,7 +23,7 @@
  * each part the digest that the manifest gives.
  */
 public final class VersionDeltaDecoder {
-    private static final int MAX_BYTES = 64 << 20;
+    private static final int MAX_UNCOMPRESSED_BYTES = 64 << 20;
 
     private VersionDeltaDecoder() {}
 
@@ -37,9 +37,9 @@
         VersionDelta delta;
         VersionId id;
         try (GZIPInputStream in = new GZIPInputStream(new ByteArrayInputStream(gzip))) {
-            byte[] plain = in.readNBytes(MAX_BYTES + 1);
-            if (plain.length > MAX_BYTES) {
-                return Result.err("a version of more than " + MAX_BYTES + " bytes");
+            byte[] plain = in.readNBytes(MAX_UNCOMPRESSED_BYTES + 1);
+            if (plain.length > MAX_UNCOMPRESSED_BYTES) {
+                return Result.err("a version of more than " + MAX_UNCOMPRESSED_BYTES + " bytes");
             }
             delta = VersionDelta.parseFrom(plain);
             id = new VersionId(
