--- a/org.berylwick/src/org/berylwick/internal/spread/VersionDeltaDecoder.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/VersionDeltaDecoder.java
@@ -43,7 +43,7 @@
             }
             delta = VersionDelta.parseFrom(plain);
             id = new VersionId(
-                    delta.getVersion().getVersion(), digest(delta.getVersion().getDigest()));
+                    delta.getVersion().getVersion(), toDigest(delta.getVersion().getDigest()));
         } catch (IOException | IllegalArgumentException e) {
             return Result.err("cannot read a version from a peer: " + e);
         }
@@ -71,7 +71,7 @@
                         .map(d -> ConfigurationCodec.encode(d.applyTo(base))));
     }
 
-    private static Digest digest(ByteString bytes) {
+    private static Digest toDigest(ByteString bytes) {
         return new Digest(HexFormat.of().formatHex(bytes.toByteArray()));
     }
 }
