--- a/org.berylwick.bench/src/org/berylwick/bench/control/ModelFleet.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/control/ModelFleet.java
@@ -14,7 +14,7 @@
 import org.berylwick.internal.kernel.Ring;
 import org.berylwick.internal.membership.MembershipTable;
 import org.berylwick.internal.spread.VersionDeltaDecoder;
-import org.berylwick.internal.spread.SelfMember;
+import org.berylwick.internal.spread.LocalMember;
 import org.berylwick.internal.spread.SpreadEvent;
 import org.berylwick.internal.spread.SpreadMetrics;
 import org.berylwick.internal.spread.SpreadTuning;
@@ -72,7 +72,7 @@
     }
 
     /** One daemon. */
-    final class Node implements SelfMember, PeerCalls {
+    final class Node implements LocalMember, PeerCalls {
         private final InstalledVersion installed = new InstalledVersion(clock);
         private final MembershipTable table = new MembershipTable();
         private final VersionServer versions = new VersionServer(installed);
--- a/org.berylwick.daemon/src/org/berylwick/daemon/duty/SelfAnnouncement.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/duty/SelfAnnouncement.java
@@ -2,7 +2,7 @@
 
 import org.berylwick.daemon.settings.DaemonSettings;
 import org.berylwick.internal.kernel.KernelService;
-import org.berylwick.internal.spread.SelfMember;
+import org.berylwick.internal.spread.LocalMember;
 import org.berylwick.internal.version.InstalledVersion;
 import org.berylwick.internal.version.InstalledVersion.InForce;
 import org.berylwick.lib.HostPort;
@@ -11,7 +11,7 @@
 import org.berylwick.lib.TimeSource;
 
 /** What this daemon says of itself to others; any thread may read or change it. */
-public final class SelfAnnouncement implements KernelService, SelfMember {
+public final class SelfAnnouncement implements KernelService, LocalMember {
     /** The name in the kernel. */
     public static final String NAME = "self";
 
--- a/org.berylwick.test/tst/org/berylwick/internal/spread/MemoryNetwork.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/MemoryNetwork.java
@@ -37,7 +37,7 @@
     private record Direction(HostPort from, HostPort to) {}
 
     /** One daemon's spreader with what belongs to it. */
-    final class Node implements SelfMember, PeerCalls {
+    final class Node implements LocalMember, PeerCalls {
         final InstalledVersion installed = new InstalledVersion(time);
         final MembershipTable table = new MembershipTable();
         final Spreader spreader;
--- a/org.berylwick/src/org/berylwick/internal/spread/SelfMember.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/LocalMember.java
@@ -3,7 +3,7 @@
 import org.berylwick.lib.Member;
 
 /** What a daemon says of itself. */
-public interface SelfMember {
+public interface LocalMember {
     /** The record to announce now. */
     Member current();
 
--- a/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
@@ -36,7 +36,7 @@
     private static final int MAX_RECORDS_PER_MESSAGE = 200;
 
     private final SpreadTuning tuning;
-    private final SelfMember self;
+    private final LocalMember self;
     private final MembershipTable table;
     private final FailureDetector detector;
     private final LinkTable links;
@@ -49,7 +49,7 @@
 
     MembershipGossip(
             SpreadTuning tuning,
-            SelfMember self,
+            LocalMember self,
             MembershipTable table,
             FailureDetector detector,
             LinkTable links,
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -43,7 +43,7 @@
     private static final int EVENTS_AT_ONCE = 256;
 
     private final SpreadTuning tuning;
-    private final SelfMember self;
+    private final LocalMember self;
     private final MembershipTable table;
     private final InstalledVersion installed;
     private final StoreFreshness freshness;
@@ -77,7 +77,7 @@
     /** Everything that a spreader works with. */
     public record Parts(
             SpreadTuning tuning,
-            SelfMember self,
+            LocalMember self,
             MembershipTable table,
             InstalledVersion installed,
             StoreFreshness freshness,
