--- a/org.berylwick.bench/src/org/berylwick/bench/control/ModelFleet.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/control/ModelFleet.java
@@ -198,7 +198,7 @@
         public void send(PeerMessage message) {
             if (!ended) {
                 bytes += message.getSerializedSize() + FRAME_BYTES;
-                other.owner.inbox.add(new SpreadEvent.Received(other, message));
+                other.owner.inbox.add(new SpreadEvent.MessageReceived(other, message));
             }
         }
 
--- a/org.berylwick/src/org/berylwick/internal/spread/SpreadEvent.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/SpreadEvent.java
@@ -9,7 +9,7 @@
 /** What the spreading duty is told by other threads. */
 public sealed interface SpreadEvent {
     /** A message came in; the first one on a stream that a peer opened is what makes it known. */
-    record Received(PeerStream stream, PeerMessage message) implements SpreadEvent {}
+    record MessageReceived(PeerStream stream, PeerMessage message) implements SpreadEvent {}
 
     /** A stream ended. */
     record Closed(PeerStream stream, String reason) implements SpreadEvent {}
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -120,7 +120,7 @@
             stream.close();
             return;
         }
-        tell(new SpreadEvent.Received(stream, message));
+        tell(new SpreadEvent.MessageReceived(stream, message));
     }
 
     @Override
@@ -162,7 +162,7 @@
 
     private void handle(SpreadEvent event) {
         switch (event) {
-            case SpreadEvent.Received(PeerStream stream, PeerMessage message) ->
+            case SpreadEvent.MessageReceived(PeerStream stream, PeerMessage message) ->
                 links.find(stream)
                         .or(() -> message.hasHello() ? links.admit(stream) : Optional.empty())
                         .ifPresent(l -> handle(l, message));
