--- a/org.berylwick.bench/src/org/berylwick/bench/control/ModelFleet.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/control/ModelFleet.java
@@ -207,7 +207,7 @@
             if (!ended) {
                 ended = true;
                 other.ended = true;
-                other.owner.inbox.add(new SpreadEvent.Closed(other, "closed by the peer"));
+                other.owner.inbox.add(new SpreadEvent.StreamClosed(other, "closed by the peer"));
             }
         }
     }
--- a/org.berylwick/src/org/berylwick/internal/spread/SpreadEvent.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/SpreadEvent.java
@@ -12,7 +12,7 @@
     record MessageReceived(PeerStream stream, PeerMessage message) implements SpreadEvent {}
 
     /** A stream ended. */
-    record Closed(PeerStream stream, String reason) implements SpreadEvent {}
+    record StreamClosed(PeerStream stream, String reason) implements SpreadEvent {}
 
     /** Another version is in force here. */
     record Installed() implements SpreadEvent {}
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -125,7 +125,7 @@
 
     @Override
     public void closed(PeerStream stream, String reason) {
-        tell(new SpreadEvent.Closed(stream, reason));
+        tell(new SpreadEvent.StreamClosed(stream, reason));
     }
 
     /** How many peers this daemon exchanges with. */
@@ -166,7 +166,7 @@
                 links.find(stream)
                         .or(() -> message.hasHello() ? links.admit(stream) : Optional.empty())
                         .ifPresent(l -> handle(l, message));
-            case SpreadEvent.Closed(PeerStream stream, String reason) ->
+            case SpreadEvent.StreamClosed(PeerStream stream, String reason) ->
                 links.find(stream).ifPresent(l -> {
                     links.onClosed(l);
                     l.peer.or(() -> memberAt(l.address)).ifPresent(this::doubt);
