--- a/org.berylwick/src/org/berylwick/internal/spread/SpreadEvent.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/SpreadEvent.java
@@ -15,7 +15,7 @@
     record StreamClosed(PeerStream stream, String reason) implements SpreadEvent {}
 
     /** Another version is in force here. */
-    record Installed() implements SpreadEvent {}
+    record VersionInstalled() implements SpreadEvent {}
 
     /** Daemons were found in the directory or the settings. */
     record Found(List<HostPort> addresses) implements SpreadEvent {}
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -104,7 +104,7 @@
         gossip = new MembershipGossip(tuning, self, table, detector, links, time, metrics);
         nextUpkeep = new Deadline(time.nanoTime());
         nextProbe = Deadline.afterMillis(time, tuning.probe());
-        installed.addListener(v -> tell(new SpreadEvent.Installed()));
+        installed.addListener(v -> tell(new SpreadEvent.VersionInstalled()));
     }
 
     /** Tells the spreader something, from any thread; what the full ring refuses, heartbeats make good. */
@@ -171,7 +171,7 @@
                     links.onClosed(l);
                     l.peer.or(() -> memberAt(l.address)).ifPresent(this::doubt);
                 });
-            case SpreadEvent.Installed() -> {
+            case SpreadEvent.VersionInstalled() -> {
                 gossip.merge(List.of(), null);
                 links.established().forEach(this::notice);
             }
