--- a/org.berylwick.bench/src/org/berylwick/bench/control/ModelFleet.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/control/ModelFleet.java
@@ -221,7 +221,7 @@
             nodes.put(node.address, node);
         }
         List<HostPort> seeds = List.copyOf(nodes.keySet()).subList(0, Math.min(daemons, zones * 2));
-        nodes.values().forEach(n -> n.spreader.tell(new SpreadEvent.Found(seeds)));
+        nodes.values().forEach(n -> n.spreader.tell(new SpreadEvent.PeersDiscovered(seeds)));
     }
 
     /** Lets time pass. */
--- a/org.berylwick/src/org/berylwick/internal/spread/SpreadEvent.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/SpreadEvent.java
@@ -18,7 +18,7 @@
     record VersionInstalled() implements SpreadEvent {}
 
     /** Daemons were found in the directory or the settings. */
-    record Found(List<HostPort> addresses) implements SpreadEvent {}
+    record PeersDiscovered(List<HostPort> addresses) implements SpreadEvent {}
 
     /** A member answered neither this daemon nor others on its behalf. */
     record Unreachable(Member member) implements SpreadEvent {}
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -175,7 +175,7 @@
                 gossip.merge(List.of(), null);
                 links.established().forEach(this::notice);
             }
-            case SpreadEvent.Found(List<HostPort> addresses) -> {
+            case SpreadEvent.PeersDiscovered(List<HostPort> addresses) -> {
                 found = List.copyOf(addresses);
                 join();
             }
