--- a/org.berylwick/src/org/berylwick/internal/spread/SpreadEvent.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/SpreadEvent.java
@@ -21,7 +21,7 @@
     record PeersDiscovered(List<HostPort> addresses) implements SpreadEvent {}
 
     /** A member answered neither this daemon nor others on its behalf. */
-    record Unreachable(Member member) implements SpreadEvent {}
+    record MemberUnreachable(Member member) implements SpreadEvent {}
 
     /** A member that was suspected or given up answers. */
     record Reachable(Member member) implements SpreadEvent {}
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -179,7 +179,7 @@
                 found = List.copyOf(addresses);
                 join();
             }
-            case SpreadEvent.Unreachable(Member member) -> unreachable(member);
+            case SpreadEvent.MemberUnreachable(Member member) -> unreachable(member);
             case SpreadEvent.Reachable(Member member) -> {
                 if (member.state() == Member.State.SUSPECT || member.state() == Member.State.GONE) {
                     links.open(member.address()).ifPresent(this::hello);
