--- a/org.berylwick/src/org/berylwick/internal/spread/SpreadEvent.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/SpreadEvent.java
@@ -24,5 +24,5 @@
     record MemberUnreachable(Member member) implements SpreadEvent {}
 
     /** A member that was suspected or given up answers. */
-    record Reachable(Member member) implements SpreadEvent {}
+    record MemberReachable(Member member) implements SpreadEvent {}
 }
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -180,7 +180,7 @@
                 join();
             }
             case SpreadEvent.MemberUnreachable(Member member) -> unreachable(member);
-            case SpreadEvent.Reachable(Member member) -> {
+            case SpreadEvent.MemberReachable(Member member) -> {
                 if (member.state() == Member.State.SUSPECT || member.state() == Member.State.GONE) {
                     links.open(member.address()).ifPresent(this::hello);
                 }
