--- a/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
@@ -85,7 +85,7 @@
             stream.close();
             return Optional.empty();
         }
-        metrics.opened.inc();
+        metrics.streamsOpened.inc();
         PeerLink link = new PeerLink(stream, false, null, time.nanoTime());
         links.put(stream, link);
         return Optional.of(link);
@@ -137,7 +137,7 @@
         link.peer = Optional.of(peer);
         link.address = peer.address();
         retries.remove(peer.address());
-        metrics.opened.inc();
+        metrics.streamsOpened.inc();
     }
 
     /** The peer admits nobody now. */
--- a/org.berylwick/src/org/berylwick/internal/spread/SpreadMetrics.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/SpreadMetrics.java
@@ -32,7 +32,7 @@
     /** Counter: suspicions of this daemon that it refuted. */
     public static final String REFUTED = "membership.refuted";
 
-    final Counter opened;
+    final Counter streamsOpened;
     final Counter refused;
     final Counter suspected;
     final Counter refuted;
@@ -42,7 +42,7 @@
 
     /** Registers all. */
     public SpreadMetrics(MetricRegistry registry) {
-        opened = registry.counter(STREAMS_OPENED);
+        streamsOpened = registry.counter(STREAMS_OPENED);
         refused = registry.counter(STREAMS_REFUSED);
         suspected = registry.counter(SUSPECTED);
         refuted = registry.counter(REFUTED);
