--- a/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
@@ -77,7 +77,7 @@
     Optional<PeerLink> admit(PeerStream stream) {
         long incoming = links.values().stream().filter(l -> !l.outgoing).count();
         if (incoming >= tuning.maxIncoming() || !admission.tryTake()) {
-            metrics.refused.inc();
+            metrics.streamsRefused.inc();
             long retry = RETRY_AFTER_MILLIS + random.nextLong(RETRY_AFTER_MILLIS);
             stream.send(PeerMessage.newBuilder()
                     .setRefused(Refused.newBuilder().setRetryAfterMs((int) retry))
--- a/org.berylwick/src/org/berylwick/internal/spread/SpreadMetrics.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/SpreadMetrics.java
@@ -33,7 +33,7 @@
     public static final String REFUTED = "membership.refuted";
 
     final Counter streamsOpened;
-    final Counter refused;
+    final Counter streamsRefused;
     final Counter suspected;
     final Counter refuted;
     private final Counter eventsRefused;
@@ -43,7 +43,7 @@
     /** Registers all. */
     public SpreadMetrics(MetricRegistry registry) {
         streamsOpened = registry.counter(STREAMS_OPENED);
-        refused = registry.counter(STREAMS_REFUSED);
+        streamsRefused = registry.counter(STREAMS_REFUSED);
         suspected = registry.counter(SUSPECTED);
         refuted = registry.counter(REFUTED);
         eventsRefused = registry.counter(EVENTS_REFUSED);
