--- a/org.berylwick/src/org/berylwick/internal/spread/SpreadMetrics.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/SpreadMetrics.java
@@ -37,7 +37,7 @@
     final Counter suspected;
     final Counter refuted;
     private final Counter eventsRefused;
-    private final Counter pulled;
+    private final Counter versionsPulled;
     private final Counter pullsFailed;
 
     /** Registers all. */
@@ -47,7 +47,7 @@
         suspected = registry.counter(SUSPECTED);
         refuted = registry.counter(REFUTED);
         eventsRefused = registry.counter(EVENTS_REFUSED);
-        pulled = registry.counter(VERSIONS_PULLED);
+        versionsPulled = registry.counter(VERSIONS_PULLED);
         pullsFailed = registry.counter(PULLS_FAILED);
     }
 
@@ -58,7 +58,7 @@
 
     /** A version was taken from a peer. */
     public void pulled() {
-        pulled.inc();
+        versionsPulled.inc();
     }
 
     /** A try to take a version from a peer failed. */
