--- a/org.berylwick.daemon/src/org/berylwick/daemon/duty/VersionPull.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/duty/VersionPull.java
@@ -58,7 +58,7 @@
     @Override
     public void offer(HostPort address, long version) {
         if (ring.offer(new Offer(address, version)) == Ring.Offer.FULL) {
-            metrics.eventRefused();
+            metrics.onEventRefused();
         }
     }
 
--- a/org.berylwick/src/org/berylwick/internal/spread/SpreadMetrics.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/SpreadMetrics.java
@@ -52,7 +52,7 @@
     }
 
     /** An event found the ring full. */
-    public void eventRefused() {
+    public void onEventRefused() {
         eventsRefused.inc();
     }
 
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -110,7 +110,7 @@
     /** Tells the spreader something, from any thread; what the full ring refuses, heartbeats make good. */
     public void tell(SpreadEvent event) {
         if (ring.offer(event) == Ring.Offer.FULL) {
-            metrics.eventRefused();
+            metrics.onEventRefused();
         }
     }
 
