--- a/org.berylwick.daemon/src/org/berylwick/daemon/duty/VersionPull.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/duty/VersionPull.java
@@ -89,7 +89,7 @@
                 Install outcome = installed.install(content);
                 EVENTS.log(VersionEvent.INSTALL, content.id(), outcome);
                 if (outcome instanceof Install.Installed) {
-                    metrics.pulled();
+                    metrics.onVersionPulled();
                 }
             }
         }
--- a/org.berylwick/src/org/berylwick/internal/spread/SpreadMetrics.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/SpreadMetrics.java
@@ -57,7 +57,7 @@
     }
 
     /** A version was taken from a peer. */
-    public void pulled() {
+    public void onVersionPulled() {
         versionsPulled.inc();
     }
 
