--- a/org.berylwick.daemon/src/org/berylwick/daemon/duty/VersionPull.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/duty/VersionPull.java
@@ -82,7 +82,7 @@
                 .flatMap(gzip -> VersionDeltaDecoder.decode(gzip, base).mapError(PeerError.Malformed::new));
         switch (fetched) {
             case Result.Err<VersionContent, PeerError>(PeerError error) -> {
-                metrics.pullFailed();
+                metrics.onPullFailed();
                 EVENTS.log(VersionEvent.PULL_FAILED, offer.version(), offer.address(), error);
             }
             case Result.Ok<VersionContent, PeerError>(VersionContent content) -> {
--- a/org.berylwick/src/org/berylwick/internal/spread/SpreadMetrics.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/SpreadMetrics.java
@@ -62,7 +62,7 @@
     }
 
     /** A try to take a version from a peer failed. */
-    public void pullFailed() {
+    public void onPullFailed() {
         pullsFailed.inc();
     }
 }
