--- a/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
@@ -125,7 +125,7 @@
         if (versionOnly) {
             reportsDue = reportsDue.or(() -> Optional.of(Deadline.afterMillis(time, tuning.report())));
         } else {
-            recordsDue = recordsDue.or(() -> Optional.of(Deadline.afterMillis(time, tuning.batch())));
+            recordsDue = recordsDue.or(() -> Optional.of(Deadline.afterMillis(time, tuning.recordBatchMillis())));
         }
     }
 
--- a/org.berylwick/src/org/berylwick/internal/spread/SpreadTuning.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/SpreadTuning.java
@@ -4,12 +4,12 @@
  * The figures that spreading works with; all times in milliseconds.
  *
  * @param fanOut streams that a daemon opens; about as many are opened to it
- * @param batch how long changes of membership are gathered before they are sent on
+ * @param recordBatchMillis how long changes of membership are gathered before they are sent on
  * @param heartbeat period of heartbeats on a stream
  * @param report how long version reports are gathered before they are sent on
  * @param suspicion how long a suspected member has to refute
  */
-public record SpreadTuning(int fanOut, long batch, long heartbeat, long report, long suspicion) {
+public record SpreadTuning(int fanOut, long recordBatchMillis, long heartbeat, long report, long suspicion) {
     /** What the settings give when they say nothing. */
     public static final SpreadTuning DEFAULT = new SpreadTuning(3, 20, 1_000, 2_000, 5_000);
 
