--- a/org.berylwick.bench/src/org/berylwick/bench/control/SpreadCurve.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/control/SpreadCurve.java
@@ -41,7 +41,7 @@
     public void declare(Subparser parser) {
         parser.addArgument("--daemons").type(Integer.class).setDefault(48);
         parser.addArgument("--fan-out").type(Integer.class).setDefault(SpreadTuning.DEFAULT.fanOut());
-        parser.addArgument("--heartbeat-ms").type(Long.class).setDefault(SpreadTuning.DEFAULT.heartbeat());
+        parser.addArgument("--heartbeat-ms").type(Long.class).setDefault(SpreadTuning.DEFAULT.heartbeatMillis());
         parser.addArgument("--install-ms").type(Long.class).setDefault(20L).help("to fetch and install a version");
     }
 
--- a/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
@@ -221,7 +221,7 @@
             return;
         }
         if (!link.stream.isReady()) {
-            recordsDue = Optional.of(Deadline.afterMillis(time, tuning.heartbeat()));
+            recordsDue = Optional.of(Deadline.afterMillis(time, tuning.heartbeatMillis()));
             return;
         }
         MembershipView view = table.view();
@@ -245,7 +245,7 @@
             return;
         }
         if (!link.stream.isReady()) {
-            reportsDue = Optional.of(Deadline.afterMillis(time, tuning.heartbeat()));
+            reportsDue = Optional.of(Deadline.afterMillis(time, tuning.heartbeatMillis()));
             return;
         }
         MembershipView view = table.view();
--- a/org.berylwick/src/org/berylwick/internal/spread/SpreadTuning.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/SpreadTuning.java
@@ -5,22 +5,22 @@
  *
  * @param fanOut streams that a daemon opens; about as many are opened to it
  * @param recordBatchMillis how long changes of membership are gathered before they are sent on
- * @param heartbeat period of heartbeats on a stream
+ * @param heartbeatMillis period of heartbeats on a stream
  * @param report how long version reports are gathered before they are sent on
  * @param suspicion how long a suspected member has to refute
  */
-public record SpreadTuning(int fanOut, long recordBatchMillis, long heartbeat, long report, long suspicion) {
+public record SpreadTuning(int fanOut, long recordBatchMillis, long heartbeatMillis, long report, long suspicion) {
     /** What the settings give when they say nothing. */
     public static final SpreadTuning DEFAULT = new SpreadTuning(3, 20, 1_000, 2_000, 5_000);
 
     /** A stream that brought nothing for so long is given up. */
     public long silence() {
-        return heartbeat * 7 / 2;
+        return heartbeatMillis * 7 / 2;
     }
 
     /** Period of probes of a random member. */
     public long probe() {
-        return heartbeat * 5;
+        return heartbeatMillis * 5;
     }
 
     /** Streams that a daemon admits at once. */
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -276,7 +276,7 @@
     }
 
     private void heartbeat(PeerLink link) {
-        link.nextHeartbeatNanos = time.nanoTime() + tuning.heartbeat() * 1_000_000L;
+        link.nextHeartbeatNanos = time.nanoTime() + tuning.heartbeatMillis() * 1_000_000L;
         if (!link.stream.isReady()) {
             return;
         }
