--- a/org.berylwick.daemon/src/org/berylwick/daemon/settings/SpreadSettingsReader.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/settings/SpreadSettingsReader.java
@@ -26,7 +26,7 @@
                 t.integer("fan_out", 1, MAX_FAN_OUT, d.fanOut()),
                 t.durationMillis("batch", 0, MAX_MILLIS, d.recordBatchMillis()),
                 t.durationMillis("heartbeat", MIN_HEARTBEAT_MILLIS, MAX_MILLIS, d.heartbeatMillis()),
-                t.durationMillis("report", 0, MAX_MILLIS, d.report()),
+                t.durationMillis("report", 0, MAX_MILLIS, d.reportBatchMillis()),
                 t.durationMillis("suspicion", MIN_SUSPICION_MILLIS, MAX_MILLIS, d.suspicion()));
         int readers = t.integer("readers", 1, MAX_READERS, DEFAULT_READERS);
         List<HostPort> seeds = new ArrayList<>();
--- a/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
@@ -123,7 +123,7 @@
             }
         }
         if (versionOnly) {
-            reportsDue = reportsDue.or(() -> Optional.of(Deadline.afterMillis(time, tuning.report())));
+            reportsDue = reportsDue.or(() -> Optional.of(Deadline.afterMillis(time, tuning.reportBatchMillis())));
         } else {
             recordsDue = recordsDue.or(() -> Optional.of(Deadline.afterMillis(time, tuning.recordBatchMillis())));
         }
--- a/org.berylwick/src/org/berylwick/internal/spread/SpreadTuning.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/SpreadTuning.java
@@ -6,10 +6,10 @@
  * @param fanOut streams that a daemon opens; about as many are opened to it
  * @param recordBatchMillis how long changes of membership are gathered before they are sent on
  * @param heartbeatMillis period of heartbeats on a stream
- * @param report how long version reports are gathered before they are sent on
+ * @param reportBatchMillis how long version reports are gathered before they are sent on
  * @param suspicion how long a suspected member has to refute
  */
-public record SpreadTuning(int fanOut, long recordBatchMillis, long heartbeatMillis, long report, long suspicion) {
+public record SpreadTuning(int fanOut, long recordBatchMillis, long heartbeatMillis, long reportBatchMillis, long suspicion) {
     /** What the settings give when they say nothing. */
     public static final SpreadTuning DEFAULT = new SpreadTuning(3, 20, 1_000, 2_000, 5_000);
 
