--- a/org.berylwick.daemon/src/org/berylwick/daemon/settings/SpreadSettingsReader.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/settings/SpreadSettingsReader.java
@@ -27,7 +27,7 @@
                 t.durationMillis("batch", 0, MAX_MILLIS, d.recordBatchMillis()),
                 t.durationMillis("heartbeat", MIN_HEARTBEAT_MILLIS, MAX_MILLIS, d.heartbeatMillis()),
                 t.durationMillis("report", 0, MAX_MILLIS, d.reportBatchMillis()),
-                t.durationMillis("suspicion", MIN_SUSPICION_MILLIS, MAX_MILLIS, d.suspicion()));
+                t.durationMillis("suspicion", MIN_SUSPICION_MILLIS, MAX_MILLIS, d.suspicionTimeoutMillis()));
         int readers = t.integer("readers", 1, MAX_READERS, DEFAULT_READERS);
         List<HostPort> seeds = new ArrayList<>();
         for (String seed : t.strings("seeds")) {
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -98,7 +98,7 @@
         metrics = parts.metrics();
         this.time = time;
         this.random = random;
-        detector = new FailureDetector(time, tuning.suspicion(), TOMBSTONE_MILLIS);
+        detector = new FailureDetector(time, tuning.suspicionTimeoutMillis(), TOMBSTONE_MILLIS);
         links = new LinkTable(tuning, parts.calls(), this, time, random, metrics);
         prober = new Prober(parts.calls(), this::tell, time);
         gossip = new MembershipGossip(tuning, self, table, detector, links, time, metrics);
