--- a/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
@@ -176,7 +176,7 @@
         List<PeerLink> silent = new ArrayList<>();
         long now = time.nanoTime();
         for (PeerLink l : all()) {
-            long limit = l.isEstablished() ? tuning.silence() : HELLO_TIMEOUT_MILLIS;
+            long limit = l.isEstablished() ? tuning.silenceTimeoutMillis() : HELLO_TIMEOUT_MILLIS;
             if (now - l.lastReceivedNanos > limit * 1_000_000L) {
                 EVENTS.log(MembershipEvent.STREAM_SILENT, l.address);
                 onClosed(l);
--- a/org.berylwick/src/org/berylwick/internal/spread/SpreadTuning.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/SpreadTuning.java
@@ -14,7 +14,7 @@
     public static final SpreadTuning DEFAULT = new SpreadTuning(3, 20, 1_000, 2_000, 5_000);
 
     /** A stream that brought nothing for so long is given up. */
-    public long silence() {
+    public long silenceTimeoutMillis() {
         return heartbeatMillis * 7 / 2;
     }
 
