--- a/org.berylwick/src/org/berylwick/internal/spread/SpreadTuning.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/SpreadTuning.java
@@ -19,7 +19,7 @@
     }
 
     /** Period of probes of a random member. */
-    public long probe() {
+    public long probeIntervalMillis() {
         return heartbeatMillis * 5;
     }
 
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -103,7 +103,7 @@
         prober = new Prober(parts.calls(), this::tell, time);
         gossip = new MembershipGossip(tuning, self, table, detector, links, time, metrics);
         nextUpkeep = new Deadline(time.nanoTime());
-        nextProbe = Deadline.afterMillis(time, tuning.probe());
+        nextProbe = Deadline.afterMillis(time, tuning.probeIntervalMillis());
         installed.addListener(v -> tell(new SpreadEvent.VersionInstalled()));
     }
 
@@ -317,7 +317,7 @@
             join();
         }
         if (nextProbe.isPast(time)) {
-            nextProbe = Deadline.afterMillis(time, tuning.probe() / 2 + random.nextLong(tuning.probe()));
+            nextProbe = Deadline.afterMillis(time, tuning.probeIntervalMillis() / 2 + random.nextLong(tuning.probeIntervalMillis()));
             List<Member> others = table.view().all().stream()
                     .filter(m -> !m.instance().equals(me.instance()))
                     .toList();
