--- a/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
@@ -76,7 +76,7 @@
     /** Takes in a stream that a peer opened; empty if it was refused. */
     Optional<PeerLink> admit(PeerStream stream) {
         long incoming = links.values().stream().filter(l -> !l.outgoing).count();
-        if (incoming >= tuning.maxIncoming() || !admission.tryTake()) {
+        if (incoming >= tuning.maxIncomingStreams() || !admission.tryTake()) {
             metrics.streamsRefused.inc();
             long retry = RETRY_AFTER_MILLIS + random.nextLong(RETRY_AFTER_MILLIS);
             stream.send(PeerMessage.newBuilder()
--- a/org.berylwick/src/org/berylwick/internal/spread/SpreadTuning.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/SpreadTuning.java
@@ -24,7 +24,7 @@
     }
 
     /** Streams that a daemon admits at once. */
-    public int maxIncoming() {
+    public int maxIncomingStreams() {
         return fanOut * 4 + 8;
     }
 }
