--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -36,7 +36,7 @@
  */
 public final class Spreader implements PeerStream.Listener {
     private static final EventLog EVENTS = new EventLog(Spreader.class);
-    private static final long UPKEEP_MILLIS = 250;
+    private static final long MAINTENANCE_INTERVAL_MILLIS = 250;
     private static final long TOMBSTONE_MILLIS = 600_000;
     private static final int SETTLED_HEARTBEATS = 3;
     private static final int HELPERS = 3;
@@ -152,7 +152,7 @@
             handle(more.get());
         }
         if (nextUpkeep.isPast(time)) {
-            nextUpkeep = Deadline.afterMillis(time, UPKEEP_MILLIS);
+            nextUpkeep = Deadline.afterMillis(time, MAINTENANCE_INTERVAL_MILLIS);
             upkeep();
         }
         heartbeats();
