--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -37,7 +37,7 @@
 public final class Spreader implements PeerStream.Listener {
     private static final EventLog EVENTS = new EventLog(Spreader.class);
     private static final long MAINTENANCE_INTERVAL_MILLIS = 250;
-    private static final long TOMBSTONE_MILLIS = 600_000;
+    private static final long TOMBSTONE_RETENTION_MILLIS = 600_000;
     private static final int SETTLED_HEARTBEATS = 3;
     private static final int HELPERS = 3;
     private static final int EVENTS_AT_ONCE = 256;
@@ -98,7 +98,7 @@
         metrics = parts.metrics();
         this.time = time;
         this.random = random;
-        detector = new FailureDetector(time, tuning.suspicionTimeoutMillis(), TOMBSTONE_MILLIS);
+        detector = new FailureDetector(time, tuning.suspicionTimeoutMillis(), TOMBSTONE_RETENTION_MILLIS);
         links = new LinkTable(tuning, parts.calls(), this, time, random, metrics);
         prober = new Prober(parts.calls(), this::tell, time);
         gossip = new MembershipGossip(tuning, self, table, detector, links, time, metrics);
