--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -38,7 +38,7 @@
     private static final EventLog EVENTS = new EventLog(Spreader.class);
     private static final long MAINTENANCE_INTERVAL_MILLIS = 250;
     private static final long TOMBSTONE_RETENTION_MILLIS = 600_000;
-    private static final int SETTLED_HEARTBEATS = 3;
+    private static final int REQUIRED_STABLE_HEARTBEATS = 3;
     private static final int HELPERS = 3;
     private static final int EVENTS_AT_ONCE = 256;
 
@@ -295,7 +295,7 @@
         offered(link, beat.getVersion());
         Hashes own = table.hashes();
         Hashes theirs = new Hashes(beat.getMembersDigest(), beat.getReportsDigest());
-        if (!link.needsSync(own, theirs, SETTLED_HEARTBEATS)) {
+        if (!link.needsSync(own, theirs, REQUIRED_STABLE_HEARTBEATS)) {
             return;
         }
         if (own.states() != theirs.states()) {
