--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -39,7 +39,7 @@
     private static final long MAINTENANCE_INTERVAL_MILLIS = 250;
     private static final long TOMBSTONE_RETENTION_MILLIS = 600_000;
     private static final int REQUIRED_STABLE_HEARTBEATS = 3;
-    private static final int HELPERS = 3;
+    private static final int MAX_PROBE_RELAYS = 3;
     private static final int EVENTS_AT_ONCE = 256;
 
     private final SpreadTuning tuning;
@@ -349,7 +349,7 @@
         Member now = table.view().find(member.instance()).orElse(member);
         List<Member> helpers = new ArrayList<>();
         for (PeerLink l : links.established()) {
-            if (helpers.size() < HELPERS && !l.peer.get().instance().equals(now.instance())) {
+            if (helpers.size() < MAX_PROBE_RELAYS && !l.peer.get().instance().equals(now.instance())) {
                 helpers.add(l.peer.get());
             }
         }
