--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -40,7 +40,7 @@
     private static final long TOMBSTONE_RETENTION_MILLIS = 600_000;
     private static final int REQUIRED_STABLE_HEARTBEATS = 3;
     private static final int MAX_PROBE_RELAYS = 3;
-    private static final int EVENTS_AT_ONCE = 256;
+    private static final int MAX_EVENTS_PER_RUN = 256;
 
     private final SpreadTuning tuning;
     private final LocalMember self;
@@ -144,7 +144,7 @@
     /** Does what is due and takes what came in, without waiting. */
     public void work() {
         // Takes all that is there before sending, so that one message carries what came together.
-        for (int i = 0; i < EVENTS_AT_ONCE; i++) {
+        for (int i = 0; i < MAX_EVENTS_PER_RUN; i++) {
             Optional<SpreadEvent> more = ring.poll(0);
             if (more.isEmpty()) {
                 break;
