--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -43,7 +43,7 @@
     private static final int MAX_EVENTS_PER_RUN = 256;
 
     private final SpreadTuning tuning;
-    private final LocalMember self;
+    private final LocalMember localMember;
     private final MembershipTable table;
     private final InstalledVersion installed;
     private final StoreFreshness freshness;
@@ -89,7 +89,7 @@
     /** A spreader without streams. */
     public Spreader(Parts parts, TimeSource time, Random random) {
         tuning = parts.tuning();
-        self = parts.self();
+        localMember = parts.self();
         table = parts.table();
         installed = parts.installed();
         freshness = parts.freshness();
@@ -101,7 +101,7 @@
         detector = new FailureDetector(time, tuning.suspicionTimeoutMillis(), TOMBSTONE_RETENTION_MILLIS);
         links = new LinkTable(tuning, parts.calls(), this, time, random, metrics);
         prober = new Prober(parts.calls(), this::tell, time);
-        gossip = new MembershipGossip(tuning, self, table, detector, links, time, metrics);
+        gossip = new MembershipGossip(tuning, localMember, table, detector, links, time, metrics);
         nextUpkeep = new Deadline(time.nanoTime());
         nextProbe = Deadline.afterMillis(time, tuning.probeIntervalMillis());
         installed.addListener(v -> tell(new SpreadEvent.VersionInstalled()));
@@ -209,7 +209,7 @@
                 links.close(link);
             }
             case Result.Ok<Member, String>(Member peer)
-            when peer.instance().equals(self.current().instance()) -> links.close(link);
+            when peer.instance().equals(localMember.current().instance()) -> links.close(link);
             case Result.Ok<Member, String>(Member peer) -> {
                 links.onEstablished(link, peer);
                 if (!link.outgoing) {
@@ -228,14 +228,14 @@
         link.advertisedVersion = id.number();
         link.send(PeerMessage.newBuilder()
                 .setHello(Hello.newBuilder()
-                        .setSelf(MemberMessages.toMessage(self.current()))
+                        .setSelf(MemberMessages.toMessage(localMember.current()))
                         .setVersion(VersionServer.notice(id)))
                 .build());
     }
 
     private void join() {
         List<HostPort> shuffled = new ArrayList<>(found);
-        shuffled.remove(self.current().address());
+        shuffled.remove(localMember.current().address());
         if (!links.established().isEmpty()) {
             table.view().all().stream()
                     .filter(m -> m.state() != Member.State.GONE)
@@ -306,7 +306,7 @@
     }
 
     private void upkeep() {
-        Member me = self.current();
+        Member me = localMember.current();
         gossip.merge(List.of(), null);
         links.closeSilent().forEach(l -> l.peer.or(() -> memberAt(l.address)).ifPresent(this::doubt));
         gossip.merge(detector.expired(table.view()), null);
