--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -47,7 +47,7 @@
     private final MembershipTable table;
     private final InstalledVersion installed;
     private final StoreFreshness freshness;
-    private final VersionOffers offers;
+    private final VersionOffers versionListener;
     private final Ring<SpreadEvent> ring;
     private final TimeSource time;
     private final Random random;
@@ -93,7 +93,7 @@
         table = parts.table();
         installed = parts.installed();
         freshness = parts.freshness();
-        offers = parts.offers();
+        versionListener = parts.offers();
         ring = parts.ring();
         metrics = parts.metrics();
         this.time = time;
@@ -246,14 +246,14 @@
     }
 
     private void told(PeerLink link, VersionNotice notice) {
-        VersionServer.named(notice).ifPresent(id -> link.peer.ifPresent(p -> offers.told(p, id)));
+        VersionServer.named(notice).ifPresent(id -> link.peer.ifPresent(p -> versionListener.told(p, id)));
         offered(link, notice.getVersion());
     }
 
     private void offered(PeerLink link, long version) {
         link.peerVersion = Math.max(link.peerVersion, version);
         if (version > installed.snapshot().id().number()) {
-            offers.offer(link.address, version);
+            versionListener.offer(link.address, version);
         }
     }
 
