--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -48,7 +48,7 @@
     private final InstalledVersion installed;
     private final StoreFreshness freshness;
     private final VersionOffers versionListener;
-    private final Ring<SpreadEvent> ring;
+    private final Ring<SpreadEvent> eventQueue;
     private final TimeSource time;
     private final Random random;
     private final SpreadMetrics metrics;
@@ -94,7 +94,7 @@
         installed = parts.installed();
         freshness = parts.freshness();
         versionListener = parts.offers();
-        ring = parts.ring();
+        eventQueue = parts.ring();
         metrics = parts.metrics();
         this.time = time;
         this.random = random;
@@ -109,7 +109,7 @@
 
     /** Tells the spreader something, from any thread; what the full ring refuses, heartbeats make good. */
     public void tell(SpreadEvent event) {
-        if (ring.offer(event) == Ring.Offer.FULL) {
+        if (eventQueue.offer(event) == Ring.Offer.FULL) {
             metrics.onEventRefused();
         }
     }
@@ -137,7 +137,7 @@
     public void round() {
         work();
         Deadline wait = gossip.nextFlush(nextUpkeep);
-        ring.poll(wait.remainingNanos(time)).ifPresent(this::handle);
+        eventQueue.poll(wait.remainingNanos(time)).ifPresent(this::handle);
         openLinks = links.established().size();
     }
 
@@ -145,7 +145,7 @@
     public void work() {
         // Takes all that is there before sending, so that one message carries what came together.
         for (int i = 0; i < MAX_EVENTS_PER_RUN; i++) {
-            Optional<SpreadEvent> more = ring.poll(0);
+            Optional<SpreadEvent> more = eventQueue.poll(0);
             if (more.isEmpty()) {
                 break;
             }
