--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -56,7 +56,7 @@
     private final LinkTable links;
     private final Prober prober;
     private final MembershipGossip gossip;
-    private List<HostPort> found = List.of();
+    private List<HostPort> discoveredAddresses = List.of();
     private MembershipView chosenFrom = MembershipView.EMPTY;
     private List<Member> chosen = List.of();
     private Deadline nextUpkeep;
@@ -176,7 +176,7 @@
                 links.established().forEach(this::notice);
             }
             case SpreadEvent.PeersDiscovered(List<HostPort> addresses) -> {
-                found = List.copyOf(addresses);
+                discoveredAddresses = List.copyOf(addresses);
                 join();
             }
             case SpreadEvent.MemberUnreachable(Member member) -> unreachable(member);
@@ -234,7 +234,7 @@
     }
 
     private void join() {
-        List<HostPort> shuffled = new ArrayList<>(found);
+        List<HostPort> shuffled = new ArrayList<>(discoveredAddresses);
         shuffled.remove(localMember.current().address());
         if (!links.established().isEmpty()) {
             table.view().all().stream()
