--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -57,7 +57,7 @@
     private final Prober prober;
     private final MembershipGossip gossip;
     private List<HostPort> discoveredAddresses = List.of();
-    private MembershipView chosenFrom = MembershipView.EMPTY;
+    private MembershipView chosenFromView = MembershipView.EMPTY;
     private List<Member> chosen = List.of();
     private Deadline nextUpkeep;
     private Deadline nextProbe;
@@ -332,8 +332,8 @@
             return List.of();
         }
         MembershipView view = table.view();
-        if (view != chosenFrom) {
-            chosenFrom = view;
+        if (view != chosenFromView) {
+            chosenFromView = view;
             chosen = PeerChooser.choose(me, view.all(), tuning.fanOut());
         }
         return chosen;
