--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -58,7 +58,7 @@
     private final MembershipGossip gossip;
     private List<HostPort> discoveredAddresses = List.of();
     private MembershipView chosenFromView = MembershipView.EMPTY;
-    private List<Member> chosen = List.of();
+    private List<Member> chosenPeers = List.of();
     private Deadline nextUpkeep;
     private Deadline nextProbe;
     private volatile int openLinks;
@@ -334,9 +334,9 @@
         MembershipView view = table.view();
         if (view != chosenFromView) {
             chosenFromView = view;
-            chosen = PeerChooser.choose(me, view.all(), tuning.fanOut());
+            chosenPeers = PeerChooser.choose(me, view.all(), tuning.fanOut());
         }
-        return chosen;
+        return chosenPeers;
     }
 
     private Optional<Member> memberAt(HostPort address) {
