--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -59,7 +59,7 @@
     private List<HostPort> discoveredAddresses = List.of();
     private MembershipView chosenFromView = MembershipView.EMPTY;
     private List<Member> chosenPeers = List.of();
-    private Deadline nextUpkeep;
+    private Deadline nextMaintenance;
     private Deadline nextProbe;
     private volatile int openLinks;
     private volatile boolean closed;
@@ -102,7 +102,7 @@
         links = new LinkTable(tuning, parts.calls(), this, time, random, metrics);
         prober = new Prober(parts.calls(), this::tell, time);
         gossip = new MembershipGossip(tuning, localMember, table, detector, links, time, metrics);
-        nextUpkeep = new Deadline(time.nanoTime());
+        nextMaintenance = new Deadline(time.nanoTime());
         nextProbe = Deadline.afterMillis(time, tuning.probeIntervalMillis());
         installed.addListener(v -> tell(new SpreadEvent.VersionInstalled()));
     }
@@ -136,7 +136,7 @@
     /** Does what is due and what comes in until the next thing is due. */
     public void round() {
         work();
-        Deadline wait = gossip.nextFlush(nextUpkeep);
+        Deadline wait = gossip.nextFlush(nextMaintenance);
         eventQueue.poll(wait.remainingNanos(time)).ifPresent(this::handle);
         openLinks = links.established().size();
     }
@@ -151,8 +151,8 @@
             }
             handle(more.get());
         }
-        if (nextUpkeep.isPast(time)) {
-            nextUpkeep = Deadline.afterMillis(time, MAINTENANCE_INTERVAL_MILLIS);
+        if (nextMaintenance.isPast(time)) {
+            nextMaintenance = Deadline.afterMillis(time, MAINTENANCE_INTERVAL_MILLIS);
             upkeep();
         }
         heartbeats();
