--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -61,7 +61,7 @@
     private List<Member> chosenPeers = List.of();
     private Deadline nextMaintenance;
     private Deadline nextProbe;
-    private volatile int openLinks;
+    private volatile int establishedLinkCount;
     private volatile boolean closed;
 
     /** Takes word of versions that peers have and this daemon lacks. */
@@ -130,7 +130,7 @@
 
     /** How many peers this daemon exchanges with. */
     public int openLinks() {
-        return openLinks;
+        return establishedLinkCount;
     }
 
     /** Does what is due and what comes in until the next thing is due. */
@@ -138,7 +138,7 @@
         work();
         Deadline wait = gossip.nextFlush(nextMaintenance);
         eventQueue.poll(wait.remainingNanos(time)).ifPresent(this::handle);
-        openLinks = links.established().size();
+        establishedLinkCount = links.established().size();
     }
 
     /** Does what is due and takes what came in, without waiting. */
@@ -157,7 +157,7 @@
         }
         heartbeats();
         gossip.flush();
-        openLinks = links.established().size();
+        establishedLinkCount = links.established().size();
     }
 
     private void handle(SpreadEvent event) {
