--- a/org.berylwick.daemon/src/org/berylwick/daemon/duty/VersionPull.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/duty/VersionPull.java
@@ -25,7 +25,7 @@
  *
  * <p>An offer that fails is not tried again here: the same peer and others offer again with their next heartbeats.
  */
-final class VersionPull implements Spreader.VersionOffers, AutoCloseable {
+final class VersionPull implements Spreader.PeerVersionListener, AutoCloseable {
     private static final EventLog EVENTS = new EventLog(VersionPull.class);
     private static final String NAME = "version-pull";
     private static final int RING_CAPACITY = 256;
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -47,7 +47,7 @@
     private final MembershipTable table;
     private final InstalledVersion installed;
     private final StoreFreshness freshness;
-    private final VersionOffers versionListener;
+    private final PeerVersionListener versionListener;
     private final Ring<SpreadEvent> eventQueue;
     private final TimeSource time;
     private final Random random;
@@ -66,7 +66,7 @@
 
     /** Takes word of versions that peers have and this daemon lacks. */
     @FunctionalInterface
-    public interface VersionOffers {
+    public interface PeerVersionListener {
         /** The daemon at {@code address} has version {@code number} in force. */
         void offer(HostPort address, long number);
 
@@ -81,7 +81,7 @@
             MembershipTable table,
             InstalledVersion installed,
             StoreFreshness freshness,
-            VersionOffers offers,
+            PeerVersionListener offers,
             PeerCalls calls,
             Ring<SpreadEvent> ring,
             SpreadMetrics metrics) {}
