--- a/org.berylwick.daemon/src/org/berylwick/daemon/duty/VersionPull.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/duty/VersionPull.java
@@ -56,7 +56,7 @@
     }
 
     @Override
-    public void offer(HostPort address, long version) {
+    public void onNewerVersion(HostPort address, long version) {
         if (ring.offer(new Offer(address, version)) == Ring.Offer.FULL) {
             metrics.onEventRefused();
         }
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -68,7 +68,7 @@
     @FunctionalInterface
     public interface PeerVersionListener {
         /** The daemon at {@code address} has version {@code number} in force. */
-        void offer(HostPort address, long number);
+        void onNewerVersion(HostPort address, long number);
 
         /** A peer told which version it has in force. */
         default void told(Member peer, VersionId inForce) {}
@@ -253,7 +253,7 @@
     private void offered(PeerLink link, long version) {
         link.peerVersion = Math.max(link.peerVersion, version);
         if (version > installed.snapshot().id().number()) {
-            versionListener.offer(link.address, version);
+            versionListener.onNewerVersion(link.address, version);
         }
     }
 
