--- a/org.berylwick.daemon/src/org/berylwick/daemon/duty/VersionPull.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/duty/VersionPull.java
@@ -63,7 +63,7 @@
     }
 
     @Override
-    public void told(Member peer, VersionId inForce) {
+    public void onPeerVersion(Member peer, VersionId inForce) {
         first.heardPeer(peer, inForce);
     }
 
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -71,7 +71,7 @@
         void onNewerVersion(HostPort address, long number);
 
         /** A peer told which version it has in force. */
-        default void told(Member peer, VersionId inForce) {}
+        default void onPeerVersion(Member peer, VersionId inForce) {}
     }
 
     /** Everything that a spreader works with. */
@@ -246,7 +246,7 @@
     }
 
     private void told(PeerLink link, VersionNotice notice) {
-        VersionServer.named(notice).ifPresent(id -> link.peer.ifPresent(p -> versionListener.told(p, id)));
+        VersionServer.named(notice).ifPresent(id -> link.peer.ifPresent(p -> versionListener.onPeerVersion(p, id)));
         offered(link, notice.getVersion());
     }
 
