--- a/org.berylwick.bench/src/org/berylwick/bench/control/ModelFleet.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/control/ModelFleet.java
@@ -92,7 +92,7 @@
             place = new Place("region-" + zone / 2, "zone-" + zone);
             address = new HostPort("10.0." + i / 250 + "." + i % 250, 8081);
             spreader = new Spreader(
-                    new Spreader.Parts(
+                    new Spreader.Dependencies(
                             tuning,
                             this,
                             table,
--- a/org.berylwick.daemon/src/org/berylwick/daemon/duty/SpreadDuties.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/duty/SpreadDuties.java
@@ -67,7 +67,7 @@
         pull = new VersionPull(client, parts.installed(), first, metrics, time);
         StoreFreshness freshness = new StoreFreshness(time);
         spreader = new Spreader(
-                new Spreader.Parts(
+                new Spreader.Dependencies(
                         settings.spread().tuning(),
                         parts.self(),
                         parts.table(),
--- a/org.berylwick.test/tst/org/berylwick/internal/spread/MemoryNetwork.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/MemoryNetwork.java
@@ -54,7 +54,7 @@
             place = new Place("region", "zone-" + i % zones);
             address = new HostPort("10.0.0.1", i + 1);
             spreader = new Spreader(
-                    new Spreader.Parts(
+                    new Spreader.Dependencies(
                             SpreadTuning.DEFAULT,
                             this,
                             table,
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -75,7 +75,7 @@
     }
 
     /** Everything that a spreader works with. */
-    public record Parts(
+    public record Dependencies(
             SpreadTuning tuning,
             LocalMember self,
             MembershipTable table,
@@ -87,7 +87,7 @@
             SpreadMetrics metrics) {}
 
     /** A spreader without streams. */
-    public Spreader(Parts parts, TimeSource time, Random random) {
+    public Spreader(Dependencies parts, TimeSource time, Random random) {
         tuning = parts.tuning();
         localMember = parts.self();
         table = parts.table();
