--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -77,7 +77,7 @@
     /** Everything that a spreader works with. */
     public record Dependencies(
             SpreadTuning tuning,
-            LocalMember self,
+            LocalMember localMember,
             MembershipTable table,
             InstalledVersion installed,
             StoreFreshness freshness,
@@ -89,7 +89,7 @@
     /** A spreader without streams. */
     public Spreader(Dependencies parts, TimeSource time, Random random) {
         tuning = parts.tuning();
-        localMember = parts.self();
+        localMember = parts.localMember();
         table = parts.table();
         installed = parts.installed();
         freshness = parts.freshness();
