--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -81,7 +81,7 @@
             MembershipTable table,
             InstalledVersion installed,
             StoreFreshness freshness,
-            PeerVersionListener offers,
+            PeerVersionListener versionListener,
             PeerCalls calls,
             Ring<SpreadEvent> ring,
             SpreadMetrics metrics) {}
@@ -93,7 +93,7 @@
         table = parts.table();
         installed = parts.installed();
         freshness = parts.freshness();
-        versionListener = parts.offers();
+        versionListener = parts.versionListener();
         eventQueue = parts.ring();
         metrics = parts.metrics();
         this.time = time;
