--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -83,7 +83,7 @@
             StoreFreshness freshness,
             PeerVersionListener versionListener,
             PeerCalls calls,
-            Ring<SpreadEvent> ring,
+            Ring<SpreadEvent> eventQueue,
             SpreadMetrics metrics) {}
 
     /** A spreader without streams. */
@@ -94,7 +94,7 @@
         installed = parts.installed();
         freshness = parts.freshness();
         versionListener = parts.versionListener();
-        eventQueue = parts.ring();
+        eventQueue = parts.eventQueue();
         metrics = parts.metrics();
         this.time = time;
         this.random = random;
