--- a/org.berylwick.bench/src/org/berylwick/bench/control/ModelFleet.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/control/ModelFleet.java
@@ -134,7 +134,7 @@
 
         private void work() {
             while (!inbox.isEmpty()) {
-                spreader.tell(inbox.poll());
+                spreader.submit(inbox.poll());
             }
             if (fetch.filter(f -> f.done().isPast(clock)).isPresent()) {
                 take(fetch.get().from());
@@ -221,7 +221,7 @@
             nodes.put(node.address, node);
         }
         List<HostPort> seeds = List.copyOf(nodes.keySet()).subList(0, Math.min(daemons, zones * 2));
-        nodes.values().forEach(n -> n.spreader.tell(new SpreadEvent.PeersDiscovered(seeds)));
+        nodes.values().forEach(n -> n.spreader.submit(new SpreadEvent.PeersDiscovered(seeds)));
     }
 
     /** Lets time pass. */
--- a/org.berylwick.daemon/src/org/berylwick/daemon/duty/PeerDirectory.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/duty/PeerDirectory.java
@@ -95,7 +95,7 @@
                 if (addresses.isEmpty()) {
                     yield Search.EMPTY;
                 }
-                spreader.tell(new SpreadEvent.PeersDiscovered(addresses));
+                spreader.submit(new SpreadEvent.PeersDiscovered(addresses));
                 yield Search.FOUND;
             }
         };
--- a/org.berylwick.daemon/src/org/berylwick/daemon/duty/SpreadDuties.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/duty/SpreadDuties.java
@@ -118,7 +118,7 @@
     @Override
     public void start() {
         if (!settings.spread().seeds().isEmpty()) {
-            spreader.tell(new SpreadEvent.PeersDiscovered(settings.spread().seeds()));
+            spreader.submit(new SpreadEvent.PeersDiscovered(settings.spread().seeds()));
         }
         duty = new Duty(NAME, spreader::round);
         pull.start();
--- a/org.berylwick.test/tst/org/berylwick/internal/spread/MemoryNetwork.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/MemoryNetwork.java
@@ -179,7 +179,7 @@
             added.add(node);
         }
         HostPort seed = nodes.keySet().iterator().next();
-        added.forEach(n -> n.spreader.tell(new SpreadEvent.PeersDiscovered(List.of(seed))));
+        added.forEach(n -> n.spreader.submit(new SpreadEvent.PeersDiscovered(List.of(seed))));
         return added;
     }
 
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -100,15 +100,15 @@
         this.random = random;
         detector = new FailureDetector(time, tuning.suspicionTimeoutMillis(), TOMBSTONE_RETENTION_MILLIS);
         links = new LinkTable(tuning, parts.calls(), this, time, random, metrics);
-        prober = new Prober(parts.calls(), this::tell, time);
+        prober = new Prober(parts.calls(), this::submit, time);
         gossip = new MembershipGossip(tuning, localMember, table, detector, links, time, metrics);
         nextMaintenance = new Deadline(time.nanoTime());
         nextProbe = Deadline.afterMillis(time, tuning.probeIntervalMillis());
-        installed.addListener(v -> tell(new SpreadEvent.VersionInstalled()));
+        installed.addListener(v -> submit(new SpreadEvent.VersionInstalled()));
     }
 
     /** Tells the spreader something, from any thread; what the full ring refuses, heartbeats make good. */
-    public void tell(SpreadEvent event) {
+    public void submit(SpreadEvent event) {
         if (eventQueue.offer(event) == Ring.Offer.FULL) {
             metrics.onEventRefused();
         }
@@ -120,12 +120,12 @@
             stream.close();
             return;
         }
-        tell(new SpreadEvent.MessageReceived(stream, message));
+        submit(new SpreadEvent.MessageReceived(stream, message));
     }
 
     @Override
     public void closed(PeerStream stream, String reason) {
-        tell(new SpreadEvent.StreamClosed(stream, reason));
+        submit(new SpreadEvent.StreamClosed(stream, reason));
     }
 
     /** How many peers this daemon exchanges with. */
