--- a/org.berylwick.daemon/src/org/berylwick/daemon/duty/ReaderRole.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/duty/ReaderRole.java
@@ -99,7 +99,7 @@
     }
 
     private void round() throws InterruptedException {
-        boolean alone = spreader.openLinks() == 0;
+        boolean alone = spreader.establishedLinkCount() == 0;
         if (!alone) {
             // Each daemon's share of the store's rate shrinks as the fleet grows.
             int members = Math.max(FEWEST_MEMBERS, table.view().all().size());
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -129,7 +129,7 @@
     }
 
     /** How many peers this daemon exchanges with. */
-    public int openLinks() {
+    public int establishedLinkCount() {
         return establishedLinkCount;
     }
 
