--- a/org.berylwick.daemon/src/org/berylwick/daemon/duty/SpreadDuties.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/duty/SpreadDuties.java
@@ -120,7 +120,7 @@
         if (!settings.spread().seeds().isEmpty()) {
             spreader.submit(new SpreadEvent.PeersDiscovered(settings.spread().seeds()));
         }
-        duty = new Duty(NAME, spreader::round);
+        duty = new Duty(NAME, spreader::runOnce);
         pull.start();
         role.start();
         reader.start();
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -32,7 +32,7 @@
  *
  * <p>A notice of each new version goes over every stream at once; who lacks it fetches the body from the one whose
  * notice came first. Heartbeats tell the version in force and hashes of the membership table, so what a push lost is
- * found and made good. {@link #round} is for one thread; anything else tells it through the ring.
+ * found and made good. {@link #runOnce} is for one thread; anything else tells it through the ring.
  */
 public final class Spreader implements PeerStream.Listener {
     private static final EventLog EVENTS = new EventLog(Spreader.class);
@@ -134,7 +134,7 @@
     }
 
     /** Does what is due and what comes in until the next thing is due. */
-    public void round() {
+    public void runOnce() {
         work();
         Deadline wait = gossip.nextFlush(nextMaintenance);
         eventQueue.poll(wait.remainingNanos(time)).ifPresent(this::handle);
