--- a/org.berylwick.bench/src/org/berylwick/bench/control/ModelFleet.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/control/ModelFleet.java
@@ -140,7 +140,7 @@
                 take(fetch.get().from());
                 fetch = Optional.empty();
             }
-            spreader.work();
+            spreader.processPending();
         }
 
         private void take(HostPort from) {
--- a/org.berylwick.test/tst/org/berylwick/internal/spread/MemoryNetwork.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/MemoryNetwork.java
@@ -210,7 +210,7 @@
     void pass(Duration duration) {
         for (long left = duration.toMillis(); left > 0; left -= STEP.toMillis()) {
             time.advance(STEP);
-            nodes.values().stream().filter(n -> n.runs).forEach(n -> n.spreader.work());
+            nodes.values().stream().filter(n -> n.runs).forEach(n -> n.spreader.processPending());
         }
     }
 
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -135,14 +135,14 @@
 
     /** Does what is due and what comes in until the next thing is due. */
     public void runOnce() {
-        work();
+        processPending();
         Deadline wait = gossip.nextFlush(nextMaintenance);
         eventQueue.poll(wait.remainingNanos(time)).ifPresent(this::handle);
         establishedLinkCount = links.established().size();
     }
 
     /** Does what is due and takes what came in, without waiting. */
-    public void work() {
+    public void processPending() {
         // Takes all that is there before sending, so that one message carries what came together.
         for (int i = 0; i < MAX_EVENTS_PER_RUN; i++) {
             Optional<SpreadEvent> more = eventQueue.poll(0);
