--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -137,7 +137,7 @@
     public void runOnce() {
         processPending();
         Deadline wait = gossip.nextFlush(nextMaintenance);
-        eventQueue.poll(wait.remainingNanos(time)).ifPresent(this::handle);
+        eventQueue.poll(wait.remainingNanos(time)).ifPresent(this::handleEvent);
         establishedLinkCount = links.established().size();
     }
 
@@ -149,7 +149,7 @@
             if (more.isEmpty()) {
                 break;
             }
-            handle(more.get());
+            handleEvent(more.get());
         }
         if (nextMaintenance.isPast(time)) {
             nextMaintenance = Deadline.afterMillis(time, MAINTENANCE_INTERVAL_MILLIS);
@@ -160,7 +160,7 @@
         establishedLinkCount = links.established().size();
     }
 
-    private void handle(SpreadEvent event) {
+    private void handleEvent(SpreadEvent event) {
         switch (event) {
             case SpreadEvent.MessageReceived(PeerStream stream, PeerMessage message) ->
                 links.find(stream)
