--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -165,7 +165,7 @@
             case SpreadEvent.MessageReceived(PeerStream stream, PeerMessage message) ->
                 links.find(stream)
                         .or(() -> message.hasHello() ? links.admit(stream) : Optional.empty())
-                        .ifPresent(l -> handle(l, message));
+                        .ifPresent(l -> handleMessage(l, message));
             case SpreadEvent.StreamClosed(PeerStream stream, String reason) ->
                 links.find(stream).ifPresent(l -> {
                     links.onClosed(l);
@@ -188,7 +188,7 @@
         }
     }
 
-    private void handle(PeerLink link, PeerMessage message) {
+    private void handleMessage(PeerLink link, PeerMessage message) {
         link.lastReceivedNanos = time.nanoTime();
         switch (message.getBodyCase()) {
             case HELLO -> greeted(link, message.getHello());
