--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -191,7 +191,7 @@
     private void handleMessage(PeerLink link, PeerMessage message) {
         link.lastReceivedNanos = time.nanoTime();
         switch (message.getBodyCase()) {
-            case HELLO -> greeted(link, message.getHello());
+            case HELLO -> onHello(link, message.getHello());
             case VERSION -> told(link, message.getVersion());
             case MEMBERSHIP -> gossip.onDelta(message.getMembership(), link);
             case HEARTBEAT -> received(link, message.getHeartbeat());
@@ -202,7 +202,7 @@
         }
     }
 
-    private void greeted(PeerLink link, Hello hello) {
+    private void onHello(PeerLink link, Hello hello) {
         switch (MemberMessages.toMember(hello.getSelf())) {
             case Result.Err<Member, String>(String detail) -> {
                 EVENTS.log(MembershipEvent.UNREADABLE_RECORD, link.address, detail);
