--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -182,7 +182,7 @@
             case SpreadEvent.MemberUnreachable(Member member) -> unreachable(member);
             case SpreadEvent.MemberReachable(Member member) -> {
                 if (member.state() == Member.State.SUSPECT || member.state() == Member.State.GONE) {
-                    links.open(member.address()).ifPresent(this::hello);
+                    links.open(member.address()).ifPresent(this::sendHello);
                 }
             }
         }
@@ -213,7 +213,7 @@
             case Result.Ok<Member, String>(Member peer) -> {
                 links.onEstablished(link, peer);
                 if (!link.outgoing) {
-                    hello(link);
+                    sendHello(link);
                 }
                 gossip.merge(List.of(peer), link);
                 told(link, hello.getVersion());
@@ -223,7 +223,7 @@
         }
     }
 
-    private void hello(PeerLink link) {
+    private void sendHello(PeerLink link) {
         VersionId id = installed.snapshot().id();
         link.advertisedVersion = id.number();
         link.send(PeerMessage.newBuilder()
@@ -242,7 +242,7 @@
                     .forEach(m -> shuffled.remove(m.address()));
         }
         Collections.shuffle(shuffled, random);
-        shuffled.stream().limit(tuning.fanOut()).forEach(a -> links.open(a).ifPresent(this::hello));
+        shuffled.stream().limit(tuning.fanOut()).forEach(a -> links.open(a).ifPresent(this::sendHello));
     }
 
     private void told(PeerLink link, VersionNotice notice) {
@@ -311,7 +311,7 @@
         links.closeSilent().forEach(l -> l.peer.or(() -> memberAt(l.address)).ifPresent(this::doubt));
         gossip.merge(detector.expired(table.view()), null);
         detector.forgettable().forEach(table::forget);
-        links.reconcile(choose(me)).forEach(this::hello);
+        links.reconcile(choose(me)).forEach(this::sendHello);
         // Who was refused or found nobody tries the same addresses again, each after its own wait.
         if (links.established().isEmpty()) {
             join();
