--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -192,7 +192,7 @@
         link.lastReceivedNanos = time.nanoTime();
         switch (message.getBodyCase()) {
             case HELLO -> onHello(link, message.getHello());
-            case VERSION -> told(link, message.getVersion());
+            case VERSION -> onVersionNotice(link, message.getVersion());
             case MEMBERSHIP -> gossip.onDelta(message.getMembership(), link);
             case HEARTBEAT -> received(link, message.getHeartbeat());
             case SUMMARY -> gossip.onSummary(message.getSummary(), link);
@@ -216,7 +216,7 @@
                     sendHello(link);
                 }
                 gossip.merge(List.of(peer), link);
-                told(link, hello.getVersion());
+                onVersionNotice(link, hello.getVersion());
                 notice(link);
                 heartbeat(link);
             }
@@ -245,7 +245,7 @@
         shuffled.stream().limit(tuning.fanOut()).forEach(a -> links.open(a).ifPresent(this::sendHello));
     }
 
-    private void told(PeerLink link, VersionNotice notice) {
+    private void onVersionNotice(PeerLink link, VersionNotice notice) {
         VersionServer.named(notice).ifPresent(id -> link.peer.ifPresent(p -> versionListener.onPeerVersion(p, id)));
         offered(link, notice.getVersion());
     }
