--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -247,10 +247,10 @@
 
     private void onVersionNotice(PeerLink link, VersionNotice notice) {
         VersionServer.named(notice).ifPresent(id -> link.peer.ifPresent(p -> versionListener.onPeerVersion(p, id)));
-        offered(link, notice.getVersion());
+        updatePeerVersion(link, notice.getVersion());
     }
 
-    private void offered(PeerLink link, long version) {
+    private void updatePeerVersion(PeerLink link, long version) {
         link.peerVersion = Math.max(link.peerVersion, version);
         if (version > installed.snapshot().id().number()) {
             versionListener.onNewerVersion(link.address, version);
@@ -292,7 +292,7 @@
 
     private void received(PeerLink link, Heartbeat beat) {
         freshness.heardAgo(Integer.toUnsignedLong(beat.getStoreAgeMs()));
-        offered(link, beat.getVersion());
+        updatePeerVersion(link, beat.getVersion());
         Hashes own = table.hashes();
         Hashes theirs = new Hashes(beat.getMembersDigest(), beat.getReportsDigest());
         if (!link.needsSync(own, theirs, REQUIRED_STABLE_HEARTBEATS)) {
