--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -173,7 +173,7 @@
                 });
             case SpreadEvent.VersionInstalled() -> {
                 gossip.merge(List.of(), null);
-                links.established().forEach(this::notice);
+                links.established().forEach(this::sendVersionNotice);
             }
             case SpreadEvent.PeersDiscovered(List<HostPort> addresses) -> {
                 discoveredAddresses = List.copyOf(addresses);
@@ -217,7 +217,7 @@
                 }
                 gossip.merge(List.of(peer), link);
                 onVersionNotice(link, hello.getVersion());
-                notice(link);
+                sendVersionNotice(link);
                 heartbeat(link);
             }
         }
@@ -257,7 +257,7 @@
         }
     }
 
-    private void notice(PeerLink link) {
+    private void sendVersionNotice(PeerLink link) {
         VersionId id = installed.snapshot().id();
         if (id.number() <= link.peerVersion || id.number() <= link.advertisedVersion) {
             return;
