--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -155,7 +155,7 @@
             nextMaintenance = Deadline.afterMillis(time, MAINTENANCE_INTERVAL_MILLIS);
             upkeep();
         }
-        heartbeats();
+        sendDueHeartbeats();
         gossip.flush();
         establishedLinkCount = links.established().size();
     }
@@ -266,7 +266,7 @@
         link.send(PeerMessage.newBuilder().setVersion(VersionServer.notice(id)).build());
     }
 
-    private void heartbeats() {
+    private void sendDueHeartbeats() {
         long now = time.nanoTime();
         for (PeerLink l : links.established()) {
             if (now - l.nextHeartbeatNanos >= 0) {
