--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -218,7 +218,7 @@
                 gossip.merge(List.of(peer), link);
                 onVersionNotice(link, hello.getVersion());
                 sendVersionNotice(link);
-                heartbeat(link);
+                sendHeartbeat(link);
             }
         }
     }
@@ -270,12 +270,12 @@
         long now = time.nanoTime();
         for (PeerLink l : links.established()) {
             if (now - l.nextHeartbeatNanos >= 0) {
-                heartbeat(l);
+                sendHeartbeat(l);
             }
         }
     }
 
-    private void heartbeat(PeerLink link) {
+    private void sendHeartbeat(PeerLink link) {
         link.nextHeartbeatNanos = time.nanoTime() + tuning.heartbeatMillis() * 1_000_000L;
         if (!link.stream.isReady()) {
             return;
