--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -194,7 +194,7 @@
             case HELLO -> onHello(link, message.getHello());
             case VERSION -> onVersionNotice(link, message.getVersion());
             case MEMBERSHIP -> gossip.onDelta(message.getMembership(), link);
-            case HEARTBEAT -> received(link, message.getHeartbeat());
+            case HEARTBEAT -> onHeartbeat(link, message.getHeartbeat());
             case SUMMARY -> gossip.onSummary(message.getSummary(), link);
             case REPORTS -> gossip.onReports(message.getReports(), link);
             case REFUSED -> links.onRefused(link, message.getRefused().getRetryAfterMs());
@@ -290,7 +290,7 @@
                 .build());
     }
 
-    private void received(PeerLink link, Heartbeat beat) {
+    private void onHeartbeat(PeerLink link, Heartbeat beat) {
         freshness.heardAgo(Integer.toUnsignedLong(beat.getStoreAgeMs()));
         updatePeerVersion(link, beat.getVersion());
         Hashes own = table.hashes();
