--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -153,7 +153,7 @@
         }
         if (nextMaintenance.isPast(time)) {
             nextMaintenance = Deadline.afterMillis(time, MAINTENANCE_INTERVAL_MILLIS);
-            upkeep();
+            runMaintenance();
         }
         sendDueHeartbeats();
         gossip.flush();
@@ -305,7 +305,7 @@
         }
     }
 
-    private void upkeep() {
+    private void runMaintenance() {
         Member me = localMember.current();
         gossip.merge(List.of(), null);
         links.closeSilent().forEach(l -> l.peer.or(() -> memberAt(l.address)).ifPresent(this::doubt));
