--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -311,7 +311,7 @@
         links.closeSilent().forEach(l -> l.peer.or(() -> memberAt(l.address)).ifPresent(this::doubt));
         gossip.merge(detector.expired(table.view()), null);
         detector.forgettable().forEach(table::forget);
-        links.reconcile(choose(me)).forEach(this::sendHello);
+        links.reconcile(choosePeers(me)).forEach(this::sendHello);
         // Who was refused or found nobody tries the same addresses again, each after its own wait.
         if (links.established().isEmpty()) {
             join();
@@ -327,7 +327,7 @@
         }
     }
 
-    private List<Member> choose(Member me) {
+    private List<Member> choosePeers(Member me) {
         if (me.state() == Member.State.LEAVING) {
             return List.of();
         }
