--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -169,7 +169,7 @@
             case SpreadEvent.StreamClosed(PeerStream stream, String reason) ->
                 links.find(stream).ifPresent(l -> {
                     links.onClosed(l);
-                    l.peer.or(() -> memberAt(l.address)).ifPresent(this::doubt);
+                    l.peer.or(() -> memberAt(l.address)).ifPresent(this::probe);
                 });
             case SpreadEvent.VersionInstalled() -> {
                 gossip.merge(List.of(), null);
@@ -308,7 +308,7 @@
     private void runMaintenance() {
         Member me = localMember.current();
         gossip.merge(List.of(), null);
-        links.closeSilent().forEach(l -> l.peer.or(() -> memberAt(l.address)).ifPresent(this::doubt));
+        links.closeSilent().forEach(l -> l.peer.or(() -> memberAt(l.address)).ifPresent(this::probe));
         gossip.merge(detector.expired(table.view()), null);
         detector.forgettable().forEach(table::forget);
         links.reconcile(choosePeers(me)).forEach(this::sendHello);
@@ -322,7 +322,7 @@
                     .filter(m -> !m.instance().equals(me.instance()))
                     .toList();
             if (!others.isEmpty()) {
-                doubt(others.get(random.nextInt(others.size())));
+                probe(others.get(random.nextInt(others.size())));
             }
         }
     }
@@ -345,7 +345,7 @@
                 .findFirst();
     }
 
-    private void doubt(Member member) {
+    private void probe(Member member) {
         Member now = table.view().find(member.instance()).orElse(member);
         List<Member> helpers = new ArrayList<>();
         for (PeerLink l : links.established()) {
