--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -179,7 +179,7 @@
                 discoveredAddresses = List.copyOf(addresses);
                 join();
             }
-            case SpreadEvent.MemberUnreachable(Member member) -> unreachable(member);
+            case SpreadEvent.MemberUnreachable(Member member) -> onUnreachable(member);
             case SpreadEvent.MemberReachable(Member member) -> {
                 if (member.state() == Member.State.SUSPECT || member.state() == Member.State.GONE) {
                     links.open(member.address()).ifPresent(this::sendHello);
@@ -356,7 +356,7 @@
         prober.probe(now, helpers);
     }
 
-    private void unreachable(Member probed) {
+    private void onUnreachable(Member probed) {
         Optional<Member> now = table.view().find(probed.instance());
         if (now.isEmpty() || now.get().incarnation() != probed.incarnation()) {
             return;
