--- a/org.berylwick/src/org/berylwick/internal/spread/StoreFreshness.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/StoreFreshness.java
@@ -10,29 +10,29 @@
  */
 public final class StoreFreshness {
     private final TimeSource time;
-    private long heardAtNanos;
+    private long lastContactNanos;
 
     /** As if heard from just now, so that a fresh daemon waits before it steps in. */
     public StoreFreshness(TimeSource time) {
         this.time = time;
-        this.heardAtNanos = time.nanoTime();
+        this.lastContactNanos = time.nanoTime();
     }
 
     /** This daemon itself was answered by the store. */
     public synchronized void heardNow() {
-        heardAtNanos = time.nanoTime();
+        lastContactNanos = time.nanoTime();
     }
 
     /** A peer told how long ago some reader was answered. */
     public synchronized void heardAgo(long ageMillis) {
         long at = time.nanoTime() - ageMillis * 1_000_000L;
-        if (at - heardAtNanos > 0) {
-            heardAtNanos = at;
+        if (at - lastContactNanos > 0) {
+            lastContactNanos = at;
         }
     }
 
     /** @return milliseconds since any reader was answered */
     public synchronized long ageMillis() {
-        return (time.nanoTime() - heardAtNanos) / 1_000_000L;
+        return (time.nanoTime() - lastContactNanos) / 1_000_000L;
     }
 }
