--- a/org.berylwick.daemon/src/org/berylwick/daemon/duty/ReaderRole.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/duty/ReaderRole.java
@@ -153,7 +153,7 @@
         if (!(found instanceof Result.Ok<Optional<StoredObject>, StoreError>(Optional<StoredObject> object))) {
             return;
         }
-        freshness.heardNow();
+        freshness.recordLocalContact();
         long now = time.epochMillis();
         ReaderLease lease = object.map(ReaderRole::decode).orElse(ReaderLease.EMPTY);
         switch (lease.acquireOrRenew(settings.instance(), now, settings.spread().readers(), now + LEASE_MILLIS)) {
--- a/org.berylwick.daemon/src/org/berylwick/daemon/duty/StoreReader.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/duty/StoreReader.java
@@ -106,7 +106,7 @@
         }
         if (repository.readHead(Deadline.afterMillis(time, READ_MILLIS))
                 instanceof Result.Ok<AcceptedHead, VersionError>(AcceptedHead head)) {
-            freshness.heardNow();
+            freshness.recordLocalContact();
             heardHead = true;
             first.heardStore(head.id());
         }
@@ -122,7 +122,7 @@
                 TimeUnit.MILLISECONDS.sleep(PAUSE_MILLIS + random.nextLong(PAUSE_MILLIS));
             }
             case Result.Ok<Optional<AcceptedHead>, VersionError>(Optional<AcceptedHead> head) -> {
-                freshness.heardNow();
+                freshness.recordLocalContact();
                 if (head.isPresent()
                         && installed.noteHead(before, head.get().id())
                         && !comesFromPeers(head.get().id())) {
--- a/org.berylwick/src/org/berylwick/internal/spread/StoreFreshness.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/StoreFreshness.java
@@ -19,7 +19,7 @@
     }
 
     /** This daemon itself was answered by the store. */
-    public synchronized void heardNow() {
+    public synchronized void recordLocalContact() {
         lastContactNanos = time.nanoTime();
     }
 
