--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -291,7 +291,7 @@
     }
 
     private void onHeartbeat(PeerLink link, Heartbeat beat) {
-        freshness.heardAgo(Integer.toUnsignedLong(beat.getStoreAgeMs()));
+        freshness.recordPeerContact(Integer.toUnsignedLong(beat.getStoreAgeMs()));
         updatePeerVersion(link, beat.getVersion());
         Hashes own = table.hashes();
         Hashes theirs = new Hashes(beat.getMembersDigest(), beat.getReportsDigest());
--- a/org.berylwick/src/org/berylwick/internal/spread/StoreFreshness.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/StoreFreshness.java
@@ -24,7 +24,7 @@
     }
 
     /** A peer told how long ago some reader was answered. */
-    public synchronized void heardAgo(long ageMillis) {
+    public synchronized void recordPeerContact(long ageMillis) {
         long at = time.nanoTime() - ageMillis * 1_000_000L;
         if (at - lastContactNanos > 0) {
             lastContactNanos = at;
