--- a/org.berylwick/src/org/berylwick/internal/spread/TokenBucket.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/TokenBucket.java
@@ -12,14 +12,14 @@
 
     private final TimeSource time;
     private final double burst;
-    private double perSecond;
+    private double ratePerSecond;
     private double tokens;
     private long countedAt;
 
     /** A full bucket. */
     public TokenBucket(TimeSource time, double perSecond, double burst) {
         this.time = time;
-        this.perSecond = perSecond;
+        this.ratePerSecond = perSecond;
         this.burst = burst;
         this.tokens = burst;
         this.countedAt = time.nanoTime();
@@ -28,7 +28,7 @@
     /** Sets another rate; what has gathered stays. */
     public synchronized void setRate(double newPerSecond) {
         refill();
-        perSecond = newPerSecond;
+        ratePerSecond = newPerSecond;
     }
 
     /** Takes one token if there is one. */
@@ -50,12 +50,12 @@
     /** @return milliseconds until a token is there, at least 1 if there is none now */
     public synchronized long waitMillis() {
         refill();
-        return tokens >= 1 ? 0 : Math.max(1, (long) Math.ceil((1 - tokens) / perSecond * 1_000));
+        return tokens >= 1 ? 0 : Math.max(1, (long) Math.ceil((1 - tokens) / ratePerSecond * 1_000));
     }
 
     private void refill() {
         long now = time.nanoTime();
-        tokens = Math.min(burst, tokens + (now - countedAt) / NANOS_PER_SECOND * perSecond);
+        tokens = Math.min(burst, tokens + (now - countedAt) / NANOS_PER_SECOND * ratePerSecond);
         countedAt = now;
     }
 }
