--- a/org.berylwick/src/org/berylwick/internal/spread/TokenBucket.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/TokenBucket.java
@@ -14,7 +14,7 @@
     private final double burst;
     private double ratePerSecond;
     private double tokens;
-    private long countedAt;
+    private long lastRefillNanos;
 
     /** A full bucket. */
     public TokenBucket(TimeSource time, double perSecond, double burst) {
@@ -22,7 +22,7 @@
         this.ratePerSecond = perSecond;
         this.burst = burst;
         this.tokens = burst;
-        this.countedAt = time.nanoTime();
+        this.lastRefillNanos = time.nanoTime();
     }
 
     /** Sets another rate; what has gathered stays. */
@@ -55,7 +55,7 @@
 
     private void refill() {
         long now = time.nanoTime();
-        tokens = Math.min(burst, tokens + (now - countedAt) / NANOS_PER_SECOND * ratePerSecond);
-        countedAt = now;
+        tokens = Math.min(burst, tokens + (now - lastRefillNanos) / NANOS_PER_SECOND * ratePerSecond);
+        lastRefillNanos = now;
     }
 }
