--- a/org.berylwick.test/tst/org/berylwick/internal/spread/RateTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/RateTest.java
@@ -39,7 +39,7 @@
         TokenBucket bucket = new TokenBucket(time, 10, 5);
         bucket.charge(15);
         assertFalse(bucket.tryTake());
-        assertEquals(1_100, bucket.waitMillis());
+        assertEquals(1_100, bucket.millisUntilAvailable());
         time.advance(Duration.ofMillis(1_100));
         assertTrue(bucket.tryTake());
     }
--- a/org.berylwick/src/org/berylwick/internal/spread/TokenBucket.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/TokenBucket.java
@@ -48,7 +48,7 @@
     }
 
     /** @return milliseconds until a token is there, at least 1 if there is none now */
-    public synchronized long waitMillis() {
+    public synchronized long millisUntilAvailable() {
         refill();
         return tokens >= 1 ? 0 : Math.max(1, (long) Math.ceil((1 - tokens) / ratePerSecond * 1_000));
     }
