--- a/org.berylwick.bench/src/org/berylwick/bench/control/ModelFleet.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/control/ModelFleet.java
@@ -20,7 +20,7 @@
 import org.berylwick.internal.spread.SpreadTuning;
 import org.berylwick.internal.spread.Spreader;
 import org.berylwick.internal.spread.StoreFreshness;
-import org.berylwick.internal.spread.VersionServer;
+import org.berylwick.internal.spread.VersionDeltaEncoder;
 import org.berylwick.internal.version.InstalledVersion;
 import org.berylwick.internal.version.VersionContent;
 import org.berylwick.lib.Deadline;
@@ -75,7 +75,7 @@
     final class Node implements LocalMember, PeerCalls {
         private final InstalledVersion installed = new InstalledVersion(clock);
         private final MembershipTable table = new MembershipTable();
-        private final VersionServer versions = new VersionServer(installed);
+        private final VersionDeltaEncoder versions = new VersionDeltaEncoder(installed);
         private final Deque<SpreadEvent> inbox = new ArrayDeque<>();
         private final String instance;
         private final Place place;
--- a/org.berylwick.daemon/src/org/berylwick/daemon/duty/SpreadDuties.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/duty/SpreadDuties.java
@@ -12,7 +12,7 @@
 import org.berylwick.internal.spread.Spreader;
 import org.berylwick.internal.spread.StoreFreshness;
 import org.berylwick.internal.spread.TokenBucket;
-import org.berylwick.internal.spread.VersionServer;
+import org.berylwick.internal.spread.VersionDeltaEncoder;
 import org.berylwick.internal.version.InstalledVersion;
 import org.berylwick.internal.version.VersionRepository;
 import org.berylwick.lib.TimeSource;
@@ -79,7 +79,7 @@
                         metrics),
                 time,
                 random);
-        VersionServer versions = new VersionServer(parts.installed());
+        VersionDeltaEncoder versions = new VersionDeltaEncoder(parts.installed());
         service = new SpreadService(parts.self()::current, versions::encode, spreader, client, time);
         TokenBucket budget = new TokenBucket(time, FLEET_CALLS_PER_SECOND / ASSUMED_MEMBERS, CALL_BURST);
         role = new ReaderRole(
--- a/org.berylwick.test/tst/org/berylwick/internal/spread/MemoryNetwork.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/MemoryNetwork.java
@@ -46,7 +46,7 @@
         private final String instance;
         private final Place place;
         private final HostPort address;
-        private final VersionServer versions = new VersionServer(installed);
+        private final VersionDeltaEncoder versions = new VersionDeltaEncoder(installed);
         private long incarnation = 1;
 
         private Node(int i, int zones) {
--- a/org.berylwick.test/tst/org/berylwick/internal/spread/VersionTransferTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/VersionTransferTest.java
@@ -63,7 +63,7 @@
             @ForAll @IntRange(min = 0, max = 12) int behind) {
         InstalledVersion ahead = new InstalledVersion(time);
         InstalledVersion late = new InstalledVersion(time);
-        VersionServer server = new VersionServer(ahead);
+        VersionDeltaEncoder server = new VersionDeltaEncoder(ahead);
         VersionId previous = VersionId.NONE;
         for (int i = 0; i < history.size(); i++) {
             VersionContent content = content(previous, history.get(i));
@@ -94,7 +94,7 @@
         VersionContent first = content(VersionId.NONE, Map.of("a", 1, "b", 1));
         VersionContent second = content(first.id(), Map.of("a", 2, "b", 1));
         InstalledVersion ahead = new InstalledVersion(time);
-        VersionServer server = new VersionServer(ahead);
+        VersionDeltaEncoder server = new VersionDeltaEncoder(ahead);
         ahead.install(first);
         ahead.install(second);
         byte[] gzip = server.encode(1).orElseThrow().clone();
@@ -112,7 +112,7 @@
         VersionContent second = content(first.id(), Map.of("a", 2));
         VersionContent third = content(second.id(), Map.of("a", 3));
         InstalledVersion ahead = new InstalledVersion(time);
-        VersionServer server = new VersionServer(ahead);
+        VersionDeltaEncoder server = new VersionDeltaEncoder(ahead);
         ahead.install(first);
         ahead.install(second);
         ahead.install(third);
@@ -120,6 +120,6 @@
         assertInstanceOf(
                 Result.Err.class,
                 VersionDeltaDecoder.decode(gzip, holding(first, second).inForce()));
-        assertTrue(new VersionServer(new InstalledVersion(time)).encode(0).isEmpty());
+        assertTrue(new VersionDeltaEncoder(new InstalledVersion(time)).encode(0).isEmpty());
     }
 }
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -229,7 +229,7 @@
         link.send(PeerMessage.newBuilder()
                 .setHello(Hello.newBuilder()
                         .setSelf(MemberMessages.toMessage(localMember.current()))
-                        .setVersion(VersionServer.notice(id)))
+                        .setVersion(VersionDeltaEncoder.notice(id)))
                 .build());
     }
 
@@ -246,7 +246,7 @@
     }
 
     private void onVersionNotice(PeerLink link, VersionNotice notice) {
-        VersionServer.named(notice).ifPresent(id -> link.peer.ifPresent(p -> versionListener.onPeerVersion(p, id)));
+        VersionDeltaEncoder.named(notice).ifPresent(id -> link.peer.ifPresent(p -> versionListener.onPeerVersion(p, id)));
         updatePeerVersion(link, notice.getVersion());
     }
 
@@ -263,7 +263,7 @@
             return;
         }
         link.advertisedVersion = id.number();
-        link.send(PeerMessage.newBuilder().setVersion(VersionServer.notice(id)).build());
+        link.send(PeerMessage.newBuilder().setVersion(VersionDeltaEncoder.notice(id)).build());
     }
 
     private void sendDueHeartbeats() {
--- a/org.berylwick/src/org/berylwick/internal/spread/VersionDeltaDecoder.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/VersionDeltaDecoder.java
@@ -28,7 +28,7 @@
     private VersionDeltaDecoder() {}
 
     /**
-     * Decodes what {@link VersionServer#encode} wrote.
+     * Decodes what {@link VersionDeltaEncoder#encode} wrote.
      *
      * @param inForce the version that the asker named as its base
      * @return the whole version, or what is missing or wrong
--- a/org.berylwick/src/org/berylwick/internal/spread/VersionServer.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/VersionDeltaEncoder.java
@@ -29,7 +29,7 @@
  * one that is further behind gets the whole version. What was encoded is kept until the next version, as several peers
  * ask for the same.
  */
-public final class VersionServer {
+public final class VersionDeltaEncoder {
     private static final int KEPT_MANIFESTS = 8;
     private static final int DIGEST_BYTES = 32;
 
@@ -39,7 +39,7 @@
     private long encodedVersion;
 
     /** Serves what is installed from now on. */
-    public VersionServer(InstalledVersion installed) {
+    public VersionDeltaEncoder(InstalledVersion installed) {
         this.installed = installed;
         installed.addListener(this::remember);
     }
