--- a/org.berylwick/src/org/berylwick/internal/spread/VersionDeltaEncoder.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/VersionDeltaEncoder.java
@@ -30,7 +30,7 @@
  * ask for the same.
  */
 public final class VersionDeltaEncoder {
-    private static final int KEPT_MANIFESTS = 8;
+    private static final int MAX_CACHED_MANIFESTS = 8;
     private static final int DIGEST_BYTES = 32;
 
     private final InstalledVersion installed;
@@ -46,7 +46,7 @@
 
     private synchronized void remember(InForce inForce) {
         manifest(inForce).ifPresent(m -> manifests.put(m.number(), m));
-        while (manifests.size() > KEPT_MANIFESTS) {
+        while (manifests.size() > MAX_CACHED_MANIFESTS) {
             manifests.remove(manifests.keySet().iterator().next());
         }
     }
