--- a/org.berylwick/src/org/berylwick/internal/spread/VersionDeltaEncoder.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/VersionDeltaEncoder.java
@@ -34,7 +34,7 @@
     private static final int DIGEST_BYTES = 32;
 
     private final InstalledVersion installed;
-    private final Map<Long, Manifest> manifests = new LinkedHashMap<>();
+    private final Map<Long, Manifest> manifestsByVersion = new LinkedHashMap<>();
     private final Map<Long, byte[]> encoded = new HashMap<>();
     private long encodedVersion;
 
@@ -45,9 +45,9 @@
     }
 
     private synchronized void remember(InForce inForce) {
-        manifest(inForce).ifPresent(m -> manifests.put(m.number(), m));
-        while (manifests.size() > MAX_CACHED_MANIFESTS) {
-            manifests.remove(manifests.keySet().iterator().next());
+        manifest(inForce).ifPresent(m -> manifestsByVersion.put(m.number(), m));
+        while (manifestsByVersion.size() > MAX_CACHED_MANIFESTS) {
+            manifestsByVersion.remove(manifestsByVersion.keySet().iterator().next());
         }
     }
 
@@ -79,8 +79,8 @@
     private VersionDelta delta(InForce inForce, long base) {
         VersionId id = inForce.snapshot().id();
         VersionDelta.Builder delta = VersionDelta.newBuilder().setVersion(notice(id));
-        Manifest baseManifest = base < id.number() ? manifests.get(base) : null;
-        Manifest target = manifests.get(id.number());
+        Manifest baseManifest = base < id.number() ? manifestsByVersion.get(base) : null;
+        Manifest target = manifestsByVersion.get(id.number());
         if (baseManifest == null || target == null) {
             delta.setManifest(ByteString.copyFrom(inForce.manifestBytes()));
             inForce.parts().values().forEach(p -> delta.addParts(ByteString.copyFrom(p)));
