--- a/org.berylwick/src/org/berylwick/internal/spread/VersionDeltaEncoder.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/VersionDeltaEncoder.java
@@ -35,7 +35,7 @@
 
     private final InstalledVersion installed;
     private final Map<Long, Manifest> manifestsByVersion = new LinkedHashMap<>();
-    private final Map<Long, byte[]> encoded = new HashMap<>();
+    private final Map<Long, byte[]> encodedByBase = new HashMap<>();
     private long encodedVersion;
 
     /** Serves what is installed from now on. */
@@ -70,10 +70,10 @@
             return Optional.empty();
         }
         if (encodedVersion != id.number()) {
-            encoded.clear();
+            encodedByBase.clear();
             encodedVersion = id.number();
         }
-        return Optional.of(encoded.computeIfAbsent(base, b -> gzip(delta(inForce, b))));
+        return Optional.of(encodedByBase.computeIfAbsent(base, b -> gzip(delta(inForce, b))));
     }
 
     private VersionDelta delta(InForce inForce, long base) {
