--- a/org.berylwick/src/org/berylwick/internal/spread/VersionDeltaEncoder.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/VersionDeltaEncoder.java
@@ -41,10 +41,10 @@
     /** Serves what is installed from now on. */
     public VersionDeltaEncoder(InstalledVersion installed) {
         this.installed = installed;
-        installed.addListener(this::remember);
+        installed.addListener(this::cacheManifest);
     }
 
-    private synchronized void remember(InForce inForce) {
+    private synchronized void cacheManifest(InForce inForce) {
         manifest(inForce).ifPresent(m -> manifestsByVersion.put(m.number(), m));
         while (manifestsByVersion.size() > MAX_CACHED_MANIFESTS) {
             manifestsByVersion.remove(manifestsByVersion.keySet().iterator().next());
