--- a/org.berylwick/src/org/berylwick/internal/spread/VersionDeltaEncoder.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/VersionDeltaEncoder.java
@@ -45,13 +45,13 @@
     }
 
     private synchronized void cacheManifest(InForce inForce) {
-        manifest(inForce).ifPresent(m -> manifestsByVersion.put(m.number(), m));
+        decodeManifest(inForce).ifPresent(m -> manifestsByVersion.put(m.number(), m));
         while (manifestsByVersion.size() > MAX_CACHED_MANIFESTS) {
             manifestsByVersion.remove(manifestsByVersion.keySet().iterator().next());
         }
     }
 
-    private static Optional<Manifest> manifest(InForce inForce) {
+    private static Optional<Manifest> decodeManifest(InForce inForce) {
         return switch (ConfigurationCodec.decode(inForce.manifestBytes(), Manifest.class)) {
             case Result.Ok<Manifest, String>(Manifest m) -> Optional.of(m);
             case Result.Err<Manifest, String> ignored -> Optional.empty();
