--- a/org.berylwick/src/org/berylwick/internal/spread/VersionDeltaEncoder.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/VersionDeltaEncoder.java
@@ -73,10 +73,10 @@
             encodedByBase.clear();
             encodedVersion = id.number();
         }
-        return Optional.of(encodedByBase.computeIfAbsent(base, b -> gzip(delta(inForce, b))));
+        return Optional.of(encodedByBase.computeIfAbsent(base, b -> gzip(buildDelta(inForce, b))));
     }
 
-    private VersionDelta delta(InForce inForce, long base) {
+    private VersionDelta buildDelta(InForce inForce, long base) {
         VersionId id = inForce.snapshot().id();
         VersionDelta.Builder delta = VersionDelta.newBuilder().setVersion(notice(id));
         Manifest baseManifest = base < id.number() ? manifestsByVersion.get(base) : null;
