--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -229,7 +229,7 @@
         link.send(PeerMessage.newBuilder()
                 .setHello(Hello.newBuilder()
                         .setSelf(MemberMessages.toMessage(localMember.current()))
-                        .setVersion(VersionDeltaEncoder.notice(id)))
+                        .setVersion(VersionDeltaEncoder.toNotice(id)))
                 .build());
     }
 
@@ -263,7 +263,7 @@
             return;
         }
         link.advertisedVersion = id.number();
-        link.send(PeerMessage.newBuilder().setVersion(VersionDeltaEncoder.notice(id)).build());
+        link.send(PeerMessage.newBuilder().setVersion(VersionDeltaEncoder.toNotice(id)).build());
     }
 
     private void sendDueHeartbeats() {
--- a/org.berylwick/src/org/berylwick/internal/spread/VersionDeltaEncoder.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/VersionDeltaEncoder.java
@@ -78,7 +78,7 @@
 
     private VersionDelta buildDelta(InForce inForce, long base) {
         VersionId id = inForce.snapshot().id();
-        VersionDelta.Builder delta = VersionDelta.newBuilder().setVersion(notice(id));
+        VersionDelta.Builder delta = VersionDelta.newBuilder().setVersion(toNotice(id));
         Manifest baseManifest = base < id.number() ? manifestsByVersion.get(base) : null;
         Manifest target = manifestsByVersion.get(id.number());
         if (baseManifest == null || target == null) {
@@ -98,7 +98,7 @@
     }
 
     /** A version's name as it travels. */
-    public static VersionNotice notice(VersionId id) {
+    public static VersionNotice toNotice(VersionId id) {
         return VersionNotice.newBuilder()
                 .setVersion(id.number())
                 .setDigest(ByteString.fromHex(id.digest().hex()))
