--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -246,7 +246,7 @@
     }
 
     private void onVersionNotice(PeerLink link, VersionNotice notice) {
-        VersionDeltaEncoder.named(notice).ifPresent(id -> link.peer.ifPresent(p -> versionListener.onPeerVersion(p, id)));
+        VersionDeltaEncoder.toVersionId(notice).ifPresent(id -> link.peer.ifPresent(p -> versionListener.onPeerVersion(p, id)));
         updatePeerVersion(link, notice.getVersion());
     }
 
--- a/org.berylwick/src/org/berylwick/internal/spread/VersionDeltaEncoder.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/VersionDeltaEncoder.java
@@ -106,7 +106,7 @@
     }
 
     /** The version that a notice names; empty if that is none, or its digest cannot be one. */
-    public static Optional<VersionId> named(VersionNotice notice) {
+    public static Optional<VersionId> toVersionId(VersionNotice notice) {
         if (notice.getVersion() <= 0 || notice.getDigest().size() != DIGEST_BYTES) {
             return Optional.empty();
         }
