--- a/org.berylwick.test/tst/org/berylwick/internal/spread/ManifestDeltaTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/ManifestDeltaTest.java
@@ -21,7 +21,7 @@
 
 /** That a delta gives the very bytes of the later manifest, on which its digest depends. */
 class ManifestDeltaTest {
-    private static final List<VersionContent> CHAIN = chain();
+    private static final List<VersionContent> VERSIONS = chain();
 
     private static List<VersionContent> chain() {
         List<VersionContent> versions = new ArrayList<>();
@@ -46,24 +46,24 @@
     @Property(tries = 300, seed = "20261207")
     void deltaBetweenAnyTwoVersionsGivesTheLaterOne(
             @ForAll @IntRange(max = 99) int a, @ForAll @IntRange(max = 99) int b) {
-        VersionContent base = CHAIN.get(Math.min(a, b));
-        VersionContent target = CHAIN.get(Math.max(a, b));
+        VersionContent base = VERSIONS.get(Math.min(a, b));
+        VersionContent target = VERSIONS.get(Math.max(a, b));
         assertArrayEquals(target.manifestBytes(), rebuilt(base.manifest(), target.manifest()));
     }
 
     @Test
     void deltaFromAnotherHistoryGivesTheLaterOneToo() {
         VersionContent other = VersionContent.encode(
-                CHAIN.get(9).id(), new AuditEntry("other", "", "", 0, List.of()), Configuration.EMPTY);
-        VersionContent target = CHAIN.get(50);
+                VERSIONS.get(9).id(), new AuditEntry("other", "", "", 0, List.of()), Configuration.EMPTY);
+        VersionContent target = VERSIONS.get(50);
         assertArrayEquals(target.manifestBytes(), rebuilt(other.manifest(), target.manifest()));
-        assertArrayEquals(other.manifestBytes(), rebuilt(CHAIN.get(3).manifest(), other.manifest()));
+        assertArrayEquals(other.manifestBytes(), rebuilt(VERSIONS.get(3).manifest(), other.manifest()));
     }
 
     @Test
     void ancestorsThatBothHaveAreNotSentAgain() {
         ManifestDelta delta =
-                ManifestDelta.between(CHAIN.get(90).manifest(), CHAIN.get(91).manifest());
+                ManifestDelta.between(VERSIONS.get(90).manifest(), VERSIONS.get(91).manifest());
         assertTrue(delta.ancestors().size() == 1 && delta.inherited() == Manifest.MAX_ANCESTORS - 1, delta.toString());
     }
 }
