--- a/org.berylwick.test/tst/org/berylwick/internal/spread/ManifestDeltaTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/ManifestDeltaTest.java
@@ -21,9 +21,9 @@
 
 /** That a delta gives the very bytes of the later manifest, on which its digest depends. */
 class ManifestDeltaTest {
-    private static final List<VersionContent> VERSIONS = chain();
+    private static final List<VersionContent> VERSIONS = createVersions();
 
-    private static List<VersionContent> chain() {
+    private static List<VersionContent> createVersions() {
         List<VersionContent> versions = new ArrayList<>();
         VersionContent last = VersionContent.NONE;
         for (int i = 0; i < 100; i++) {
