--- a/org.berylwick.test/tst/org/berylwick/internal/spread/ManifestDeltaTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/ManifestDeltaTest.java
@@ -39,7 +39,7 @@
         return versions;
     }
 
-    private static byte[] rebuilt(Manifest base, Manifest target) {
+    private static byte[] reconstruct(Manifest base, Manifest target) {
         return ConfigurationCodec.encode(ManifestDelta.between(base, target).applyTo(base));
     }
 
@@ -48,7 +48,7 @@
             @ForAll @IntRange(max = 99) int a, @ForAll @IntRange(max = 99) int b) {
         VersionContent base = VERSIONS.get(Math.min(a, b));
         VersionContent target = VERSIONS.get(Math.max(a, b));
-        assertArrayEquals(target.manifestBytes(), rebuilt(base.manifest(), target.manifest()));
+        assertArrayEquals(target.manifestBytes(), reconstruct(base.manifest(), target.manifest()));
     }
 
     @Test
@@ -56,8 +56,8 @@
         VersionContent other = VersionContent.encode(
                 VERSIONS.get(9).id(), new AuditEntry("other", "", "", 0, List.of()), Configuration.EMPTY);
         VersionContent target = VERSIONS.get(50);
-        assertArrayEquals(target.manifestBytes(), rebuilt(other.manifest(), target.manifest()));
-        assertArrayEquals(other.manifestBytes(), rebuilt(VERSIONS.get(3).manifest(), other.manifest()));
+        assertArrayEquals(target.manifestBytes(), reconstruct(other.manifest(), target.manifest()));
+        assertArrayEquals(other.manifestBytes(), reconstruct(VERSIONS.get(3).manifest(), other.manifest()));
     }
 
     @Test
