--- a/org.berylwick.test/tst/org/berylwick/internal/spread/ManifestDeltaTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/ManifestDeltaTest.java
@@ -44,7 +44,7 @@
     }
 
     @Property(tries = 300, seed = "20261207")
-    void deltaBetweenAnyTwoVersionsGivesTheLaterOne(
+    void deltaBetweenAnyTwoVersionsReproducesLaterManifest(
             @ForAll @IntRange(max = 99) int a, @ForAll @IntRange(max = 99) int b) {
         VersionContent base = VERSIONS.get(Math.min(a, b));
         VersionContent target = VERSIONS.get(Math.max(a, b));
