--- a/org.berylwick.test/tst/org/berylwick/internal/spread/ManifestDeltaTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/ManifestDeltaTest.java
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void deltaFromAnotherHistoryGivesTheLaterOneToo() {
+    void deltaBetweenUnrelatedHistoriesReproducesTargetManifest() {
         VersionContent other = VersionContent.encode(
                 VERSIONS.get(9).id(), new AuditEntry("other", "", "", 0, List.of()), Configuration.EMPTY);
         VersionContent target = VERSIONS.get(50);
