--- a/org.berylwick.test/tst/org/berylwick/internal/spread/ManifestDeltaTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/ManifestDeltaTest.java
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void ancestorsThatBothHaveAreNotSentAgain() {
+    void sharedAncestorsAreOmittedFromDelta() {
         ManifestDelta delta =
                 ManifestDelta.between(VERSIONS.get(90).manifest(), VERSIONS.get(91).manifest());
         assertTrue(delta.ancestors().size() == 1 && delta.inherited() == Manifest.MAX_ANCESTORS - 1, delta.toString());
