--- a/org.berylwick.test/tst/org/berylwick/internal/spread/MemoryNetwork.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/InMemoryNetwork.java
@@ -27,7 +27,7 @@
 import org.berylwick.transport.PeerStream;
 
 /** Spreaders joined by streams in memory, on one thread and a clock that the test moves; each direction can be cut. */
-final class MemoryNetwork {
+final class InMemoryNetwork {
     private static final Duration STEP = Duration.ofMillis(50);
 
     private final ManualTimeSource time = new ManualTimeSource();
--- a/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.berylwick.internal.spread.MemoryNetwork.Node;
+import org.berylwick.internal.spread.InMemoryNetwork.Node;
 import org.berylwick.internal.version.VersionContent;
 import org.berylwick.lib.AuditEntry;
 import org.berylwick.lib.Brand;
@@ -23,7 +23,7 @@
     private static final Duration SECONDS = Duration.ofSeconds(15);
     private static final Duration MINUTES = Duration.ofMinutes(3);
 
-    private final MemoryNetwork network = new MemoryNetwork();
+    private final InMemoryNetwork network = new InMemoryNetwork();
 
     private List<Node> joined(int count) {
         List<Node> nodes = network.add(count, 3);
@@ -34,7 +34,7 @@
 
     private static void assertAllHold(List<Node> at, List<Node> of, Member.State state) {
         for (Node a : at) {
-            of.forEach(o -> assertEquals(state, MemoryNetwork.state(a, o)));
+            of.forEach(o -> assertEquals(state, InMemoryNetwork.state(a, o)));
         }
     }
 
@@ -156,7 +156,7 @@
         for (int i = 0; i < 600; i++) {
             network.pass(Duration.ofMillis(100));
             for (Node a : others) {
-                others.forEach(b -> assertTrue(MemoryNetwork.state(a, b) != Member.State.GONE));
+                others.forEach(b -> assertTrue(InMemoryNetwork.state(a, b) != Member.State.GONE));
             }
         }
         network.pass(MINUTES);
