--- a/org.berylwick.test/tst/org/berylwick/internal/spread/InMemoryNetwork.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/InMemoryNetwork.java
@@ -32,7 +32,7 @@
 
     private final ManualTimeSource time = new ManualTimeSource();
     private final Map<HostPort, Node> nodes = new LinkedHashMap<>();
-    private final Set<Direction> cuts = new HashSet<>();
+    private final Set<Direction> cutDirections = new HashSet<>();
 
     private record Direction(HostPort from, HostPort to) {}
 
@@ -184,12 +184,12 @@
     }
 
     private boolean passes(HostPort from, HostPort to) {
-        return nodes.get(from).runs && nodes.get(to).runs && !cuts.contains(new Direction(from, to));
+        return nodes.get(from).runs && nodes.get(to).runs && !cutDirections.contains(new Direction(from, to));
     }
 
     /** Loses from now on all that goes from one daemon to another, silently. */
     void cut(Node from, Node to) {
-        cuts.add(new Direction(from.address, to.address));
+        cutDirections.add(new Direction(from.address, to.address));
     }
 
     /** Cuts a daemon off from all others, or group from group. */
@@ -203,7 +203,7 @@
     }
 
     void healAll() {
-        cuts.clear();
+        cutDirections.clear();
     }
 
     /** Lets time pass. */
