--- a/org.berylwick.test/tst/org/berylwick/internal/spread/InMemoryNetwork.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/InMemoryNetwork.java
@@ -42,7 +42,7 @@
         final MembershipTable table = new MembershipTable();
         final Spreader spreader;
         Member.State state = Member.State.UP;
-        boolean runs = true;
+        boolean running = true;
         private final String instance;
         private final Place place;
         private final HostPort address;
@@ -184,7 +184,7 @@
     }
 
     private boolean passes(HostPort from, HostPort to) {
-        return nodes.get(from).runs && nodes.get(to).runs && !cutDirections.contains(new Direction(from, to));
+        return nodes.get(from).running && nodes.get(to).running && !cutDirections.contains(new Direction(from, to));
     }
 
     /** Loses from now on all that goes from one daemon to another, silently. */
@@ -210,7 +210,7 @@
     void pass(Duration duration) {
         for (long left = duration.toMillis(); left > 0; left -= STEP.toMillis()) {
             time.advance(STEP);
-            nodes.values().stream().filter(n -> n.runs).forEach(n -> n.spreader.processPending());
+            nodes.values().stream().filter(n -> n.running).forEach(n -> n.spreader.processPending());
         }
     }
 
--- a/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
@@ -88,7 +88,7 @@
     void daemonThatDiedIsKnownToAll() {
         List<Node> nodes = joined(12);
         Node dead = nodes.get(5);
-        dead.runs = false;
+        dead.running = false;
         network.pass(SECONDS);
         List<Node> others = nodes.stream().filter(n -> n != dead).toList();
         assertAllHold(others, List.of(dead), Member.State.GONE);
@@ -101,9 +101,9 @@
     void daemonThatWasPausedComesBack() {
         List<Node> nodes = joined(12);
         Node paused = nodes.get(5);
-        paused.runs = false;
+        paused.running = false;
         network.pass(SECONDS);
-        paused.runs = true;
+        paused.running = true;
         VersionId id = install(nodes.get(1));
         network.pass(MINUTES);
         assertAllHold(nodes, nodes, Member.State.UP);
@@ -117,7 +117,7 @@
         List<Node> dead = nodes.stream().filter(n -> nodes.indexOf(n) % 2 == 1).toList();
         List<Node> others =
                 nodes.stream().filter(n -> nodes.indexOf(n) % 2 == 0).toList();
-        dead.forEach(n -> n.runs = false);
+        dead.forEach(n -> n.running = false);
         VersionId id = install(others.getFirst());
         network.pass(MINUTES);
         assertAllHold(others, dead, Member.State.GONE);
@@ -135,7 +135,7 @@
         network.pass(Duration.ofSeconds(2));
         assertAllHold(nodes, List.of(leaving), Member.State.LEAVING);
         leaving.spreader.close();
-        leaving.runs = false;
+        leaving.running = false;
         network.pass(MINUTES);
         List<Node> others = nodes.stream().filter(n -> n != leaving).toList();
         assertAllHold(others, List.of(leaving), Member.State.GONE);
