--- a/org.berylwick.test/tst/org/berylwick/internal/spread/InMemoryNetwork.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/InMemoryNetwork.java
@@ -104,12 +104,12 @@
 
         @Override
         public PeerStream open(HostPort to, PeerStream.Listener listener) {
-            End here = new End(address, to, listener);
+            InMemoryStream here = new InMemoryStream(address, to, listener);
             if (!passes(address, to) || !passes(to, address)) {
                 listener.closed(here, "cannot connect");
                 return here;
             }
-            End there = new End(to, address, nodes.get(to).spreader);
+            InMemoryStream there = new InMemoryStream(to, address, nodes.get(to).spreader);
             here.other = there;
             there.other = here;
             return here;
@@ -135,14 +135,14 @@
         }
     }
 
-    private final class End implements PeerStream {
+    private final class InMemoryStream implements PeerStream {
         private final HostPort from;
         private final HostPort to;
         private final Listener listener;
-        private End other;
+        private InMemoryStream other;
         private boolean ended;
 
-        private End(HostPort from, HostPort to, Listener listener) {
+        private InMemoryStream(HostPort from, HostPort to, Listener listener) {
             this.from = from;
             this.to = to;
             this.listener = listener;
