--- a/org.berylwick.test/tst/org/berylwick/internal/spread/InMemoryNetwork.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/InMemoryNetwork.java
@@ -110,8 +110,8 @@
                 return here;
             }
             InMemoryStream there = new InMemoryStream(to, address, nodes.get(to).spreader);
-            here.other = there;
-            there.other = here;
+            here.remoteEnd = there;
+            there.remoteEnd = here;
             return here;
         }
 
@@ -139,7 +139,7 @@
         private final HostPort from;
         private final HostPort to;
         private final Listener listener;
-        private InMemoryStream other;
+        private InMemoryStream remoteEnd;
         private boolean ended;
 
         private InMemoryStream(HostPort from, HostPort to, Listener listener) {
@@ -155,16 +155,16 @@
 
         @Override
         public void send(PeerMessage message) {
-            if (!ended && other != null && passes(from, to)) {
-                other.listener.received(other, message);
+            if (!ended && remoteEnd != null && passes(from, to)) {
+                remoteEnd.listener.received(remoteEnd, message);
             }
         }
 
         @Override
         public void close() {
-            if (!ended && other != null && passes(from, to)) {
-                other.ended = true;
-                other.listener.closed(other, "closed by the peer");
+            if (!ended && remoteEnd != null && passes(from, to)) {
+                remoteEnd.ended = true;
+                remoteEnd.listener.closed(remoteEnd, "closed by the peer");
             }
             ended = true;
         }
