--- a/org.berylwick.test/tst/org/berylwick/internal/spread/InMemoryNetwork.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/InMemoryNetwork.java
@@ -140,7 +140,7 @@
         private final HostPort to;
         private final Listener listener;
         private InMemoryStream remoteEnd;
-        private boolean ended;
+        private boolean closed;
 
         private InMemoryStream(HostPort from, HostPort to, Listener listener) {
             this.from = from;
@@ -155,18 +155,18 @@
 
         @Override
         public void send(PeerMessage message) {
-            if (!ended && remoteEnd != null && passes(from, to)) {
+            if (!closed && remoteEnd != null && passes(from, to)) {
                 remoteEnd.listener.received(remoteEnd, message);
             }
         }
 
         @Override
         public void close() {
-            if (!ended && remoteEnd != null && passes(from, to)) {
-                remoteEnd.ended = true;
+            if (!closed && remoteEnd != null && passes(from, to)) {
+                remoteEnd.closed = true;
                 remoteEnd.listener.closed(remoteEnd, "closed by the peer");
             }
-            ended = true;
+            closed = true;
         }
     }
 
