--- a/org.berylwick.test/tst/org/berylwick/internal/spread/InMemoryNetwork.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/InMemoryNetwork.java
@@ -171,7 +171,7 @@
     }
 
     /** Adds daemons over {@code zones} zones; the first one's address is known to all. */
-    List<Node> add(int count, int zones) {
+    List<Node> addDaemons(int count, int zones) {
         List<Node> added = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             Node node = new Node(nodes.size(), zones);
--- a/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
@@ -26,7 +26,7 @@
     private final InMemoryNetwork network = new InMemoryNetwork();
 
     private List<Node> joined(int count) {
-        List<Node> nodes = network.add(count, 3);
+        List<Node> nodes = network.addDaemons(count, 3);
         network.pass(JOIN);
         assertAllHold(nodes, nodes, Member.State.UP);
         return nodes;
@@ -180,7 +180,7 @@
     // A herd of newcomers knows one address. The daemon there admits some at once and the others later.
     @Test
     void herdOfNewcomersIsAdmittedInTime() {
-        List<Node> nodes = network.add(80, 6);
+        List<Node> nodes = network.addDaemons(80, 6);
         network.pass(Duration.ofSeconds(60));
         assertAllHold(nodes, nodes, Member.State.UP);
     }
