--- a/org.berylwick.test/tst/org/berylwick/internal/spread/InMemoryNetwork.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/InMemoryNetwork.java
@@ -89,7 +89,7 @@
         }
 
         private void pull(HostPort from, long number) {
-            if (!passes(address, from) || !passes(from, address)) {
+            if (!isReachable(address, from) || !isReachable(from, address)) {
                 return;
             }
             byte[] gzip = nodes.get(from)
@@ -105,7 +105,7 @@
         @Override
         public PeerStream open(HostPort to, PeerStream.Listener listener) {
             InMemoryStream here = new InMemoryStream(address, to, listener);
-            if (!passes(address, to) || !passes(to, address)) {
+            if (!isReachable(address, to) || !isReachable(to, address)) {
                 listener.closed(here, "cannot connect");
                 return here;
             }
@@ -117,7 +117,7 @@
 
         @Override
         public CompletableFuture<Optional<ProbeReply>> probe(HostPort to, Deadline deadline) {
-            boolean answers = passes(address, to) && passes(to, address);
+            boolean answers = isReachable(address, to) && isReachable(to, address);
             return CompletableFuture.completedFuture(
                     answers
                             ? Optional.of(ProbeReply.newBuilder()
@@ -128,7 +128,7 @@
 
         @Override
         public CompletableFuture<Optional<ProbeReply>> probeThrough(HostPort via, HostPort target, Deadline deadline) {
-            boolean answers = passes(address, via) && passes(via, address);
+            boolean answers = isReachable(address, via) && isReachable(via, address);
             return answers
                     ? nodes.get(via).probe(target, deadline)
                     : CompletableFuture.completedFuture(Optional.empty());
@@ -155,14 +155,14 @@
 
         @Override
         public void send(PeerMessage message) {
-            if (!closed && remoteEnd != null && passes(from, to)) {
+            if (!closed && remoteEnd != null && isReachable(from, to)) {
                 remoteEnd.listener.received(remoteEnd, message);
             }
         }
 
         @Override
         public void close() {
-            if (!closed && remoteEnd != null && passes(from, to)) {
+            if (!closed && remoteEnd != null && isReachable(from, to)) {
                 remoteEnd.closed = true;
                 remoteEnd.listener.closed(remoteEnd, "closed by the peer");
             }
@@ -183,7 +183,7 @@
         return added;
     }
 
-    private boolean passes(HostPort from, HostPort to) {
+    private boolean isReachable(HostPort from, HostPort to) {
         return nodes.get(from).running && nodes.get(to).running && !cutDirections.contains(new Direction(from, to));
     }
 
