--- a/org.berylwick.test/tst/org/berylwick/internal/spread/InMemoryNetwork.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/InMemoryNetwork.java
@@ -188,7 +188,7 @@
     }
 
     /** Loses from now on all that goes from one daemon to another, silently. */
-    void cut(Node from, Node to) {
+    void cutOneWay(Node from, Node to) {
         cutDirections.add(new Direction(from.address, to.address));
     }
 
@@ -196,8 +196,8 @@
     void cutBetween(List<Node> some, List<Node> others) {
         for (Node a : some) {
             for (Node b : others) {
-                cut(a, b);
-                cut(b, a);
+                cutOneWay(a, b);
+                cutOneWay(b, a);
             }
         }
     }
--- a/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
@@ -73,8 +73,8 @@
     @Test
     void oneWayCutDelaysNoVersionAndGivesNobodyUp() {
         List<Node> nodes = joined(12);
-        network.cut(nodes.get(3), nodes.get(4));
-        network.cut(nodes.get(0), nodes.get(5));
+        network.cutOneWay(nodes.get(3), nodes.get(4));
+        network.cutOneWay(nodes.get(0), nodes.get(5));
         VersionId id = install(nodes.get(3));
         network.pass(SECONDS);
         assertInForce(nodes, id);
