--- a/org.berylwick.test/tst/org/berylwick/internal/spread/InMemoryNetwork.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/InMemoryNetwork.java
@@ -193,7 +193,7 @@
     }
 
     /** Cuts a daemon off from all others, or group from group. */
-    void cutBetween(List<Node> some, List<Node> others) {
+    void partition(List<Node> some, List<Node> others) {
         for (Node a : some) {
             for (Node b : others) {
                 cutOneWay(a, b);
--- a/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
@@ -148,7 +148,7 @@
         List<Node> nodes = joined(16);
         List<Node> some = nodes.subList(0, 11);
         List<Node> others = nodes.subList(11, 16);
-        network.cutBetween(some, others);
+        network.partition(some, others);
         VersionId id = install(some.getFirst());
         network.pass(MINUTES);
         assertAllHold(some, others, Member.State.GONE);
@@ -169,7 +169,7 @@
     @Test
     void versionWhosePushWasLostIsMadeGood() {
         List<Node> nodes = joined(8);
-        network.cutBetween(nodes, nodes);
+        network.partition(nodes, nodes);
         VersionId id = install(nodes.getFirst());
         network.pass(Duration.ofSeconds(2));
         network.healAll();
