--- a/org.berylwick.test/tst/org/berylwick/internal/spread/InMemoryNetwork.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/InMemoryNetwork.java
@@ -202,7 +202,7 @@
         }
     }
 
-    void healAll() {
+    void restoreAll() {
         cutDirections.clear();
     }
 
--- a/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
@@ -152,7 +152,7 @@
         VersionId id = install(some.getFirst());
         network.pass(MINUTES);
         assertAllHold(some, others, Member.State.GONE);
-        network.healAll();
+        network.restoreAll();
         for (int i = 0; i < 600; i++) {
             network.pass(Duration.ofMillis(100));
             for (Node a : others) {
@@ -172,7 +172,7 @@
         network.partition(nodes, nodes);
         VersionId id = install(nodes.getFirst());
         network.pass(Duration.ofSeconds(2));
-        network.healAll();
+        network.restoreAll();
         network.pass(SECONDS);
         assertInForce(nodes, id);
     }
