--- a/org.berylwick.test/tst/org/berylwick/internal/spread/InMemoryNetwork.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/InMemoryNetwork.java
@@ -207,7 +207,7 @@
     }
 
     /** Lets time pass. */
-    void pass(Duration duration) {
+    void advance(Duration duration) {
         for (long left = duration.toMillis(); left > 0; left -= STEP.toMillis()) {
             time.advance(STEP);
             nodes.values().stream().filter(n -> n.running).forEach(n -> n.spreader.processPending());
--- a/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
@@ -27,7 +27,7 @@
 
     private List<Node> joined(int count) {
         List<Node> nodes = network.addDaemons(count, 3);
-        network.pass(JOIN);
+        network.advance(JOIN);
         assertAllHold(nodes, nodes, Member.State.UP);
         return nodes;
     }
@@ -59,7 +59,7 @@
     void versionAndReportsOfItReachAll() {
         List<Node> nodes = joined(20);
         VersionId id = install(nodes.get(7));
-        network.pass(SECONDS);
+        network.advance(SECONDS);
         assertInForce(nodes, id);
         for (Node n : nodes) {
             assertTrue(n.table.view().all().stream().allMatch(m -> m.version() == id.number()));
@@ -76,9 +76,9 @@
         network.cutOneWay(nodes.get(3), nodes.get(4));
         network.cutOneWay(nodes.get(0), nodes.get(5));
         VersionId id = install(nodes.get(3));
-        network.pass(SECONDS);
+        network.advance(SECONDS);
         assertInForce(nodes, id);
-        network.pass(MINUTES);
+        network.advance(MINUTES);
         assertAllHold(nodes, nodes, Member.State.UP);
     }
 
@@ -89,7 +89,7 @@
         List<Node> nodes = joined(12);
         Node dead = nodes.get(5);
         dead.running = false;
-        network.pass(SECONDS);
+        network.advance(SECONDS);
         List<Node> others = nodes.stream().filter(n -> n != dead).toList();
         assertAllHold(others, List.of(dead), Member.State.GONE);
         assertAllHold(others, others, Member.State.UP);
@@ -102,10 +102,10 @@
         List<Node> nodes = joined(12);
         Node paused = nodes.get(5);
         paused.running = false;
-        network.pass(SECONDS);
+        network.advance(SECONDS);
         paused.running = true;
         VersionId id = install(nodes.get(1));
-        network.pass(MINUTES);
+        network.advance(MINUTES);
         assertAllHold(nodes, nodes, Member.State.UP);
         assertInForce(nodes, id);
     }
@@ -119,7 +119,7 @@
                 nodes.stream().filter(n -> nodes.indexOf(n) % 2 == 0).toList();
         dead.forEach(n -> n.running = false);
         VersionId id = install(others.getFirst());
-        network.pass(MINUTES);
+        network.advance(MINUTES);
         assertAllHold(others, dead, Member.State.GONE);
         assertAllHold(others, others, Member.State.UP);
         assertInForce(others, id);
@@ -132,11 +132,11 @@
         List<Node> nodes = joined(12);
         Node leaving = nodes.get(4);
         leaving.state = Member.State.LEAVING;
-        network.pass(Duration.ofSeconds(2));
+        network.advance(Duration.ofSeconds(2));
         assertAllHold(nodes, List.of(leaving), Member.State.LEAVING);
         leaving.spreader.close();
         leaving.running = false;
-        network.pass(MINUTES);
+        network.advance(MINUTES);
         List<Node> others = nodes.stream().filter(n -> n != leaving).toList();
         assertAllHold(others, List.of(leaving), Member.State.GONE);
     }
@@ -150,16 +150,16 @@
         List<Node> others = nodes.subList(11, 16);
         network.partition(some, others);
         VersionId id = install(some.getFirst());
-        network.pass(MINUTES);
+        network.advance(MINUTES);
         assertAllHold(some, others, Member.State.GONE);
         network.restoreAll();
         for (int i = 0; i < 600; i++) {
-            network.pass(Duration.ofMillis(100));
+            network.advance(Duration.ofMillis(100));
             for (Node a : others) {
                 others.forEach(b -> assertTrue(InMemoryNetwork.state(a, b) != Member.State.GONE));
             }
         }
-        network.pass(MINUTES);
+        network.advance(MINUTES);
         assertAllHold(nodes, nodes, Member.State.UP);
         assertInForce(nodes, id);
     }
@@ -171,9 +171,9 @@
         List<Node> nodes = joined(8);
         network.partition(nodes, nodes);
         VersionId id = install(nodes.getFirst());
-        network.pass(Duration.ofSeconds(2));
+        network.advance(Duration.ofSeconds(2));
         network.restoreAll();
-        network.pass(SECONDS);
+        network.advance(SECONDS);
         assertInForce(nodes, id);
     }
 
@@ -181,7 +181,7 @@
     @Test
     void herdOfNewcomersIsAdmittedInTime() {
         List<Node> nodes = network.addDaemons(80, 6);
-        network.pass(Duration.ofSeconds(60));
+        network.advance(Duration.ofSeconds(60));
         assertAllHold(nodes, nodes, Member.State.UP);
     }
 }
