--- a/org.berylwick.test/tst/org/berylwick/internal/spread/InMemoryNetwork.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/InMemoryNetwork.java
@@ -215,7 +215,7 @@
     }
 
     /** Which state a daemon holds another in. */
-    static Member.State state(Node at, Node of) {
+    static Member.State stateSeenBy(Node at, Node of) {
         return at.table.view().find(of.instance).map(Member::state).orElse(Member.State.GONE);
     }
 }
--- a/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
@@ -34,7 +34,7 @@
 
     private static void assertAllHold(List<Node> at, List<Node> of, Member.State state) {
         for (Node a : at) {
-            of.forEach(o -> assertEquals(state, InMemoryNetwork.state(a, o)));
+            of.forEach(o -> assertEquals(state, InMemoryNetwork.stateSeenBy(a, o)));
         }
     }
 
@@ -156,7 +156,7 @@
         for (int i = 0; i < 600; i++) {
             network.advance(Duration.ofMillis(100));
             for (Node a : others) {
-                others.forEach(b -> assertTrue(InMemoryNetwork.state(a, b) != Member.State.GONE));
+                others.forEach(b -> assertTrue(InMemoryNetwork.stateSeenBy(a, b) != Member.State.GONE));
             }
         }
         network.advance(MINUTES);
