--- a/org.berylwick.test/tst/org/berylwick/internal/spread/PeerChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/PeerChooserTest.java
@@ -73,7 +73,7 @@
     }
 
     @Property(seed = "5", tries = 100)
-    void graphIsConnectedAndNobodyOpensMoreThanItsShare(
+    void graphIsConnectedAndEachMemberOpensFanOutStreams(
             @ForAll @IntRange(min = 1, max = 60) int count,
             @ForAll @IntRange(min = 1, max = 6) int zones,
             @ForAll @IntRange(min = 1, max = 5) int fanOut) {
