--- a/org.berylwick.test/tst/org/berylwick/internal/spread/PeerChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/PeerChooserTest.java
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void farthestOfTheFleetToDesignForIsFewStepsAway() {
+    void eccentricityOf480MembersIsAtMostSeven() {
         int far = eccentricity(members(480, 6), 3);
         assertTrue(far > 0 && far <= 7, "eccentricity " + far);
     }
