--- a/org.berylwick.test/tst/org/berylwick/internal/spread/PeerChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/PeerChooserTest.java
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void membersThatAreSuspectedOrLeavingAreNotChosen() {
+    void suspectLeavingAndGoneMembersAreNotChosen() {
         List<Member> members = members(6, 2);
         members.set(1, members.get(1).withState(Member.State.SUSPECT));
         members.set(2, members.get(2).withState(Member.State.LEAVING));
