--- a/org.berylwick.test/tst/org/berylwick/internal/spread/RateTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/TokenBucketAndBackoffTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Bounded rates and waits between tries. */
-class RateTest {
+class TokenBucketAndBackoffTest {
     @Property(seed = "5")
     void bucketNeverLetsThroughMoreThanBurstAndRate(
             @ForAll @Size(max = 200) List<@IntRange(min = 0, max = 300) Integer> pausesMillis) {
