--- a/org.berylwick.test/tst/org/berylwick/internal/spread/TokenBucketAndBackoffTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/TokenBucketAndBackoffTest.java
@@ -17,7 +17,7 @@
 /** Bounded rates and waits between tries. */
 class TokenBucketAndBackoffTest {
     @Property(seed = "5")
-    void bucketNeverLetsThroughMoreThanBurstAndRate(
+    void bucketNeverExceedsRateAndBurst(
             @ForAll @Size(max = 200) List<@IntRange(min = 0, max = 300) Integer> pausesMillis) {
         ManualTimeSource time = new ManualTimeSource();
         TokenBucket bucket = new TokenBucket(time, 10, 5);
