--- a/org.berylwick.test/tst/org/berylwick/internal/spread/TokenBucketAndBackoffTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/TokenBucketAndBackoffTest.java
@@ -34,7 +34,7 @@
     // After each daemon's first version was charged to the bucket that also pays for the lease, no reader could
     // renew its lease for minutes, so nobody read the store and no change came into force anywhere.
     @Test
-    void chargeIsPaidBackAtTheRate() {
+    void chargedTokensAreRefilledAtConfiguredRate() {
         ManualTimeSource time = new ManualTimeSource();
         TokenBucket bucket = new TokenBucket(time, 10, 5);
         bucket.charge(15);
