--- a/org.berylwick.test/tst/org/berylwick/internal/spread/TokenBucketAndBackoffTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/TokenBucketAndBackoffTest.java
@@ -45,7 +45,7 @@
     }
 
     @Property(seed = "5")
-    void waitsAreJitteredOverTheWholeBoundAndBounded(@ForAll @IntRange(min = 1, max = 40) int failures) {
+    void backoffDelayStaysWithinDoublingBound(@ForAll @IntRange(min = 1, max = 40) int failures) {
         Backoff backoff = new Backoff(new Random(failures), 200, 5_000);
         long bound = 200;
         for (int i = 0; i < failures; i++) {
