--- a/org.berylwick.test/tst/org/berylwick/internal/spread/ReaderLeaseTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/ReaderLeaseTest.java
@@ -15,7 +15,7 @@
 
 /** How the places of readers are taken, held and freed. */
 class ReaderLeaseTest {
-    private static final int PLACES = 2;
+    private static final int MAX_READERS = 2;
     private static final long LEASE = 10;
 
     /** Daemon {@code who} looks at the lease at each step and writes what it decides. */
@@ -26,24 +26,24 @@
         Map<String, Long> heldUntil = new HashMap<>();
         for (int now = 0; now < who.size(); now++) {
             String instance = "d" + who.get(now);
-            if (lease.acquireOrRenew(instance, now, PLACES, now + LEASE)
+            if (lease.acquireOrRenew(instance, now, MAX_READERS, now + LEASE)
                     instanceof ReaderLease.Decision.Write(ReaderLease next, int slot)) {
-                assertTrue(slot < PLACES);
+                assertTrue(slot < MAX_READERS);
                 lease = next;
                 heldUntil.put(instance, now + LEASE);
             }
             long at = now;
-            assertTrue(heldUntil.values().stream().filter(t -> t > at).count() <= PLACES, lease::toString);
-            assertTrue(lease.holders().size() <= PLACES);
+            assertTrue(heldUntil.values().stream().filter(t -> t > at).count() <= MAX_READERS, lease::toString);
+            assertTrue(lease.holders().size() <= MAX_READERS);
         }
     }
 
     @Test
     void placeOfADaemonThatDiedIsTakenOnceItLapsed() {
         ReaderLease full = new ReaderLease(List.of(new ReaderLease.Holder("a", 10), new ReaderLease.Holder("b", 20)));
-        assertInstanceOf(ReaderLease.Decision.Full.class, full.acquireOrRenew("c", 9, PLACES, 19));
+        assertInstanceOf(ReaderLease.Decision.Full.class, full.acquireOrRenew("c", 9, MAX_READERS, 19));
         ReaderLease.Decision.Write taken =
-                assertInstanceOf(ReaderLease.Decision.Write.class, full.acquireOrRenew("c", 10, PLACES, 20));
+                assertInstanceOf(ReaderLease.Decision.Write.class, full.acquireOrRenew("c", 10, MAX_READERS, 20));
         assertEquals(1, taken.slot());
         assertEquals(
                 List.of("b", "c"),
@@ -57,6 +57,6 @@
     @Test
     void holderThatSleptPastItsLeaseFindsThePlacesTaken() {
         ReaderLease others = new ReaderLease(List.of(new ReaderLease.Holder("b", 30), new ReaderLease.Holder("c", 30)));
-        assertInstanceOf(ReaderLease.Decision.Full.class, others.acquireOrRenew("a", 25, PLACES, 35));
+        assertInstanceOf(ReaderLease.Decision.Full.class, others.acquireOrRenew("a", 25, MAX_READERS, 35));
     }
 }
