--- a/org.berylwick.test/tst/org/berylwick/internal/spread/ReaderLeaseTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/ReaderLeaseTest.java
@@ -16,7 +16,7 @@
 /** How the places of readers are taken, held and freed. */
 class ReaderLeaseTest {
     private static final int MAX_READERS = 2;
-    private static final long LEASE = 10;
+    private static final long LEASE_MILLIS = 10;
 
     /** Daemon {@code who} looks at the lease at each step and writes what it decides. */
     @Property(seed = "5")
@@ -26,11 +26,11 @@
         Map<String, Long> heldUntil = new HashMap<>();
         for (int now = 0; now < who.size(); now++) {
             String instance = "d" + who.get(now);
-            if (lease.acquireOrRenew(instance, now, MAX_READERS, now + LEASE)
+            if (lease.acquireOrRenew(instance, now, MAX_READERS, now + LEASE_MILLIS)
                     instanceof ReaderLease.Decision.Write(ReaderLease next, int slot)) {
                 assertTrue(slot < MAX_READERS);
                 lease = next;
-                heldUntil.put(instance, now + LEASE);
+                heldUntil.put(instance, now + LEASE_MILLIS);
             }
             long at = now;
             assertTrue(heldUntil.values().stream().filter(t -> t > at).count() <= MAX_READERS, lease::toString);
