--- a/org.berylwick.test/tst/org/berylwick/internal/spread/ReaderLeaseTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/ReaderLeaseTest.java
@@ -20,7 +20,7 @@
 
     /** Daemon {@code who} looks at the lease at each step and writes what it decides. */
     @Property(seed = "5")
-    void neverMoreHoldersThanPlacesWhoeverComesWhen(
+    void holdersNeverExceedMaxReaders(
             @ForAll @Size(max = 60) List<@IntRange(min = 0, max = 5) Integer> who) {
         ReaderLease lease = ReaderLease.EMPTY;
         Map<String, Long> heldUntil = new HashMap<>();
