--- a/org.berylwick.test/tst/org/berylwick/internal/spread/ReaderLeaseTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/ReaderLeaseTest.java
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void placeOfADaemonThatDiedIsTakenOnceItLapsed() {
+    void expiredSlotIsTakenByAnotherDaemon() {
         ReaderLease full = new ReaderLease(List.of(new ReaderLease.Holder("a", 10), new ReaderLease.Holder("b", 20)));
         assertInstanceOf(ReaderLease.Decision.Full.class, full.acquireOrRenew("c", 9, MAX_READERS, 19));
         ReaderLease.Decision.Write taken =
