--- a/org.berylwick.test/tst/org/berylwick/internal/spread/ReaderLeaseTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/ReaderLeaseTest.java
@@ -55,7 +55,7 @@
     // A holder is paused past its lease, another takes its place, and the first wakes up and renews. It must find
     // the places taken rather than push the other out or make a third.
     @Test
-    void holderThatSleptPastItsLeaseFindsThePlacesTaken() {
+    void holderPausedPastExpiryFindsAllSlotsTaken() {
         ReaderLease others = new ReaderLease(List.of(new ReaderLease.Holder("b", 30), new ReaderLease.Holder("c", 30)));
         assertInstanceOf(ReaderLease.Decision.Full.class, others.acquireOrRenew("a", 25, MAX_READERS, 35));
     }
