--- a/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
@@ -19,7 +19,7 @@
 
 /** What spreading does when daemons, streams and directions fail. */
 class SpreaderTest {
-    private static final Duration JOIN = Duration.ofSeconds(10);
+    private static final Duration JOIN_TIME = Duration.ofSeconds(10);
     private static final Duration SECONDS = Duration.ofSeconds(15);
     private static final Duration MINUTES = Duration.ofMinutes(3);
 
@@ -27,7 +27,7 @@
 
     private List<Node> joined(int count) {
         List<Node> nodes = network.addDaemons(count, 3);
-        network.advance(JOIN);
+        network.advance(JOIN_TIME);
         assertAllHold(nodes, nodes, Member.State.UP);
         return nodes;
     }
