--- a/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
@@ -20,7 +20,7 @@
 /** What spreading does when daemons, streams and directions fail. */
 class SpreaderTest {
     private static final Duration JOIN_TIME = Duration.ofSeconds(10);
-    private static final Duration SECONDS = Duration.ofSeconds(15);
+    private static final Duration CONVERGENCE_TIME = Duration.ofSeconds(15);
     private static final Duration MINUTES = Duration.ofMinutes(3);
 
     private final InMemoryNetwork network = new InMemoryNetwork();
@@ -59,7 +59,7 @@
     void versionAndReportsOfItReachAll() {
         List<Node> nodes = joined(20);
         VersionId id = install(nodes.get(7));
-        network.advance(SECONDS);
+        network.advance(CONVERGENCE_TIME);
         assertInForce(nodes, id);
         for (Node n : nodes) {
             assertTrue(n.table.view().all().stream().allMatch(m -> m.version() == id.number()));
@@ -76,7 +76,7 @@
         network.cutOneWay(nodes.get(3), nodes.get(4));
         network.cutOneWay(nodes.get(0), nodes.get(5));
         VersionId id = install(nodes.get(3));
-        network.advance(SECONDS);
+        network.advance(CONVERGENCE_TIME);
         assertInForce(nodes, id);
         network.advance(MINUTES);
         assertAllHold(nodes, nodes, Member.State.UP);
@@ -89,7 +89,7 @@
         List<Node> nodes = joined(12);
         Node dead = nodes.get(5);
         dead.running = false;
-        network.advance(SECONDS);
+        network.advance(CONVERGENCE_TIME);
         List<Node> others = nodes.stream().filter(n -> n != dead).toList();
         assertAllHold(others, List.of(dead), Member.State.GONE);
         assertAllHold(others, others, Member.State.UP);
@@ -102,7 +102,7 @@
         List<Node> nodes = joined(12);
         Node paused = nodes.get(5);
         paused.running = false;
-        network.advance(SECONDS);
+        network.advance(CONVERGENCE_TIME);
         paused.running = true;
         VersionId id = install(nodes.get(1));
         network.advance(MINUTES);
@@ -173,7 +173,7 @@
         VersionId id = install(nodes.getFirst());
         network.advance(Duration.ofSeconds(2));
         network.restoreAll();
-        network.advance(SECONDS);
+        network.advance(CONVERGENCE_TIME);
         assertInForce(nodes, id);
     }
 
