--- a/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
@@ -21,7 +21,7 @@
 class SpreaderTest {
     private static final Duration JOIN_TIME = Duration.ofSeconds(10);
     private static final Duration CONVERGENCE_TIME = Duration.ofSeconds(15);
-    private static final Duration MINUTES = Duration.ofMinutes(3);
+    private static final Duration LONG_CONVERGENCE_TIME = Duration.ofMinutes(3);
 
     private final InMemoryNetwork network = new InMemoryNetwork();
 
@@ -78,7 +78,7 @@
         VersionId id = install(nodes.get(3));
         network.advance(CONVERGENCE_TIME);
         assertInForce(nodes, id);
-        network.advance(MINUTES);
+        network.advance(LONG_CONVERGENCE_TIME);
         assertAllHold(nodes, nodes, Member.State.UP);
     }
 
@@ -105,7 +105,7 @@
         network.advance(CONVERGENCE_TIME);
         paused.running = true;
         VersionId id = install(nodes.get(1));
-        network.advance(MINUTES);
+        network.advance(LONG_CONVERGENCE_TIME);
         assertAllHold(nodes, nodes, Member.State.UP);
         assertInForce(nodes, id);
     }
@@ -119,7 +119,7 @@
                 nodes.stream().filter(n -> nodes.indexOf(n) % 2 == 0).toList();
         dead.forEach(n -> n.running = false);
         VersionId id = install(others.getFirst());
-        network.advance(MINUTES);
+        network.advance(LONG_CONVERGENCE_TIME);
         assertAllHold(others, dead, Member.State.GONE);
         assertAllHold(others, others, Member.State.UP);
         assertInForce(others, id);
@@ -136,7 +136,7 @@
         assertAllHold(nodes, List.of(leaving), Member.State.LEAVING);
         leaving.spreader.close();
         leaving.running = false;
-        network.advance(MINUTES);
+        network.advance(LONG_CONVERGENCE_TIME);
         List<Node> others = nodes.stream().filter(n -> n != leaving).toList();
         assertAllHold(others, List.of(leaving), Member.State.GONE);
     }
@@ -150,7 +150,7 @@
         List<Node> others = nodes.subList(11, 16);
         network.partition(some, others);
         VersionId id = install(some.getFirst());
-        network.advance(MINUTES);
+        network.advance(LONG_CONVERGENCE_TIME);
         assertAllHold(some, others, Member.State.GONE);
         network.restoreAll();
         for (int i = 0; i < 600; i++) {
@@ -159,7 +159,7 @@
                 others.forEach(b -> assertTrue(InMemoryNetwork.stateSeenBy(a, b) != Member.State.GONE));
             }
         }
-        network.advance(MINUTES);
+        network.advance(LONG_CONVERGENCE_TIME);
         assertAllHold(nodes, nodes, Member.State.UP);
         assertInForce(nodes, id);
     }
