--- a/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
@@ -25,7 +25,7 @@
 
     private final InMemoryNetwork network = new InMemoryNetwork();
 
-    private List<Node> joined(int count) {
+    private List<Node> joinedNodes(int count) {
         List<Node> nodes = network.addDaemons(count, 3);
         network.advance(JOIN_TIME);
         assertAllHold(nodes, nodes, Member.State.UP);
@@ -57,7 +57,7 @@
 
     @Test
     void versionAndReportsOfItReachAll() {
-        List<Node> nodes = joined(20);
+        List<Node> nodes = joinedNodes(20);
         VersionId id = install(nodes.get(7));
         network.advance(CONVERGENCE_TIME);
         assertInForce(nodes, id);
@@ -72,7 +72,7 @@
     // answers everybody else.
     @Test
     void oneWayCutDelaysNoVersionAndGivesNobodyUp() {
-        List<Node> nodes = joined(12);
+        List<Node> nodes = joinedNodes(12);
         network.cutOneWay(nodes.get(3), nodes.get(4));
         network.cutOneWay(nodes.get(0), nodes.get(5));
         VersionId id = install(nodes.get(3));
@@ -86,7 +86,7 @@
     // also those with no stream to it.
     @Test
     void daemonThatDiedIsKnownToAll() {
-        List<Node> nodes = joined(12);
+        List<Node> nodes = joinedNodes(12);
         Node dead = nodes.get(5);
         dead.running = false;
         network.advance(CONVERGENCE_TIME);
@@ -99,7 +99,7 @@
     // with a new incarnation by itself, since nobody else may vouch for it.
     @Test
     void daemonThatWasPausedComesBack() {
-        List<Node> nodes = joined(12);
+        List<Node> nodes = joinedNodes(12);
         Node paused = nodes.get(5);
         paused.running = false;
         network.advance(CONVERGENCE_TIME);
@@ -113,7 +113,7 @@
     // Half of all daemons die at one moment, among them the neighbours that would have noticed each other's death.
     @Test
     void halfOfAllDyingAtOnceIsKnownToTheRest() {
-        List<Node> nodes = joined(20);
+        List<Node> nodes = joinedNodes(20);
         List<Node> dead = nodes.stream().filter(n -> nodes.indexOf(n) % 2 == 1).toList();
         List<Node> others =
                 nodes.stream().filter(n -> nodes.indexOf(n) % 2 == 0).toList();
@@ -129,7 +129,7 @@
     // must know, and must keep knowing when its process is gone.
     @Test
     void leaveIsKnownToAll() {
-        List<Node> nodes = joined(12);
+        List<Node> nodes = joinedNodes(12);
         Node leaving = nodes.get(4);
         leaving.state = Member.State.LEAVING;
         network.advance(Duration.ofSeconds(2));
@@ -145,7 +145,7 @@
     // the first word each hears of its own daemons is the other's suspicion: none may be out of use on its own side.
     @Test
     void partsThatMeetAgainTakeNobodyOutOfUse() {
-        List<Node> nodes = joined(16);
+        List<Node> nodes = joinedNodes(16);
         List<Node> some = nodes.subList(0, 11);
         List<Node> others = nodes.subList(11, 16);
         network.partition(some, others);
@@ -168,7 +168,7 @@
     // must bring it once they pass again, without any daemon asking the store.
     @Test
     void versionWhosePushWasLostIsMadeGood() {
-        List<Node> nodes = joined(8);
+        List<Node> nodes = joinedNodes(8);
         network.partition(nodes, nodes);
         VersionId id = install(nodes.getFirst());
         network.advance(Duration.ofSeconds(2));
