--- a/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
@@ -28,11 +28,11 @@
     private List<Node> joinedNodes(int count) {
         List<Node> nodes = network.addDaemons(count, 3);
         network.advance(JOIN_TIME);
-        assertAllHold(nodes, nodes, Member.State.UP);
+        assertAllSeeState(nodes, nodes, Member.State.UP);
         return nodes;
     }
 
-    private static void assertAllHold(List<Node> at, List<Node> of, Member.State state) {
+    private static void assertAllSeeState(List<Node> at, List<Node> of, Member.State state) {
         for (Node a : at) {
             of.forEach(o -> assertEquals(state, InMemoryNetwork.stateSeenBy(a, o)));
         }
@@ -79,7 +79,7 @@
         network.advance(CONVERGENCE_TIME);
         assertInForce(nodes, id);
         network.advance(LONG_CONVERGENCE_TIME);
-        assertAllHold(nodes, nodes, Member.State.UP);
+        assertAllSeeState(nodes, nodes, Member.State.UP);
     }
 
     // A process dies without a word. Callers are sent there until others notice; all must know within seconds,
@@ -91,8 +91,8 @@
         dead.running = false;
         network.advance(CONVERGENCE_TIME);
         List<Node> others = nodes.stream().filter(n -> n != dead).toList();
-        assertAllHold(others, List.of(dead), Member.State.GONE);
-        assertAllHold(others, others, Member.State.UP);
+        assertAllSeeState(others, List.of(dead), Member.State.GONE);
+        assertAllSeeState(others, others, Member.State.UP);
     }
 
     // A daemon is paused for longer than the suspicion lasts, is given up by all, and goes on. It must come back
@@ -106,7 +106,7 @@
         paused.running = true;
         VersionId id = install(nodes.get(1));
         network.advance(LONG_CONVERGENCE_TIME);
-        assertAllHold(nodes, nodes, Member.State.UP);
+        assertAllSeeState(nodes, nodes, Member.State.UP);
         assertInForce(nodes, id);
     }
 
@@ -120,8 +120,8 @@
         dead.forEach(n -> n.running = false);
         VersionId id = install(others.getFirst());
         network.advance(LONG_CONVERGENCE_TIME);
-        assertAllHold(others, dead, Member.State.GONE);
-        assertAllHold(others, others, Member.State.UP);
+        assertAllSeeState(others, dead, Member.State.GONE);
+        assertAllSeeState(others, others, Member.State.UP);
         assertInForce(others, id);
     }
 
@@ -133,12 +133,12 @@
         Node leaving = nodes.get(4);
         leaving.state = Member.State.LEAVING;
         network.advance(Duration.ofSeconds(2));
-        assertAllHold(nodes, List.of(leaving), Member.State.LEAVING);
+        assertAllSeeState(nodes, List.of(leaving), Member.State.LEAVING);
         leaving.spreader.close();
         leaving.running = false;
         network.advance(LONG_CONVERGENCE_TIME);
         List<Node> others = nodes.stream().filter(n -> n != leaving).toList();
-        assertAllHold(others, List.of(leaving), Member.State.GONE);
+        assertAllSeeState(others, List.of(leaving), Member.State.GONE);
     }
 
     // Two regions lose each other for minutes and each accepts that the other is out of reach. When they meet again
@@ -151,7 +151,7 @@
         network.partition(some, others);
         VersionId id = install(some.getFirst());
         network.advance(LONG_CONVERGENCE_TIME);
-        assertAllHold(some, others, Member.State.GONE);
+        assertAllSeeState(some, others, Member.State.GONE);
         network.restoreAll();
         for (int i = 0; i < 600; i++) {
             network.advance(Duration.ofMillis(100));
@@ -160,7 +160,7 @@
             }
         }
         network.advance(LONG_CONVERGENCE_TIME);
-        assertAllHold(nodes, nodes, Member.State.UP);
+        assertAllSeeState(nodes, nodes, Member.State.UP);
         assertInForce(nodes, id);
     }
 
@@ -182,6 +182,6 @@
     void herdOfNewcomersIsAdmittedInTime() {
         List<Node> nodes = network.addDaemons(80, 6);
         network.advance(Duration.ofSeconds(60));
-        assertAllHold(nodes, nodes, Member.State.UP);
+        assertAllSeeState(nodes, nodes, Member.State.UP);
     }
 }
