--- a/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
@@ -38,7 +38,7 @@
         }
     }
 
-    private static VersionContent version(VersionId previous) {
+    private static VersionContent createVersion(VersionId previous) {
         Brand brand = new Brand("one", List.of("one.example"), Labels.EMPTY, Map.of("x-mark", "" + previous.number()));
         Configuration configuration = new Configuration(
                 new TreeMap<>(Map.of("one", brand)), new TreeMap<>(), new TreeMap<>(), new TreeMap<>());
@@ -46,7 +46,7 @@
     }
 
     private static VersionId install(Node at) {
-        VersionContent content = version(at.installed.snapshot().id());
+        VersionContent content = createVersion(at.installed.snapshot().id());
         at.installed.install(content);
         return content.id();
     }
