--- a/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
@@ -45,7 +45,7 @@
         return VersionContent.encode(previous, new AuditEntry("op", "test", "", 0, List.of()), configuration);
     }
 
-    private static VersionId install(Node at) {
+    private static VersionId installNewVersion(Node at) {
         VersionContent content = createVersion(at.installed.snapshot().id());
         at.installed.install(content);
         return content.id();
@@ -58,7 +58,7 @@
     @Test
     void versionAndReportsOfItReachAll() {
         List<Node> nodes = joinedNodes(20);
-        VersionId id = install(nodes.get(7));
+        VersionId id = installNewVersion(nodes.get(7));
         network.advance(CONVERGENCE_TIME);
         assertInForce(nodes, id);
         for (Node n : nodes) {
@@ -75,7 +75,7 @@
         List<Node> nodes = joinedNodes(12);
         network.cutOneWay(nodes.get(3), nodes.get(4));
         network.cutOneWay(nodes.get(0), nodes.get(5));
-        VersionId id = install(nodes.get(3));
+        VersionId id = installNewVersion(nodes.get(3));
         network.advance(CONVERGENCE_TIME);
         assertInForce(nodes, id);
         network.advance(LONG_CONVERGENCE_TIME);
@@ -104,7 +104,7 @@
         paused.running = false;
         network.advance(CONVERGENCE_TIME);
         paused.running = true;
-        VersionId id = install(nodes.get(1));
+        VersionId id = installNewVersion(nodes.get(1));
         network.advance(LONG_CONVERGENCE_TIME);
         assertAllSeeState(nodes, nodes, Member.State.UP);
         assertInForce(nodes, id);
@@ -118,7 +118,7 @@
         List<Node> others =
                 nodes.stream().filter(n -> nodes.indexOf(n) % 2 == 0).toList();
         dead.forEach(n -> n.running = false);
-        VersionId id = install(others.getFirst());
+        VersionId id = installNewVersion(others.getFirst());
         network.advance(LONG_CONVERGENCE_TIME);
         assertAllSeeState(others, dead, Member.State.GONE);
         assertAllSeeState(others, others, Member.State.UP);
@@ -149,7 +149,7 @@
         List<Node> some = nodes.subList(0, 11);
         List<Node> others = nodes.subList(11, 16);
         network.partition(some, others);
-        VersionId id = install(some.getFirst());
+        VersionId id = installNewVersion(some.getFirst());
         network.advance(LONG_CONVERGENCE_TIME);
         assertAllSeeState(some, others, Member.State.GONE);
         network.restoreAll();
@@ -170,7 +170,7 @@
     void versionWhosePushWasLostIsMadeGood() {
         List<Node> nodes = joinedNodes(8);
         network.partition(nodes, nodes);
-        VersionId id = install(nodes.getFirst());
+        VersionId id = installNewVersion(nodes.getFirst());
         network.advance(Duration.ofSeconds(2));
         network.restoreAll();
         network.advance(CONVERGENCE_TIME);
