--- a/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
@@ -51,7 +51,7 @@
         return content.id();
     }
 
-    private static void assertInForce(List<Node> nodes, VersionId id) {
+    private static void assertInstalled(List<Node> nodes, VersionId id) {
         nodes.forEach(n -> assertEquals(id, n.installed.snapshot().id()));
     }
 
@@ -60,7 +60,7 @@
         List<Node> nodes = joinedNodes(20);
         VersionId id = installNewVersion(nodes.get(7));
         network.advance(CONVERGENCE_TIME);
-        assertInForce(nodes, id);
+        assertInstalled(nodes, id);
         for (Node n : nodes) {
             assertTrue(n.table.view().all().stream().allMatch(m -> m.version() == id.number()));
             assertEquals(nodes.getFirst().table.hashes(), n.table.hashes());
@@ -77,7 +77,7 @@
         network.cutOneWay(nodes.get(0), nodes.get(5));
         VersionId id = installNewVersion(nodes.get(3));
         network.advance(CONVERGENCE_TIME);
-        assertInForce(nodes, id);
+        assertInstalled(nodes, id);
         network.advance(LONG_CONVERGENCE_TIME);
         assertAllSeeState(nodes, nodes, Member.State.UP);
     }
@@ -107,7 +107,7 @@
         VersionId id = installNewVersion(nodes.get(1));
         network.advance(LONG_CONVERGENCE_TIME);
         assertAllSeeState(nodes, nodes, Member.State.UP);
-        assertInForce(nodes, id);
+        assertInstalled(nodes, id);
     }
 
     // Half of all daemons die at one moment, among them the neighbours that would have noticed each other's death.
@@ -122,7 +122,7 @@
         network.advance(LONG_CONVERGENCE_TIME);
         assertAllSeeState(others, dead, Member.State.GONE);
         assertAllSeeState(others, others, Member.State.UP);
-        assertInForce(others, id);
+        assertInstalled(others, id);
     }
 
     // A backend server leaves. Requests sent to it after a few seconds would be refused one by one, so every daemon
@@ -161,7 +161,7 @@
         }
         network.advance(LONG_CONVERGENCE_TIME);
         assertAllSeeState(nodes, nodes, Member.State.UP);
-        assertInForce(nodes, id);
+        assertInstalled(nodes, id);
     }
 
     // All streams lose everything for a while just as a version is accepted, so every push of it is lost. Heartbeats
@@ -174,7 +174,7 @@
         network.advance(Duration.ofSeconds(2));
         network.restoreAll();
         network.advance(CONVERGENCE_TIME);
-        assertInForce(nodes, id);
+        assertInstalled(nodes, id);
     }
 
     // A herd of newcomers knows one address. The daemon there admits some at once and the others later.
