--- a/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void versionAndReportsOfItReachAll() {
+    void versionAndVersionReportsReachAllMembers() {
         List<Node> nodes = joinedNodes(20);
         VersionId id = installNewVersion(nodes.get(7));
         network.advance(CONVERGENCE_TIME);
