--- a/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
@@ -71,7 +71,7 @@
     // silent on one side. Versions must come another way, and neither may be taken out of service, as each still
     // answers everybody else.
     @Test
-    void oneWayCutDelaysNoVersionAndGivesNobodyUp() {
+    void oneWayCutDelaysNoVersionAndDeclaresNobodyGone() {
         List<Node> nodes = joinedNodes(12);
         network.cutOneWay(nodes.get(3), nodes.get(4));
         network.cutOneWay(nodes.get(0), nodes.get(5));
