--- a/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
@@ -85,7 +85,7 @@
     // A process dies without a word. Callers are sent there until others notice; all must know within seconds,
     // also those with no stream to it.
     @Test
-    void daemonThatDiedIsKnownToAll() {
+    void crashedDaemonIsDeclaredGoneByAll() {
         List<Node> nodes = joinedNodes(12);
         Node dead = nodes.get(5);
         dead.running = false;
