--- a/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
@@ -98,7 +98,7 @@
     // A daemon is paused for longer than the suspicion lasts, is given up by all, and goes on. It must come back
     // with a new incarnation by itself, since nobody else may vouch for it.
     @Test
-    void daemonThatWasPausedComesBack() {
+    void pausedDaemonRejoins() {
         List<Node> nodes = joinedNodes(12);
         Node paused = nodes.get(5);
         paused.running = false;
