--- a/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
@@ -112,7 +112,7 @@
 
     // Half of all daemons die at one moment, among them the neighbours that would have noticed each other's death.
     @Test
-    void halfOfAllDyingAtOnceIsKnownToTheRest() {
+    void simultaneousCrashOfHalfIsDetectedByRest() {
         List<Node> nodes = joinedNodes(20);
         List<Node> dead = nodes.stream().filter(n -> nodes.indexOf(n) % 2 == 1).toList();
         List<Node> others =
