--- a/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
@@ -128,7 +128,7 @@
     // A backend server leaves. Requests sent to it after a few seconds would be refused one by one, so every daemon
     // must know, and must keep knowing when its process is gone.
     @Test
-    void leaveIsKnownToAll() {
+    void leavingMemberIsSeenByAll() {
         List<Node> nodes = joinedNodes(12);
         Node leaving = nodes.get(4);
         leaving.state = Member.State.LEAVING;
