--- a/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
@@ -144,7 +144,7 @@
     // Two regions lose each other for minutes and each accepts that the other is out of reach. When they meet again
     // the first word each hears of its own daemons is the other's suspicion: none may be out of use on its own side.
     @Test
-    void partsThatMeetAgainTakeNobodyOutOfUse() {
+    void healedPartitionDeclaresNoLocalMemberGone() {
         List<Node> nodes = joinedNodes(16);
         List<Node> some = nodes.subList(0, 11);
         List<Node> others = nodes.subList(11, 16);
