--- a/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
@@ -167,7 +167,7 @@
     // All streams lose everything for a while just as a version is accepted, so every push of it is lost. Heartbeats
     // must bring it once they pass again, without any daemon asking the store.
     @Test
-    void versionWhosePushWasLostIsMadeGood() {
+    void lostVersionNoticeIsRecoveredByHeartbeat() {
         List<Node> nodes = joinedNodes(8);
         network.partition(nodes, nodes);
         VersionId id = installNewVersion(nodes.getFirst());
