--- a/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
@@ -179,7 +179,7 @@
 
     // A herd of newcomers knows one address. The daemon there admits some at once and the others later.
     @Test
-    void herdOfNewcomersIsAdmittedInTime() {
+    void manySimultaneousJoinsCompleteWithinOneMinute() {
         List<Node> nodes = network.addDaemons(80, 6);
         network.advance(Duration.ofSeconds(60));
         assertAllSeeState(nodes, nodes, Member.State.UP);
