--- a/org.berylwick.test/tst/org/berylwick/internal/spread/VersionTransferTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/VersionTransferTest.java
@@ -40,7 +40,7 @@
                 .ofMaxSize(6);
     }
 
-    private static VersionContent content(VersionId previous, Map<String, Integer> marks) {
+    private static VersionContent createContent(VersionId previous, Map<String, Integer> marks) {
         SortedMap<String, Brand> brands = new TreeMap<>();
         marks.forEach((name, mark) -> brands.put(
                 name, new Brand(name, List.of(name + ".example"), Labels.EMPTY, Map.of("x-mark", "" + mark))));
@@ -66,7 +66,7 @@
         VersionDeltaEncoder server = new VersionDeltaEncoder(ahead);
         VersionId previous = VersionId.NONE;
         for (int i = 0; i < history.size(); i++) {
-            VersionContent content = content(previous, history.get(i));
+            VersionContent content = createContent(previous, history.get(i));
             ahead.install(content);
             if (i < history.size() - behind) {
                 late.install(content);
@@ -91,8 +91,8 @@
     // version under the right number with other content would serve it until the next change.
     @Property(seed = "5", tries = 300)
     void corruptedTransferIsRefusedOrHarmless(@ForAll @IntRange(min = 0, max = 10_000) int at, @ForAll byte flip) {
-        VersionContent first = content(VersionId.NONE, Map.of("a", 1, "b", 1));
-        VersionContent second = content(first.id(), Map.of("a", 2, "b", 1));
+        VersionContent first = createContent(VersionId.NONE, Map.of("a", 1, "b", 1));
+        VersionContent second = createContent(first.id(), Map.of("a", 2, "b", 1));
         InstalledVersion ahead = new InstalledVersion(time);
         VersionDeltaEncoder server = new VersionDeltaEncoder(ahead);
         ahead.install(first);
@@ -108,9 +108,9 @@
 
     @Test
     void deltaAgainstAVersionThatIsNoLongerInForceIsRefused() {
-        VersionContent first = content(VersionId.NONE, Map.of("a", 1));
-        VersionContent second = content(first.id(), Map.of("a", 2));
-        VersionContent third = content(second.id(), Map.of("a", 3));
+        VersionContent first = createContent(VersionId.NONE, Map.of("a", 1));
+        VersionContent second = createContent(first.id(), Map.of("a", 2));
+        VersionContent third = createContent(second.id(), Map.of("a", 3));
         InstalledVersion ahead = new InstalledVersion(time);
         VersionDeltaEncoder server = new VersionDeltaEncoder(ahead);
         ahead.install(first);
