--- a/org.berylwick.test/tst/org/berylwick/internal/spread/VersionTransferTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/VersionTransferTest.java
@@ -49,7 +49,7 @@
                 previous, new AuditEntry("op-" + previous.number(), "test", "", 0, List.of()), configuration);
     }
 
-    private InstalledVersion holding(VersionContent... versions) {
+    private InstalledVersion installedVersion(VersionContent... versions) {
         InstalledVersion installed = new InstalledVersion(time);
         for (VersionContent v : versions) {
             assertInstanceOf(InstalledVersion.Install.Installed.class, installed.install(v));
@@ -99,7 +99,7 @@
         ahead.install(second);
         byte[] gzip = server.encode(1).orElseThrow().clone();
         gzip[at % gzip.length] ^= flip;
-        if (VersionDeltaDecoder.decode(gzip, holding(first).inForce())
+        if (VersionDeltaDecoder.decode(gzip, installedVersion(first).inForce())
                 instanceof Result.Ok<VersionContent, String>(VersionContent content)) {
             assertEquals(second.id(), content.id());
             assertEquals(second.parts().keySet(), content.parts().keySet());
@@ -119,7 +119,7 @@
         byte[] gzip = server.encode(1).orElseThrow();
         assertInstanceOf(
                 Result.Err.class,
-                VersionDeltaDecoder.decode(gzip, holding(first, second).inForce()));
+                VersionDeltaDecoder.decode(gzip, installedVersion(first, second).inForce()));
         assertTrue(new VersionDeltaEncoder(new InstalledVersion(time)).encode(0).isEmpty());
     }
 }
