--- a/org.berylwick.test/tst/org/berylwick/internal/spread/VersionTransferTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/VersionTransferTest.java
@@ -58,7 +58,7 @@
     }
 
     @Property(seed = "5", tries = 200)
-    void peerBehindByAnyNumberOfVersionsGetsTheVersionInForce(
+    void peerBehindByAnyNumberOfVersionsReceivesInstalledVersion(
             @ForAll @Size(min = 1, max = 12) List<@From("brands") Map<String, Integer>> history,
             @ForAll @IntRange(min = 0, max = 12) int behind) {
         InstalledVersion ahead = new InstalledVersion(time);
