--- a/org.berylwick.test/tst/org/berylwick/internal/spread/VersionTransferTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/VersionTransferTest.java
@@ -74,13 +74,13 @@
             previous = content.id();
         }
         byte[] gzip = server.encode(late.snapshot().id().number()).orElseThrow();
-        VersionContent received = decoded(VersionDeltaDecoder.decode(gzip, late.inForce()));
+        VersionContent received = requireOk(VersionDeltaDecoder.decode(gzip, late.inForce()));
         assertEquals(ahead.snapshot().id(), received.id());
         assertArrayEquals(ahead.inForce().manifestBytes(), received.manifestBytes());
         assertEquals(ahead.inForce().parts().keySet(), received.parts().keySet());
     }
 
-    private static VersionContent decoded(Result<VersionContent, String> result) {
+    private static VersionContent requireOk(Result<VersionContent, String> result) {
         return switch (result) {
             case Result.Ok<VersionContent, String>(VersionContent content) -> content;
             case Result.Err<VersionContent, String>(String detail) -> throw new AssertionError(detail);
