--- a/org.berylwick.test/tst/org/berylwick/internal/spread/VersionTransferTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/VersionTransferTest.java
@@ -90,7 +90,7 @@
     // A peer or the way to it turns a byte over. The daemon must refuse the whole of it: a proxy that holds a
     // version under the right number with other content would serve it until the next change.
     @Property(seed = "5", tries = 300)
-    void corruptedTransferIsRefusedOrHarmless(@ForAll @IntRange(min = 0, max = 10_000) int at, @ForAll byte flip) {
+    void corruptedTransferIsRejectedOrHarmless(@ForAll @IntRange(min = 0, max = 10_000) int at, @ForAll byte flip) {
         VersionContent first = createContent(VersionId.NONE, Map.of("a", 1, "b", 1));
         VersionContent second = createContent(first.id(), Map.of("a", 2, "b", 1));
         InstalledVersion ahead = new InstalledVersion(time);
