--- a/org.berylwick.test/tst/org/berylwick/internal/spread/VersionTransferTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/VersionTransferTest.java
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void deltaAgainstAVersionThatIsNoLongerInForceIsRefused() {
+    void deltaAgainstReplacedBaseVersionIsRejected() {
         VersionContent first = createContent(VersionId.NONE, Map.of("a", 1));
         VersionContent second = createContent(first.id(), Map.of("a", 2));
         VersionContent third = createContent(second.id(), Map.of("a", 3));
