--- a/org.berylwick/src/org/berylwick/internal/spread/Backoff.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Backoff.java
@@ -17,12 +17,12 @@
     /**
      * No failures yet.
      *
-     * @param firstMillis bound of the first wait
+     * @param initialMillis bound of the first wait
      * @param maxMillis bound of any wait
      */
-    public Backoff(RandomGenerator random, long firstMillis, long maxMillis) {
+    public Backoff(RandomGenerator random, long initialMillis, long maxMillis) {
         this.random = random;
-        this.initialMillis = firstMillis;
+        this.initialMillis = initialMillis;
         this.maxMillis = maxMillis;
     }
 
