--- a/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
@@ -75,12 +75,12 @@
 
     /** Takes in a stream that a peer opened; empty if it was refused. */
     Optional<PeerLink> admit(PeerStream stream) {
-        long incoming = links.values().stream().filter(l -> !l.outgoing).count();
-        if (incoming >= tuning.maxIncomingStreams() || !admission.tryTake()) {
+        long incomingCount = links.values().stream().filter(l -> !l.outgoing).count();
+        if (incomingCount >= tuning.maxIncomingStreams() || !admission.tryTake()) {
             metrics.streamsRefused.inc();
-            long retry = RETRY_AFTER_MILLIS + random.nextLong(RETRY_AFTER_MILLIS);
+            long retryAfterMillis = RETRY_AFTER_MILLIS + random.nextLong(RETRY_AFTER_MILLIS);
             stream.send(PeerMessage.newBuilder()
-                    .setRefused(Refused.newBuilder().setRetryAfterMs((int) retry))
+                    .setRefused(Refused.newBuilder().setRetryAfterMs((int) retryAfterMillis))
                     .build());
             stream.close();
             return Optional.empty();
@@ -93,26 +93,26 @@
 
     /** Opens streams to those of {@code chosen} that have none, and closes old ones to others. */
     List<PeerLink> reconcile(List<Member> chosen) {
-        Set<String> linked = links.values().stream()
+        Set<String> linkedInstances = links.values().stream()
                 .flatMap(l -> l.peer.stream())
                 .map(Member::instance)
                 .collect(Collectors.toSet());
         List<PeerLink> opened = new ArrayList<>();
-        for (Member m : chosen) {
-            if (!linked.contains(m.instance())) {
-                open(m.address()).ifPresent(opened::add);
+        for (Member member : chosen) {
+            if (!linkedInstances.contains(member.instance())) {
+                open(member.address()).ifPresent(opened::add);
             }
         }
-        Set<String> wanted = chosen.stream().map(Member::instance).collect(Collectors.toSet());
+        Set<String> chosenInstances = chosen.stream().map(Member::instance).collect(Collectors.toSet());
         long graceNanos = UNCHOSEN_STREAM_GRACE_MILLIS * 1_000_000L;
-        for (PeerLink l : all()) {
-            boolean surplus = l.outgoing
-                    && l.isEstablished()
-                    && !wanted.contains(l.peer.get().instance())
-                    && linked.containsAll(wanted)
-                    && time.nanoTime() - l.openedAtNanos > graceNanos;
-            if (surplus) {
-                close(l);
+        for (PeerLink link : all()) {
+            boolean replaced = link.outgoing
+                    && link.isEstablished()
+                    && !chosenInstances.contains(link.peer.get().instance())
+                    && linkedInstances.containsAll(chosenInstances)
+                    && time.nanoTime() - link.openedAtNanos > graceNanos;
+            if (replaced) {
+                close(link);
             }
         }
         return opened;
@@ -121,9 +121,9 @@
     /** Opens a stream unless there is one to the address, or one failed there just now. */
     Optional<PeerLink> open(HostPort address) {
         Retry retry = retries.get(address);
-        boolean waiting = retry != null && !retry.notBefore().isPast(time);
-        boolean underWay = links.values().stream().anyMatch(l -> address.equals(l.address));
-        if (waiting || underWay) {
+        boolean backingOff = retry != null && !retry.notBefore().isPast(time);
+        boolean alreadyOpened = links.values().stream().anyMatch(l -> address.equals(l.address));
+        if (backingOff || alreadyOpened) {
             return Optional.empty();
         }
         PeerStream stream = calls.open(address, listener);
@@ -175,13 +175,13 @@
     List<PeerLink> closeSilent() {
         List<PeerLink> silent = new ArrayList<>();
         long now = time.nanoTime();
-        for (PeerLink l : all()) {
-            long limit = l.isEstablished() ? tuning.silenceTimeoutMillis() : HELLO_TIMEOUT_MILLIS;
-            if (now - l.lastReceivedNanos > limit * 1_000_000L) {
-                EVENTS.log(MembershipEvent.STREAM_SILENT, l.address);
-                onClosed(l);
-                l.stream.close();
-                silent.add(l);
+        for (PeerLink link : all()) {
+            long timeoutMillis = link.isEstablished() ? tuning.silenceTimeoutMillis() : HELLO_TIMEOUT_MILLIS;
+            if (now - link.lastReceivedNanos > timeoutMillis * 1_000_000L) {
+                EVENTS.log(MembershipEvent.STREAM_SILENT, link.address);
+                onClosed(link);
+                link.stream.close();
+                silent.add(link);
             }
         }
         return silent;
