--- a/org.berylwick/src/org/berylwick/internal/spread/ManifestDelta.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/ManifestDelta.java
@@ -30,9 +30,9 @@
     /** The difference from {@code base} to {@code target}. */
     static ManifestDelta between(Manifest base, Manifest target) {
         SortedMap<String, String> set = new TreeMap<>();
-        for (Map.Entry<String, String> e : target.parts().entrySet()) {
-            if (!e.getValue().equals(base.parts().get(e.getKey()))) {
-                set.put(e.getKey(), e.getValue());
+        for (Map.Entry<String, String> part : target.parts().entrySet()) {
+            if (!part.getValue().equals(base.parts().get(part.getKey()))) {
+                set.put(part.getKey(), part.getValue());
             }
         }
         List<String> removed = base.parts().keySet().stream()
@@ -46,15 +46,15 @@
     }
 
     private static int countInherited(Manifest base, Manifest target) {
-        long passed = target.number() - base.number();
-        int rest = (int) Math.max(0, target.ancestors().size() - passed);
-        boolean shared = rest <= base.ancestors().size()
+        long versionsAhead = target.number() - base.number();
+        int overlap = (int) Math.max(0, target.ancestors().size() - versionsAhead);
+        boolean shared = overlap <= base.ancestors().size()
                 && target.ancestors()
                         .subList(
-                                target.ancestors().size() - rest,
+                                target.ancestors().size() - overlap,
                                 target.ancestors().size())
-                        .equals(base.ancestors().subList(0, rest));
-        return shared ? rest : 0;
+                        .equals(base.ancestors().subList(0, overlap));
+        return shared ? overlap : 0;
     }
 
     /** The later manifest, given the earlier one. */
@@ -62,8 +62,8 @@
         SortedMap<String, String> parts = new TreeMap<>(base.parts());
         removed.forEach(parts::remove);
         parts.putAll(set);
-        List<String> all = new ArrayList<>(ancestors);
-        base.ancestors().stream().limit(inherited).forEach(all::add);
-        return new Manifest(number, previousDigest, all, audit, parts);
+        List<String> allAncestors = new ArrayList<>(ancestors);
+        base.ancestors().stream().limit(inherited).forEach(allAncestors::add);
+        return new Manifest(number, previousDigest, allAncestors, audit, parts);
     }
 }
