--- a/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
@@ -68,19 +68,19 @@
     void merge(Collection<Member> records, PeerLink source) {
         MembershipView before = table.view();
         List<Member> others = new ArrayList<>();
-        for (Member m : records) {
-            if (m.instance().equals(self.current().instance())) {
-                refute(m);
+        for (Member record : records) {
+            if (record.instance().equals(self.current().instance())) {
+                refute(record);
             } else {
-                others.add(source == null ? m : downgradeToSuspect(before, m));
+                others.add(source == null ? record : downgradeToSuspect(before, record));
             }
         }
         others.add(self.current());
         List<Member> changed = table.mergeAll(others);
-        for (Member m : changed) {
-            detector.changed(m);
-            logStateChange(before.find(m.instance()), m);
-            enqueue(before.find(m.instance()), m, source);
+        for (Member member : changed) {
+            detector.changed(member);
+            logStateChange(before.find(member.instance()), member);
+            enqueue(before.find(member.instance()), member, source);
         }
         if (source != null) {
             records.forEach(m -> dequeueEcho(m, source));
@@ -92,11 +92,11 @@
      * has given up the other's members, and none of those may drop out before it had time to refute.
      */
     private static Member downgradeToSuspect(MembershipView before, Member claim) {
-        boolean inUse = before.find(claim.instance())
+        boolean consideredAlive = before.find(claim.instance())
                 .filter(m -> m.incarnation() == claim.incarnation())
                 .filter(m -> m.state().compareTo(Member.State.SUSPECT) <= 0)
                 .isPresent();
-        return claim.state() == Member.State.GONE && inUse ? claim.withState(Member.State.SUSPECT) : claim;
+        return claim.state() == Member.State.GONE && consideredAlive ? claim.withState(Member.State.SUSPECT) : claim;
     }
 
     private void refute(Member claim) {
@@ -117,9 +117,9 @@
         boolean versionOnly = before.filter(b -> b.withVersion(now.version(), now.installedAtEpochMillis())
                         .equals(now))
                 .isPresent();
-        for (PeerLink l : links.established()) {
-            if (l != source) {
-                (versionOnly ? l.pendingReports : l.pendingRecords).add(now.instance());
+        for (PeerLink link : links.established()) {
+            if (link != source) {
+                (versionOnly ? link.pendingReports : link.pendingRecords).add(now.instance());
             }
         }
         if (versionOnly) {
@@ -157,8 +157,8 @@
         for (int i = 0; i < reports.getMembersCount(); i++) {
             Member m = byIncarnationHash.get(reports.getMembers(i));
             if (m != null && m.version() <= reports.getVersion()) {
-                long at = reports.getInstalledAtEpochMs() + reports.getInstalledAfterMs(i);
-                records.add(m.withVersion(reports.getVersion(), at));
+                long installedAtEpochMillis = reports.getInstalledAtEpochMs() + reports.getInstalledAfterMs(i);
+                records.add(m.withVersion(reports.getVersion(), installedAtEpochMillis));
             }
         }
         merge(records, source);
@@ -178,9 +178,9 @@
     /** Answers a summary with what its sender lacks. */
     void onSummary(MembershipSummary summary, PeerLink source) {
         Set<Long> known = new HashSet<>(summary.getRecordsList());
-        for (Member m : table.view().all()) {
-            if (!known.contains(MemberHash.ofState(m))) {
-                source.pendingRecords.add(m.instance());
+        for (Member member : table.view().all()) {
+            if (!known.contains(MemberHash.ofState(member))) {
+                source.pendingRecords.add(member.instance());
             }
         }
         recordsDue = Optional.of(Deadline.afterMillis(time, 0));
