--- a/org.berylwick/src/org/berylwick/internal/spread/PeerChooser.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/PeerChooser.java
@@ -51,9 +51,9 @@
         if (ring.isEmpty()) {
             return List.of();
         }
-        RingEntry here = RingEntry.of(self);
+        RingEntry selfEntry = RingEntry.of(self);
         Member next = ring.stream()
-                .filter(p -> RING_ORDER.compare(p, here) > 0)
+                .filter(p -> RING_ORDER.compare(p, selfEntry) > 0)
                 .findFirst()
                 .orElse(ring.getFirst())
                 .member();
@@ -62,19 +62,19 @@
         Predicate<Member> sameZone = m -> m.place().equals(self.place());
         Predicate<Member> sameRegion =
                 m -> m.place().region().equals(self.place().region());
-        List<Predicate<Member>> turns = List.of(sameZone.negate(), sameZone, sameRegion.negate(), sameZone);
+        List<Predicate<Member>> preferences = List.of(sameZone.negate(), sameZone, sameRegion.negate(), sameZone);
         for (int i = 0; chosen.size() < Math.min(fanOut, live.size()); i++) {
-            Optional<Member> best = highestRanked(self, live, chosen, turns.get(i % turns.size()));
+            Optional<Member> best = highestRanked(self, live, chosen, preferences.get(i % preferences.size()));
             best.or(() -> highestRanked(self, live, chosen, m -> true)).ifPresent(m -> chosen.put(m.instance(), m));
         }
         return new ArrayList<>(chosen.values());
     }
 
     private static Optional<Member> highestRanked(
-            Member self, List<Member> live, Map<String, Member> chosen, Predicate<Member> wanted) {
+            Member self, List<Member> live, Map<String, Member> chosen, Predicate<Member> filter) {
         return live.stream()
                 .filter(m -> !chosen.containsKey(m.instance()))
-                .filter(wanted)
+                .filter(filter)
                 .max(Comparator.comparingLong(m -> MemberHash.of(self.instance() + '>' + m.instance())));
     }
 }
