--- a/org.berylwick/src/org/berylwick/internal/spread/PeerLink.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/PeerLink.java
@@ -51,19 +51,19 @@
     /**
      * Compares tables after a heartbeat.
      *
-     * @param settled heartbeats over which both tables must have stood still to count as different
+     * @param requiredStableHeartbeats heartbeats over which both tables must have stood still to count as different
      * @return whether they differ and neither is just changing
      */
-    boolean needsSync(Hashes own, Hashes theirs, int settled) {
-        boolean still = own.equals(lastLocalHashes) && theirs.equals(lastPeerHashes);
+    boolean needsSync(Hashes local, Hashes remote, int requiredStableHeartbeats) {
+        boolean unchanged = local.equals(lastLocalHashes) && remote.equals(lastPeerHashes);
         boolean first = stableHeartbeats == 0;
-        lastLocalHashes = own;
-        lastPeerHashes = theirs;
-        stableHeartbeats = still && !first ? stableHeartbeats + 1 : 1;
-        if (own.equals(theirs)) {
+        lastLocalHashes = local;
+        lastPeerHashes = remote;
+        stableHeartbeats = unchanged && !first ? stableHeartbeats + 1 : 1;
+        if (local.equals(remote)) {
             return false;
         }
-        if (first || stableHeartbeats > settled) {
+        if (first || stableHeartbeats > requiredStableHeartbeats) {
             stableHeartbeats = 1;
             return true;
         }
