--- a/org.berylwick/src/org/berylwick/internal/spread/Prober.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Prober.java
@@ -32,7 +32,7 @@
     }
 
     /** Probes a member; the outcome comes as an event. */
-    void probe(Member member, List<Member> helpers) {
+    void probe(Member member, List<Member> relays) {
         synchronized (inFlight) {
             if (!inFlight.add(member.instance())) {
                 return;
@@ -41,7 +41,7 @@
         Deadline deadline = Deadline.afterMillis(time, PROBE_TIMEOUT_MILLIS);
         List<CompletableFuture<Optional<ProbeReply>>> probes = new ArrayList<>();
         probes.add(calls.probe(member.address(), deadline));
-        helpers.forEach(h -> probes.add(calls.probeThrough(h.address(), member.address(), deadline)));
+        relays.forEach(h -> probes.add(calls.probeThrough(h.address(), member.address(), deadline)));
         CompletableFuture.allOf(probes.toArray(CompletableFuture[]::new)).whenComplete((done, failure) -> {
             synchronized (inFlight) {
                 inFlight.remove(member.instance());
