--- a/org.berylwick/src/org/berylwick/internal/spread/ReaderLease.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/ReaderLease.java
@@ -43,26 +43,26 @@
     /**
      * What {@code instance} does, seeing this lease.
      *
-     * @param places most readers of the zone
-     * @param untilEpochMillis when its own hold would lapse
+     * @param maxReaders most readers of the zone
+     * @param expiresAtEpochMillis when its own hold would lapse
      */
-    public Decision acquireOrRenew(String instance, long nowEpochMillis, int places, long untilEpochMillis) {
+    public Decision acquireOrRenew(String instance, long nowEpochMillis, int maxReaders, long expiresAtEpochMillis) {
         List<Holder> next = new ArrayList<>();
         boolean held = false;
-        for (Holder h : holders) {
-            if (h.instance().equals(instance) && !held) {
-                next.add(new Holder(instance, untilEpochMillis));
+        for (Holder holder : holders) {
+            if (holder.instance().equals(instance) && !held) {
+                next.add(new Holder(instance, expiresAtEpochMillis));
                 held = true;
-            } else if (h.untilEpochMillis() > nowEpochMillis) {
-                next.add(h);
+            } else if (holder.untilEpochMillis() > nowEpochMillis) {
+                next.add(holder);
             }
         }
         if (!held) {
-            next.add(new Holder(instance, untilEpochMillis));
+            next.add(new Holder(instance, expiresAtEpochMillis));
         }
         int slot = slotOf(next, instance);
-        return slot < places
-                ? new Decision.Write(new ReaderLease(next.subList(0, Math.min(next.size(), places))), slot)
+        return slot < maxReaders
+                ? new Decision.Write(new ReaderLease(next.subList(0, Math.min(next.size(), maxReaders))), slot)
                 : new Decision.Full();
     }
 
