--- a/org.berylwick/src/org/berylwick/internal/spread/VersionDeltaDecoder.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/VersionDeltaDecoder.java
@@ -37,11 +37,11 @@
         VersionDelta delta;
         VersionId id;
         try (GZIPInputStream in = new GZIPInputStream(new ByteArrayInputStream(gzip))) {
-            byte[] plain = in.readNBytes(MAX_UNCOMPRESSED_BYTES + 1);
-            if (plain.length > MAX_UNCOMPRESSED_BYTES) {
+            byte[] uncompressed = in.readNBytes(MAX_UNCOMPRESSED_BYTES + 1);
+            if (uncompressed.length > MAX_UNCOMPRESSED_BYTES) {
                 return Result.err("a version of more than " + MAX_UNCOMPRESSED_BYTES + " bytes");
             }
-            delta = VersionDelta.parseFrom(plain);
+            delta = VersionDelta.parseFrom(uncompressed);
             id = new VersionId(
                     delta.getVersion().getVersion(), toDigest(delta.getVersion().getDigest()));
         } catch (IOException | IllegalArgumentException e) {
