--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -71,7 +71,7 @@
         void onNewerVersion(HostPort address, long number);
 
         /** A peer told which version it has in force. */
-        default void onPeerVersion(Member peer, VersionId inForce) {}
+        default void onPeerVersion(Member peer, VersionId installed) {}
     }
 
     /** Everything that a spreader works with. */
@@ -87,20 +87,20 @@
             SpreadMetrics metrics) {}
 
     /** A spreader without streams. */
-    public Spreader(Dependencies parts, TimeSource time, Random random) {
-        tuning = parts.tuning();
-        localMember = parts.localMember();
-        table = parts.table();
-        installed = parts.installed();
-        freshness = parts.freshness();
-        versionListener = parts.versionListener();
-        eventQueue = parts.eventQueue();
-        metrics = parts.metrics();
+    public Spreader(Dependencies dependencies, TimeSource time, Random random) {
+        tuning = dependencies.tuning();
+        localMember = dependencies.localMember();
+        table = dependencies.table();
+        installed = dependencies.installed();
+        freshness = dependencies.freshness();
+        versionListener = dependencies.versionListener();
+        eventQueue = dependencies.eventQueue();
+        metrics = dependencies.metrics();
         this.time = time;
         this.random = random;
         detector = new FailureDetector(time, tuning.suspicionTimeoutMillis(), TOMBSTONE_RETENTION_MILLIS);
-        links = new LinkTable(tuning, parts.calls(), this, time, random, metrics);
-        prober = new Prober(parts.calls(), this::submit, time);
+        links = new LinkTable(tuning, dependencies.calls(), this, time, random, metrics);
+        prober = new Prober(dependencies.calls(), this::submit, time);
         gossip = new MembershipGossip(tuning, localMember, table, detector, links, time, metrics);
         nextMaintenance = new Deadline(time.nanoTime());
         nextProbe = Deadline.afterMillis(time, tuning.probeIntervalMillis());
@@ -136,8 +136,8 @@
     /** Does what is due and what comes in until the next thing is due. */
     public void runOnce() {
         processPending();
-        Deadline wait = gossip.nextFlush(nextMaintenance);
-        eventQueue.poll(wait.remainingNanos(time)).ifPresent(this::handleEvent);
+        Deadline nextDue = gossip.nextFlush(nextMaintenance);
+        eventQueue.poll(nextDue.remainingNanos(time)).ifPresent(this::handleEvent);
         establishedLinkCount = links.established().size();
     }
 
@@ -145,11 +145,11 @@
     public void processPending() {
         // Takes all that is there before sending, so that one message carries what came together.
         for (int i = 0; i < MAX_EVENTS_PER_RUN; i++) {
-            Optional<SpreadEvent> more = eventQueue.poll(0);
-            if (more.isEmpty()) {
+            Optional<SpreadEvent> event = eventQueue.poll(0);
+            if (event.isEmpty()) {
                 break;
             }
-            handleEvent(more.get());
+            handleEvent(event.get());
         }
         if (nextMaintenance.isPast(time)) {
             nextMaintenance = Deadline.afterMillis(time, MAINTENANCE_INTERVAL_MILLIS);
@@ -268,9 +268,9 @@
 
     private void sendDueHeartbeats() {
         long now = time.nanoTime();
-        for (PeerLink l : links.established()) {
-            if (now - l.nextHeartbeatNanos >= 0) {
-                sendHeartbeat(l);
+        for (PeerLink link : links.established()) {
+            if (now - link.nextHeartbeatNanos >= 0) {
+                sendHeartbeat(link);
             }
         }
     }
@@ -280,25 +280,25 @@
         if (!link.stream.isReady()) {
             return;
         }
-        Hashes own = table.hashes();
+        Hashes local = table.hashes();
         link.send(PeerMessage.newBuilder()
                 .setHeartbeat(Heartbeat.newBuilder()
                         .setVersion(installed.snapshot().id().number())
-                        .setMembersDigest(own.states())
-                        .setReportsDigest(own.versions())
+                        .setMembersDigest(local.states())
+                        .setReportsDigest(local.versions())
                         .setStoreAgeMs((int) Math.min(Integer.MAX_VALUE, freshness.ageMillis())))
                 .build());
     }
 
-    private void onHeartbeat(PeerLink link, Heartbeat beat) {
-        freshness.recordPeerContact(Integer.toUnsignedLong(beat.getStoreAgeMs()));
-        updatePeerVersion(link, beat.getVersion());
-        Hashes own = table.hashes();
-        Hashes theirs = new Hashes(beat.getMembersDigest(), beat.getReportsDigest());
-        if (!link.needsSync(own, theirs, REQUIRED_STABLE_HEARTBEATS)) {
+    private void onHeartbeat(PeerLink link, Heartbeat heartbeat) {
+        freshness.recordPeerContact(Integer.toUnsignedLong(heartbeat.getStoreAgeMs()));
+        updatePeerVersion(link, heartbeat.getVersion());
+        Hashes local = table.hashes();
+        Hashes remote = new Hashes(heartbeat.getMembersDigest(), heartbeat.getReportsDigest());
+        if (!link.needsSync(local, remote, REQUIRED_STABLE_HEARTBEATS)) {
             return;
         }
-        if (own.states() != theirs.states()) {
+        if (local.states() != remote.states()) {
             gossip.sendSummary(link);
         } else {
             gossip.enqueueAllReports(link);
@@ -306,12 +306,12 @@
     }
 
     private void runMaintenance() {
-        Member me = localMember.current();
+        Member self = localMember.current();
         gossip.merge(List.of(), null);
         links.closeSilent().forEach(l -> l.peer.or(() -> memberAt(l.address)).ifPresent(this::probe));
         gossip.merge(detector.expired(table.view()), null);
         detector.forgettable().forEach(table::forget);
-        links.reconcile(choosePeers(me)).forEach(this::sendHello);
+        links.reconcile(choosePeers(self)).forEach(this::sendHello);
         // Who was refused or found nobody tries the same addresses again, each after its own wait.
         if (links.established().isEmpty()) {
             join();
@@ -319,7 +319,7 @@
         if (nextProbe.isPast(time)) {
             nextProbe = Deadline.afterMillis(time, tuning.probeIntervalMillis() / 2 + random.nextLong(tuning.probeIntervalMillis()));
             List<Member> others = table.view().all().stream()
-                    .filter(m -> !m.instance().equals(me.instance()))
+                    .filter(m -> !m.instance().equals(self.instance()))
                     .toList();
             if (!others.isEmpty()) {
                 probe(others.get(random.nextInt(others.size())));
@@ -327,14 +327,14 @@
         }
     }
 
-    private List<Member> choosePeers(Member me) {
-        if (me.state() == Member.State.LEAVING) {
+    private List<Member> choosePeers(Member self) {
+        if (self.state() == Member.State.LEAVING) {
             return List.of();
         }
         MembershipView view = table.view();
         if (view != chosenFromView) {
             chosenFromView = view;
-            chosenPeers = PeerChooser.choose(me, view.all(), tuning.fanOut());
+            chosenPeers = PeerChooser.choose(self, view.all(), tuning.fanOut());
         }
         return chosenPeers;
     }
@@ -346,22 +346,22 @@
     }
 
     private void probe(Member member) {
-        Member now = table.view().find(member.instance()).orElse(member);
-        List<Member> helpers = new ArrayList<>();
-        for (PeerLink l : links.established()) {
-            if (helpers.size() < MAX_PROBE_RELAYS && !l.peer.get().instance().equals(now.instance())) {
-                helpers.add(l.peer.get());
+        Member latest = table.view().find(member.instance()).orElse(member);
+        List<Member> relays = new ArrayList<>();
+        for (PeerLink link : links.established()) {
+            if (relays.size() < MAX_PROBE_RELAYS && !link.peer.get().instance().equals(latest.instance())) {
+                relays.add(link.peer.get());
             }
         }
-        prober.probe(now, helpers);
+        prober.probe(latest, relays);
     }
 
     private void onUnreachable(Member probed) {
-        Optional<Member> now = table.view().find(probed.instance());
-        if (now.isEmpty() || now.get().incarnation() != probed.incarnation()) {
+        Optional<Member> latest = table.view().find(probed.instance());
+        if (latest.isEmpty() || latest.get().incarnation() != probed.incarnation()) {
             return;
         }
-        detector.unreachable(now.get()).ifPresent(suspect -> {
+        detector.unreachable(latest.get()).ifPresent(suspect -> {
             metrics.suspected.inc();
             gossip.merge(List.of(suspect), null);
         });
