--- a/org.berylwick/src/org/berylwick/internal/spread/StoreFreshness.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/StoreFreshness.java
@@ -25,9 +25,9 @@
 
     /** A peer told how long ago some reader was answered. */
     public synchronized void recordPeerContact(long ageMillis) {
-        long at = time.nanoTime() - ageMillis * 1_000_000L;
-        if (at - lastContactNanos > 0) {
-            lastContactNanos = at;
+        long contactNanos = time.nanoTime() - ageMillis * 1_000_000L;
+        if (contactNanos - lastContactNanos > 0) {
+            lastContactNanos = contactNanos;
         }
     }
 
