--- a/org.berylwick/src/org/berylwick/internal/spread/TokenBucket.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/TokenBucket.java
@@ -17,18 +17,18 @@
     private long lastRefillNanos;
 
     /** A full bucket. */
-    public TokenBucket(TimeSource time, double perSecond, double burst) {
+    public TokenBucket(TimeSource time, double ratePerSecond, double burst) {
         this.time = time;
-        this.ratePerSecond = perSecond;
+        this.ratePerSecond = ratePerSecond;
         this.burst = burst;
         this.tokens = burst;
         this.lastRefillNanos = time.nanoTime();
     }
 
     /** Sets another rate; what has gathered stays. */
-    public synchronized void setRate(double newPerSecond) {
+    public synchronized void setRate(double newRatePerSecond) {
         refill();
-        ratePerSecond = newPerSecond;
+        ratePerSecond = newRatePerSecond;
     }
 
     /** Takes one token if there is one. */
