--- a/org.berylwick/src/org/berylwick/internal/spread/VersionDeltaEncoder.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/VersionDeltaEncoder.java
@@ -87,10 +87,10 @@
             return delta.build();
         }
         ManifestDelta difference = ManifestDelta.between(baseManifest, target);
-        Set<String> held = new HashSet<>(baseManifest.parts().values());
+        Set<String> baseParts = new HashSet<>(baseManifest.parts().values());
         delta.setBaseVersion(base).setManifestDelta(ByteString.copyFrom(ConfigurationCodec.encode(difference)));
         difference.set().values().stream()
-                .filter(hex -> !held.contains(hex))
+                .filter(hex -> !baseParts.contains(hex))
                 .distinct()
                 .forEach(hex ->
                         delta.addParts(ByteString.copyFrom(inForce.parts().get(new Digest(hex)))));
