--- a/org.berylwick.test/tst/org/berylwick/internal/spread/ManifestDeltaTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/ManifestDeltaTest.java
@@ -32,8 +32,8 @@
                 String name = "b" + b;
                 brands.put(name, new Brand(name, List.of("h" + i), Labels.EMPTY, Map.of()));
             }
-            Configuration c = new Configuration(brands, new TreeMap<>(), new TreeMap<>(), new TreeMap<>());
-            last = VersionContent.encodeAfter(last, new AuditEntry("op-" + i, "", "", i, List.of()), c);
+            Configuration configuration = new Configuration(brands, new TreeMap<>(), new TreeMap<>(), new TreeMap<>());
+            last = VersionContent.encodeAfter(last, new AuditEntry("op-" + i, "", "", i, List.of()), configuration);
             versions.add(last);
         }
         return versions;
