--- a/org.berylwick.test/tst/org/berylwick/internal/spread/InMemoryNetwork.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/InMemoryNetwork.java
@@ -84,8 +84,8 @@
         }
 
         @Override
-        public void refute(long higher) {
-            incarnation = higher;
+        public void refute(long newIncarnation) {
+            incarnation = newIncarnation;
         }
 
         private void pull(HostPort from, long number) {
@@ -104,22 +104,22 @@
 
         @Override
         public PeerStream open(HostPort to, PeerStream.Listener listener) {
-            InMemoryStream here = new InMemoryStream(address, to, listener);
+            InMemoryStream localEnd = new InMemoryStream(address, to, listener);
             if (!isReachable(address, to) || !isReachable(to, address)) {
-                listener.closed(here, "cannot connect");
-                return here;
+                listener.closed(localEnd, "cannot connect");
+                return localEnd;
             }
-            InMemoryStream there = new InMemoryStream(to, address, nodes.get(to).spreader);
-            here.remoteEnd = there;
-            there.remoteEnd = here;
-            return here;
+            InMemoryStream remoteEnd = new InMemoryStream(to, address, nodes.get(to).spreader);
+            localEnd.remoteEnd = remoteEnd;
+            remoteEnd.remoteEnd = localEnd;
+            return localEnd;
         }
 
         @Override
         public CompletableFuture<Optional<ProbeReply>> probe(HostPort to, Deadline deadline) {
-            boolean answers = isReachable(address, to) && isReachable(to, address);
+            boolean reachable = isReachable(address, to) && isReachable(to, address);
             return CompletableFuture.completedFuture(
-                    answers
+                    reachable
                             ? Optional.of(ProbeReply.newBuilder()
                                     .setInstance(nodes.get(to).instance)
                                     .build())
@@ -127,10 +127,10 @@
         }
 
         @Override
-        public CompletableFuture<Optional<ProbeReply>> probeThrough(HostPort via, HostPort target, Deadline deadline) {
-            boolean answers = isReachable(address, via) && isReachable(via, address);
-            return answers
-                    ? nodes.get(via).probe(target, deadline)
+        public CompletableFuture<Optional<ProbeReply>> probeThrough(HostPort relay, HostPort target, Deadline deadline) {
+            boolean reachable = isReachable(address, relay) && isReachable(relay, address);
+            return reachable
+                    ? nodes.get(relay).probe(target, deadline)
                     : CompletableFuture.completedFuture(Optional.empty());
         }
     }
@@ -208,14 +208,14 @@
 
     /** Lets time pass. */
     void advance(Duration duration) {
-        for (long left = duration.toMillis(); left > 0; left -= STEP.toMillis()) {
+        for (long remainingMillis = duration.toMillis(); remainingMillis > 0; remainingMillis -= STEP.toMillis()) {
             time.advance(STEP);
             nodes.values().stream().filter(n -> n.running).forEach(n -> n.spreader.processPending());
         }
     }
 
     /** Which state a daemon holds another in. */
-    static Member.State stateSeenBy(Node at, Node of) {
-        return at.table.view().find(of.instance).map(Member::state).orElse(Member.State.GONE);
+    static Member.State stateSeenBy(Node observer, Node subject) {
+        return observer.table.view().find(subject.instance).map(Member::state).orElse(Member.State.GONE);
     }
 }
