--- a/org.berylwick.test/tst/org/berylwick/internal/spread/PeerChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/PeerChooserTest.java
@@ -55,21 +55,21 @@
                 edges.get(p.instance()).add(m.instance());
             }
         }
-        Map<String, Integer> steps = new HashMap<>();
-        Deque<String> next = new ArrayDeque<>();
-        steps.put(members.getFirst().instance(), 0);
-        next.add(members.getFirst().instance());
-        int far = 0;
-        while (!next.isEmpty()) {
-            String at = next.poll();
-            far = Math.max(far, steps.get(at));
-            for (String to : edges.get(at)) {
-                if (steps.putIfAbsent(to, steps.get(at) + 1) == null) {
-                    next.add(to);
+        Map<String, Integer> distances = new HashMap<>();
+        Deque<String> queue = new ArrayDeque<>();
+        distances.put(members.getFirst().instance(), 0);
+        queue.add(members.getFirst().instance());
+        int maxDistance = 0;
+        while (!queue.isEmpty()) {
+            String current = queue.poll();
+            maxDistance = Math.max(maxDistance, distances.get(current));
+            for (String neighbor : edges.get(current)) {
+                if (distances.putIfAbsent(neighbor, distances.get(current) + 1) == null) {
+                    queue.add(neighbor);
                 }
             }
         }
-        return steps.size() == members.size() ? far : -1;
+        return distances.size() == members.size() ? maxDistance : -1;
     }
 
     @Property(seed = "5", tries = 100)
@@ -88,8 +88,8 @@
 
     @Test
     void eccentricityOf480MembersIsAtMostSeven() {
-        int far = eccentricity(members(480, 6), 3);
-        assertTrue(far > 0 && far <= 7, "eccentricity " + far);
+        int eccentricity = eccentricity(members(480, 6), 3);
+        assertTrue(eccentricity > 0 && eccentricity <= 7, "eccentricity " + eccentricity);
     }
 
     @Test
