--- a/org.berylwick.test/tst/org/berylwick/internal/spread/TokenBucketAndBackoffTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/TokenBucketAndBackoffTest.java
@@ -22,12 +22,12 @@
         ManualTimeSource time = new ManualTimeSource();
         TokenBucket bucket = new TokenBucket(time, 10, 5);
         long taken = 0;
-        long passedMillis = 0;
+        long elapsedMillis = 0;
         for (int pause : pausesMillis) {
             time.advance(Duration.ofMillis(pause));
-            passedMillis += pause;
+            elapsedMillis += pause;
             taken += bucket.tryTake() ? 1 : 0;
-            assertTrue(taken <= 5 + passedMillis / 100.0 + 1e-6, taken + " in " + passedMillis + " ms");
+            assertTrue(taken <= 5 + elapsedMillis / 100.0 + 1e-6, taken + " in " + elapsedMillis + " ms");
         }
     }
 
@@ -49,8 +49,8 @@
         Backoff backoff = new Backoff(new Random(failures), 200, 5_000);
         long bound = 200;
         for (int i = 0; i < failures; i++) {
-            long wait = backoff.nextDelayMillis();
-            assertTrue(wait >= 0 && wait <= bound, wait + " after " + i + " failures");
+            long delay = backoff.nextDelayMillis();
+            assertTrue(delay >= 0 && delay <= bound, delay + " after " + i + " failures");
             bound = Math.min(5_000, bound * 2);
         }
     }
