--- a/org.berylwick.test/tst/org/berylwick/internal/spread/ReaderLeaseTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/ReaderLeaseTest.java
@@ -21,19 +21,19 @@
     /** Daemon {@code who} looks at the lease at each step and writes what it decides. */
     @Property(seed = "5")
     void holdersNeverExceedMaxReaders(
-            @ForAll @Size(max = 60) List<@IntRange(min = 0, max = 5) Integer> who) {
+            @ForAll @Size(max = 60) List<@IntRange(min = 0, max = 5) Integer> daemonIndexes) {
         ReaderLease lease = ReaderLease.EMPTY;
         Map<String, Long> heldUntil = new HashMap<>();
-        for (int now = 0; now < who.size(); now++) {
-            String instance = "d" + who.get(now);
+        for (int now = 0; now < daemonIndexes.size(); now++) {
+            String instance = "d" + daemonIndexes.get(now);
             if (lease.acquireOrRenew(instance, now, MAX_READERS, now + LEASE_MILLIS)
                     instanceof ReaderLease.Decision.Write(ReaderLease next, int slot)) {
                 assertTrue(slot < MAX_READERS);
                 lease = next;
                 heldUntil.put(instance, now + LEASE_MILLIS);
             }
-            long at = now;
-            assertTrue(heldUntil.values().stream().filter(t -> t > at).count() <= MAX_READERS, lease::toString);
+            long nowMillis = now;
+            assertTrue(heldUntil.values().stream().filter(t -> t > nowMillis).count() <= MAX_READERS, lease::toString);
             assertTrue(lease.holders().size() <= MAX_READERS);
         }
     }
