--- a/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
@@ -32,9 +32,9 @@
         return nodes;
     }
 
-    private static void assertAllSeeState(List<Node> at, List<Node> of, Member.State state) {
-        for (Node a : at) {
-            of.forEach(o -> assertEquals(state, InMemoryNetwork.stateSeenBy(a, o)));
+    private static void assertAllSeeState(List<Node> observers, List<Node> subjects, Member.State state) {
+        for (Node a : observers) {
+            subjects.forEach(o -> assertEquals(state, InMemoryNetwork.stateSeenBy(a, o)));
         }
     }
 
@@ -45,9 +45,9 @@
         return VersionContent.encode(previous, new AuditEntry("op", "test", "", 0, List.of()), configuration);
     }
 
-    private static VersionId installNewVersion(Node at) {
-        VersionContent content = createVersion(at.installed.snapshot().id());
-        at.installed.install(content);
+    private static VersionId installNewVersion(Node node) {
+        VersionContent content = createVersion(node.installed.snapshot().id());
+        node.installed.install(content);
         return content.id();
     }
 
@@ -146,17 +146,17 @@
     @Test
     void healedPartitionDeclaresNoLocalMemberGone() {
         List<Node> nodes = joinedNodes(16);
-        List<Node> some = nodes.subList(0, 11);
-        List<Node> others = nodes.subList(11, 16);
-        network.partition(some, others);
-        VersionId id = installNewVersion(some.getFirst());
+        List<Node> majority = nodes.subList(0, 11);
+        List<Node> minority = nodes.subList(11, 16);
+        network.partition(majority, minority);
+        VersionId id = installNewVersion(majority.getFirst());
         network.advance(LONG_CONVERGENCE_TIME);
-        assertAllSeeState(some, others, Member.State.GONE);
+        assertAllSeeState(majority, minority, Member.State.GONE);
         network.restoreAll();
         for (int i = 0; i < 600; i++) {
             network.advance(Duration.ofMillis(100));
-            for (Node a : others) {
-                others.forEach(b -> assertTrue(InMemoryNetwork.stateSeenBy(a, b) != Member.State.GONE));
+            for (Node a : minority) {
+                minority.forEach(b -> assertTrue(InMemoryNetwork.stateSeenBy(a, b) != Member.State.GONE));
             }
         }
         network.advance(LONG_CONVERGENCE_TIME);
