--- a/org.berylwick.test/tst/org/berylwick/internal/spread/VersionTransferTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/VersionTransferTest.java
@@ -61,23 +61,23 @@
     void peerBehindByAnyNumberOfVersionsReceivesInstalledVersion(
             @ForAll @Size(min = 1, max = 12) List<@From("brands") Map<String, Integer>> history,
             @ForAll @IntRange(min = 0, max = 12) int behind) {
-        InstalledVersion ahead = new InstalledVersion(time);
-        InstalledVersion late = new InstalledVersion(time);
-        VersionDeltaEncoder server = new VersionDeltaEncoder(ahead);
+        InstalledVersion sender = new InstalledVersion(time);
+        InstalledVersion receiver = new InstalledVersion(time);
+        VersionDeltaEncoder encoder = new VersionDeltaEncoder(sender);
         VersionId previous = VersionId.NONE;
         for (int i = 0; i < history.size(); i++) {
             VersionContent content = createContent(previous, history.get(i));
-            ahead.install(content);
+            sender.install(content);
             if (i < history.size() - behind) {
-                late.install(content);
+                receiver.install(content);
             }
             previous = content.id();
         }
-        byte[] gzip = server.encode(late.snapshot().id().number()).orElseThrow();
-        VersionContent received = requireOk(VersionDeltaDecoder.decode(gzip, late.inForce()));
-        assertEquals(ahead.snapshot().id(), received.id());
-        assertArrayEquals(ahead.inForce().manifestBytes(), received.manifestBytes());
-        assertEquals(ahead.inForce().parts().keySet(), received.parts().keySet());
+        byte[] gzip = encoder.encode(receiver.snapshot().id().number()).orElseThrow();
+        VersionContent received = requireOk(VersionDeltaDecoder.decode(gzip, receiver.inForce()));
+        assertEquals(sender.snapshot().id(), received.id());
+        assertArrayEquals(sender.inForce().manifestBytes(), received.manifestBytes());
+        assertEquals(sender.inForce().parts().keySet(), received.parts().keySet());
     }
 
     private static VersionContent requireOk(Result<VersionContent, String> result) {
@@ -90,15 +90,15 @@
     // A peer or the way to it turns a byte over. The daemon must refuse the whole of it: a proxy that holds a
     // version under the right number with other content would serve it until the next change.
     @Property(seed = "5", tries = 300)
-    void corruptedTransferIsRejectedOrHarmless(@ForAll @IntRange(min = 0, max = 10_000) int at, @ForAll byte flip) {
+    void corruptedTransferIsRejectedOrHarmless(@ForAll @IntRange(min = 0, max = 10_000) int position, @ForAll byte bitMask) {
         VersionContent first = createContent(VersionId.NONE, Map.of("a", 1, "b", 1));
         VersionContent second = createContent(first.id(), Map.of("a", 2, "b", 1));
-        InstalledVersion ahead = new InstalledVersion(time);
-        VersionDeltaEncoder server = new VersionDeltaEncoder(ahead);
-        ahead.install(first);
-        ahead.install(second);
-        byte[] gzip = server.encode(1).orElseThrow().clone();
-        gzip[at % gzip.length] ^= flip;
+        InstalledVersion sender = new InstalledVersion(time);
+        VersionDeltaEncoder encoder = new VersionDeltaEncoder(sender);
+        sender.install(first);
+        sender.install(second);
+        byte[] gzip = encoder.encode(1).orElseThrow().clone();
+        gzip[position % gzip.length] ^= bitMask;
         if (VersionDeltaDecoder.decode(gzip, installedVersion(first).inForce())
                 instanceof Result.Ok<VersionContent, String>(VersionContent content)) {
             assertEquals(second.id(), content.id());
@@ -111,12 +111,12 @@
         VersionContent first = createContent(VersionId.NONE, Map.of("a", 1));
         VersionContent second = createContent(first.id(), Map.of("a", 2));
         VersionContent third = createContent(second.id(), Map.of("a", 3));
-        InstalledVersion ahead = new InstalledVersion(time);
-        VersionDeltaEncoder server = new VersionDeltaEncoder(ahead);
-        ahead.install(first);
-        ahead.install(second);
-        ahead.install(third);
-        byte[] gzip = server.encode(1).orElseThrow();
+        InstalledVersion sender = new InstalledVersion(time);
+        VersionDeltaEncoder encoder = new VersionDeltaEncoder(sender);
+        sender.install(first);
+        sender.install(second);
+        sender.install(third);
+        byte[] gzip = encoder.encode(1).orElseThrow();
         assertInstanceOf(
                 Result.Err.class,
                 VersionDeltaDecoder.decode(gzip, installedVersion(first, second).inForce()));
