--- a/org.berylwick.bench/src/org/berylwick/bench/control/SpreadCurve.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/control/SpreadCurve.java
@@ -50,7 +50,11 @@
         int daemons = options.getInt("daemons");
         SpreadTuning d = SpreadTuning.DEFAULT;
         SpreadTuning tuning = new SpreadTuning(
-                options.getInt("fan_out"), d.recordBatchMillis(), options.getLong("heartbeat_ms"), d.reportBatchMillis(), d.suspicionTimeoutMillis());
+                options.getInt("fan_out"),
+                d.recordBatchMillis(),
+                options.getLong("heartbeat_ms"),
+                d.reportBatchMillis(),
+                d.suspicionTimeoutMillis());
         ModelFleet fleet = new ModelFleet(daemons, ZONES, tuning, options.getLong("install_ms"));
         fleet.pass(JOIN_MILLIS);
         out.println("fewest_members_known: " + fleet.fewestKnown());
--- a/org.berylwick.test/tst/org/berylwick/internal/spread/InMemoryNetwork.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/InMemoryNetwork.java
@@ -127,7 +127,8 @@
         }
 
         @Override
-        public CompletableFuture<Optional<ProbeReply>> probeThrough(HostPort relay, HostPort target, Deadline deadline) {
+        public CompletableFuture<Optional<ProbeReply>> probeThrough(
+                HostPort relay, HostPort target, Deadline deadline) {
             boolean reachable = isReachable(address, relay) && isReachable(relay, address);
             return reachable
                     ? nodes.get(relay).probe(target, deadline)
--- a/org.berylwick.test/tst/org/berylwick/internal/spread/ManifestDeltaTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/ManifestDeltaTest.java
@@ -62,8 +62,8 @@
 
     @Test
     void sharedAncestorsAreOmittedFromDelta() {
-        ManifestDelta delta =
-                ManifestDelta.between(VERSIONS.get(90).manifest(), VERSIONS.get(91).manifest());
+        ManifestDelta delta = ManifestDelta.between(
+                VERSIONS.get(90).manifest(), VERSIONS.get(91).manifest());
         assertTrue(delta.ancestors().size() == 1 && delta.inherited() == Manifest.MAX_ANCESTORS - 1, delta.toString());
     }
 }
--- a/org.berylwick.test/tst/org/berylwick/internal/spread/ReaderLeaseTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/ReaderLeaseTest.java
@@ -20,8 +20,7 @@
 
     /** Daemon {@code who} looks at the lease at each step and writes what it decides. */
     @Property(seed = "5")
-    void holdersNeverExceedMaxReaders(
-            @ForAll @Size(max = 60) List<@IntRange(min = 0, max = 5) Integer> daemonIndexes) {
+    void holdersNeverExceedMaxReaders(@ForAll @Size(max = 60) List<@IntRange(min = 0, max = 5) Integer> daemonIndexes) {
         ReaderLease lease = ReaderLease.EMPTY;
         Map<String, Long> heldUntil = new HashMap<>();
         for (int now = 0; now < daemonIndexes.size(); now++) {
--- a/org.berylwick.test/tst/org/berylwick/internal/spread/VersionTransferTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/VersionTransferTest.java
@@ -90,7 +90,8 @@
     // A peer or the way to it turns a byte over. The daemon must refuse the whole of it: a proxy that holds a
     // version under the right number with other content would serve it until the next change.
     @Property(seed = "5", tries = 300)
-    void corruptedTransferIsRejectedOrHarmless(@ForAll @IntRange(min = 0, max = 10_000) int position, @ForAll byte bitMask) {
+    void corruptedTransferIsRejectedOrHarmless(
+            @ForAll @IntRange(min = 0, max = 10_000) int position, @ForAll byte bitMask) {
         VersionContent first = createContent(VersionId.NONE, Map.of("a", 1, "b", 1));
         VersionContent second = createContent(first.id(), Map.of("a", 2, "b", 1));
         InstalledVersion sender = new InstalledVersion(time);
--- a/org.berylwick/src/org/berylwick/internal/spread/Prober.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Prober.java
@@ -51,7 +51,8 @@
                     && probes.stream()
                             .flatMap(p -> p.join().stream())
                             .anyMatch(r -> r.getInstance().equals(member.instance()));
-            events.accept(answered ? new SpreadEvent.MemberReachable(member) : new SpreadEvent.MemberUnreachable(member));
+            events.accept(
+                    answered ? new SpreadEvent.MemberReachable(member) : new SpreadEvent.MemberUnreachable(member));
         });
     }
 }
--- a/org.berylwick/src/org/berylwick/internal/spread/SpreadTuning.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/SpreadTuning.java
@@ -9,7 +9,8 @@
  * @param reportBatchMillis how long version reports are gathered before they are sent on
  * @param suspicionTimeoutMillis how long a suspected member has to refute
  */
-public record SpreadTuning(int fanOut, long recordBatchMillis, long heartbeatMillis, long reportBatchMillis, long suspicionTimeoutMillis) {
+public record SpreadTuning(
+        int fanOut, long recordBatchMillis, long heartbeatMillis, long reportBatchMillis, long suspicionTimeoutMillis) {
     /** What the settings give when they say nothing. */
     public static final SpreadTuning DEFAULT = new SpreadTuning(3, 20, 1_000, 2_000, 5_000);
 
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -246,7 +246,8 @@
     }
 
     private void onVersionNotice(PeerLink link, VersionNotice notice) {
-        VersionDeltaEncoder.toVersionId(notice).ifPresent(id -> link.peer.ifPresent(p -> versionListener.onPeerVersion(p, id)));
+        VersionDeltaEncoder.toVersionId(notice)
+                .ifPresent(id -> link.peer.ifPresent(p -> versionListener.onPeerVersion(p, id)));
         updatePeerVersion(link, notice.getVersion());
     }
 
@@ -263,7 +264,9 @@
             return;
         }
         link.advertisedVersion = id.number();
-        link.send(PeerMessage.newBuilder().setVersion(VersionDeltaEncoder.toNotice(id)).build());
+        link.send(PeerMessage.newBuilder()
+                .setVersion(VersionDeltaEncoder.toNotice(id))
+                .build());
     }
 
     private void sendDueHeartbeats() {
@@ -317,7 +320,8 @@
             join();
         }
         if (nextProbe.isPast(time)) {
-            nextProbe = Deadline.afterMillis(time, tuning.probeIntervalMillis() / 2 + random.nextLong(tuning.probeIntervalMillis()));
+            nextProbe = Deadline.afterMillis(
+                    time, tuning.probeIntervalMillis() / 2 + random.nextLong(tuning.probeIntervalMillis()));
             List<Member> others = table.view().all().stream()
                     .filter(m -> !m.instance().equals(self.instance()))
                     .toList();
