--- a/org.berylwick/src/org/berylwick/internal/spread/LocalMember.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/LocalMember.java
@@ -2,11 +2,15 @@
 
 import org.berylwick.lib.Member;
 
-/** What a daemon says of itself. */
+/** Membership record of the local daemon. */
 public interface LocalMember {
-    /** The record to announce now. */
+    /** Returns the record to announce to other daemons now. */
     Member current();
 
-    /** Goes on with a higher incarnation, as others said something of this one that is not so. */
+    /**
+     * Raises the incarnation to refute a false claim of other daemons about the current one.
+     *
+     * @param incarnation new incarnation
+     */
     void refute(long incarnation);
 }
--- a/org.berylwick/src/org/berylwick/internal/spread/SpreadEvent.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/SpreadEvent.java
@@ -6,23 +6,23 @@
 import org.berylwick.proto.PeerMessage;
 import org.berylwick.transport.PeerStream;
 
-/** What the spreading duty is told by other threads. */
+/** Events that other threads submit to the spread thread. */
 public sealed interface SpreadEvent {
-    /** A message came in; the first one on a stream that a peer opened is what makes it known. */
+    /** A message was received; the first message on a stream opened by a peer also announces the stream. */
     record MessageReceived(PeerStream stream, PeerMessage message) implements SpreadEvent {}
 
-    /** A stream ended. */
+    /** A stream was closed. */
     record StreamClosed(PeerStream stream, String reason) implements SpreadEvent {}
 
-    /** Another version is in force here. */
+    /** A new version was installed on this daemon. */
     record VersionInstalled() implements SpreadEvent {}
 
-    /** Daemons were found in the directory or the settings. */
+    /** Addresses of daemons were read from the zone directory or the settings. */
     record PeersDiscovered(List<HostPort> addresses) implements SpreadEvent {}
 
-    /** A member answered neither this daemon nor others on its behalf. */
+    /** A member answered neither the direct probe nor the indirect ones. */
     record MemberUnreachable(Member member) implements SpreadEvent {}
 
-    /** A member that was suspected or given up answers. */
+    /** A probed member answered. */
     record MemberReachable(Member member) implements SpreadEvent {}
 }
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -28,11 +28,12 @@
 import org.berylwick.transport.PeerStream;
 
 /**
- * Spreads versions and membership over streams between daemons.
+ * Spreads configuration versions and membership over streams between daemons.
  *
- * <p>A notice of each new version goes over every stream at once; who lacks it fetches the body from the one whose
- * notice came first. Heartbeats tell the version in force and hashes of the membership table, so what a push lost is
- * found and made good. {@link #runOnce} is for one thread; anything else tells it through the ring.
+ * <p>A notice of each new version is sent over every stream immediately. A daemon that lacks the version fetches its
+ * content from the peer whose notice arrived first. Heartbeats carry the number of the installed version and hashes of
+ * the membership table, so that lost notices and records are detected and recovered. {@link #runOnce} must be called by
+ * a single thread; other threads submit events through the queue.
  */
 public final class Spreader implements PeerStream.Listener {
     private static final EventLog EVENTS = new EventLog(Spreader.class);
@@ -64,17 +65,17 @@
     private volatile int establishedLinkCount;
     private volatile boolean closed;
 
-    /** Takes word of versions that peers have and this daemon lacks. */
+    /** Listener for the versions that peers have installed. */
     @FunctionalInterface
     public interface PeerVersionListener {
-        /** The daemon at {@code address} has version {@code number} in force. */
+        /** The daemon at {@code address} has version {@code number} installed, which is newer than the local one. */
         void onNewerVersion(HostPort address, long number);
 
-        /** A peer told which version it has in force. */
+        /** A peer announced its installed version, which may be older than the local one. */
         default void onPeerVersion(Member peer, VersionId installed) {}
     }
 
-    /** Everything that a spreader works with. */
+    /** Collaborators of a spreader. */
     public record Dependencies(
             SpreadTuning tuning,
             LocalMember localMember,
@@ -86,7 +87,7 @@
             Ring<SpreadEvent> eventQueue,
             SpreadMetrics metrics) {}
 
-    /** A spreader without streams. */
+    /** Creates a spreader that has no streams yet. */
     public Spreader(Dependencies dependencies, TimeSource time, Random random) {
         tuning = dependencies.tuning();
         localMember = dependencies.localMember();
@@ -107,7 +108,12 @@
         installed.addListener(v -> submit(new SpreadEvent.VersionInstalled()));
     }
 
-    /** Tells the spreader something, from any thread; what the full ring refuses, heartbeats make good. */
+    /**
+     * Submits an event; may be called from any thread.
+     *
+     * <p>If the queue is full the event is dropped and counted. Heartbeats recover the state that it would have
+     * conveyed.
+     */
     public void submit(SpreadEvent event) {
         if (eventQueue.offer(event) == Ring.Offer.FULL) {
             metrics.onEventRefused();
@@ -128,12 +134,12 @@
         submit(new SpreadEvent.StreamClosed(stream, reason));
     }
 
-    /** How many peers this daemon exchanges with. */
+    /** Returns the number of established streams; may be called from any thread. */
     public int establishedLinkCount() {
         return establishedLinkCount;
     }
 
-    /** Does what is due and what comes in until the next thing is due. */
+    /** Runs all pending work, then waits for one more event, at most until the next work is due. */
     public void runOnce() {
         processPending();
         Deadline nextDue = gossip.nextFlush(nextMaintenance);
@@ -141,9 +147,9 @@
         establishedLinkCount = links.established().size();
     }
 
-    /** Does what is due and takes what came in, without waiting. */
+    /** Handles queued events and runs all work that is due, without waiting. */
     public void processPending() {
-        // Takes all that is there before sending, so that one message carries what came together.
+        // Drains the queue before sending, so that one message carries all changes that arrived together.
         for (int i = 0; i < MAX_EVENTS_PER_RUN; i++) {
             Optional<SpreadEvent> event = eventQueue.poll(0);
             if (event.isEmpty()) {
@@ -315,7 +321,7 @@
         gossip.merge(detector.expired(table.view()), null);
         detector.forgettable().forEach(table::forget);
         links.reconcile(choosePeers(self)).forEach(this::sendHello);
-        // Who was refused or found nobody tries the same addresses again, each after its own wait.
+        // Without any established stream, retry the discovered addresses, each after its own backoff delay.
         if (links.established().isEmpty()) {
             join();
         }
@@ -371,7 +377,7 @@
         });
     }
 
-    /** Tells the peers of the last state, such as leaving, and ends all streams. */
+    /** Sends the final local record, such as a leaving state, to all peers and closes all streams. */
     public void close() {
         closed = true;
         gossip.merge(List.of(), null);
--- a/org.berylwick/src/org/berylwick/internal/spread/package-info.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/package-info.java
@@ -1,2 +1,2 @@
-/** How versions and membership spread between daemons: the decisions, free of sockets and threads. */
+/** Protocol logic that spreads configuration versions and membership between daemons; uses no sockets or threads. */
 package org.berylwick.internal.spread;
