--- a/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
@@ -21,7 +21,11 @@
 import org.berylwick.transport.PeerCalls;
 import org.berylwick.transport.PeerStream;
 
-/** The streams to other daemons: which to open, to admit and to close; for the spreading duty's thread alone. */
+/**
+ * Streams to and from other daemons: decides which to open, admit and close.
+ *
+ * <p>Not thread-safe; confined to the spread thread.
+ */
 final class LinkTable {
     private static final EventLog EVENTS = new EventLog(LinkTable.class);
     private static final long INITIAL_BACKOFF_MILLIS = 200;
@@ -64,7 +68,7 @@
         return Optional.ofNullable(links.get(stream));
     }
 
-    /** All links whose peers are known. */
+    /** Returns the links whose peers have identified themselves with a hello message. */
     List<PeerLink> established() {
         return links.values().stream().filter(PeerLink::isEstablished).toList();
     }
@@ -73,7 +77,14 @@
         return new ArrayList<>(links.values());
     }
 
-    /** Takes in a stream that a peer opened; empty if it was refused. */
+    /**
+     * Admits a stream opened by a peer, or refuses it if there are too many incoming streams or new ones arrive too
+     * fast.
+     *
+     * <p>A refused peer is told to retry after a randomized delay, so that refused peers do not all return at once.
+     *
+     * @return the new link, or empty if the stream was refused
+     */
     Optional<PeerLink> admit(PeerStream stream) {
         long incomingCount = links.values().stream().filter(l -> !l.outgoing).count();
         if (incomingCount >= tuning.maxIncomingStreams() || !admission.tryTake()) {
@@ -91,7 +102,14 @@
         return Optional.of(link);
     }
 
-    /** Opens streams to those of {@code chosen} that have none, and closes old ones to others. */
+    /**
+     * Opens streams to the members of {@code chosen} that have no link.
+     *
+     * <p>Outgoing streams to other members are closed once every chosen member is linked and the stream is older than a
+     * grace period.
+     *
+     * @return the newly opened links
+     */
     List<PeerLink> reconcile(List<Member> chosen) {
         Set<String> linkedInstances = links.values().stream()
                 .flatMap(l -> l.peer.stream())
@@ -118,7 +136,9 @@
         return opened;
     }
 
-    /** Opens a stream unless there is one to the address, or one failed there just now. */
+    /**
+     * Opens a stream to {@code address}, unless one exists already or the retry delay of the address has not elapsed.
+     */
     Optional<PeerLink> open(HostPort address) {
         Retry retry = retries.get(address);
         boolean backingOff = retry != null && !retry.notBefore().isPast(time);
@@ -132,7 +152,7 @@
         return Optional.of(link);
     }
 
-    /** The peer at the other end said who it is. */
+    /** Records that the peer identified itself with a hello message. */
     void onEstablished(PeerLink link, Member peer) {
         link.peer = Optional.of(peer);
         link.address = peer.address();
@@ -140,13 +160,13 @@
         metrics.streamsOpened.inc();
     }
 
-    /** The peer admits nobody now. */
+    /** Closes a stream that the peer refused; the address is not retried before the delay given by the peer. */
     void onRefused(PeerLink link, long retryAfterMillis) {
         retries.put(link.address, new Retry(backoffFor(link.address), Deadline.afterMillis(time, retryAfterMillis)));
         close(link);
     }
 
-    /** A stream ended by itself. */
+    /** Removes a stream that was not closed by this daemon; an outgoing one is retried after a backoff delay. */
     void onClosed(PeerLink link) {
         links.remove(link.stream);
         if (link.outgoing) {
@@ -160,17 +180,20 @@
         return known == null ? new Backoff(random, INITIAL_BACKOFF_MILLIS, MAX_BACKOFF_MILLIS) : known.backoff();
     }
 
-    /** Ends a stream. */
+    /** Closes a stream without scheduling a retry. */
     void close(PeerLink link) {
         links.remove(link.stream);
         link.stream.close();
     }
 
     /**
-     * Ends the streams that fell silent: something between the two ends may have lost track of them, and such a stream
-     * would neither bring anything nor end by itself.
+     * Closes the streams on which nothing was received within the silence timeout, or no hello within the hello
+     * timeout.
+     *
+     * <p>A proxy or firewall between the two ends may have dropped the connection state. Such a stream delivers nothing
+     * and does not end by itself.
      *
-     * @return the links that were ended
+     * @return the closed links
      */
     List<PeerLink> closeSilent() {
         List<PeerLink> silent = new ArrayList<>();
@@ -187,7 +210,6 @@
         return silent;
     }
 
-    /** Ends all streams. */
     void closeAll() {
         all().forEach(this::close);
     }
--- a/org.berylwick/src/org/berylwick/internal/spread/PeerChooser.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/PeerChooser.java
@@ -14,10 +14,11 @@
 /**
  * Chooses the members to which a daemon opens streams.
  *
- * <p>The first is the next one on a ring of all members, ordered by region, availability zone and a hash of the name:
- * the ring alone keeps the graph connected, and crosses zones only where one ends. The others are picked by rendezvous
- * hashing, in turn outside the zone, inside it and outside the region: they make the graph's diameter logarithmic and
- * join zones at many points. The same members give the same choice, and a change of one member changes few streams.
+ * <p>The first peer is the successor on a ring of all members, ordered by region, availability zone and a hash of the
+ * instance name. The ring alone keeps the graph connected, and crosses zones only at zone boundaries. The other peers
+ * are picked by rendezvous hashing, alternating between members outside the zone, inside it and outside the region.
+ * They keep the diameter of the graph logarithmic and connect zones at many points. The choice is deterministic, and a
+ * change of one member changes few streams.
  */
 public final class PeerChooser {
     private static final Comparator<RingEntry> RING_ORDER = Comparator.<RingEntry, String>comparing(
@@ -35,10 +36,11 @@
     private PeerChooser() {}
 
     /**
-     * The members to open streams to.
+     * Returns the members to open streams to.
      *
-     * @param members all known; those suspected, leaving or gone are passed over
-     * @param fanOut most streams to open
+     * @param self record of the local daemon
+     * @param members all known members; suspected, leaving and gone ones are skipped
+     * @param fanOut maximum number of members to choose
      */
     public static List<Member> choose(Member self, Collection<Member> members, int fanOut) {
         List<RingEntry> ring = members.stream()
--- a/org.berylwick/src/org/berylwick/internal/spread/PeerLink.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/PeerLink.java
@@ -10,10 +10,11 @@
 import org.berylwick.transport.PeerStream;
 
 /**
- * What one daemon knows of one stream to a peer; for the spreading duty's thread alone.
+ * State of one stream to or from a peer.
  *
- * <p>What is to be sent is kept as names, not as messages: a slow peer makes no queue grow, and gets the latest record
- * of each name once it takes messages again.
+ * <p>Pending records and reports are queued as instance names, not as messages. A slow peer therefore cannot make the
+ * queue grow without limit, and receives the latest record of each member once it accepts messages again. Not
+ * thread-safe; confined to the spread thread.
  */
 final class PeerLink {
     final PeerStream stream;
@@ -49,10 +50,16 @@
     }
 
     /**
-     * Compares tables after a heartbeat.
+     * Compares the membership table hashes of both ends after a heartbeat.
      *
-     * @param requiredStableHeartbeats heartbeats over which both tables must have stood still to count as different
-     * @return whether they differ and neither is just changing
+     * <p>Tables that differ only because changes are still being gossiped converge without a sync. A sync is therefore
+     * needed only if the hashes differ on the first heartbeat of the link, or if they differ and neither has changed
+     * for several heartbeats.
+     *
+     * @param local hashes of the local table
+     * @param remote hashes of the peer's table
+     * @param requiredStableHeartbeats consecutive heartbeats over which both hashes must stay unchanged
+     * @return whether the tables must be synchronized
      */
     boolean needsSync(Hashes local, Hashes remote, int requiredStableHeartbeats) {
         boolean unchanged = local.equals(lastLocalHashes) && remote.equals(lastPeerHashes);
--- a/org.berylwick/src/org/berylwick/internal/spread/Prober.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Prober.java
@@ -14,8 +14,9 @@
 import org.berylwick.transport.PeerCalls;
 
 /**
- * Finds out whether a member still answers: directly, and through others at the same time, so that a path lost between
- * two daemons alone does not make either suspect the other.
+ * Probes whether a member still answers, directly and at the same time indirectly through other members.
+ *
+ * <p>The indirect probes prevent two daemons from suspecting each other when only the network path between them fails.
  */
 final class Prober {
     private static final long PROBE_TIMEOUT_MILLIS = 1_500;
@@ -31,7 +32,11 @@
         this.time = time;
     }
 
-    /** Probes a member; the outcome comes as an event. */
+    /**
+     * Probes a member and reports the outcome as an event; does nothing if a probe of the member is already in flight.
+     *
+     * @param relays members that probe {@code member} on behalf of this daemon
+     */
     void probe(Member member, List<Member> relays) {
         synchronized (inFlight) {
             if (!inFlight.add(member.instance())) {
@@ -46,7 +51,7 @@
             synchronized (inFlight) {
                 inFlight.remove(member.instance());
             }
-            // An address may have been given to another daemon meanwhile; only the name tells.
+            // The address may have been reassigned to another daemon; only the instance name identifies the member.
             boolean answered = failure == null
                     && probes.stream()
                             .flatMap(p -> p.join().stream())
