--- a/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
@@ -26,10 +26,11 @@
 import org.berylwick.transport.MemberMessages;
 
 /**
- * Spreads records of members over the links, each over each link about once; for the spreading duty's thread alone.
+ * Gossips member records over the links; each changed record is sent about once over each link.
  *
- * <p>A change of state goes on after the short batch time. A change of nothing but the version in force is gathered for
- * longer and travels as a short hash, as after each new version every member has one.
+ * <p>Changes of a member's state are forwarded after the short record batching time. A change of the installed version
+ * alone is batched for longer and sent as a version report with a short hash of the member, because every member has
+ * such a change after each new version. Not thread-safe; confined to the spread thread.
  */
 final class MembershipGossip {
     private static final EventLog EVENTS = new EventLog(MembershipGossip.class);
@@ -64,7 +65,12 @@
         this.metrics = metrics;
     }
 
-    /** Merges records from {@code source}, or found here if it is null, and has the news go on to the others. */
+    /**
+     * Merges records into the membership table, together with the current local record, and queues the changed ones for
+     * the other links.
+     *
+     * @param source link on which the records were received; null if they originate from this daemon
+     */
     void merge(Collection<Member> records, PeerLink source) {
         MembershipView before = table.view();
         List<Member> others = new ArrayList<>();
@@ -88,8 +94,10 @@
     }
 
     /**
-     * Takes another daemon's giving up of a member for a suspicion: when regions that lost each other meet again, each
-     * has given up the other's members, and none of those may drop out before it had time to refute.
+     * Treats a peer's claim that a member is gone as a suspicion while the member is considered alive here.
+     *
+     * <p>When a network partition between regions heals, each side has declared the other side's members gone. They
+     * must not be removed from service before they had time to refute the claim.
      */
     private static Member downgradeToSuspect(MembershipView before, Member claim) {
         boolean consideredAlive = before.find(claim.instance())
@@ -129,7 +137,7 @@
         }
     }
 
-    /** What a peer sent need not be sent back to it. */
+    /** Removes a record from the source's queues if the table holds exactly what the source sent. */
     private void dequeueEcho(Member sent, PeerLink source) {
         table.view().find(sent.instance()).filter(sent::equals).ifPresent(m -> {
             source.pendingRecords.remove(m.instance());
@@ -137,7 +145,7 @@
         });
     }
 
-    /** Takes in full records. */
+    /** Handles complete member records sent by a peer; unreadable ones are logged and skipped. */
     void onDelta(MembershipDelta delta, PeerLink source) {
         List<Member> records = new ArrayList<>();
         for (MemberRecord r : delta.getMembersList()) {
@@ -150,7 +158,11 @@
         merge(records, source);
     }
 
-    /** Takes in version reports. */
+    /**
+     * Handles reports of the version installed on members.
+     *
+     * <p>Reports on unknown incarnations, and on members known to have a newer version, are ignored.
+     */
     void onReports(VersionReports reports, PeerLink source) {
         refreshIndex();
         List<Member> records = new ArrayList<>();
@@ -175,7 +187,7 @@
         byIncarnationHash = index;
     }
 
-    /** Answers a summary with what its sender lacks. */
+    /** Queues the records missing in a peer's summary for that peer and schedules an immediate flush. */
     void onSummary(MembershipSummary summary, PeerLink source) {
         Set<Long> known = new HashSet<>(summary.getRecordsList());
         for (Member member : table.view().all()) {
@@ -186,20 +198,20 @@
         recordsDue = Optional.of(Deadline.afterMillis(time, 0));
     }
 
-    /** Tells a peer which records are known here. */
+    /** Sends the hashes of all known records to a peer, which answers with the records missing here. */
     void sendSummary(PeerLink link) {
         MembershipSummary.Builder summary = MembershipSummary.newBuilder();
         table.view().all().forEach(m -> summary.addRecords(MemberHash.ofState(m)));
         link.send(PeerMessage.newBuilder().setSummary(summary).build());
     }
 
-    /** Has all versions in force told to a peer. */
+    /** Queues version reports on all members for a peer and schedules an immediate flush. */
     void enqueueAllReports(PeerLink link) {
         table.view().all().forEach(m -> link.pendingReports.add(m.instance()));
         reportsDue = Optional.of(Deadline.afterMillis(time, 0));
     }
 
-    /** Sends what is due. */
+    /** Sends queued records and reports whose batching time has elapsed. */
     void flush() {
         if (recordsDue.filter(d -> d.isPast(time)).isPresent()) {
             recordsDue = Optional.empty();
@@ -211,7 +223,7 @@
         }
     }
 
-    /** Sends everything at once, before the daemon leaves. */
+    /** Sends all queued records without waiting for the batching time; used before the daemon shuts down. */
     void flushRecordsNow() {
         links.established().forEach(this::flushRecords);
     }
@@ -273,7 +285,7 @@
         return reports.build();
     }
 
-    /** When {@link #flush} has something to do, at the latest after {@code atMost}. */
+    /** Returns when {@link #flush} must run next, but no later than {@code atMost}. */
     Deadline nextFlush(Deadline atMost) {
         Deadline next = recordsDue.map(atMost::earlier).orElse(atMost);
         return reportsDue.map(next::earlier).orElse(next);
