--- a/org.berylwick/src/org/berylwick/internal/spread/ManifestDelta.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/ManifestDelta.java
@@ -9,15 +9,15 @@
 import org.berylwick.lib.AuditEntry;
 
 /**
- * How one manifest differs from an earlier one.
+ * Difference between a base manifest and a later target manifest.
  *
- * @param number of the later version
- * @param previousDigest of the later manifest
- * @param ancestors of the later manifest, without those that it shares with the earlier one
- * @param inherited how many ancestors of the earlier manifest follow
- * @param audit of the later version
- * @param set parts added or changed, hexadecimal digest by object reference
- * @param removed object references that the later version lacks
+ * @param number version number of the target
+ * @param previousDigest {@code previousDigest} of the target
+ * @param ancestors ancestors of the target, without those copied from the base
+ * @param inherited number of leading ancestors of the base that follow {@code ancestors} in the target
+ * @param audit audit entry of the target
+ * @param set added and changed parts: hexadecimal digest by object reference
+ * @param removed object references that are in the base but not in the target
  */
 record ManifestDelta(
         long number,
@@ -27,7 +27,7 @@
         AuditEntry audit,
         SortedMap<String, String> set,
         List<String> removed) {
-    /** The difference from {@code base} to {@code target}. */
+    /** Computes the delta that turns {@code base} into {@code target}. */
     static ManifestDelta between(Manifest base, Manifest target) {
         SortedMap<String, String> set = new TreeMap<>();
         for (Map.Entry<String, String> part : target.parts().entrySet()) {
@@ -57,7 +57,7 @@
         return shared ? overlap : 0;
     }
 
-    /** The later manifest, given the earlier one. */
+    /** Reconstructs the target manifest from the base manifest. */
     Manifest applyTo(Manifest base) {
         SortedMap<String, String> parts = new TreeMap<>(base.parts());
         removed.forEach(parts::remove);
--- a/org.berylwick/src/org/berylwick/internal/spread/VersionDeltaDecoder.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/VersionDeltaDecoder.java
@@ -17,10 +17,10 @@
 import org.berylwick.proto.VersionDelta;
 
 /**
- * Puts a version together from what a peer sent and what is in force here.
+ * Reconstructs a version from a delta sent by a peer and the locally installed version.
  *
- * <p>Nothing of the peer is trusted but the name of the version: the manifest must have the digest of that name, and
- * each part the digest that the manifest gives.
+ * <p>Only the version id is taken from the peer on trust. The manifest must match the digest in that id, and each part
+ * must match its digest in the manifest.
  */
 public final class VersionDeltaDecoder {
     private static final int MAX_UNCOMPRESSED_BYTES = 64 << 20;
@@ -28,10 +28,11 @@
     private VersionDeltaDecoder() {}
 
     /**
-     * Decodes what {@link VersionDeltaEncoder#encode} wrote.
+     * Decodes the output of {@link VersionDeltaEncoder#encode}.
      *
-     * @param inForce the version that the asker named as its base
-     * @return the whole version, or what is missing or wrong
+     * @param gzip gzip stream of one {@link VersionDelta}
+     * @param inForce locally installed version, which was requested as the base of the delta
+     * @return the complete version, or a message that says what is missing or invalid
      */
     public static Result<VersionContent, String> decode(byte[] gzip, InForce inForce) {
         VersionDelta delta;
@@ -39,13 +40,13 @@
         try (GZIPInputStream in = new GZIPInputStream(new ByteArrayInputStream(gzip))) {
             byte[] uncompressed = in.readNBytes(MAX_UNCOMPRESSED_BYTES + 1);
             if (uncompressed.length > MAX_UNCOMPRESSED_BYTES) {
-                return Result.err("a version of more than " + MAX_UNCOMPRESSED_BYTES + " bytes");
+                return Result.err("version from a peer exceeds " + MAX_UNCOMPRESSED_BYTES + " bytes uncompressed");
             }
             delta = VersionDelta.parseFrom(uncompressed);
             id = new VersionId(
                     delta.getVersion().getVersion(), toDigest(delta.getVersion().getDigest()));
         } catch (IOException | IllegalArgumentException e) {
-            return Result.err("cannot read a version from a peer: " + e);
+            return Result.err("cannot decode version from a peer: " + e);
         }
         Map<Digest, byte[]> available = new HashMap<>();
         if (delta.getBaseVersion() != 0) {
@@ -63,7 +64,7 @@
             return Result.ok(delta.getManifest().toByteArray());
         }
         if (delta.getBaseVersion() != inForce.snapshot().id().number()) {
-            return Result.err("a delta against version " + delta.getBaseVersion() + ", which is not in force here");
+            return Result.err("delta is based on version " + delta.getBaseVersion() + ", which is not installed here");
         }
         return ConfigurationCodec.decode(inForce.manifestBytes(), Manifest.class)
                 .flatMap(base -> ConfigurationCodec.decode(
--- a/org.berylwick/src/org/berylwick/internal/spread/VersionDeltaEncoder.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/VersionDeltaEncoder.java
@@ -23,11 +23,11 @@
 import org.berylwick.proto.VersionNotice;
 
 /**
- * Encodes the version in force for peers that hold an earlier one; any thread may ask.
+ * Encodes the installed version for peers that have an earlier one. Thread-safe.
  *
- * <p>The manifests of the last few versions are kept, so that a peer behind by some versions gets only what differs;
- * one that is further behind gets the whole version. What was encoded is kept until the next version, as several peers
- * ask for the same.
+ * <p>The manifests of the last few versions are cached, so that a peer that is a few versions behind receives only the
+ * differences; a peer further behind receives the complete version. Encoded deltas are cached until the next version is
+ * installed, because several peers request the same delta.
  */
 public final class VersionDeltaEncoder {
     private static final int MAX_CACHED_MANIFESTS = 8;
@@ -38,7 +38,7 @@
     private final Map<Long, byte[]> encodedByBase = new HashMap<>();
     private long encodedVersion;
 
-    /** Serves what is installed from now on. */
+    /** Creates an encoder that caches the manifest of each version installed from now on. */
     public VersionDeltaEncoder(InstalledVersion installed) {
         this.installed = installed;
         installed.addListener(this::cacheManifest);
@@ -59,9 +59,10 @@
     }
 
     /**
-     * The version in force as a gzip stream of one {@link VersionDelta}; empty if there is none.
+     * Encodes the installed version as a gzip stream of one {@link VersionDelta}.
      *
-     * @param base number of the version that the asker holds, 0 for none
+     * @param base number of the version that the requesting peer has installed, 0 for none
+     * @return the gzip stream, or empty if no version is installed
      */
     public synchronized Optional<byte[]> encode(long base) {
         InForce inForce = installed.inForce();
@@ -97,7 +98,7 @@
         return delta.build();
     }
 
-    /** A version's name as it travels. */
+    /** Converts a version id to its wire format. */
     public static VersionNotice toNotice(VersionId id) {
         return VersionNotice.newBuilder()
                 .setVersion(id.number())
@@ -105,7 +106,7 @@
                 .build();
     }
 
-    /** The version that a notice names; empty if that is none, or its digest cannot be one. */
+    /** Parses the version id of a notice; empty if the notice names no version or its digest has the wrong length. */
     public static Optional<VersionId> toVersionId(VersionNotice notice) {
         if (notice.getVersion() <= 0 || notice.getDigest().size() != DIGEST_BYTES) {
             return Optional.empty();
@@ -119,7 +120,7 @@
         try (GZIPOutputStream out = new GZIPOutputStream(bytes)) {
             delta.writeTo(out);
         } catch (IOException e) {
-            throw new UncheckedIOException("a stream in memory cannot fail", e);
+            throw new UncheckedIOException("cannot write version delta to in-memory stream", e);
         }
         return bytes.toByteArray();
     }
