--- a/org.berylwick/src/org/berylwick/internal/spread/ReaderLease.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/ReaderLease.java
@@ -4,47 +4,56 @@
 import java.util.List;
 
 /**
- * Who watches the platform's store for one availability zone; kept as one object there.
+ * Lease that names the daemons which watch the platform's store on behalf of one availability zone. It is stored as one
+ * object in that store.
  *
- * <p>The lease bounds how many daemons spend the store's calls and gives no authority over contents: a holder that was
- * paused past its lease reads what everybody may read. Clocks that differ lead to a reader more or fewer for a while,
- * and to nothing else.
+ * <p>The lease only limits how many daemons call the store; it grants no exclusive access. A holder that was paused
+ * past the expiry of its lease merely reads what every daemon may read. Clock skew can cause one reader too many or too
+ * few for a while, and has no other effect.
  *
- * @param holders in the order in which they took their places
+ * @param holders holders of reader slots, in the order in which they acquired them
  */
 public record ReaderLease(List<Holder> holders) {
-    /** Nobody. */
+    /** Lease without holders. */
     public static final ReaderLease EMPTY = new ReaderLease(List.of());
 
     /**
-     * One reader.
+     * Holder of one reader slot.
      *
-     * @param instance the daemon's
-     * @param untilEpochMillis when its place is free again unless renewed
+     * @param instance instance name of the daemon
+     * @param untilEpochMillis when the slot expires unless renewed
      */
     public record Holder(String instance, long untilEpochMillis) {}
 
-    /** What a daemon that looked at the lease does. */
+    /** Outcome of an attempt to acquire or renew a slot. */
     public sealed interface Decision {
         /**
-         * Write {@code next} if the object has not changed; on success the daemon reads, from place {@code slot} on.
+         * The daemon must write {@code next} on condition that the stored lease has not changed; if the write succeeds,
+         * it holds the slot.
+         *
+         * @param next lease to write
+         * @param slot zero-based index of the slot
          */
         record Write(ReaderLease next, int slot) implements Decision {}
 
-        /** All places are taken. */
+        /** All slots are held by other daemons. */
         record Full() implements Decision {}
     }
 
-    /** Copies the list. */
+    /** Makes a defensive copy of {@code holders}. */
     public ReaderLease {
         holders = List.copyOf(holders);
     }
 
     /**
-     * What {@code instance} does, seeing this lease.
+     * Decides how {@code instance} acquires a slot, or renews the one it holds.
      *
-     * @param maxReaders most readers of the zone
-     * @param expiresAtEpochMillis when its own hold would lapse
+     * <p>Expired slots of other holders are freed.
+     *
+     * @param instance instance name of the daemon
+     * @param nowEpochMillis current time
+     * @param maxReaders maximum number of readers in the zone
+     * @param expiresAtEpochMillis expiry of the slot that {@code instance} acquires or renews
      */
     public Decision acquireOrRenew(String instance, long nowEpochMillis, int maxReaders, long expiresAtEpochMillis) {
         List<Holder> next = new ArrayList<>();
@@ -66,7 +75,7 @@
                 : new Decision.Full();
     }
 
-    /** This lease without {@code instance}. */
+    /** Returns this lease without the slot of {@code instance}. */
     public ReaderLease without(String instance) {
         return new ReaderLease(
                 holders.stream().filter(h -> !h.instance().equals(instance)).toList());
--- a/org.berylwick/src/org/berylwick/internal/spread/StoreFreshness.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/StoreFreshness.java
@@ -3,27 +3,27 @@
 import org.berylwick.lib.TimeSource;
 
 /**
- * When some reader of the fleet last heard from the platform's store, as far as this daemon knows.
+ * Tracks when any daemon of the fleet last received a response from the platform's store, as far as this daemon knows.
  *
- * <p>Ages travel with heartbeats, never clock readings, so clocks need not agree. A daemon steps in as a reader when
- * the age shows that no reader is left, instead of asking the store who reads. Any thread may use it.
+ * <p>Heartbeats carry ages instead of timestamps, so clocks need not be synchronized. A daemon tries to become a reader
+ * when the age indicates that no reader is left, so it need not ask the store who the readers are. Thread-safe.
  */
 public final class StoreFreshness {
     private final TimeSource time;
     private long lastContactNanos;
 
-    /** As if heard from just now, so that a fresh daemon waits before it steps in. */
+    /** Starts with an age of zero, so that a newly started daemon waits before it tries to become a reader. */
     public StoreFreshness(TimeSource time) {
         this.time = time;
         this.lastContactNanos = time.nanoTime();
     }
 
-    /** This daemon itself was answered by the store. */
+    /** Records that this daemon received a response from the store. */
     public synchronized void recordLocalContact() {
         lastContactNanos = time.nanoTime();
     }
 
-    /** A peer told how long ago some reader was answered. */
+    /** Records the age that a peer reported; an age that implies an earlier contact than the known one is ignored. */
     public synchronized void recordPeerContact(long ageMillis) {
         long contactNanos = time.nanoTime() - ageMillis * 1_000_000L;
         if (contactNanos - lastContactNanos > 0) {
@@ -31,7 +31,7 @@
         }
     }
 
-    /** @return milliseconds since any reader was answered */
+    /** Returns the milliseconds since the latest known response of the store. */
     public synchronized long ageMillis() {
         return (time.nanoTime() - lastContactNanos) / 1_000_000L;
     }
