--- a/org.berylwick/src/org/berylwick/internal/spread/Backoff.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Backoff.java
@@ -3,10 +3,11 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Waits between tries: uniformly random between nothing and a bound that doubles with each failure.
+ * Exponential backoff with full jitter: each delay is uniformly random between zero and a bound that doubles with every
+ * failure.
  *
- * <p>Full jitter spreads a herd that failed at one moment over the whole interval; equal waits would bring it back as
- * one.
+ * <p>Full jitter spreads the retries of many clients that failed at the same moment over the whole interval. With equal
+ * delays they would all retry at the same moment again.
  */
 public final class Backoff {
     private final RandomGenerator random;
@@ -15,10 +16,11 @@
     private int failures;
 
     /**
-     * No failures yet.
+     * Creates a backoff with no recorded failures.
      *
-     * @param initialMillis bound of the first wait
-     * @param maxMillis bound of any wait
+     * @param random source of the jitter
+     * @param initialMillis upper bound of the first delay
+     * @param maxMillis upper bound of every delay
      */
     public Backoff(RandomGenerator random, long initialMillis, long maxMillis) {
         this.random = random;
@@ -26,14 +28,14 @@
         this.maxMillis = maxMillis;
     }
 
-    /** Notes a failure; tells how long to wait, in milliseconds. */
+    /** Records a failure and returns the delay before the next attempt, in milliseconds. */
     public long nextDelayMillis() {
         long bound = Math.min(maxMillis, initialMillis << Math.min(failures, 20));
         failures++;
         return random.nextLong(bound + 1);
     }
 
-    /** Notes a success. */
+    /** Records a success: the next delay is bounded by the initial bound again. */
     public void reset() {
         failures = 0;
     }
--- a/org.berylwick/src/org/berylwick/internal/spread/SpreadMetrics.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/SpreadMetrics.java
@@ -3,33 +3,36 @@
 import com.codahale.metrics.Counter;
 import com.codahale.metrics.MetricRegistry;
 
-/** The metrics of spreading. */
+/** Metrics of the spreading of versions and membership between daemons. */
 public final class SpreadMetrics {
-    /** Counter: bytes sent on connections opened to other daemons for control. */
+    /** Counter: bytes sent on outgoing control connections to other daemons. */
     public static final String PEER_BYTES_SENT = "spread.peer.bytes.sent";
 
-    /** Counter: bytes received on connections opened to other daemons for control. */
+    /** Counter: bytes received on outgoing control connections to other daemons. */
     public static final String PEER_BYTES_RECEIVED = "spread.peer.bytes.received";
 
-    /** Counter: streams opened and accepted. */
+    /**
+     * Counter: incoming streams admitted, plus streams of both directions on which the peer identified itself. An
+     * incoming stream is thus counted twice.
+     */
     public static final String STREAMS_OPENED = "spread.streams.opened";
 
-    /** Counter: streams refused because too many came at once. */
+    /** Counter: incoming streams refused because there were too many or they arrived too fast. */
     public static final String STREAMS_REFUSED = "spread.streams.refused";
 
-    /** Counter: events refused because the spreading duty's ring was full. */
+    /** Counter: events dropped because an event queue was full. */
     public static final String EVENTS_REFUSED = "spread.events.refused";
 
-    /** Counter: versions taken from peers. */
+    /** Counter: versions fetched from peers and installed. */
     public static final String VERSIONS_PULLED = "spread.versions.pulled";
 
-    /** Counter: failed tries to take a version from a peer. */
+    /** Counter: failed attempts to fetch a version from a peer. */
     public static final String PULLS_FAILED = "spread.pulls.failed";
 
-    /** Counter: members suspected by this daemon's own probes. */
+    /** Counter: members suspected because probes by this daemon failed. */
     public static final String SUSPECTED = "membership.suspected";
 
-    /** Counter: suspicions of this daemon that it refuted. */
+    /** Counter: claims about this daemon that it refuted with a higher incarnation. */
     public static final String REFUTED = "membership.refuted";
 
     final Counter streamsOpened;
@@ -40,7 +43,7 @@
     private final Counter versionsPulled;
     private final Counter pullsFailed;
 
-    /** Registers all. */
+    /** Registers all counters in {@code registry}. */
     public SpreadMetrics(MetricRegistry registry) {
         streamsOpened = registry.counter(STREAMS_OPENED);
         streamsRefused = registry.counter(STREAMS_REFUSED);
@@ -51,17 +54,17 @@
         pullsFailed = registry.counter(PULLS_FAILED);
     }
 
-    /** An event found the ring full. */
+    /** Counts an event that was dropped because a queue was full. */
     public void onEventRefused() {
         eventsRefused.inc();
     }
 
-    /** A version was taken from a peer. */
+    /** Counts a version that was fetched from a peer and installed. */
     public void onVersionPulled() {
         versionsPulled.inc();
     }
 
-    /** A try to take a version from a peer failed. */
+    /** Counts a failed attempt to fetch a version from a peer. */
     public void onPullFailed() {
         pullsFailed.inc();
     }
--- a/org.berylwick/src/org/berylwick/internal/spread/TokenBucket.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/TokenBucket.java
@@ -3,9 +3,10 @@
 import org.berylwick.lib.TimeSource;
 
 /**
- * Lets through a bounded rate with short bursts; safe for use from any thread.
+ * Token bucket rate limiter. Thread-safe.
  *
- * <p>Used for store calls, whose rate shrinks as the fleet grows, and for streams that a daemon admits.
+ * <p>Limits store calls, whose rate per daemon is lowered as the fleet grows, and the incoming streams that a daemon
+ * admits.
  */
 public final class TokenBucket {
     private static final double NANOS_PER_SECOND = 1e9;
@@ -16,7 +17,7 @@
     private double tokens;
     private long lastRefillNanos;
 
-    /** A full bucket. */
+    /** Creates a full bucket that holds at most {@code burst} tokens. */
     public TokenBucket(TimeSource time, double ratePerSecond, double burst) {
         this.time = time;
         this.ratePerSecond = ratePerSecond;
@@ -25,13 +26,13 @@
         this.lastRefillNanos = time.nanoTime();
     }
 
-    /** Sets another rate; what has gathered stays. */
+    /** Changes the refill rate; tokens accumulated so far are kept. */
     public synchronized void setRate(double newRatePerSecond) {
         refill();
         ratePerSecond = newRatePerSecond;
     }
 
-    /** Takes one token if there is one. */
+    /** Takes one token if available and returns whether it did. */
     public synchronized boolean tryTake() {
         refill();
         if (tokens < 1) {
@@ -41,13 +42,15 @@
         return true;
     }
 
-    /** Takes {@code count} tokens for what was done already; the bucket may go below empty. */
+    /**
+     * Takes {@code count} tokens unconditionally, for calls that are made in any case; the balance may become negative.
+     */
     public synchronized void charge(long count) {
         refill();
         tokens -= count;
     }
 
-    /** @return milliseconds until a token is there, at least 1 if there is none now */
+    /** Returns the milliseconds until a token is available: 0 if there is one now, otherwise at least 1. */
     public synchronized long millisUntilAvailable() {
         refill();
         return tokens >= 1 ? 0 : Math.max(1, (long) Math.ceil((1 - tokens) / ratePerSecond * 1_000));
