--- a/org.berylwick.test/tst/org/berylwick/internal/spread/InMemoryNetwork.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/InMemoryNetwork.java
@@ -26,7 +26,10 @@
 import org.berylwick.transport.PeerCalls;
 import org.berylwick.transport.PeerStream;
 
-/** Spreaders joined by streams in memory, on one thread and a clock that the test moves; each direction can be cut. */
+/**
+ * Simulated network of spreaders connected by in-memory streams. It runs on one thread with a clock that the test
+ * advances; traffic can be cut separately in each direction.
+ */
 final class InMemoryNetwork {
     private static final Duration STEP = Duration.ofMillis(50);
 
@@ -36,7 +39,7 @@
 
     private record Direction(HostPort from, HostPort to) {}
 
-    /** One daemon's spreader with what belongs to it. */
+    /** One simulated daemon: its spreader, membership table and installed version. */
     final class Node implements LocalMember, PeerCalls {
         final InstalledVersion installed = new InstalledVersion(time);
         final MembershipTable table = new MembershipTable();
@@ -171,7 +174,10 @@
         }
     }
 
-    /** Adds daemons over {@code zones} zones; the first one's address is known to all. */
+    /**
+     * Adds daemons, distributed over {@code zones} zones; each is given the address of the first daemon to join
+     * through.
+     */
     List<Node> addDaemons(int count, int zones) {
         List<Node> added = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -188,12 +194,12 @@
         return nodes.get(from).running && nodes.get(to).running && !cutDirections.contains(new Direction(from, to));
     }
 
-    /** Loses from now on all that goes from one daemon to another, silently. */
+    /** Silently drops all messages from one daemon to another from now on. */
     void cutOneWay(Node from, Node to) {
         cutDirections.add(new Direction(from.address, to.address));
     }
 
-    /** Cuts a daemon off from all others, or group from group. */
+    /** Cuts both directions between each daemon of one group and each daemon of the other. */
     void partition(List<Node> some, List<Node> others) {
         for (Node a : some) {
             for (Node b : others) {
@@ -207,7 +213,7 @@
         cutDirections.clear();
     }
 
-    /** Lets time pass. */
+    /** Advances the clock in small steps and runs the pending work of every running daemon after each step. */
     void advance(Duration duration) {
         for (long remainingMillis = duration.toMillis(); remainingMillis > 0; remainingMillis -= STEP.toMillis()) {
             time.advance(STEP);
@@ -215,7 +221,9 @@
         }
     }
 
-    /** Which state a daemon holds another in. */
+    /**
+     * Returns the state of {@code subject} in the membership table of {@code observer}; GONE if it is unknown there.
+     */
     static Member.State stateSeenBy(Node observer, Node subject) {
         return observer.table.view().find(subject.instance).map(Member::state).orElse(Member.State.GONE);
     }
--- a/org.berylwick.test/tst/org/berylwick/internal/spread/ManifestDeltaTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/ManifestDeltaTest.java
@@ -19,7 +19,7 @@
 import org.berylwick.lib.Labels;
 import org.junit.jupiter.api.Test;
 
-/** That a delta gives the very bytes of the later manifest, on which its digest depends. */
+/** Verifies that applying a delta reproduces the later manifest byte for byte, as its digest depends on the bytes. */
 class ManifestDeltaTest {
     private static final List<VersionContent> VERSIONS = createVersions();
 
--- a/org.berylwick.test/tst/org/berylwick/internal/spread/PeerChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/PeerChooserTest.java
@@ -20,7 +20,7 @@
 import org.berylwick.lib.Place;
 import org.junit.jupiter.api.Test;
 
-/** The graph of streams that daemons choose. */
+/** Tests the graph formed by the streams that daemons choose to open. */
 class PeerChooserTest {
     private static Member member(int i, int zones) {
         int zone = i % zones;
@@ -45,7 +45,7 @@
         return members;
     }
 
-    /** How many steps the farthest daemon is away from the first; -1 if some cannot be reached. */
+    /** Returns the hop count from the first member to the farthest one, or -1 if some member cannot be reached. */
     private static int eccentricity(List<Member> members, int fanOut) {
         Map<String, Set<String>> edges = new HashMap<>();
         members.forEach(m -> edges.put(m.instance(), new HashSet<>()));
--- a/org.berylwick.test/tst/org/berylwick/internal/spread/ReaderLeaseTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/ReaderLeaseTest.java
@@ -13,12 +13,12 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** How the places of readers are taken, held and freed. */
+/** Tests how reader slots are acquired, renewed and freed. */
 class ReaderLeaseTest {
     private static final int MAX_READERS = 2;
     private static final long LEASE_MILLIS = 10;
 
-    /** Daemon {@code who} looks at the lease at each step and writes what it decides. */
+    /** At each step one of six daemons tries to acquire or renew a slot and writes the resulting lease. */
     @Property(seed = "5")
     void holdersNeverExceedMaxReaders(@ForAll @Size(max = 60) List<@IntRange(min = 0, max = 5) Integer> daemonIndexes) {
         ReaderLease lease = ReaderLease.EMPTY;
@@ -51,8 +51,8 @@
                         .toList());
     }
 
-    // A holder is paused past its lease, another takes its place, and the first wakes up and renews. It must find
-    // the places taken rather than push the other out or make a third.
+    // A holder is paused past the expiry of its lease and another daemon takes its slot. When the first one resumes and
+    // tries to renew, it must find all slots taken instead of evicting the other daemon or adding a third holder.
     @Test
     void holderPausedPastExpiryFindsAllSlotsTaken() {
         ReaderLease others = new ReaderLease(List.of(new ReaderLease.Holder("b", 30), new ReaderLease.Holder("c", 30)));
--- a/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
@@ -17,7 +17,7 @@
 import org.berylwick.lib.VersionId;
 import org.junit.jupiter.api.Test;
 
-/** What spreading does when daemons, streams and directions fail. */
+/** Tests spreading of versions and membership while daemons, streams and single directions of a link fail. */
 class SpreaderTest {
     private static final Duration JOIN_TIME = Duration.ofSeconds(10);
     private static final Duration CONVERGENCE_TIME = Duration.ofSeconds(15);
@@ -67,9 +67,9 @@
         }
     }
 
-    // One of two daemons no longer hears the other, while everything else passes: the stream between them falls
-    // silent on one side. Versions must come another way, and neither may be taken out of service, as each still
-    // answers everybody else.
+    // Messages from one daemon to another are lost while all other traffic passes, so the stream between them is silent
+    // in one direction. Versions must arrive over other streams, and neither daemon may be declared gone, because each
+    // still answers all others.
     @Test
     void oneWayCutDelaysNoVersionAndDeclaresNobodyGone() {
         List<Node> nodes = joinedNodes(12);
@@ -82,8 +82,9 @@
         assertAllSeeState(nodes, nodes, Member.State.UP);
     }
 
-    // A process dies without a word. Callers are sent there until others notice; all must know within seconds,
-    // also those with no stream to it.
+    // A process crashes without announcing it. Requests are routed to it until the crash is detected, so all daemons
+    // must
+    // learn of it within seconds, including those that have no stream to it.
     @Test
     void crashedDaemonIsDeclaredGoneByAll() {
         List<Node> nodes = joinedNodes(12);
@@ -95,8 +96,9 @@
         assertAllSeeState(others, others, Member.State.UP);
     }
 
-    // A daemon is paused for longer than the suspicion lasts, is given up by all, and goes on. It must come back
-    // with a new incarnation by itself, since nobody else may vouch for it.
+    // A daemon is paused for longer than the suspicion timeout, is declared gone by all, and resumes. It must rejoin
+    // with
+    // a new incarnation by itself, since no other daemon may raise its incarnation.
     @Test
     void pausedDaemonRejoins() {
         List<Node> nodes = joinedNodes(12);
@@ -110,7 +112,7 @@
         assertInstalled(nodes, id);
     }
 
-    // Half of all daemons die at one moment, among them the neighbours that would have noticed each other's death.
+    // Half of all daemons crash at the same moment, including peers that would have detected each other's crash.
     @Test
     void simultaneousCrashOfHalfIsDetectedByRest() {
         List<Node> nodes = joinedNodes(20);
@@ -125,8 +127,9 @@
         assertInstalled(others, id);
     }
 
-    // A backend server leaves. Requests sent to it after a few seconds would be refused one by one, so every daemon
-    // must know, and must keep knowing when its process is gone.
+    // A backend server leaves. Requests routed to it after a few seconds would each be refused, so every daemon must
+    // see
+    // the leaving state, and must see the member as gone once its process has exited.
     @Test
     void leavingMemberIsSeenByAll() {
         List<Node> nodes = joinedNodes(12);
@@ -141,8 +144,8 @@
         assertAllSeeState(others, List.of(leaving), Member.State.GONE);
     }
 
-    // Two regions lose each other for minutes and each accepts that the other is out of reach. When they meet again
-    // the first word each hears of its own daemons is the other's suspicion: none may be out of use on its own side.
+    // A network partition separates two regions for minutes, and each declares the other's daemons gone. When it heals,
+    // each region first receives the other's claims about its own daemons. No daemon may become gone on its own side.
     @Test
     void healedPartitionDeclaresNoLocalMemberGone() {
         List<Node> nodes = joinedNodes(16);
@@ -164,8 +167,9 @@
         assertInstalled(nodes, id);
     }
 
-    // All streams lose everything for a while just as a version is accepted, so every push of it is lost. Heartbeats
-    // must bring it once they pass again, without any daemon asking the store.
+    // All messages are lost for a while just after a version is installed, so every notice of it is lost. Heartbeats
+    // must
+    // recover the version once the network is restored, without any daemon reading the store.
     @Test
     void lostVersionNoticeIsRecoveredByHeartbeat() {
         List<Node> nodes = joinedNodes(8);
@@ -177,7 +181,8 @@
         assertInstalled(nodes, id);
     }
 
-    // A herd of newcomers knows one address. The daemon there admits some at once and the others later.
+    // Many new daemons start at once and know only one address. The daemon there admits some immediately and the others
+    // later.
     @Test
     void manySimultaneousJoinsCompleteWithinOneMinute() {
         List<Node> nodes = network.addDaemons(80, 6);
--- a/org.berylwick.test/tst/org/berylwick/internal/spread/TokenBucketAndBackoffTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/TokenBucketAndBackoffTest.java
@@ -14,7 +14,7 @@
 import org.berylwick.testing.ManualTimeSource;
 import org.junit.jupiter.api.Test;
 
-/** Bounded rates and waits between tries. */
+/** Tests the rate limit of {@link TokenBucket} and the delays of {@link Backoff}. */
 class TokenBucketAndBackoffTest {
     @Property(seed = "5")
     void bucketNeverExceedsRateAndBurst(
@@ -27,12 +27,13 @@
             time.advance(Duration.ofMillis(pause));
             elapsedMillis += pause;
             taken += bucket.tryTake() ? 1 : 0;
-            assertTrue(taken <= 5 + elapsedMillis / 100.0 + 1e-6, taken + " in " + elapsedMillis + " ms");
+            assertTrue(taken <= 5 + elapsedMillis / 100.0 + 1e-6, taken + " tokens taken in " + elapsedMillis + " ms");
         }
     }
 
-    // After each daemon's first version was charged to the bucket that also pays for the lease, no reader could
-    // renew its lease for minutes, so nobody read the store and no change came into force anywhere.
+    // Guards against a store outage caused by the rate limit itself: the read of each daemon's first version was
+    // charged to the bucket that also limits lease renewals. No reader could renew its lease for minutes, so no daemon
+    // read the store and no change was installed anywhere.
     @Test
     void chargedTokensAreRefilledAtConfiguredRate() {
         ManualTimeSource time = new ManualTimeSource();
@@ -50,7 +51,9 @@
         long bound = 200;
         for (int i = 0; i < failures; i++) {
             long delay = backoff.nextDelayMillis();
-            assertTrue(delay >= 0 && delay <= bound, delay + " after " + i + " failures");
+            assertTrue(
+                    delay >= 0 && delay <= bound,
+                    delay + " ms delay after " + i + " failures");
             bound = Math.min(5_000, bound * 2);
         }
     }
--- a/org.berylwick.test/tst/org/berylwick/internal/spread/VersionTransferTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/VersionTransferTest.java
@@ -28,7 +28,7 @@
 import org.berylwick.testing.ManualTimeSource;
 import org.junit.jupiter.api.Test;
 
-/** A version that a peer sends is the one that was accepted, or nothing. */
+/** Verifies that a version received from a peer is either identical to the accepted version or rejected. */
 class VersionTransferTest {
     private final ManualTimeSource time = new ManualTimeSource();
 
@@ -87,8 +87,8 @@
         };
     }
 
-    // A peer or the way to it turns a byte over. The daemon must refuse the whole of it: a proxy that holds a
-    // version under the right number with other content would serve it until the next change.
+    // A byte of the transfer is corrupted by the peer or the network. The daemon must reject the whole version: one
+    // installed under the right number with other content would stay in use until the next change.
     @Property(seed = "5", tries = 300)
     void corruptedTransferIsRejectedOrHarmless(
             @ForAll @IntRange(min = 0, max = 10_000) int position, @ForAll byte bitMask) {
--- a/org.berylwick.test/tst/org/berylwick/internal/spread/package-info.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/package-info.java
@@ -1,2 +1,2 @@
-/** The decisions of spreading, on a clock that the tests move. */
+/** Tests of the spread protocol logic, on a clock that the tests control. */
 package org.berylwick.internal.spread;
