--- a/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
@@ -83,8 +83,7 @@
     }
 
     // A process crashes without announcing it. Requests are routed to it until the crash is detected, so all daemons
-    // must
-    // learn of it within seconds, including those that have no stream to it.
+    // must learn of it within seconds, including those that have no stream to it.
     @Test
     void crashedDaemonIsDeclaredGoneByAll() {
         List<Node> nodes = joinedNodes(12);
@@ -97,8 +96,7 @@
     }
 
     // A daemon is paused for longer than the suspicion timeout, is declared gone by all, and resumes. It must rejoin
-    // with
-    // a new incarnation by itself, since no other daemon may raise its incarnation.
+    // with a new incarnation by itself, since no other daemon may raise its incarnation.
     @Test
     void pausedDaemonRejoins() {
         List<Node> nodes = joinedNodes(12);
@@ -128,8 +126,7 @@
     }
 
     // A backend server leaves. Requests routed to it after a few seconds would each be refused, so every daemon must
-    // see
-    // the leaving state, and must see the member as gone once its process has exited.
+    // see the leaving state, and must see the member as gone once its process has exited.
     @Test
     void leavingMemberIsSeenByAll() {
         List<Node> nodes = joinedNodes(12);
@@ -144,8 +141,9 @@
         assertAllSeeState(others, List.of(leaving), Member.State.GONE);
     }
 
-    // A network partition separates two regions for minutes, and each declares the other's daemons gone. When it heals,
-    // each region first receives the other's claims about its own daemons. No daemon may become gone on its own side.
+    // A network partition separates two groups of daemons for minutes, and the larger group declares the daemons of the
+    // smaller one gone. When it heals, these claims are the first records that the smaller group receives about its own
+    // daemons. None of them may become gone within the smaller group.
     @Test
     void healedPartitionDeclaresNoLocalMemberGone() {
         List<Node> nodes = joinedNodes(16);
@@ -168,8 +166,7 @@
     }
 
     // All messages are lost for a while just after a version is installed, so every notice of it is lost. Heartbeats
-    // must
-    // recover the version once the network is restored, without any daemon reading the store.
+    // must recover the version once the network is restored, without any daemon reading the store.
     @Test
     void lostVersionNoticeIsRecoveredByHeartbeat() {
         List<Node> nodes = joinedNodes(8);
--- a/org.berylwick.test/tst/org/berylwick/internal/spread/TokenBucketAndBackoffTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/TokenBucketAndBackoffTest.java
@@ -31,9 +31,8 @@
         }
     }
 
-    // Guards against a store outage caused by the rate limit itself: the read of each daemon's first version was
-    // charged to the bucket that also limits lease renewals. No reader could renew its lease for minutes, so no daemon
-    // read the store and no change was installed anywhere.
+    // The store calls for each daemon's first version were charged to the bucket that also limits lease renewals. No
+    // reader could renew its lease for minutes, so no daemon read the store and no change was installed anywhere.
     @Test
     void chargedTokensAreRefilledAtConfiguredRate() {
         ManualTimeSource time = new ManualTimeSource();
--- a/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
@@ -166,7 +166,7 @@
         close(link);
     }
 
-    /** Removes a stream that was not closed by this daemon; an outgoing one is retried after a backoff delay. */
+    /** Removes a stream that ended or fell silent; the address of an outgoing one is retried after a backoff delay. */
     void onClosed(PeerLink link) {
         links.remove(link.stream);
         if (link.outgoing) {
@@ -190,8 +190,8 @@
      * Closes the streams on which nothing was received within the silence timeout, or no hello within the hello
      * timeout.
      *
-     * <p>A proxy or firewall between the two ends may have dropped the connection state. Such a stream delivers nothing
-     * and does not end by itself.
+     * <p>A device on the network path may have dropped the connection state. Such a stream delivers nothing and does not
+     * end by itself.
      *
      * @return the closed links
      */
