--- a/org.berylwick.test/tst/org/berylwick/internal/spread/InMemoryNetwork.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/InMemoryNetwork.java
@@ -49,7 +49,7 @@
         private final String instance;
         private final Place place;
         private final HostPort address;
-        private final VersionDeltaEncoder versions = new VersionDeltaEncoder(installed);
+        private final VersionDeltaEncoder deltaEncoder = new VersionDeltaEncoder(installed);
         private long incarnation = 1;
 
         private Node(int i, int zones) {
@@ -96,7 +96,7 @@
                 return;
             }
             byte[] gzip = nodes.get(from)
-                    .versions
+                    .deltaEncoder
                     .encode(installed.snapshot().id().number())
                     .orElseThrow();
             if (VersionDeltaDecoder.decode(gzip, installed.inForce())
