--- a/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
@@ -37,7 +37,7 @@
     private static final int MAX_RECORDS_PER_MESSAGE = 200;
 
     private final SpreadTuning tuning;
-    private final LocalMember self;
+    private final LocalMember localMember;
     private final MembershipTable table;
     private final FailureDetector detector;
     private final LinkTable links;
@@ -57,7 +57,7 @@
             TimeSource time,
             SpreadMetrics metrics) {
         this.tuning = tuning;
-        this.self = self;
+        this.localMember = self;
         this.table = table;
         this.detector = detector;
         this.links = links;
@@ -75,13 +75,13 @@
         MembershipView before = table.view();
         List<Member> others = new ArrayList<>();
         for (Member record : records) {
-            if (record.instance().equals(self.current().instance())) {
+            if (record.instance().equals(localMember.current().instance())) {
                 refute(record);
             } else {
                 others.add(source == null ? record : downgradeToSuspect(before, record));
             }
         }
-        others.add(self.current());
+        others.add(localMember.current());
         List<Member> changed = table.mergeAll(others);
         for (Member member : changed) {
             detector.changed(member);
@@ -108,8 +108,8 @@
     }
 
     private void refute(Member claim) {
-        FailureDetector.refute(self.current(), claim).ifPresent(incarnation -> {
-            self.refute(incarnation);
+        FailureDetector.refute(localMember.current(), claim).ifPresent(incarnation -> {
+            localMember.refute(incarnation);
             metrics.refuted.inc();
             EVENTS.log(MembershipEvent.REFUTED, claim.state(), incarnation);
         });
