--- a/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
@@ -89,7 +89,7 @@
             enqueue(before.find(member.instance()), member, source);
         }
         if (source != null) {
-            records.forEach(m -> dequeueEcho(m, source));
+            records.forEach(m -> removePending(m, source));
         }
     }
 
@@ -138,7 +138,7 @@
     }
 
     /** Removes a record from the source's queues if the table holds exactly what the source sent. */
-    private void dequeueEcho(Member sent, PeerLink source) {
+    private void removePending(Member sent, PeerLink source) {
         table.view().find(sent.instance()).filter(sent::equals).ifPresent(m -> {
             source.pendingRecords.remove(m.instance());
             source.pendingReports.remove(m.instance());
