--- a/org.berylwick/src/org/berylwick/internal/spread/Prober.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Prober.java
@@ -22,13 +22,13 @@
     private static final long PROBE_TIMEOUT_MILLIS = 1_500;
 
     private final PeerCalls calls;
-    private final Consumer<SpreadEvent> events;
+    private final Consumer<SpreadEvent> eventSink;
     private final TimeSource time;
     private final Set<String> inFlight = new HashSet<>();
 
     Prober(PeerCalls calls, Consumer<SpreadEvent> events, TimeSource time) {
         this.calls = calls;
-        this.events = events;
+        this.eventSink = events;
         this.time = time;
     }
 
@@ -56,7 +56,7 @@
                     && probes.stream()
                             .flatMap(p -> p.join().stream())
                             .anyMatch(r -> r.getInstance().equals(member.instance()));
-            events.accept(
+            eventSink.accept(
                     answered ? new SpreadEvent.MemberReachable(member) : new SpreadEvent.MemberUnreachable(member));
         });
     }
