--- a/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
@@ -33,8 +33,8 @@
     }
 
     private static void assertAllSeeState(List<Node> observers, List<Node> subjects, Member.State state) {
-        for (Node a : observers) {
-            subjects.forEach(o -> assertEquals(state, InMemoryNetwork.stateSeenBy(a, o)));
+        for (Node observer : observers) {
+            subjects.forEach(subject -> assertEquals(state, InMemoryNetwork.stateSeenBy(observer, subject)));
         }
     }
 
@@ -87,11 +87,11 @@
     @Test
     void crashedDaemonIsDeclaredGoneByAll() {
         List<Node> nodes = joinedNodes(12);
-        Node dead = nodes.get(5);
-        dead.running = false;
+        Node crashed = nodes.get(5);
+        crashed.running = false;
         network.advance(CONVERGENCE_TIME);
-        List<Node> others = nodes.stream().filter(n -> n != dead).toList();
-        assertAllSeeState(others, List.of(dead), Member.State.GONE);
+        List<Node> others = nodes.stream().filter(n -> n != crashed).toList();
+        assertAllSeeState(others, List.of(crashed), Member.State.GONE);
         assertAllSeeState(others, others, Member.State.UP);
     }
 
@@ -114,13 +114,13 @@
     @Test
     void simultaneousCrashOfHalfIsDetectedByRest() {
         List<Node> nodes = joinedNodes(20);
-        List<Node> dead = nodes.stream().filter(n -> nodes.indexOf(n) % 2 == 1).toList();
+        List<Node> crashed = nodes.stream().filter(n -> nodes.indexOf(n) % 2 == 1).toList();
         List<Node> others =
                 nodes.stream().filter(n -> nodes.indexOf(n) % 2 == 0).toList();
-        dead.forEach(n -> n.running = false);
+        crashed.forEach(n -> n.running = false);
         VersionId id = installNewVersion(others.getFirst());
         network.advance(LONG_CONVERGENCE_TIME);
-        assertAllSeeState(others, dead, Member.State.GONE);
+        assertAllSeeState(others, crashed, Member.State.GONE);
         assertAllSeeState(others, others, Member.State.UP);
         assertInstalled(others, id);
     }
@@ -156,8 +156,8 @@
         network.restoreAll();
         for (int i = 0; i < 600; i++) {
             network.advance(Duration.ofMillis(100));
-            for (Node a : minority) {
-                minority.forEach(b -> assertTrue(InMemoryNetwork.stateSeenBy(a, b) != Member.State.GONE));
+            for (Node observer : minority) {
+                minority.forEach(b -> assertTrue(InMemoryNetwork.stateSeenBy(observer, b) != Member.State.GONE));
             }
         }
         network.advance(LONG_CONVERGENCE_TIME);
