--- a/org.berylwick.test/tst/org/berylwick/internal/spread/VersionTransferTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/VersionTransferTest.java
@@ -40,9 +40,9 @@
                 .ofMaxSize(6);
     }
 
-    private static VersionContent createContent(VersionId previous, Map<String, Integer> marks) {
+    private static VersionContent createContent(VersionId previous, Map<String, Integer> markByBrand) {
         SortedMap<String, Brand> brands = new TreeMap<>();
-        marks.forEach((name, mark) -> brands.put(
+        markByBrand.forEach((name, mark) -> brands.put(
                 name, new Brand(name, List.of(name + ".example"), Labels.EMPTY, Map.of("x-mark", "" + mark))));
         Configuration configuration = new Configuration(brands, new TreeMap<>(), new TreeMap<>(), new TreeMap<>());
         return VersionContent.encode(
