--- a/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
@@ -124,12 +124,12 @@
         Set<String> chosenInstances = chosen.stream().map(Member::instance).collect(Collectors.toSet());
         long graceNanos = UNCHOSEN_STREAM_GRACE_MILLIS * 1_000_000L;
         for (PeerLink link : all()) {
-            boolean replaced = link.outgoing
+            boolean noLongerChosen = link.outgoing
                     && link.isEstablished()
                     && !chosenInstances.contains(link.peer.get().instance())
                     && linkedInstances.containsAll(chosenInstances)
                     && time.nanoTime() - link.openedAtNanos > graceNanos;
-            if (replaced) {
+            if (noLongerChosen) {
                 close(link);
             }
         }
