--- a/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
@@ -50,14 +50,14 @@
 
     MembershipGossip(
             SpreadTuning tuning,
-            LocalMember self,
+            LocalMember localMember,
             MembershipTable table,
             FailureDetector detector,
             LinkTable links,
             TimeSource time,
             SpreadMetrics metrics) {
         this.tuning = tuning;
-        this.localMember = self;
+        this.localMember = localMember;
         this.table = table;
         this.detector = detector;
         this.links = links;
@@ -74,11 +74,11 @@
     void merge(Collection<Member> records, PeerLink source) {
         MembershipView before = table.view();
         List<Member> others = new ArrayList<>();
-        for (Member record : records) {
-            if (record.instance().equals(localMember.current().instance())) {
-                refute(record);
+        for (Member memberRecord : records) {
+            if (memberRecord.instance().equals(localMember.current().instance())) {
+                refute(memberRecord);
             } else {
-                others.add(source == null ? record : downgradeToSuspect(before, record));
+                others.add(source == null ? memberRecord : downgradeToSuspect(before, memberRecord));
             }
         }
         others.add(localMember.current());
