--- a/org.berylwick/src/org/berylwick/internal/spread/PeerLink.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/PeerLink.java
@@ -63,14 +63,14 @@
      */
     boolean needsSync(Hashes local, Hashes remote, int requiredStableHeartbeats) {
         boolean unchanged = local.equals(lastLocalHashes) && remote.equals(lastPeerHashes);
-        boolean first = stableHeartbeats == 0;
+        boolean firstComparison = stableHeartbeats == 0;
         lastLocalHashes = local;
         lastPeerHashes = remote;
-        stableHeartbeats = unchanged && !first ? stableHeartbeats + 1 : 1;
+        stableHeartbeats = unchanged && !firstComparison ? stableHeartbeats + 1 : 1;
         if (local.equals(remote)) {
             return false;
         }
-        if (first || stableHeartbeats > requiredStableHeartbeats) {
+        if (firstComparison || stableHeartbeats > requiredStableHeartbeats) {
             stableHeartbeats = 1;
             return true;
         }
