--- a/org.berylwick/src/org/berylwick/internal/spread/Prober.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Prober.java
@@ -26,9 +26,9 @@
     private final TimeSource time;
     private final Set<String> inFlight = new HashSet<>();
 
-    Prober(PeerCalls calls, Consumer<SpreadEvent> events, TimeSource time) {
+    Prober(PeerCalls calls, Consumer<SpreadEvent> eventSink, TimeSource time) {
         this.calls = calls;
-        this.eventSink = events;
+        this.eventSink = eventSink;
         this.time = time;
     }
 
@@ -46,7 +46,7 @@
         Deadline deadline = Deadline.afterMillis(time, PROBE_TIMEOUT_MILLIS);
         List<CompletableFuture<Optional<ProbeReply>>> probes = new ArrayList<>();
         probes.add(calls.probe(member.address(), deadline));
-        relays.forEach(h -> probes.add(calls.probeThrough(h.address(), member.address(), deadline)));
+        relays.forEach(relay -> probes.add(calls.probeThrough(relay.address(), member.address(), deadline)));
         CompletableFuture.allOf(probes.toArray(CompletableFuture[]::new)).whenComplete((done, failure) -> {
             synchronized (inFlight) {
                 inFlight.remove(member.instance());
