--- a/org.berylwick/src/org/berylwick/internal/spread/ReaderLease.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/ReaderLease.java
@@ -57,16 +57,16 @@
      */
     public Decision acquireOrRenew(String instance, long nowEpochMillis, int maxReaders, long expiresAtEpochMillis) {
         List<Holder> next = new ArrayList<>();
-        boolean held = false;
+        boolean renewed = false;
         for (Holder holder : holders) {
-            if (holder.instance().equals(instance) && !held) {
+            if (holder.instance().equals(instance) && !renewed) {
                 next.add(new Holder(instance, expiresAtEpochMillis));
-                held = true;
+                renewed = true;
             } else if (holder.untilEpochMillis() > nowEpochMillis) {
                 next.add(holder);
             }
         }
-        if (!held) {
+        if (!renewed) {
             next.add(new Holder(instance, expiresAtEpochMillis));
         }
         int slot = slotOf(next, instance);
