--- a/org.berylwick/src/org/berylwick/internal/spread/VersionDeltaDecoder.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/VersionDeltaDecoder.java
@@ -56,7 +56,7 @@
             byte[] content = part.toByteArray();
             available.put(Digest.of(content), content);
         }
-        return manifestBytes(delta, inForce).flatMap(m -> VersionContent.assemble(id, m, available));
+        return manifestBytes(delta, inForce).flatMap(manifest -> VersionContent.assemble(id, manifest, available));
     }
 
     private static Result<byte[], String> manifestBytes(VersionDelta delta, InForce inForce) {
@@ -69,7 +69,7 @@
         return ConfigurationCodec.decode(inForce.manifestBytes(), Manifest.class)
                 .flatMap(base -> ConfigurationCodec.decode(
                                 delta.getManifestDelta().toByteArray(), ManifestDelta.class)
-                        .map(d -> ConfigurationCodec.encode(d.applyTo(base))));
+                        .map(manifestDelta -> ConfigurationCodec.encode(manifestDelta.applyTo(base))));
     }
 
     private static Digest toDigest(ByteString bytes) {
