--- a/org.berylwick/src/org/berylwick/internal/spread/VersionDeltaEncoder.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/VersionDeltaEncoder.java
@@ -87,10 +87,10 @@
             inForce.parts().values().forEach(p -> delta.addParts(ByteString.copyFrom(p)));
             return delta.build();
         }
-        ManifestDelta difference = ManifestDelta.between(baseManifest, target);
+        ManifestDelta manifestDelta = ManifestDelta.between(baseManifest, target);
         Set<String> baseParts = new HashSet<>(baseManifest.parts().values());
-        delta.setBaseVersion(base).setManifestDelta(ByteString.copyFrom(ConfigurationCodec.encode(difference)));
-        difference.set().values().stream()
+        delta.setBaseVersion(base).setManifestDelta(ByteString.copyFrom(ConfigurationCodec.encode(manifestDelta)));
+        manifestDelta.set().values().stream()
                 .filter(hex -> !baseParts.contains(hex))
                 .distinct()
                 .forEach(hex ->
