--- a/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/SpreaderTest.java
@@ -114,7 +114,8 @@
     @Test
     void simultaneousCrashOfHalfIsDetectedByRest() {
         List<Node> nodes = joinedNodes(20);
-        List<Node> crashed = nodes.stream().filter(n -> nodes.indexOf(n) % 2 == 1).toList();
+        List<Node> crashed =
+                nodes.stream().filter(n -> nodes.indexOf(n) % 2 == 1).toList();
         List<Node> others =
                 nodes.stream().filter(n -> nodes.indexOf(n) % 2 == 0).toList();
         crashed.forEach(n -> n.running = false);
--- a/org.berylwick.test/tst/org/berylwick/internal/spread/TokenBucketAndBackoffTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/TokenBucketAndBackoffTest.java
@@ -50,9 +50,7 @@
         long bound = 200;
         for (int i = 0; i < failures; i++) {
             long delay = backoff.nextDelayMillis();
-            assertTrue(
-                    delay >= 0 && delay <= bound,
-                    delay + " ms delay after " + i + " failures");
+            assertTrue(delay >= 0 && delay <= bound, delay + " ms delay after " + i + " failures");
             bound = Math.min(5_000, bound * 2);
         }
     }
--- a/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
@@ -190,8 +190,8 @@
      * Closes the streams on which nothing was received within the silence timeout, or no hello within the hello
      * timeout.
      *
-     * <p>A device on the network path may have dropped the connection state. Such a stream delivers nothing and does not
-     * end by itself.
+     * <p>A device on the network path may have dropped the connection state. Such a stream delivers nothing and does
+     * not end by itself.
      *
      * @return the closed links
      */
--- a/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
@@ -96,8 +96,8 @@
     /**
      * Treats a peer's claim that a member is gone as a suspicion while the member is considered alive here.
      *
-     * <p>When a network partition between regions heals, each side may have declared the other side's members
-     * gone. They must not be removed from service before they had time to refute the claim.
+     * <p>When a network partition between regions heals, each side may have declared the other side's members gone.
+     * They must not be removed from service before they had time to refute the claim.
      */
     private static Member downgradeToSuspect(MembershipView before, Member claim) {
         boolean consideredAlive = before.find(claim.instance())
