--- a/org.berylwick.bench/src/org/berylwick/bench/control/ModelFleet.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/control/ModelFleet.java
@@ -13,14 +13,14 @@
 import java.util.concurrent.CompletableFuture;
 import org.berylwick.internal.kernel.Ring;
 import org.berylwick.internal.membership.MembershipTable;
-import org.berylwick.internal.spread.ReceivedVersion;
-import org.berylwick.internal.spread.SelfMember;
+import org.berylwick.internal.spread.LocalMember;
 import org.berylwick.internal.spread.SpreadEvent;
 import org.berylwick.internal.spread.SpreadMetrics;
 import org.berylwick.internal.spread.SpreadTuning;
 import org.berylwick.internal.spread.Spreader;
 import org.berylwick.internal.spread.StoreFreshness;
-import org.berylwick.internal.spread.VersionServer;
+import org.berylwick.internal.spread.VersionDeltaDecoder;
+import org.berylwick.internal.spread.VersionDeltaEncoder;
 import org.berylwick.internal.version.InstalledVersion;
 import org.berylwick.internal.version.VersionContent;
 import org.berylwick.lib.Deadline;
@@ -72,10 +72,10 @@
     }
 
     /** One daemon. */
-    final class Node implements SelfMember, PeerCalls {
+    final class Node implements LocalMember, PeerCalls {
         private final InstalledVersion installed = new InstalledVersion(clock);
         private final MembershipTable table = new MembershipTable();
-        private final VersionServer versions = new VersionServer(installed);
+        private final VersionDeltaEncoder versions = new VersionDeltaEncoder(installed);
         private final Deque<SpreadEvent> inbox = new ArrayDeque<>();
         private final String instance;
         private final Place place;
@@ -92,7 +92,7 @@
             place = new Place("region-" + zone / 2, "zone-" + zone);
             address = new HostPort("10.0." + i / 250 + "." + i % 250, 8081);
             spreader = new Spreader(
-                    new Spreader.Parts(
+                    new Spreader.Dependencies(
                             tuning,
                             this,
                             table,
@@ -134,13 +134,13 @@
 
         private void work() {
             while (!inbox.isEmpty()) {
-                spreader.tell(inbox.poll());
+                spreader.submit(inbox.poll());
             }
             if (fetch.filter(f -> f.done().isPast(clock)).isPresent()) {
                 take(fetch.get().from());
                 fetch = Optional.empty();
             }
-            spreader.work();
+            spreader.processPending();
         }
 
         private void take(HostPort from) {
@@ -149,7 +149,7 @@
                     .encode(installed.snapshot().id().number())
                     .orElseThrow();
             bytes += gzip.length + FRAME_BYTES + CALL_BYTES;
-            if (ReceivedVersion.decode(gzip, installed.inForce())
+            if (VersionDeltaDecoder.decode(gzip, installed.inForce())
                     instanceof Result.Ok<VersionContent, String>(VersionContent content)) {
                 installed.install(content);
             }
@@ -198,7 +198,7 @@
         public void send(PeerMessage message) {
             if (!ended) {
                 bytes += message.getSerializedSize() + FRAME_BYTES;
-                other.owner.inbox.add(new SpreadEvent.Received(other, message));
+                other.owner.inbox.add(new SpreadEvent.MessageReceived(other, message));
             }
         }
 
@@ -207,7 +207,7 @@
             if (!ended) {
                 ended = true;
                 other.ended = true;
-                other.owner.inbox.add(new SpreadEvent.Closed(other, "closed by the peer"));
+                other.owner.inbox.add(new SpreadEvent.StreamClosed(other, "closed by the peer"));
             }
         }
     }
@@ -221,7 +221,7 @@
             nodes.put(node.address, node);
         }
         List<HostPort> seeds = List.copyOf(nodes.keySet()).subList(0, Math.min(daemons, zones * 2));
-        nodes.values().forEach(n -> n.spreader.tell(new SpreadEvent.Found(seeds)));
+        nodes.values().forEach(n -> n.spreader.submit(new SpreadEvent.PeersDiscovered(seeds)));
     }
 
     /** Lets time pass. */
--- a/org.berylwick.bench/src/org/berylwick/bench/control/SpreadCurve.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/control/SpreadCurve.java
@@ -41,7 +41,7 @@
     public void declare(Subparser parser) {
         parser.addArgument("--daemons").type(Integer.class).setDefault(48);
         parser.addArgument("--fan-out").type(Integer.class).setDefault(SpreadTuning.DEFAULT.fanOut());
-        parser.addArgument("--heartbeat-ms").type(Long.class).setDefault(SpreadTuning.DEFAULT.heartbeat());
+        parser.addArgument("--heartbeat-ms").type(Long.class).setDefault(SpreadTuning.DEFAULT.heartbeatMillis());
         parser.addArgument("--install-ms").type(Long.class).setDefault(20L).help("to fetch and install a version");
     }
 
@@ -50,7 +50,11 @@
         int daemons = options.getInt("daemons");
         SpreadTuning d = SpreadTuning.DEFAULT;
         SpreadTuning tuning = new SpreadTuning(
-                options.getInt("fan_out"), d.batch(), options.getLong("heartbeat_ms"), d.report(), d.suspicion());
+                options.getInt("fan_out"),
+                d.recordBatchMillis(),
+                options.getLong("heartbeat_ms"),
+                d.reportBatchMillis(),
+                d.suspicionTimeoutMillis());
         ModelFleet fleet = new ModelFleet(daemons, ZONES, tuning, options.getLong("install_ms"));
         fleet.pass(JOIN_MILLIS);
         out.println("fewest_members_known: " + fleet.fewestKnown());
--- a/org.berylwick.daemon/src/org/berylwick/daemon/duty/ReaderRole.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/duty/ReaderRole.java
@@ -99,7 +99,7 @@
     }
 
     private void round() throws InterruptedException {
-        boolean alone = spreader.openLinks() == 0;
+        boolean alone = spreader.establishedLinkCount() == 0;
         if (!alone) {
             // Each daemon's share of the store's rate shrinks as the fleet grows.
             int members = Math.max(FEWEST_MEMBERS, table.view().all().size());
@@ -153,10 +153,10 @@
         if (!(found instanceof Result.Ok<Optional<StoredObject>, StoreError>(Optional<StoredObject> object))) {
             return;
         }
-        freshness.heardNow();
+        freshness.recordLocalContact();
         long now = time.epochMillis();
-        ReaderLease lease = object.map(ReaderRole::decode).orElse(ReaderLease.NONE);
-        switch (lease.decide(settings.instance(), now, settings.spread().readers(), now + LEASE_MILLIS)) {
+        ReaderLease lease = object.map(ReaderRole::decode).orElse(ReaderLease.EMPTY);
+        switch (lease.acquireOrRenew(settings.instance(), now, settings.spread().readers(), now + LEASE_MILLIS)) {
             case ReaderLease.Decision.Full() -> give("all places are taken");
             case ReaderLease.Decision.Write(ReaderLease next, int newSlot) -> {
                 budget.charge(1);
@@ -176,7 +176,7 @@
         return switch (ConfigurationCodec.decode(object.value(), ReaderLease.class)) {
             case Result.Ok<ReaderLease, String>(ReaderLease lease) -> lease;
             // Nothing but places is lost with an unreadable lease, and the next write makes it readable.
-            case Result.Err<ReaderLease, String> ignored -> ReaderLease.NONE;
+            case Result.Err<ReaderLease, String> ignored -> ReaderLease.EMPTY;
         };
     }
 
--- a/org.berylwick.daemon/src/org/berylwick/daemon/duty/VersionPull.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/duty/VersionPull.java
@@ -5,9 +5,9 @@
 import org.berylwick.internal.event.VersionEvent;
 import org.berylwick.internal.kernel.Duty;
 import org.berylwick.internal.kernel.Ring;
-import org.berylwick.internal.spread.ReceivedVersion;
 import org.berylwick.internal.spread.SpreadMetrics;
 import org.berylwick.internal.spread.Spreader;
+import org.berylwick.internal.spread.VersionDeltaDecoder;
 import org.berylwick.internal.version.InstalledVersion;
 import org.berylwick.internal.version.InstalledVersion.InForce;
 import org.berylwick.internal.version.InstalledVersion.Install;
@@ -25,7 +25,7 @@
  *
  * <p>An offer that fails is not tried again here: the same peer and others offer again with their next heartbeats.
  */
-final class VersionPull implements Spreader.VersionOffers, AutoCloseable {
+final class VersionPull implements Spreader.PeerVersionListener, AutoCloseable {
     private static final EventLog EVENTS = new EventLog(VersionPull.class);
     private static final String NAME = "version-pull";
     private static final int RING_CAPACITY = 256;
@@ -56,14 +56,14 @@
     }
 
     @Override
-    public void offer(HostPort address, long version) {
+    public void onNewerVersion(HostPort address, long version) {
         if (ring.offer(new Offer(address, version)) == Ring.Offer.FULL) {
-            metrics.eventRefused();
+            metrics.onEventRefused();
         }
     }
 
     @Override
-    public void told(Member peer, VersionId inForce) {
+    public void onPeerVersion(Member peer, VersionId inForce) {
         first.heardPeer(peer, inForce);
     }
 
@@ -79,17 +79,17 @@
         }
         Result<VersionContent, PeerError> fetched = client.fetchVersion(
                         offer.address(), held, Deadline.afterMillis(time, FETCH_MILLIS))
-                .flatMap(gzip -> ReceivedVersion.decode(gzip, base).mapError(PeerError.Malformed::new));
+                .flatMap(gzip -> VersionDeltaDecoder.decode(gzip, base).mapError(PeerError.Malformed::new));
         switch (fetched) {
             case Result.Err<VersionContent, PeerError>(PeerError error) -> {
-                metrics.pullFailed();
+                metrics.onPullFailed();
                 EVENTS.log(VersionEvent.PULL_FAILED, offer.version(), offer.address(), error);
             }
             case Result.Ok<VersionContent, PeerError>(VersionContent content) -> {
                 Install outcome = installed.install(content);
                 EVENTS.log(VersionEvent.INSTALL, content.id(), outcome);
                 if (outcome instanceof Install.Installed) {
-                    metrics.pulled();
+                    metrics.onVersionPulled();
                 }
             }
         }
--- a/org.berylwick.test/tst/org/berylwick/internal/spread/MemoryNetwork.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/InMemoryNetwork.java
@@ -26,27 +26,30 @@
 import org.berylwick.transport.PeerCalls;
 import org.berylwick.transport.PeerStream;
 
-/** Spreaders joined by streams in memory, on one thread and a clock that the test moves; each direction can be cut. */
-final class MemoryNetwork {
+/**
+ * Simulated network of spreaders connected by in-memory streams. It runs on one thread with a clock that the test
+ * advances; traffic can be cut separately in each direction.
+ */
+final class InMemoryNetwork {
     private static final Duration STEP = Duration.ofMillis(50);
 
     private final ManualTimeSource time = new ManualTimeSource();
     private final Map<HostPort, Node> nodes = new LinkedHashMap<>();
-    private final Set<Direction> cuts = new HashSet<>();
+    private final Set<Direction> cutDirections = new HashSet<>();
 
     private record Direction(HostPort from, HostPort to) {}
 
-    /** One daemon's spreader with what belongs to it. */
-    final class Node implements SelfMember, PeerCalls {
+    /** One simulated daemon: its spreader, membership table and installed version. */
+    final class Node implements LocalMember, PeerCalls {
         final InstalledVersion installed = new InstalledVersion(time);
         final MembershipTable table = new MembershipTable();
         final Spreader spreader;
         Member.State state = Member.State.UP;
-        boolean runs = true;
+        boolean running = true;
         private final String instance;
         private final Place place;
         private final HostPort address;
-        private final VersionServer versions = new VersionServer(installed);
+        private final VersionDeltaEncoder deltaEncoder = new VersionDeltaEncoder(installed);
         private long incarnation = 1;
 
         private Node(int i, int zones) {
@@ -54,7 +57,7 @@
             place = new Place("region", "zone-" + i % zones);
             address = new HostPort("10.0.0.1", i + 1);
             spreader = new Spreader(
-                    new Spreader.Parts(
+                    new Spreader.Dependencies(
                             SpreadTuning.DEFAULT,
                             this,
                             table,
@@ -84,19 +87,19 @@
         }
 
         @Override
-        public void refute(long higher) {
-            incarnation = higher;
+        public void refute(long newIncarnation) {
+            incarnation = newIncarnation;
         }
 
         private void pull(HostPort from, long number) {
-            if (!passes(address, from) || !passes(from, address)) {
+            if (!isReachable(address, from) || !isReachable(from, address)) {
                 return;
             }
             byte[] gzip = nodes.get(from)
-                    .versions
+                    .deltaEncoder
                     .encode(installed.snapshot().id().number())
                     .orElseThrow();
-            if (ReceivedVersion.decode(gzip, installed.inForce())
+            if (VersionDeltaDecoder.decode(gzip, installed.inForce())
                     instanceof Result.Ok<VersionContent, String>(VersionContent content)) {
                 installed.install(content);
             }
@@ -104,22 +107,22 @@
 
         @Override
         public PeerStream open(HostPort to, PeerStream.Listener listener) {
-            End here = new End(address, to, listener);
-            if (!passes(address, to) || !passes(to, address)) {
-                listener.closed(here, "cannot connect");
-                return here;
+            InMemoryStream localEnd = new InMemoryStream(address, to, listener);
+            if (!isReachable(address, to) || !isReachable(to, address)) {
+                listener.closed(localEnd, "cannot connect");
+                return localEnd;
             }
-            End there = new End(to, address, nodes.get(to).spreader);
-            here.other = there;
-            there.other = here;
-            return here;
+            InMemoryStream remoteEnd = new InMemoryStream(to, address, nodes.get(to).spreader);
+            localEnd.remoteEnd = remoteEnd;
+            remoteEnd.remoteEnd = localEnd;
+            return localEnd;
         }
 
         @Override
         public CompletableFuture<Optional<ProbeReply>> probe(HostPort to, Deadline deadline) {
-            boolean answers = passes(address, to) && passes(to, address);
+            boolean reachable = isReachable(address, to) && isReachable(to, address);
             return CompletableFuture.completedFuture(
-                    answers
+                    reachable
                             ? Optional.of(ProbeReply.newBuilder()
                                     .setInstance(nodes.get(to).instance)
                                     .build())
@@ -127,22 +130,23 @@
         }
 
         @Override
-        public CompletableFuture<Optional<ProbeReply>> probeThrough(HostPort via, HostPort target, Deadline deadline) {
-            boolean answers = passes(address, via) && passes(via, address);
-            return answers
-                    ? nodes.get(via).probe(target, deadline)
+        public CompletableFuture<Optional<ProbeReply>> probeThrough(
+                HostPort relay, HostPort target, Deadline deadline) {
+            boolean reachable = isReachable(address, relay) && isReachable(relay, address);
+            return reachable
+                    ? nodes.get(relay).probe(target, deadline)
                     : CompletableFuture.completedFuture(Optional.empty());
         }
     }
 
-    private final class End implements PeerStream {
+    private final class InMemoryStream implements PeerStream {
         private final HostPort from;
         private final HostPort to;
         private final Listener listener;
-        private End other;
-        private boolean ended;
+        private InMemoryStream remoteEnd;
+        private boolean closed;
 
-        private End(HostPort from, HostPort to, Listener listener) {
+        private InMemoryStream(HostPort from, HostPort to, Listener listener) {
             this.from = from;
             this.to = to;
             this.listener = listener;
@@ -155,23 +159,26 @@
 
         @Override
         public void send(PeerMessage message) {
-            if (!ended && other != null && passes(from, to)) {
-                other.listener.received(other, message);
+            if (!closed && remoteEnd != null && isReachable(from, to)) {
+                remoteEnd.listener.received(remoteEnd, message);
             }
         }
 
         @Override
         public void close() {
-            if (!ended && other != null && passes(from, to)) {
-                other.ended = true;
-                other.listener.closed(other, "closed by the peer");
+            if (!closed && remoteEnd != null && isReachable(from, to)) {
+                remoteEnd.closed = true;
+                remoteEnd.listener.closed(remoteEnd, "closed by the peer");
             }
-            ended = true;
+            closed = true;
         }
     }
 
-    /** Adds daemons over {@code zones} zones; the first one's address is known to all. */
-    List<Node> add(int count, int zones) {
+    /**
+     * Adds daemons, distributed over {@code zones} zones; each is given the address of the first daemon to join
+     * through.
+     */
+    List<Node> addDaemons(int count, int zones) {
         List<Node> added = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             Node node = new Node(nodes.size(), zones);
@@ -179,43 +186,45 @@
             added.add(node);
         }
         HostPort seed = nodes.keySet().iterator().next();
-        added.forEach(n -> n.spreader.tell(new SpreadEvent.Found(List.of(seed))));
+        added.forEach(n -> n.spreader.submit(new SpreadEvent.PeersDiscovered(List.of(seed))));
         return added;
     }
 
-    private boolean passes(HostPort from, HostPort to) {
-        return nodes.get(from).runs && nodes.get(to).runs && !cuts.contains(new Direction(from, to));
+    private boolean isReachable(HostPort from, HostPort to) {
+        return nodes.get(from).running && nodes.get(to).running && !cutDirections.contains(new Direction(from, to));
     }
 
-    /** Loses from now on all that goes from one daemon to another, silently. */
-    void cut(Node from, Node to) {
-        cuts.add(new Direction(from.address, to.address));
+    /** Silently drops all messages from one daemon to another from now on. */
+    void cutOneWay(Node from, Node to) {
+        cutDirections.add(new Direction(from.address, to.address));
     }
 
-    /** Cuts a daemon off from all others, or group from group. */
-    void cutBetween(List<Node> some, List<Node> others) {
+    /** Cuts both directions between each daemon of one group and each daemon of the other. */
+    void partition(List<Node> some, List<Node> others) {
         for (Node a : some) {
             for (Node b : others) {
-                cut(a, b);
-                cut(b, a);
+                cutOneWay(a, b);
+                cutOneWay(b, a);
             }
         }
     }
 
-    void healAll() {
-        cuts.clear();
+    void restoreAll() {
+        cutDirections.clear();
     }
 
-    /** Lets time pass. */
-    void pass(Duration duration) {
-        for (long left = duration.toMillis(); left > 0; left -= STEP.toMillis()) {
+    /** Advances the clock in small steps and runs the pending work of every running daemon after each step. */
+    void advance(Duration duration) {
+        for (long remainingMillis = duration.toMillis(); remainingMillis > 0; remainingMillis -= STEP.toMillis()) {
             time.advance(STEP);
-            nodes.values().stream().filter(n -> n.runs).forEach(n -> n.spreader.work());
+            nodes.values().stream().filter(n -> n.running).forEach(n -> n.spreader.processPending());
         }
     }
 
-    /** Which state a daemon holds another in. */
-    static Member.State state(Node at, Node of) {
-        return at.table.view().find(of.instance).map(Member::state).orElse(Member.State.GONE);
+    /**
+     * Returns the state of {@code subject} in the membership table of {@code observer}; GONE if it is unknown there.
+     */
+    static Member.State stateSeenBy(Node observer, Node subject) {
+        return observer.table.view().find(subject.instance).map(Member::state).orElse(Member.State.GONE);
     }
 }
--- a/org.berylwick.test/tst/org/berylwick/internal/spread/ManifestDeltaTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/ManifestDeltaTest.java
@@ -19,11 +19,11 @@
 import org.berylwick.lib.Labels;
 import org.junit.jupiter.api.Test;
 
-/** That a delta gives the very bytes of the later manifest, on which its digest depends. */
+/** Verifies that applying a delta reproduces the later manifest byte for byte, as its digest depends on the bytes. */
 class ManifestDeltaTest {
-    private static final List<VersionContent> CHAIN = chain();
+    private static final List<VersionContent> VERSIONS = createVersions();
 
-    private static List<VersionContent> chain() {
+    private static List<VersionContent> createVersions() {
         List<VersionContent> versions = new ArrayList<>();
         VersionContent last = VersionContent.NONE;
         for (int i = 0; i < 100; i++) {
@@ -32,38 +32,38 @@
                 String name = "b" + b;
                 brands.put(name, new Brand(name, List.of("h" + i), Labels.EMPTY, Map.of()));
             }
-            Configuration c = new Configuration(brands, new TreeMap<>(), new TreeMap<>(), new TreeMap<>());
-            last = VersionContent.encodeAfter(last, new AuditEntry("op-" + i, "", "", i, List.of()), c);
+            Configuration configuration = new Configuration(brands, new TreeMap<>(), new TreeMap<>(), new TreeMap<>());
+            last = VersionContent.encodeAfter(last, new AuditEntry("op-" + i, "", "", i, List.of()), configuration);
             versions.add(last);
         }
         return versions;
     }
 
-    private static byte[] rebuilt(Manifest base, Manifest target) {
+    private static byte[] reconstruct(Manifest base, Manifest target) {
         return ConfigurationCodec.encode(ManifestDelta.between(base, target).applyTo(base));
     }
 
     @Property(tries = 300, seed = "20261207")
-    void deltaBetweenAnyTwoVersionsGivesTheLaterOne(
+    void deltaBetweenAnyTwoVersionsReproducesLaterManifest(
             @ForAll @IntRange(max = 99) int a, @ForAll @IntRange(max = 99) int b) {
-        VersionContent base = CHAIN.get(Math.min(a, b));
-        VersionContent target = CHAIN.get(Math.max(a, b));
-        assertArrayEquals(target.manifestBytes(), rebuilt(base.manifest(), target.manifest()));
+        VersionContent base = VERSIONS.get(Math.min(a, b));
+        VersionContent target = VERSIONS.get(Math.max(a, b));
+        assertArrayEquals(target.manifestBytes(), reconstruct(base.manifest(), target.manifest()));
     }
 
     @Test
-    void deltaFromAnotherHistoryGivesTheLaterOneToo() {
+    void deltaBetweenUnrelatedHistoriesReproducesTargetManifest() {
         VersionContent other = VersionContent.encode(
-                CHAIN.get(9).id(), new AuditEntry("other", "", "", 0, List.of()), Configuration.EMPTY);
-        VersionContent target = CHAIN.get(50);
-        assertArrayEquals(target.manifestBytes(), rebuilt(other.manifest(), target.manifest()));
-        assertArrayEquals(other.manifestBytes(), rebuilt(CHAIN.get(3).manifest(), other.manifest()));
+                VERSIONS.get(9).id(), new AuditEntry("other", "", "", 0, List.of()), Configuration.EMPTY);
+        VersionContent target = VERSIONS.get(50);
+        assertArrayEquals(target.manifestBytes(), reconstruct(other.manifest(), target.manifest()));
+        assertArrayEquals(other.manifestBytes(), reconstruct(VERSIONS.get(3).manifest(), other.manifest()));
     }
 
     @Test
-    void ancestorsThatBothHaveAreNotSentAgain() {
-        ManifestDelta delta =
-                ManifestDelta.between(CHAIN.get(90).manifest(), CHAIN.get(91).manifest());
+    void sharedAncestorsAreOmittedFromDelta() {
+        ManifestDelta delta = ManifestDelta.between(
+                VERSIONS.get(90).manifest(), VERSIONS.get(91).manifest());
         assertTrue(delta.ancestors().size() == 1 && delta.inherited() == Manifest.MAX_ANCESTORS - 1, delta.toString());
     }
 }
--- a/org.berylwick.test/tst/org/berylwick/internal/spread/PeerChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/PeerChooserTest.java
@@ -20,7 +20,7 @@
 import org.berylwick.lib.Place;
 import org.junit.jupiter.api.Test;
 
-/** The graph of streams that daemons choose. */
+/** Tests the graph formed by the streams that daemons choose to open. */
 class PeerChooserTest {
     private static Member member(int i, int zones) {
         int zone = i % zones;
@@ -45,7 +45,7 @@
         return members;
     }
 
-    /** How many steps the farthest daemon is away from the first; -1 if some cannot be reached. */
+    /** Returns the hop count from the first member to the farthest one, or -1 if some member cannot be reached. */
     private static int eccentricity(List<Member> members, int fanOut) {
         Map<String, Set<String>> edges = new HashMap<>();
         members.forEach(m -> edges.put(m.instance(), new HashSet<>()));
@@ -55,25 +55,25 @@
                 edges.get(p.instance()).add(m.instance());
             }
         }
-        Map<String, Integer> steps = new HashMap<>();
-        Deque<String> next = new ArrayDeque<>();
-        steps.put(members.getFirst().instance(), 0);
-        next.add(members.getFirst().instance());
-        int far = 0;
-        while (!next.isEmpty()) {
-            String at = next.poll();
-            far = Math.max(far, steps.get(at));
-            for (String to : edges.get(at)) {
-                if (steps.putIfAbsent(to, steps.get(at) + 1) == null) {
-                    next.add(to);
+        Map<String, Integer> distances = new HashMap<>();
+        Deque<String> queue = new ArrayDeque<>();
+        distances.put(members.getFirst().instance(), 0);
+        queue.add(members.getFirst().instance());
+        int maxDistance = 0;
+        while (!queue.isEmpty()) {
+            String current = queue.poll();
+            maxDistance = Math.max(maxDistance, distances.get(current));
+            for (String neighbor : edges.get(current)) {
+                if (distances.putIfAbsent(neighbor, distances.get(current) + 1) == null) {
+                    queue.add(neighbor);
                 }
             }
         }
-        return steps.size() == members.size() ? far : -1;
+        return distances.size() == members.size() ? maxDistance : -1;
     }
 
     @Property(seed = "5", tries = 100)
-    void graphIsConnectedAndNobodyOpensMoreThanItsShare(
+    void graphIsConnectedAndEachMemberOpensFanOutStreams(
             @ForAll @IntRange(min = 1, max = 60) int count,
             @ForAll @IntRange(min = 1, max = 6) int zones,
             @ForAll @IntRange(min = 1, max = 5) int fanOut) {
@@ -87,13 +87,13 @@
     }
 
     @Test
-    void farthestOfTheFleetToDesignForIsFewStepsAway() {
-        int far = eccentricity(members(480, 6), 3);
-        assertTrue(far > 0 && far <= 7, "eccentricity " + far);
+    void eccentricityOf480MembersIsAtMostSeven() {
+        int eccentricity = eccentricity(members(480, 6), 3);
+        assertTrue(eccentricity > 0 && eccentricity <= 7, "eccentricity " + eccentricity);
     }
 
     @Test
-    void membersThatAreSuspectedOrLeavingAreNotChosen() {
+    void suspectLeavingAndGoneMembersAreNotChosen() {
         List<Member> members = members(6, 2);
         members.set(1, members.get(1).withState(Member.State.SUSPECT));
         members.set(2, members.get(2).withState(Member.State.LEAVING));
--- a/org.berylwick.test/tst/org/berylwick/internal/spread/ReaderLeaseTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/ReaderLeaseTest.java
@@ -13,37 +13,36 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** How the places of readers are taken, held and freed. */
+/** Tests how reader slots are acquired, renewed and freed. */
 class ReaderLeaseTest {
-    private static final int PLACES = 2;
-    private static final long LEASE = 10;
+    private static final int MAX_READERS = 2;
+    private static final long LEASE_MILLIS = 10;
 
-    /** Daemon {@code who} looks at the lease at each step and writes what it decides. */
+    /** At each step one of six daemons tries to acquire or renew a slot and writes the resulting lease. */
     @Property(seed = "5")
-    void neverMoreHoldersThanPlacesWhoeverComesWhen(
-            @ForAll @Size(max = 60) List<@IntRange(min = 0, max = 5) Integer> who) {
-        ReaderLease lease = ReaderLease.NONE;
+    void holdersNeverExceedMaxReaders(@ForAll @Size(max = 60) List<@IntRange(min = 0, max = 5) Integer> daemonIndexes) {
+        ReaderLease lease = ReaderLease.EMPTY;
         Map<String, Long> heldUntil = new HashMap<>();
-        for (int now = 0; now < who.size(); now++) {
-            String instance = "d" + who.get(now);
-            if (lease.decide(instance, now, PLACES, now + LEASE)
+        for (int now = 0; now < daemonIndexes.size(); now++) {
+            String instance = "d" + daemonIndexes.get(now);
+            if (lease.acquireOrRenew(instance, now, MAX_READERS, now + LEASE_MILLIS)
                     instanceof ReaderLease.Decision.Write(ReaderLease next, int slot)) {
-                assertTrue(slot < PLACES);
+                assertTrue(slot < MAX_READERS);
                 lease = next;
-                heldUntil.put(instance, now + LEASE);
+                heldUntil.put(instance, now + LEASE_MILLIS);
             }
-            long at = now;
-            assertTrue(heldUntil.values().stream().filter(t -> t > at).count() <= PLACES, lease::toString);
-            assertTrue(lease.holders().size() <= PLACES);
+            long nowMillis = now;
+            assertTrue(heldUntil.values().stream().filter(t -> t > nowMillis).count() <= MAX_READERS, lease::toString);
+            assertTrue(lease.holders().size() <= MAX_READERS);
         }
     }
 
     @Test
-    void placeOfADaemonThatDiedIsTakenOnceItLapsed() {
+    void expiredSlotIsTakenByAnotherDaemon() {
         ReaderLease full = new ReaderLease(List.of(new ReaderLease.Holder("a", 10), new ReaderLease.Holder("b", 20)));
-        assertInstanceOf(ReaderLease.Decision.Full.class, full.decide("c", 9, PLACES, 19));
+        assertInstanceOf(ReaderLease.Decision.Full.class, full.acquireOrRenew("c", 9, MAX_READERS, 19));
         ReaderLease.Decision.Write taken =
-                assertInstanceOf(ReaderLease.Decision.Write.class, full.decide("c", 10, PLACES, 20));
+                assertInstanceOf(ReaderLease.Decision.Write.class, full.acquireOrRenew("c", 10, MAX_READERS, 20));
         assertEquals(1, taken.slot());
         assertEquals(
                 List.of("b", "c"),
@@ -52,11 +51,11 @@
                         .toList());
     }
 
-    // A holder is paused past its lease, another takes its place, and the first wakes up and renews. It must find
-    // the places taken rather than push the other out or make a third.
+    // A holder is paused past the expiry of its lease and another daemon takes its slot. When the first one resumes and
+    // tries to renew, it must find all slots taken instead of evicting the other daemon or adding a third holder.
     @Test
-    void holderThatSleptPastItsLeaseFindsThePlacesTaken() {
+    void holderPausedPastExpiryFindsAllSlotsTaken() {
         ReaderLease others = new ReaderLease(List.of(new ReaderLease.Holder("b", 30), new ReaderLease.Holder("c", 30)));
-        assertInstanceOf(ReaderLease.Decision.Full.class, others.decide("a", 25, PLACES, 35));
+        assertInstanceOf(ReaderLease.Decision.Full.class, others.acquireOrRenew("a", 25, MAX_READERS, 35));
     }
 }
--- a/org.berylwick.test/tst/org/berylwick/internal/spread/VersionTransferTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/spread/VersionTransferTest.java
@@ -28,7 +28,7 @@
 import org.berylwick.testing.ManualTimeSource;
 import org.junit.jupiter.api.Test;
 
-/** A version that a peer sends is the one that was accepted, or nothing. */
+/** Verifies that a version received from a peer is either identical to the accepted version or rejected. */
 class VersionTransferTest {
     private final ManualTimeSource time = new ManualTimeSource();
 
@@ -40,16 +40,16 @@
                 .ofMaxSize(6);
     }
 
-    private static VersionContent content(VersionId previous, Map<String, Integer> marks) {
+    private static VersionContent createContent(VersionId previous, Map<String, Integer> markByBrand) {
         SortedMap<String, Brand> brands = new TreeMap<>();
-        marks.forEach((name, mark) -> brands.put(
+        markByBrand.forEach((name, mark) -> brands.put(
                 name, new Brand(name, List.of(name + ".example"), Labels.EMPTY, Map.of("x-mark", "" + mark))));
         Configuration configuration = new Configuration(brands, new TreeMap<>(), new TreeMap<>(), new TreeMap<>());
         return VersionContent.encode(
                 previous, new AuditEntry("op-" + previous.number(), "test", "", 0, List.of()), configuration);
     }
 
-    private InstalledVersion holding(VersionContent... versions) {
+    private InstalledVersion installedVersion(VersionContent... versions) {
         InstalledVersion installed = new InstalledVersion(time);
         for (VersionContent v : versions) {
             assertInstanceOf(InstalledVersion.Install.Installed.class, installed.install(v));
@@ -58,48 +58,49 @@
     }
 
     @Property(seed = "5", tries = 200)
-    void peerBehindByAnyNumberOfVersionsGetsTheVersionInForce(
+    void peerBehindByAnyNumberOfVersionsReceivesInstalledVersion(
             @ForAll @Size(min = 1, max = 12) List<@From("brands") Map<String, Integer>> history,
             @ForAll @IntRange(min = 0, max = 12) int behind) {
-        InstalledVersion ahead = new InstalledVersion(time);
-        InstalledVersion late = new InstalledVersion(time);
-        VersionServer server = new VersionServer(ahead);
+        InstalledVersion sender = new InstalledVersion(time);
+        InstalledVersion receiver = new InstalledVersion(time);
+        VersionDeltaEncoder encoder = new VersionDeltaEncoder(sender);
         VersionId previous = VersionId.NONE;
         for (int i = 0; i < history.size(); i++) {
-            VersionContent content = content(previous, history.get(i));
-            ahead.install(content);
+            VersionContent content = createContent(previous, history.get(i));
+            sender.install(content);
             if (i < history.size() - behind) {
-                late.install(content);
+                receiver.install(content);
             }
             previous = content.id();
         }
-        byte[] gzip = server.encode(late.snapshot().id().number()).orElseThrow();
-        VersionContent received = decoded(ReceivedVersion.decode(gzip, late.inForce()));
-        assertEquals(ahead.snapshot().id(), received.id());
-        assertArrayEquals(ahead.inForce().manifestBytes(), received.manifestBytes());
-        assertEquals(ahead.inForce().parts().keySet(), received.parts().keySet());
+        byte[] gzip = encoder.encode(receiver.snapshot().id().number()).orElseThrow();
+        VersionContent received = requireOk(VersionDeltaDecoder.decode(gzip, receiver.inForce()));
+        assertEquals(sender.snapshot().id(), received.id());
+        assertArrayEquals(sender.inForce().manifestBytes(), received.manifestBytes());
+        assertEquals(sender.inForce().parts().keySet(), received.parts().keySet());
     }
 
-    private static VersionContent decoded(Result<VersionContent, String> result) {
+    private static VersionContent requireOk(Result<VersionContent, String> result) {
         return switch (result) {
             case Result.Ok<VersionContent, String>(VersionContent content) -> content;
             case Result.Err<VersionContent, String>(String detail) -> throw new AssertionError(detail);
         };
     }
 
-    // A peer or the way to it turns a byte over. The daemon must refuse the whole of it: a proxy that holds a
-    // version under the right number with other content would serve it until the next change.
+    // A byte of the transfer is corrupted by the peer or the network. The daemon must reject the whole version: one
+    // installed under the right number with other content would stay in use until the next change.
     @Property(seed = "5", tries = 300)
-    void corruptedTransferIsRefusedOrHarmless(@ForAll @IntRange(min = 0, max = 10_000) int at, @ForAll byte flip) {
-        VersionContent first = content(VersionId.NONE, Map.of("a", 1, "b", 1));
-        VersionContent second = content(first.id(), Map.of("a", 2, "b", 1));
-        InstalledVersion ahead = new InstalledVersion(time);
-        VersionServer server = new VersionServer(ahead);
-        ahead.install(first);
-        ahead.install(second);
-        byte[] gzip = server.encode(1).orElseThrow().clone();
-        gzip[at % gzip.length] ^= flip;
-        if (ReceivedVersion.decode(gzip, holding(first).inForce())
+    void corruptedTransferIsRejectedOrHarmless(
+            @ForAll @IntRange(min = 0, max = 10_000) int position, @ForAll byte bitMask) {
+        VersionContent first = createContent(VersionId.NONE, Map.of("a", 1, "b", 1));
+        VersionContent second = createContent(first.id(), Map.of("a", 2, "b", 1));
+        InstalledVersion sender = new InstalledVersion(time);
+        VersionDeltaEncoder encoder = new VersionDeltaEncoder(sender);
+        sender.install(first);
+        sender.install(second);
+        byte[] gzip = encoder.encode(1).orElseThrow().clone();
+        gzip[position % gzip.length] ^= bitMask;
+        if (VersionDeltaDecoder.decode(gzip, installedVersion(first).inForce())
                 instanceof Result.Ok<VersionContent, String>(VersionContent content)) {
             assertEquals(second.id(), content.id());
             assertEquals(second.parts().keySet(), content.parts().keySet());
@@ -107,19 +108,19 @@
     }
 
     @Test
-    void deltaAgainstAVersionThatIsNoLongerInForceIsRefused() {
-        VersionContent first = content(VersionId.NONE, Map.of("a", 1));
-        VersionContent second = content(first.id(), Map.of("a", 2));
-        VersionContent third = content(second.id(), Map.of("a", 3));
-        InstalledVersion ahead = new InstalledVersion(time);
-        VersionServer server = new VersionServer(ahead);
-        ahead.install(first);
-        ahead.install(second);
-        ahead.install(third);
-        byte[] gzip = server.encode(1).orElseThrow();
+    void deltaAgainstReplacedBaseVersionIsRejected() {
+        VersionContent first = createContent(VersionId.NONE, Map.of("a", 1));
+        VersionContent second = createContent(first.id(), Map.of("a", 2));
+        VersionContent third = createContent(second.id(), Map.of("a", 3));
+        InstalledVersion sender = new InstalledVersion(time);
+        VersionDeltaEncoder encoder = new VersionDeltaEncoder(sender);
+        sender.install(first);
+        sender.install(second);
+        sender.install(third);
+        byte[] gzip = encoder.encode(1).orElseThrow();
         assertInstanceOf(
                 Result.Err.class,
-                ReceivedVersion.decode(gzip, holding(first, second).inForce()));
-        assertTrue(new VersionServer(new InstalledVersion(time)).encode(0).isEmpty());
+                VersionDeltaDecoder.decode(gzip, installedVersion(first, second).inForce()));
+        assertTrue(new VersionDeltaEncoder(new InstalledVersion(time)).encode(0).isEmpty());
     }
 }
--- a/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/LinkTable.java
@@ -21,15 +21,19 @@
 import org.berylwick.transport.PeerCalls;
 import org.berylwick.transport.PeerStream;
 
-/** The streams to other daemons: which to open, to admit and to close; for the spreading duty's thread alone. */
+/**
+ * Streams to and from other daemons: decides which to open, admit and close.
+ *
+ * <p>Not thread-safe; confined to the spread thread.
+ */
 final class LinkTable {
     private static final EventLog EVENTS = new EventLog(LinkTable.class);
-    private static final long FIRST_BACKOFF_MILLIS = 200;
+    private static final long INITIAL_BACKOFF_MILLIS = 200;
     private static final long MAX_BACKOFF_MILLIS = 5_000;
-    private static final long HELLO_MILLIS = 3_000;
-    private static final long SURPLUS_GRACE_MILLIS = 10_000;
-    private static final double ADMITTED_PER_SECOND = 50;
-    private static final double ADMITTED_BURST = 20;
+    private static final long HELLO_TIMEOUT_MILLIS = 3_000;
+    private static final long UNCHOSEN_STREAM_GRACE_MILLIS = 10_000;
+    private static final double ADMISSIONS_PER_SECOND = 50;
+    private static final double ADMISSION_BURST = 20;
     private static final long RETRY_AFTER_MILLIS = 1_000;
 
     private final SpreadTuning tuning;
@@ -57,73 +61,89 @@
         this.time = time;
         this.random = random;
         this.metrics = metrics;
-        this.admission = new TokenBucket(time, ADMITTED_PER_SECOND, ADMITTED_BURST);
+        this.admission = new TokenBucket(time, ADMISSIONS_PER_SECOND, ADMISSION_BURST);
     }
 
     Optional<PeerLink> find(PeerStream stream) {
         return Optional.ofNullable(links.get(stream));
     }
 
-    /** All links whose peers are known. */
-    List<PeerLink> open() {
-        return links.values().stream().filter(PeerLink::isOpen).toList();
+    /** Returns the links whose peers have identified themselves with a hello message. */
+    List<PeerLink> established() {
+        return links.values().stream().filter(PeerLink::isEstablished).toList();
     }
 
     Collection<PeerLink> all() {
         return new ArrayList<>(links.values());
     }
 
-    /** Takes in a stream that a peer opened; empty if it was refused. */
+    /**
+     * Admits a stream opened by a peer, or refuses it if there are too many incoming streams or new ones arrive too
+     * fast.
+     *
+     * <p>A refused peer is told to retry after a randomized delay, so that refused peers do not all return at once.
+     *
+     * @return the new link, or empty if the stream was refused
+     */
     Optional<PeerLink> admit(PeerStream stream) {
-        long incoming = links.values().stream().filter(l -> !l.outgoing).count();
-        if (incoming >= tuning.maxIncoming() || !admission.tryTake()) {
-            metrics.refused.inc();
-            long retry = RETRY_AFTER_MILLIS + random.nextLong(RETRY_AFTER_MILLIS);
+        long incomingCount = links.values().stream().filter(l -> !l.outgoing).count();
+        if (incomingCount >= tuning.maxIncomingStreams() || !admission.tryTake()) {
+            metrics.streamsRefused.inc();
+            long retryAfterMillis = RETRY_AFTER_MILLIS + random.nextLong(RETRY_AFTER_MILLIS);
             stream.send(PeerMessage.newBuilder()
-                    .setRefused(Refused.newBuilder().setRetryAfterMs((int) retry))
+                    .setRefused(Refused.newBuilder().setRetryAfterMs((int) retryAfterMillis))
                     .build());
             stream.close();
             return Optional.empty();
         }
-        metrics.opened.inc();
+        metrics.streamsOpened.inc();
         PeerLink link = new PeerLink(stream, false, null, time.nanoTime());
         links.put(stream, link);
         return Optional.of(link);
     }
 
-    /** Opens streams to those of {@code chosen} that have none, and closes old ones to others. */
+    /**
+     * Opens streams to the members of {@code chosen} that have no link.
+     *
+     * <p>Outgoing streams to other members are closed once every chosen member is linked and the stream is older than a
+     * grace period.
+     *
+     * @return the newly opened links
+     */
     List<PeerLink> reconcile(List<Member> chosen) {
-        Set<String> linked = links.values().stream()
+        Set<String> linkedInstances = links.values().stream()
                 .flatMap(l -> l.peer.stream())
                 .map(Member::instance)
                 .collect(Collectors.toSet());
         List<PeerLink> opened = new ArrayList<>();
-        for (Member m : chosen) {
-            if (!linked.contains(m.instance())) {
-                open(m.address()).ifPresent(opened::add);
+        for (Member member : chosen) {
+            if (!linkedInstances.contains(member.instance())) {
+                open(member.address()).ifPresent(opened::add);
             }
         }
-        Set<String> wanted = chosen.stream().map(Member::instance).collect(Collectors.toSet());
-        long graceNanos = SURPLUS_GRACE_MILLIS * 1_000_000L;
-        for (PeerLink l : all()) {
-            boolean surplus = l.outgoing
-                    && l.isOpen()
-                    && !wanted.contains(l.peer.get().instance())
-                    && linked.containsAll(wanted)
-                    && time.nanoTime() - l.openedAtNanos > graceNanos;
-            if (surplus) {
-                drop(l);
+        Set<String> chosenInstances = chosen.stream().map(Member::instance).collect(Collectors.toSet());
+        long graceNanos = UNCHOSEN_STREAM_GRACE_MILLIS * 1_000_000L;
+        for (PeerLink link : all()) {
+            boolean noLongerChosen = link.outgoing
+                    && link.isEstablished()
+                    && !chosenInstances.contains(link.peer.get().instance())
+                    && linkedInstances.containsAll(chosenInstances)
+                    && time.nanoTime() - link.openedAtNanos > graceNanos;
+            if (noLongerChosen) {
+                close(link);
             }
         }
         return opened;
     }
 
-    /** Opens a stream unless there is one to the address, or one failed there just now. */
+    /**
+     * Opens a stream to {@code address}, unless one exists already or the retry delay of the address has not elapsed.
+     */
     Optional<PeerLink> open(HostPort address) {
         Retry retry = retries.get(address);
-        boolean waiting = retry != null && !retry.notBefore().isPast(time);
-        boolean underWay = links.values().stream().anyMatch(l -> address.equals(l.address));
-        if (waiting || underWay) {
+        boolean backingOff = retry != null && !retry.notBefore().isPast(time);
+        boolean alreadyOpened = links.values().stream().anyMatch(l -> address.equals(l.address));
+        if (backingOff || alreadyOpened) {
             return Optional.empty();
         }
         PeerStream stream = calls.open(address, listener);
@@ -132,63 +152,65 @@
         return Optional.of(link);
     }
 
-    /** The peer at the other end said who it is. */
-    void established(PeerLink link, Member peer) {
+    /** Records that the peer identified itself with a hello message. */
+    void onEstablished(PeerLink link, Member peer) {
         link.peer = Optional.of(peer);
         link.address = peer.address();
         retries.remove(peer.address());
-        metrics.opened.inc();
+        metrics.streamsOpened.inc();
     }
 
-    /** The peer admits nobody now. */
-    void refused(PeerLink link, long retryAfterMillis) {
-        retries.put(link.address, new Retry(backoff(link.address), Deadline.afterMillis(time, retryAfterMillis)));
-        drop(link);
+    /** Closes a stream that the peer refused; the address is not retried before the delay given by the peer. */
+    void onRefused(PeerLink link, long retryAfterMillis) {
+        retries.put(link.address, new Retry(backoffFor(link.address), Deadline.afterMillis(time, retryAfterMillis)));
+        close(link);
     }
 
-    /** A stream ended by itself. */
-    void ended(PeerLink link) {
+    /** Removes a stream that ended or fell silent; the address of an outgoing one is retried after a backoff delay. */
+    void onClosed(PeerLink link) {
         links.remove(link.stream);
         if (link.outgoing) {
-            Backoff backoff = backoff(link.address);
-            retries.put(link.address, new Retry(backoff, Deadline.afterMillis(time, backoff.nextMillis())));
+            Backoff backoff = backoffFor(link.address);
+            retries.put(link.address, new Retry(backoff, Deadline.afterMillis(time, backoff.nextDelayMillis())));
         }
     }
 
-    private Backoff backoff(HostPort address) {
+    private Backoff backoffFor(HostPort address) {
         Retry known = retries.get(address);
-        return known == null ? new Backoff(random, FIRST_BACKOFF_MILLIS, MAX_BACKOFF_MILLIS) : known.backoff();
+        return known == null ? new Backoff(random, INITIAL_BACKOFF_MILLIS, MAX_BACKOFF_MILLIS) : known.backoff();
     }
 
-    /** Ends a stream. */
-    void drop(PeerLink link) {
+    /** Closes a stream without scheduling a retry. */
+    void close(PeerLink link) {
         links.remove(link.stream);
         link.stream.close();
     }
 
     /**
-     * Ends the streams that fell silent: something between the two ends may have lost track of them, and such a stream
-     * would neither bring anything nor end by itself.
+     * Closes the streams on which nothing was received within the silence timeout, or no hello within the hello
+     * timeout.
+     *
+     * <p>A device on the network path may have dropped the connection state. Such a stream delivers nothing and does
+     * not end by itself.
      *
-     * @return the links that were ended
+     * @return the closed links
      */
-    List<PeerLink> dropSilent() {
+    List<PeerLink> closeSilent() {
         List<PeerLink> silent = new ArrayList<>();
         long now = time.nanoTime();
-        for (PeerLink l : all()) {
-            long limit = l.isOpen() ? tuning.silence() : HELLO_MILLIS;
-            if (now - l.receivedAtNanos > limit * 1_000_000L) {
-                EVENTS.log(MembershipEvent.STREAM_SILENT, l.address);
-                ended(l);
-                l.stream.close();
-                silent.add(l);
+        for (PeerLink link : all()) {
+            long timeoutMillis = link.isEstablished() ? tuning.silenceTimeoutMillis() : HELLO_TIMEOUT_MILLIS;
+            if (now - link.lastReceivedNanos > timeoutMillis * 1_000_000L) {
+                EVENTS.log(MembershipEvent.STREAM_SILENT, link.address);
+                onClosed(link);
+                link.stream.close();
+                silent.add(link);
             }
         }
         return silent;
     }
 
-    /** Ends all streams. */
     void closeAll() {
-        all().forEach(this::drop);
+        all().forEach(this::close);
     }
 }
--- a/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
@@ -26,17 +26,18 @@
 import org.berylwick.transport.MemberMessages;
 
 /**
- * Spreads records of members over the links, each over each link about once; for the spreading duty's thread alone.
+ * Gossips member records over the links; each changed record is sent about once over each link.
  *
- * <p>A change of state goes on after the short batch time. A change of nothing but the version in force is gathered for
- * longer and travels as a short hash, as after each new version every member has one.
+ * <p>Changes of a member's state are forwarded after the short record batching time. A change of the installed version
+ * alone is batched for longer and sent as a version report with a short hash of the member, because every member has
+ * such a change after each new version. Not thread-safe; confined to the spread thread.
  */
 final class MembershipGossip {
     private static final EventLog EVENTS = new EventLog(MembershipGossip.class);
-    private static final int MAX_RECORDS = 200;
+    private static final int MAX_RECORDS_PER_MESSAGE = 200;
 
     private final SpreadTuning tuning;
-    private final SelfMember self;
+    private final LocalMember localMember;
     private final MembershipTable table;
     private final FailureDetector detector;
     private final LinkTable links;
@@ -44,19 +45,19 @@
     private final SpreadMetrics metrics;
     private Optional<Deadline> recordsDue = Optional.empty();
     private Optional<Deadline> reportsDue = Optional.empty();
-    private MembershipView indexed = MembershipView.EMPTY;
-    private Map<Long, Member> byIncarnation = Map.of();
+    private MembershipView indexedView = MembershipView.EMPTY;
+    private Map<Long, Member> byIncarnationHash = Map.of();
 
     MembershipGossip(
             SpreadTuning tuning,
-            SelfMember self,
+            LocalMember localMember,
             MembershipTable table,
             FailureDetector detector,
             LinkTable links,
             TimeSource time,
             SpreadMetrics metrics) {
         this.tuning = tuning;
-        this.self = self;
+        this.localMember = localMember;
         this.table = table;
         this.detector = detector;
         this.links = links;
@@ -64,81 +65,87 @@
         this.metrics = metrics;
     }
 
-    /** Merges records from {@code source}, or found here if it is null, and has the news go on to the others. */
+    /**
+     * Merges records into the membership table, together with the current local record, and queues the changed ones for
+     * the other links.
+     *
+     * @param source link on which the records were received; null if they originate from this daemon */
     void merge(Collection<Member> records, PeerLink source) {
         MembershipView before = table.view();
         List<Member> others = new ArrayList<>();
-        for (Member m : records) {
-            if (m.instance().equals(self.current().instance())) {
-                refute(m);
+        for (Member memberRecord : records) {
+            if (memberRecord.instance().equals(localMember.current().instance())) {
+                refute(memberRecord);
             } else {
-                others.add(source == null ? m : soften(before, m));
+                others.add(source == null ? memberRecord : downgradeToSuspect(before, memberRecord));
             }
         }
-        others.add(self.current());
+        others.add(localMember.current());
         List<Member> changed = table.mergeAll(others);
-        for (Member m : changed) {
-            detector.recordChanged(m);
-            log(before.find(m.instance()), m);
-            pass(before.find(m.instance()), m, source);
+        for (Member member : changed) {
+            detector.recordChanged(member);
+            logStateChange(before.find(member.instance()), member);
+            enqueue(before.find(member.instance()), member, source);
         }
         if (source != null) {
-            records.forEach(m -> settle(m, source));
+            records.forEach(m -> removePending(m, source));
         }
     }
 
     /**
-     * Takes another daemon's giving up of a member for a suspicion: when regions that lost each other meet again, each
-     * has given up the other's members, and none of those may drop out before it had time to refute.
+     * Treats a peer's claim that a member is gone as a suspicion while the member is considered alive here.
+     *
+     * <p>When a network partition between regions heals, each side may have declared the other side's members gone.
+     * They must not be removed from service before they had time to refute the claim.
      */
-    private static Member soften(MembershipView before, Member claim) {
-        boolean inUse = before.find(claim.instance())
+    private static Member downgradeToSuspect(MembershipView before, Member claim) {
+        boolean consideredAlive = before.find(claim.instance())
                 .filter(m -> m.incarnation() == claim.incarnation())
                 .filter(m -> m.state().compareTo(Member.State.SUSPECT) <= 0)
                 .isPresent();
-        return claim.state() == Member.State.GONE && inUse ? claim.withState(Member.State.SUSPECT) : claim;
+        return claim.state() == Member.State.GONE && consideredAlive ? claim.withState(Member.State.SUSPECT) : claim;
     }
 
     private void refute(Member claim) {
-        FailureDetector.refutingIncarnation(self.current(), claim).ifPresent(incarnation -> {
-            self.refute(incarnation);
+        FailureDetector.refutingIncarnation(localMember.current(), claim).ifPresent(incarnation -> {
+            localMember.refute(incarnation);
             metrics.refuted.inc();
             EVENTS.log(MembershipEvent.REFUTED, claim.state(), incarnation);
         });
     }
 
-    private static void log(Optional<Member> before, Member now) {
+    private static void logStateChange(Optional<Member> before, Member now) {
         if (before.map(Member::state).filter(s -> s == now.state()).isEmpty()) {
             EVENTS.log(MembershipEvent.STATE, now.instance(), now.state(), now.incarnation());
         }
     }
 
-    private void pass(Optional<Member> before, Member now, PeerLink source) {
+    private void enqueue(Optional<Member> before, Member now, PeerLink source) {
         boolean versionOnly = before.filter(b -> b.withVersion(now.version(), now.installedAtEpochMillis())
                         .equals(now))
                 .isPresent();
-        for (PeerLink l : links.open()) {
-            if (l != source) {
-                (versionOnly ? l.reports : l.records).add(now.instance());
+        for (PeerLink link : links.established()) {
+            if (link != source) {
+                (versionOnly ? link.pendingReports : link.pendingRecords).add(now.instance());
             }
         }
         if (versionOnly) {
-            reportsDue = reportsDue.or(() -> Optional.of(Deadline.afterMillis(time, tuning.report())));
+            reportsDue = reportsDue.or(() -> Optional.of(Deadline.afterMillis(time, tuning.reportBatchMillis())));
         } else {
-            recordsDue = recordsDue.or(() -> Optional.of(Deadline.afterMillis(time, tuning.batch())));
+            recordsDue = recordsDue.or(() -> Optional.of(Deadline.afterMillis(time, tuning.recordBatchMillis())));
         }
     }
 
-    /** What a peer sent need not be sent back to it. */
-    private void settle(Member sent, PeerLink source) {
+    /** Removes a record from the source's queues if the table holds exactly what the source sent. */
+    private void removePending(Member sent, PeerLink source) {
         table.view().find(sent.instance()).filter(sent::equals).ifPresent(m -> {
-            source.records.remove(m.instance());
-            source.reports.remove(m.instance());
+            source.pendingRecords.remove(m.instance());
+            source.pendingReports.remove(m.instance());
         });
     }
 
-    /** Takes in full records. */
-    void received(MembershipDelta delta, PeerLink source) {
+    /** Handles complete member records sent by a peer; unreadable ones are logged and skipped. */
+    void onDelta(MembershipDelta delta, PeerLink source) {
         List<Member> records = new ArrayList<>();
         for (MemberRecord r : delta.getMembersList()) {
             switch (MemberMessages.toMember(r)) {
@@ -150,118 +157,121 @@
         merge(records, source);
     }
 
-    /** Takes in version reports. */
-    void received(VersionReports reports, PeerLink source) {
-        index();
+    /**
+     * Handles reports of the version installed on members.
+     *
+     * <p>Reports on unknown incarnations, and on members known to have a newer version, are ignored. */
+    void onReports(VersionReports reports, PeerLink source) {
+        refreshIndex();
         List<Member> records = new ArrayList<>();
         for (int i = 0; i < reports.getMembersCount(); i++) {
-            Member m = byIncarnation.get(reports.getMembers(i));
+            Member m = byIncarnationHash.get(reports.getMembers(i));
             if (m != null && m.version() <= reports.getVersion()) {
-                long at = reports.getInstalledAtEpochMs() + reports.getInstalledAfterMs(i);
-                records.add(m.withVersion(reports.getVersion(), at));
+                long installedAtEpochMillis = reports.getInstalledAtEpochMs() + reports.getInstalledAfterMs(i);
+                records.add(m.withVersion(reports.getVersion(), installedAtEpochMillis));
             }
         }
         merge(records, source);
     }
 
-    private void index() {
+    private void refreshIndex() {
         MembershipView view = table.view();
-        if (view == indexed) {
+        if (view == indexedView) {
             return;
         }
         Map<Long, Member> index = new HashMap<>();
         view.all().forEach(m -> index.put(MemberHash.ofIncarnation(m), m));
-        indexed = view;
-        byIncarnation = index;
+        indexedView = view;
+        byIncarnationHash = index;
     }
 
-    /** Answers a summary with what its sender lacks. */
-    void received(MembershipSummary summary, PeerLink source) {
+    /** Queues the records missing in a peer's summary for that peer and schedules an immediate flush. */
+    void onSummary(MembershipSummary summary, PeerLink source) {
         Set<Long> known = new HashSet<>(summary.getRecordsList());
-        for (Member m : table.view().all()) {
-            if (!known.contains(MemberHash.ofState(m))) {
-                source.records.add(m.instance());
+        for (Member member : table.view().all()) {
+            if (!known.contains(MemberHash.ofState(member))) {
+                source.pendingRecords.add(member.instance());
             }
         }
         recordsDue = Optional.of(Deadline.afterMillis(time, 0));
     }
 
-    /** Tells a peer which records are known here. */
-    void summarise(PeerLink link) {
+    /** Sends the hashes of all known records to a peer, which answers with the records missing here. */
+    void sendSummary(PeerLink link) {
         MembershipSummary.Builder summary = MembershipSummary.newBuilder();
         table.view().all().forEach(m -> summary.addRecords(MemberHash.ofState(m)));
         link.send(PeerMessage.newBuilder().setSummary(summary).build());
     }
 
-    /** Has all versions in force told to a peer. */
-    void reportAll(PeerLink link) {
-        table.view().all().forEach(m -> link.reports.add(m.instance()));
+    /** Queues version reports on all members for a peer and schedules an immediate flush. */
+    void enqueueAllReports(PeerLink link) {
+        table.view().all().forEach(m -> link.pendingReports.add(m.instance()));
         reportsDue = Optional.of(Deadline.afterMillis(time, 0));
     }
 
-    /** Sends what is due. */
+    /** Sends queued records and reports whose batching time has elapsed. */
     void flush() {
         if (recordsDue.filter(d -> d.isPast(time)).isPresent()) {
             recordsDue = Optional.empty();
-            links.open().forEach(this::flushRecords);
+            links.established().forEach(this::flushRecords);
         }
         if (reportsDue.filter(d -> d.isPast(time)).isPresent()) {
             reportsDue = Optional.empty();
-            links.open().forEach(this::flushReports);
+            links.established().forEach(this::flushReports);
         }
     }
 
-    /** Sends everything at once, before the daemon leaves. */
-    void flushNow() {
-        links.open().forEach(this::flushRecords);
+    /** Sends all queued records without waiting for the batching time; used before the daemon shuts down. */
+    void flushRecordsNow() {
+        links.established().forEach(this::flushRecords);
     }
 
     private void flushRecords(PeerLink link) {
-        if (link.records.isEmpty()) {
+        if (link.pendingRecords.isEmpty()) {
             return;
         }
         if (!link.stream.isReady()) {
-            recordsDue = Optional.of(Deadline.afterMillis(time, tuning.heartbeat()));
+            recordsDue = Optional.of(Deadline.afterMillis(time, tuning.heartbeatMillis()));
             return;
         }
         MembershipView view = table.view();
         MembershipDelta.Builder delta = MembershipDelta.newBuilder();
-        for (String instance : link.records) {
+        for (String instance : link.pendingRecords) {
             view.find(instance).ifPresent(m -> delta.addMembers(MemberMessages.toMessage(m)));
-            link.reports.remove(instance);
-            if (delta.getMembersCount() == MAX_RECORDS) {
+            link.pendingReports.remove(instance);
+            if (delta.getMembersCount() == MAX_RECORDS_PER_MESSAGE) {
                 link.send(PeerMessage.newBuilder().setMembership(delta).build());
                 delta.clear();
             }
         }
-        link.records.clear();
+        link.pendingRecords.clear();
         if (delta.getMembersCount() > 0) {
             link.send(PeerMessage.newBuilder().setMembership(delta).build());
         }
     }
 
     private void flushReports(PeerLink link) {
-        if (link.reports.isEmpty()) {
+        if (link.pendingReports.isEmpty()) {
             return;
         }
         if (!link.stream.isReady()) {
-            reportsDue = Optional.of(Deadline.afterMillis(time, tuning.heartbeat()));
+            reportsDue = Optional.of(Deadline.afterMillis(time, tuning.heartbeatMillis()));
             return;
         }
         MembershipView view = table.view();
         Map<Long, List<Member>> byVersion = new HashMap<>();
-        for (String instance : link.reports) {
+        for (String instance : link.pendingReports) {
             view.find(instance)
                     .ifPresent(m -> byVersion
                             .computeIfAbsent(m.version(), v -> new ArrayList<>())
                             .add(m));
         }
-        link.reports.clear();
+        link.pendingReports.clear();
         byVersion.forEach((version, members) -> link.send(
-                PeerMessage.newBuilder().setReports(reports(version, members)).build()));
+                PeerMessage.newBuilder().setReports(toReports(version, members)).build()));
     }
 
-    private static VersionReports reports(long version, List<Member> members) {
+    private static VersionReports toReports(long version, List<Member> members) {
         long earliest =
                 members.stream().mapToLong(Member::installedAtEpochMillis).min().orElse(0);
         VersionReports.Builder reports =
@@ -273,7 +283,7 @@
         return reports.build();
     }
 
-    /** When {@link #flush} has something to do, at the latest after {@code atMost}. */
+    /** Returns when {@link #flush} must run next, but no later than {@code atMost}. */
     Deadline nextFlush(Deadline atMost) {
         Deadline next = recordsDue.map(atMost::earlier).orElse(atMost);
         return reportsDue.map(next::earlier).orElse(next);
--- a/org.berylwick/src/org/berylwick/internal/spread/PeerLink.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/PeerLink.java
@@ -10,37 +10,38 @@
 import org.berylwick.transport.PeerStream;
 
 /**
- * What one daemon knows of one stream to a peer; for the spreading duty's thread alone.
+ * State of one stream to or from a peer.
  *
- * <p>What is to be sent is kept as names, not as messages: a slow peer makes no queue grow, and gets the latest record
- * of each name once it takes messages again.
+ * <p>Pending records and reports are queued as instance names, not as messages. A slow peer therefore cannot make the
+ * queue grow without limit, and receives the latest record of each member once it accepts messages again. Not
+ * thread-safe; confined to the spread thread.
  */
 final class PeerLink {
     final PeerStream stream;
     final boolean outgoing;
     final long openedAtNanos;
-    final Set<String> records = new LinkedHashSet<>();
-    final Set<String> reports = new LinkedHashSet<>();
+    final Set<String> pendingRecords = new LinkedHashSet<>();
+    final Set<String> pendingReports = new LinkedHashSet<>();
     HostPort address;
     Optional<Member> peer = Optional.empty();
-    long receivedAtNanos;
+    long lastReceivedNanos;
     long nextHeartbeatNanos;
     long peerVersion;
-    long toldVersion;
-    private Hashes lastOwn = new Hashes(0, 0);
-    private Hashes lastTheirs = new Hashes(0, 0);
-    private int compared;
+    long advertisedVersion;
+    private Hashes lastLocalHashes = new Hashes(0, 0);
+    private Hashes lastPeerHashes = new Hashes(0, 0);
+    private int stableHeartbeats;
 
     PeerLink(PeerStream stream, boolean outgoing, HostPort address, long nowNanos) {
         this.stream = stream;
         this.outgoing = outgoing;
         this.address = address;
         this.openedAtNanos = nowNanos;
-        this.receivedAtNanos = nowNanos;
+        this.lastReceivedNanos = nowNanos;
         this.nextHeartbeatNanos = nowNanos;
     }
 
-    boolean isOpen() {
+    boolean isEstablished() {
         return peer.isPresent();
     }
 
@@ -49,22 +50,28 @@
     }
 
     /**
-     * Compares tables after a heartbeat.
+     * Compares the membership table hashes of both ends after a heartbeat.
      *
-     * @param settled heartbeats over which both tables must have stood still to count as different
-     * @return whether they differ and neither is just changing
+     * <p>Tables that differ only because changes are still being gossiped converge without a sync. A sync is therefore
+     * needed only if the hashes differ on the first heartbeat of the link, or if they differ and neither has changed
+     * for several heartbeats.
+     *
+     * @param local hashes of the local table
+     * @param remote hashes of the peer's table
+     * @param requiredStableHeartbeats consecutive heartbeats over which both hashes must stay unchanged
+     * @return whether the tables must be synchronized
      */
-    boolean differs(Hashes own, Hashes theirs, int settled) {
-        boolean still = own.equals(lastOwn) && theirs.equals(lastTheirs);
-        boolean first = compared == 0;
-        lastOwn = own;
-        lastTheirs = theirs;
-        compared = still && !first ? compared + 1 : 1;
-        if (own.equals(theirs)) {
+    boolean needsSync(Hashes local, Hashes remote, int requiredStableHeartbeats) {
+        boolean unchanged = local.equals(lastLocalHashes) && remote.equals(lastPeerHashes);
+        boolean firstComparison = stableHeartbeats == 0;
+        lastLocalHashes = local;
+        lastPeerHashes = remote;
+        stableHeartbeats = unchanged && !firstComparison ? stableHeartbeats + 1 : 1;
+        if (local.equals(remote)) {
             return false;
         }
-        if (first || compared > settled) {
-            compared = 1;
+        if (firstComparison || stableHeartbeats > requiredStableHeartbeats) {
+            stableHeartbeats = 1;
             return true;
         }
         return false;
--- a/org.berylwick/src/org/berylwick/internal/spread/Prober.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Prober.java
@@ -14,44 +14,50 @@
 import org.berylwick.transport.PeerCalls;
 
 /**
- * Finds out whether a member still answers: directly, and through others at the same time, so that a path lost between
- * two daemons alone does not make either suspect the other.
+ * Probes whether a member still answers, directly and at the same time indirectly through other members.
+ *
+ * <p>The indirect probes prevent two daemons from suspecting each other when only the network path between them fails.
  */
 final class Prober {
-    private static final long PROBE_MILLIS = 1_500;
+    private static final long PROBE_TIMEOUT_MILLIS = 1_500;
 
     private final PeerCalls calls;
-    private final Consumer<SpreadEvent> events;
+    private final Consumer<SpreadEvent> eventSink;
     private final TimeSource time;
-    private final Set<String> underWay = new HashSet<>();
+    private final Set<String> inFlight = new HashSet<>();
 
-    Prober(PeerCalls calls, Consumer<SpreadEvent> events, TimeSource time) {
+    Prober(PeerCalls calls, Consumer<SpreadEvent> eventSink, TimeSource time) {
         this.calls = calls;
-        this.events = events;
+        this.eventSink = eventSink;
         this.time = time;
     }
 
-    /** Probes a member; the outcome comes as an event. */
-    void probe(Member member, List<Member> helpers) {
-        synchronized (underWay) {
-            if (!underWay.add(member.instance())) {
+    /**
+     * Probes a member and reports the outcome as an event; does nothing if a probe of the member is already in flight.
+     *
+     * @param relays members that probe {@code member} on behalf of this daemon
+     */
+    void probe(Member member, List<Member> relays) {
+        synchronized (inFlight) {
+            if (!inFlight.add(member.instance())) {
                 return;
             }
         }
-        Deadline deadline = Deadline.afterMillis(time, PROBE_MILLIS);
+        Deadline deadline = Deadline.afterMillis(time, PROBE_TIMEOUT_MILLIS);
         List<CompletableFuture<Optional<ProbeReply>>> probes = new ArrayList<>();
         probes.add(calls.probe(member.address(), deadline));
-        helpers.forEach(h -> probes.add(calls.probeThrough(h.address(), member.address(), deadline)));
+        relays.forEach(relay -> probes.add(calls.probeThrough(relay.address(), member.address(), deadline)));
         CompletableFuture.allOf(probes.toArray(CompletableFuture[]::new)).whenComplete((done, failure) -> {
-            synchronized (underWay) {
-                underWay.remove(member.instance());
+            synchronized (inFlight) {
+                inFlight.remove(member.instance());
             }
-            // An address may have been given to another daemon meanwhile; only the name tells.
+            // The address may have been reassigned to another daemon; only the instance name identifies the member.
             boolean answered = failure == null
                     && probes.stream()
                             .flatMap(p -> p.join().stream())
                             .anyMatch(r -> r.getInstance().equals(member.instance()));
-            events.accept(answered ? new SpreadEvent.Reachable(member) : new SpreadEvent.Unreachable(member));
+            eventSink.accept(
+                    answered ? new SpreadEvent.MemberReachable(member) : new SpreadEvent.MemberUnreachable(member));
         });
     }
 }
--- a/org.berylwick/src/org/berylwick/internal/spread/SpreadEvent.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/SpreadEvent.java
@@ -6,23 +6,23 @@
 import org.berylwick.proto.PeerMessage;
 import org.berylwick.transport.PeerStream;
 
-/** What the spreading duty is told by other threads. */
+/** Events that other threads submit to the spread thread. */
 public sealed interface SpreadEvent {
-    /** A message came in; the first one on a stream that a peer opened is what makes it known. */
-    record Received(PeerStream stream, PeerMessage message) implements SpreadEvent {}
+    /** A message was received; the first message on a stream opened by a peer also announces the stream. */
+    record MessageReceived(PeerStream stream, PeerMessage message) implements SpreadEvent {}
 
-    /** A stream ended. */
-    record Closed(PeerStream stream, String reason) implements SpreadEvent {}
+    /** A stream was closed. */
+    record StreamClosed(PeerStream stream, String reason) implements SpreadEvent {}
 
-    /** Another version is in force here. */
-    record Installed() implements SpreadEvent {}
+    /** A new version was installed on this daemon. */
+    record VersionInstalled() implements SpreadEvent {}
 
-    /** Daemons were found in the directory or the settings. */
-    record Found(List<HostPort> addresses) implements SpreadEvent {}
+    /** Addresses of daemons were read from the zone directory or the settings. */
+    record PeersDiscovered(List<HostPort> addresses) implements SpreadEvent {}
 
-    /** A member answered neither this daemon nor others on its behalf. */
-    record Unreachable(Member member) implements SpreadEvent {}
+    /** A member answered neither the direct probe nor the indirect ones. */
+    record MemberUnreachable(Member member) implements SpreadEvent {}
 
-    /** A member that was suspected or given up answers. */
-    record Reachable(Member member) implements SpreadEvent {}
+    /** A probed member answered. */
+    record MemberReachable(Member member) implements SpreadEvent {}
 }
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -28,27 +28,28 @@
 import org.berylwick.transport.PeerStream;
 
 /**
- * Spreads versions and membership over streams between daemons.
+ * Spreads configuration versions and membership over streams between daemons.
  *
- * <p>A notice of each new version goes over every stream at once; who lacks it fetches the body from the one whose
- * notice came first. Heartbeats tell the version in force and hashes of the membership table, so what a push lost is
- * found and made good. {@link #round} is for one thread; anything else tells it through the ring.
+ * <p>A notice of each new version is sent over every stream immediately. A daemon that lacks the version fetches its
+ * content from the peer whose notice arrived first. Heartbeats carry the number of the installed version and hashes of
+ * the membership table, so that lost notices and records are detected and recovered. {@link #runOnce} must be called by
+ * a single thread; other threads submit events through the queue.
  */
 public final class Spreader implements PeerStream.Listener {
     private static final EventLog EVENTS = new EventLog(Spreader.class);
-    private static final long UPKEEP_MILLIS = 250;
-    private static final long TOMBSTONE_MILLIS = 600_000;
-    private static final int SETTLED_HEARTBEATS = 3;
-    private static final int HELPERS = 3;
-    private static final int EVENTS_AT_ONCE = 256;
+    private static final long MAINTENANCE_INTERVAL_MILLIS = 250;
+    private static final long TOMBSTONE_RETENTION_MILLIS = 600_000;
+    private static final int REQUIRED_STABLE_HEARTBEATS = 3;
+    private static final int MAX_PROBE_RELAYS = 3;
+    private static final int MAX_EVENTS_PER_RUN = 256;
 
     private final SpreadTuning tuning;
-    private final SelfMember self;
+    private final LocalMember localMember;
     private final MembershipTable table;
     private final InstalledVersion installed;
     private final StoreFreshness freshness;
-    private final VersionOffers offers;
-    private final Ring<SpreadEvent> ring;
+    private final PeerVersionListener versionListener;
+    private final Ring<SpreadEvent> eventQueue;
     private final TimeSource time;
     private final Random random;
     private final SpreadMetrics metrics;
@@ -56,61 +57,65 @@
     private final LinkTable links;
     private final Prober prober;
     private final MembershipGossip gossip;
-    private List<HostPort> found = List.of();
-    private MembershipView chosenFrom = MembershipView.EMPTY;
-    private List<Member> chosen = List.of();
-    private Deadline nextUpkeep;
+    private List<HostPort> discoveredAddresses = List.of();
+    private MembershipView chosenFromView = MembershipView.EMPTY;
+    private List<Member> chosenPeers = List.of();
+    private Deadline nextMaintenance;
     private Deadline nextProbe;
-    private volatile int openLinks;
+    private volatile int establishedLinkCount;
     private volatile boolean closed;
 
-    /** Takes word of versions that peers have and this daemon lacks. */
+    /** Listener for the versions that peers have installed. */
     @FunctionalInterface
-    public interface VersionOffers {
-        /** The daemon at {@code address} has version {@code number} in force. */
-        void offer(HostPort address, long number);
+    public interface PeerVersionListener {
+        /** The daemon at {@code address} has version {@code number} installed, which is newer than the local one. */
+        void onNewerVersion(HostPort address, long number);
 
-        /** A peer told which version it has in force. */
-        default void told(Member peer, VersionId inForce) {}
+        /** A peer announced its installed version, which may be older than the local one. */
+        default void onPeerVersion(Member peer, VersionId installed) {}
     }
 
-    /** Everything that a spreader works with. */
-    public record Parts(
+    /** Collaborators of a spreader. */
+    public record Dependencies(
             SpreadTuning tuning,
-            SelfMember self,
+            LocalMember localMember,
             MembershipTable table,
             InstalledVersion installed,
             StoreFreshness freshness,
-            VersionOffers offers,
+            PeerVersionListener versionListener,
             PeerCalls calls,
-            Ring<SpreadEvent> ring,
+            Ring<SpreadEvent> eventQueue,
             SpreadMetrics metrics) {}
 
-    /** A spreader without streams. */
-    public Spreader(Parts parts, TimeSource time, Random random) {
-        tuning = parts.tuning();
-        self = parts.self();
-        table = parts.table();
-        installed = parts.installed();
-        freshness = parts.freshness();
-        offers = parts.offers();
-        ring = parts.ring();
-        metrics = parts.metrics();
+    /** Creates a spreader that has no streams yet. */
+    public Spreader(Dependencies dependencies, TimeSource time, Random random) {
+        tuning = dependencies.tuning();
+        localMember = dependencies.localMember();
+        table = dependencies.table();
+        installed = dependencies.installed();
+        freshness = dependencies.freshness();
+        versionListener = dependencies.versionListener();
+        eventQueue = dependencies.eventQueue();
+        metrics = dependencies.metrics();
         this.time = time;
         this.random = random;
-        detector = new FailureDetector(time, tuning.suspicion(), TOMBSTONE_MILLIS);
-        links = new LinkTable(tuning, parts.calls(), this, time, random, metrics);
-        prober = new Prober(parts.calls(), this::tell, time);
-        gossip = new MembershipGossip(tuning, self, table, detector, links, time, metrics);
-        nextUpkeep = new Deadline(time.nanoTime());
-        nextProbe = Deadline.afterMillis(time, tuning.probe());
-        installed.addListener(v -> tell(new SpreadEvent.Installed()));
+        detector = new FailureDetector(time, tuning.suspicionTimeoutMillis(), TOMBSTONE_RETENTION_MILLIS);
+        links = new LinkTable(tuning, dependencies.calls(), this, time, random, metrics);
+        prober = new Prober(dependencies.calls(), this::submit, time);
+        gossip = new MembershipGossip(tuning, localMember, table, detector, links, time, metrics);
+        nextMaintenance = new Deadline(time.nanoTime());
+        nextProbe = Deadline.afterMillis(time, tuning.probeIntervalMillis());
+        installed.addListener(v -> submit(new SpreadEvent.VersionInstalled()));
     }
 
-    /** Tells the spreader something, from any thread; what the full ring refuses, heartbeats make good. */
-    public void tell(SpreadEvent event) {
-        if (ring.offer(event) == Ring.Offer.FULL) {
-            metrics.eventRefused();
+    /**
+     * Submits an event; may be called from any thread.
+     *
+     * <p>If the queue is full the event is dropped and counted. Heartbeats recover the state that it would have
+     * conveyed. */
+    public void submit(SpreadEvent event) {
+        if (eventQueue.offer(event) == Ring.Offer.FULL) {
+            metrics.onEventRefused();
         }
     }
 
@@ -120,223 +125,223 @@
             stream.close();
             return;
         }
-        tell(new SpreadEvent.Received(stream, message));
+        submit(new SpreadEvent.MessageReceived(stream, message));
     }
 
     @Override
     public void closed(PeerStream stream, String reason) {
-        tell(new SpreadEvent.Closed(stream, reason));
+        submit(new SpreadEvent.StreamClosed(stream, reason));
     }
 
-    /** How many peers this daemon exchanges with. */
-    public int openLinks() {
-        return openLinks;
+    /** Returns the number of established streams; may be called from any thread. */
+    public int establishedLinkCount() {
+        return establishedLinkCount;
     }
 
-    /** Does what is due and what comes in until the next thing is due. */
-    public void round() {
-        work();
-        Deadline wait = gossip.nextFlush(nextUpkeep);
-        ring.poll(wait.remainingNanos(time)).ifPresent(this::handle);
-        openLinks = links.open().size();
+    /** Runs all pending work, then waits for one more event, at most until the next work is due. */
+    public void runOnce() {
+        processPending();
+        Deadline nextDue = gossip.nextFlush(nextMaintenance);
+        eventQueue.poll(nextDue.remainingNanos(time)).ifPresent(this::handleEvent);
+        establishedLinkCount = links.established().size();
     }
 
-    /** Does what is due and takes what came in, without waiting. */
-    public void work() {
-        // Takes all that is there before sending, so that one message carries what came together.
-        for (int i = 0; i < EVENTS_AT_ONCE; i++) {
-            Optional<SpreadEvent> more = ring.poll(0);
-            if (more.isEmpty()) {
+    /** Handles queued events and runs all work that is due, without waiting. */
+    public void processPending() {
+        // Drains the queue before sending, so that one message carries all changes that arrived together.
+        for (int i = 0; i < MAX_EVENTS_PER_RUN; i++) {
+            Optional<SpreadEvent> event = eventQueue.poll(0);
+            if (event.isEmpty()) {
                 break;
             }
-            handle(more.get());
+            handleEvent(event.get());
         }
-        if (nextUpkeep.isPast(time)) {
-            nextUpkeep = Deadline.afterMillis(time, UPKEEP_MILLIS);
-            upkeep();
+        if (nextMaintenance.isPast(time)) {
+            nextMaintenance = Deadline.afterMillis(time, MAINTENANCE_INTERVAL_MILLIS);
+            runMaintenance();
         }
-        heartbeats();
+        sendDueHeartbeats();
         gossip.flush();
-        openLinks = links.open().size();
+        establishedLinkCount = links.established().size();
     }
 
-    private void handle(SpreadEvent event) {
+    private void handleEvent(SpreadEvent event) {
         switch (event) {
-            case SpreadEvent.Received(PeerStream stream, PeerMessage message) ->
+            case SpreadEvent.MessageReceived(PeerStream stream, PeerMessage message) ->
                 links.find(stream)
                         .or(() -> message.hasHello() ? links.admit(stream) : Optional.empty())
-                        .ifPresent(l -> handle(l, message));
-            case SpreadEvent.Closed(PeerStream stream, String reason) ->
+                        .ifPresent(l -> handleMessage(l, message));
+            case SpreadEvent.StreamClosed(PeerStream stream, String reason) ->
                 links.find(stream).ifPresent(l -> {
-                    links.ended(l);
-                    l.peer.or(() -> memberAt(l.address)).ifPresent(this::doubt);
+                    links.onClosed(l);
+                    l.peer.or(() -> memberAt(l.address)).ifPresent(this::probe);
                 });
-            case SpreadEvent.Installed() -> {
+            case SpreadEvent.VersionInstalled() -> {
                 gossip.merge(List.of(), null);
-                links.open().forEach(this::notice);
+                links.established().forEach(this::sendVersionNotice);
             }
-            case SpreadEvent.Found(List<HostPort> addresses) -> {
-                found = List.copyOf(addresses);
+            case SpreadEvent.PeersDiscovered(List<HostPort> addresses) -> {
+                discoveredAddresses = List.copyOf(addresses);
                 join();
             }
-            case SpreadEvent.Unreachable(Member member) -> unreachable(member);
-            case SpreadEvent.Reachable(Member member) -> {
+            case SpreadEvent.MemberUnreachable(Member member) -> onUnreachable(member);
+            case SpreadEvent.MemberReachable(Member member) -> {
                 if (member.state() == Member.State.SUSPECT || member.state() == Member.State.GONE) {
-                    links.open(member.address()).ifPresent(this::hello);
+                    links.open(member.address()).ifPresent(this::sendHello);
                 }
             }
         }
     }
 
-    private void handle(PeerLink link, PeerMessage message) {
-        link.receivedAtNanos = time.nanoTime();
+    private void handleMessage(PeerLink link, PeerMessage message) {
+        link.lastReceivedNanos = time.nanoTime();
         switch (message.getBodyCase()) {
-            case HELLO -> greeted(link, message.getHello());
-            case VERSION -> told(link, message.getVersion());
-            case MEMBERSHIP -> gossip.received(message.getMembership(), link);
-            case HEARTBEAT -> received(link, message.getHeartbeat());
-            case SUMMARY -> gossip.received(message.getSummary(), link);
-            case REPORTS -> gossip.received(message.getReports(), link);
-            case REFUSED -> links.refused(link, message.getRefused().getRetryAfterMs());
+            case HELLO -> onHello(link, message.getHello());
+            case VERSION -> onVersionNotice(link, message.getVersion());
+            case MEMBERSHIP -> gossip.onDelta(message.getMembership(), link);
+            case HEARTBEAT -> onHeartbeat(link, message.getHeartbeat());
+            case SUMMARY -> gossip.onSummary(message.getSummary(), link);
+            case REPORTS -> gossip.onReports(message.getReports(), link);
+            case REFUSED -> links.onRefused(link, message.getRefused().getRetryAfterMs());
             case BODY_NOT_SET -> {}
         }
     }
 
-    private void greeted(PeerLink link, Hello hello) {
+    private void onHello(PeerLink link, Hello hello) {
         switch (MemberMessages.toMember(hello.getSelf())) {
             case Result.Err<Member, String>(String detail) -> {
                 EVENTS.log(MembershipEvent.UNREADABLE_RECORD, link.address, detail);
-                links.drop(link);
+                links.close(link);
             }
             case Result.Ok<Member, String>(Member peer)
-            when peer.instance().equals(self.current().instance()) -> links.drop(link);
+            when peer.instance().equals(localMember.current().instance()) -> links.close(link);
             case Result.Ok<Member, String>(Member peer) -> {
-                links.established(link, peer);
+                links.onEstablished(link, peer);
                 if (!link.outgoing) {
-                    hello(link);
+                    sendHello(link);
                 }
                 gossip.merge(List.of(peer), link);
-                told(link, hello.getVersion());
-                notice(link);
-                heartbeat(link);
+                onVersionNotice(link, hello.getVersion());
+                sendVersionNotice(link);
+                sendHeartbeat(link);
             }
         }
     }
 
-    private void hello(PeerLink link) {
+    private void sendHello(PeerLink link) {
         VersionId id = installed.snapshot().id();
-        link.toldVersion = id.number();
+        link.advertisedVersion = id.number();
         link.send(PeerMessage.newBuilder()
                 .setHello(Hello.newBuilder()
-                        .setSelf(MemberMessages.toMessage(self.current()))
-                        .setVersion(VersionServer.notice(id)))
+                        .setSelf(MemberMessages.toMessage(localMember.current()))
+                        .setVersion(VersionDeltaEncoder.toNotice(id)))
                 .build());
     }
 
     private void join() {
-        List<HostPort> shuffled = new ArrayList<>(found);
-        shuffled.remove(self.current().address());
-        if (!links.open().isEmpty()) {
+        List<HostPort> shuffled = new ArrayList<>(discoveredAddresses);
+        shuffled.remove(localMember.current().address());
+        if (!links.established().isEmpty()) {
             table.view().all().stream()
                     .filter(m -> m.state() != Member.State.GONE)
                     .forEach(m -> shuffled.remove(m.address()));
         }
         Collections.shuffle(shuffled, random);
-        shuffled.stream().limit(tuning.fanOut()).forEach(a -> links.open(a).ifPresent(this::hello));
+        shuffled.stream().limit(tuning.fanOut()).forEach(a -> links.open(a).ifPresent(this::sendHello));
     }
 
-    private void told(PeerLink link, VersionNotice notice) {
-        VersionServer.named(notice).ifPresent(id -> link.peer.ifPresent(p -> offers.told(p, id)));
-        offered(link, notice.getVersion());
+    private void onVersionNotice(PeerLink link, VersionNotice notice) {
+        VersionDeltaEncoder.toVersionId(notice).ifPresent(id -> link.peer.ifPresent(p -> versionListener.onPeerVersion(p, id)));
+        updatePeerVersion(link, notice.getVersion());
     }
 
-    private void offered(PeerLink link, long version) {
+    private void updatePeerVersion(PeerLink link, long version) {
         link.peerVersion = Math.max(link.peerVersion, version);
         if (version > installed.snapshot().id().number()) {
-            offers.offer(link.address, version);
+            versionListener.onNewerVersion(link.address, version);
         }
     }
 
-    private void notice(PeerLink link) {
+    private void sendVersionNotice(PeerLink link) {
         VersionId id = installed.snapshot().id();
-        if (id.number() <= link.peerVersion || id.number() <= link.toldVersion) {
+        if (id.number() <= link.peerVersion || id.number() <= link.advertisedVersion) {
             return;
         }
-        link.toldVersion = id.number();
-        link.send(PeerMessage.newBuilder().setVersion(VersionServer.notice(id)).build());
+        link.advertisedVersion = id.number();
+        link.send(PeerMessage.newBuilder().setVersion(VersionDeltaEncoder.toNotice(id)).build());
     }
 
-    private void heartbeats() {
+    private void sendDueHeartbeats() {
         long now = time.nanoTime();
-        for (PeerLink l : links.open()) {
-            if (now - l.nextHeartbeatNanos >= 0) {
-                heartbeat(l);
+        for (PeerLink link : links.established()) {
+            if (now - link.nextHeartbeatNanos >= 0) {
+                sendHeartbeat(link);
             }
         }
     }
 
-    private void heartbeat(PeerLink link) {
-        link.nextHeartbeatNanos = time.nanoTime() + tuning.heartbeat() * 1_000_000L;
+    private void sendHeartbeat(PeerLink link) {
+        link.nextHeartbeatNanos = time.nanoTime() + tuning.heartbeatMillis() * 1_000_000L;
         if (!link.stream.isReady()) {
             return;
         }
-        Hashes own = table.hashes();
+        Hashes local = table.hashes();
         link.send(PeerMessage.newBuilder()
                 .setHeartbeat(Heartbeat.newBuilder()
                         .setVersion(installed.snapshot().id().number())
-                        .setMembersDigest(own.states())
-                        .setReportsDigest(own.versions())
+                        .setMembersDigest(local.states())
+                        .setReportsDigest(local.versions())
                         .setStoreAgeMs((int) Math.min(Integer.MAX_VALUE, freshness.ageMillis())))
                 .build());
     }
 
-    private void received(PeerLink link, Heartbeat beat) {
-        freshness.heardAgo(Integer.toUnsignedLong(beat.getStoreAgeMs()));
-        offered(link, beat.getVersion());
-        Hashes own = table.hashes();
-        Hashes theirs = new Hashes(beat.getMembersDigest(), beat.getReportsDigest());
-        if (!link.differs(own, theirs, SETTLED_HEARTBEATS)) {
+    private void onHeartbeat(PeerLink link, Heartbeat heartbeat) {
+        freshness.recordPeerContact(Integer.toUnsignedLong(heartbeat.getStoreAgeMs()));
+        updatePeerVersion(link, heartbeat.getVersion());
+        Hashes local = table.hashes();
+        Hashes remote = new Hashes(heartbeat.getMembersDigest(), heartbeat.getReportsDigest());
+        if (!link.needsSync(local, remote, REQUIRED_STABLE_HEARTBEATS)) {
             return;
         }
-        if (own.states() != theirs.states()) {
-            gossip.summarise(link);
+        if (local.states() != remote.states()) {
+            gossip.sendSummary(link);
         } else {
-            gossip.reportAll(link);
+            gossip.enqueueAllReports(link);
         }
     }
 
-    private void upkeep() {
-        Member me = self.current();
+    private void runMaintenance() {
+        Member self = localMember.current();
         gossip.merge(List.of(), null);
-        links.dropSilent().forEach(l -> l.peer.or(() -> memberAt(l.address)).ifPresent(this::doubt));
+        links.closeSilent().forEach(l -> l.peer.or(() -> memberAt(l.address)).ifPresent(this::probe));
         gossip.merge(detector.removeExpiredSuspicions(table.view()), null);
         detector.removeExpiredTombstones().forEach(table::remove);
-        links.reconcile(choose(me)).forEach(this::hello);
-        // Who was refused or found nobody tries the same addresses again, each after its own wait.
-        if (links.open().isEmpty()) {
+        links.reconcile(choosePeers(self)).forEach(this::sendHello);
+        // Without any established stream, retry the discovered addresses, each after its own backoff delay.
+        if (links.established().isEmpty()) {
             join();
         }
         if (nextProbe.isPast(time)) {
-            nextProbe = Deadline.afterMillis(time, tuning.probe() / 2 + random.nextLong(tuning.probe()));
+            nextProbe = Deadline.afterMillis(time, tuning.probeIntervalMillis() / 2 + random.nextLong(tuning.probeIntervalMillis()));
             List<Member> others = table.view().all().stream()
-                    .filter(m -> !m.instance().equals(me.instance()))
+                    .filter(m -> !m.instance().equals(self.instance()))
                     .toList();
             if (!others.isEmpty()) {
-                doubt(others.get(random.nextInt(others.size())));
+                probe(others.get(random.nextInt(others.size())));
             }
         }
     }
 
-    private List<Member> choose(Member me) {
-        if (me.state() == Member.State.LEAVING) {
+    private List<Member> choosePeers(Member self) {
+        if (self.state() == Member.State.LEAVING) {
             return List.of();
         }
         MembershipView view = table.view();
-        if (view != chosenFrom) {
-            chosenFrom = view;
-            chosen = PeerChooser.choose(me, view.all(), tuning.fanOut());
+        if (view != chosenFromView) {
+            chosenFromView = view;
+            chosenPeers = PeerChooser.choose(self, view.all(), tuning.fanOut());
         }
-        return chosen;
+        return chosenPeers;
     }
 
     private Optional<Member> memberAt(HostPort address) {
@@ -345,33 +350,33 @@
                 .findFirst();
     }
 
-    private void doubt(Member member) {
-        Member now = table.view().find(member.instance()).orElse(member);
-        List<Member> helpers = new ArrayList<>();
-        for (PeerLink l : links.open()) {
-            if (helpers.size() < HELPERS && !l.peer.get().instance().equals(now.instance())) {
-                helpers.add(l.peer.get());
+    private void probe(Member member) {
+        Member latest = table.view().find(member.instance()).orElse(member);
+        List<Member> relays = new ArrayList<>();
+        for (PeerLink link : links.established()) {
+            if (relays.size() < MAX_PROBE_RELAYS && !link.peer.get().instance().equals(latest.instance())) {
+                relays.add(link.peer.get());
             }
         }
-        prober.probe(now, helpers);
+        prober.probe(latest, relays);
     }
 
-    private void unreachable(Member probed) {
-        Optional<Member> now = table.view().find(probed.instance());
-        if (now.isEmpty() || now.get().incarnation() != probed.incarnation()) {
+    private void onUnreachable(Member probed) {
+        Optional<Member> latest = table.view().find(probed.instance());
+        if (latest.isEmpty() || latest.get().incarnation() != probed.incarnation()) {
             return;
         }
-        detector.probeFailed(now.get()).ifPresent(suspect -> {
+        detector.probeFailed(latest.get()).ifPresent(suspect -> {
             metrics.suspected.inc();
             gossip.merge(List.of(suspect), null);
         });
     }
 
-    /** Tells the peers of the last state, such as leaving, and ends all streams. */
+    /** Sends the final local record, such as a leaving state, to all peers and closes all streams. */
     public void close() {
         closed = true;
         gossip.merge(List.of(), null);
-        gossip.flushNow();
+        gossip.flushRecordsNow();
         links.closeAll();
     }
 }
--- a/org.berylwick/src/org/berylwick/internal/spread/TokenBucket.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/TokenBucket.java
@@ -3,35 +3,36 @@
 import org.berylwick.lib.TimeSource;
 
 /**
- * Lets through a bounded rate with short bursts; safe for use from any thread.
+ * Token bucket rate limiter. Thread-safe.
  *
- * <p>Used for store calls, whose rate shrinks as the fleet grows, and for streams that a daemon admits.
+ * <p>Limits store calls, whose rate per daemon is lowered as the fleet grows, and the incoming streams that a daemon
+ * admits.
  */
 public final class TokenBucket {
     private static final double NANOS_PER_SECOND = 1e9;
 
     private final TimeSource time;
     private final double burst;
-    private double perSecond;
+    private double ratePerSecond;
     private double tokens;
-    private long countedAt;
+    private long lastRefillNanos;
 
-    /** A full bucket. */
-    public TokenBucket(TimeSource time, double perSecond, double burst) {
+    /** Creates a full bucket that holds at most {@code burst} tokens. */
+    public TokenBucket(TimeSource time, double ratePerSecond, double burst) {
         this.time = time;
-        this.perSecond = perSecond;
+        this.ratePerSecond = ratePerSecond;
         this.burst = burst;
         this.tokens = burst;
-        this.countedAt = time.nanoTime();
+        this.lastRefillNanos = time.nanoTime();
     }
 
-    /** Sets another rate; what has gathered stays. */
-    public synchronized void setRate(double newPerSecond) {
+    /** Changes the refill rate; tokens accumulated so far are kept. */
+    public synchronized void setRate(double newRatePerSecond) {
         refill();
-        perSecond = newPerSecond;
+        ratePerSecond = newRatePerSecond;
     }
 
-    /** Takes one token if there is one. */
+    /** Takes one token if available and returns whether it did. */
     public synchronized boolean tryTake() {
         refill();
         if (tokens < 1) {
@@ -41,21 +42,23 @@
         return true;
     }
 
-    /** Takes {@code count} tokens for what was done already; the bucket may go below empty. */
+    /**
+     * Takes {@code count} tokens unconditionally, for calls that are made in any case; the balance may become negative.
+     */
     public synchronized void charge(long count) {
         refill();
         tokens -= count;
     }
 
-    /** @return milliseconds until a token is there, at least 1 if there is none now */
-    public synchronized long waitMillis() {
+    /** Returns the milliseconds until a token is available: 0 if there is one now, otherwise at least 1. */
+    public synchronized long millisUntilAvailable() {
         refill();
-        return tokens >= 1 ? 0 : Math.max(1, (long) Math.ceil((1 - tokens) / perSecond * 1_000));
+        return tokens >= 1 ? 0 : Math.max(1, (long) Math.ceil((1 - tokens) / ratePerSecond * 1_000));
     }
 
     private void refill() {
         long now = time.nanoTime();
-        tokens = Math.min(burst, tokens + (now - countedAt) / NANOS_PER_SECOND * perSecond);
-        countedAt = now;
+        tokens = Math.min(burst, tokens + (now - lastRefillNanos) / NANOS_PER_SECOND * ratePerSecond);
+        lastRefillNanos = now;
     }
 }
--- a/org.berylwick/src/org/berylwick/internal/spread/VersionServer.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/VersionDeltaEncoder.java
@@ -23,35 +23,35 @@
 import org.berylwick.proto.VersionNotice;
 
 /**
- * Encodes the version in force for peers that hold an earlier one; any thread may ask.
+ * Encodes the installed version for peers that have an earlier one. Thread-safe.
  *
- * <p>The manifests of the last few versions are kept, so that a peer behind by some versions gets only what differs;
- * one that is further behind gets the whole version. What was encoded is kept until the next version, as several peers
- * ask for the same.
+ * <p>The manifests of the last few versions are cached, so that a peer that is a few versions behind receives only the
+ * differences; a peer further behind receives the complete version. Encoded deltas are cached until the next version is
+ * installed, because several peers request the same delta.
  */
-public final class VersionServer {
-    private static final int KEPT_MANIFESTS = 8;
+public final class VersionDeltaEncoder {
+    private static final int MAX_CACHED_MANIFESTS = 8;
     private static final int DIGEST_BYTES = 32;
 
     private final InstalledVersion installed;
-    private final Map<Long, Manifest> manifests = new LinkedHashMap<>();
-    private final Map<Long, byte[]> encoded = new HashMap<>();
+    private final Map<Long, Manifest> manifestsByVersion = new LinkedHashMap<>();
+    private final Map<Long, byte[]> encodedByBase = new HashMap<>();
     private long encodedVersion;
 
-    /** Serves what is installed from now on. */
-    public VersionServer(InstalledVersion installed) {
+    /** Creates an encoder that caches the manifest of each version installed from now on. */
+    public VersionDeltaEncoder(InstalledVersion installed) {
         this.installed = installed;
-        installed.addListener(this::remember);
+        installed.addListener(this::cacheManifest);
     }
 
-    private synchronized void remember(InForce inForce) {
-        manifest(inForce).ifPresent(m -> manifests.put(m.number(), m));
-        while (manifests.size() > KEPT_MANIFESTS) {
-            manifests.remove(manifests.keySet().iterator().next());
+    private synchronized void cacheManifest(InForce inForce) {
+        decodeManifest(inForce).ifPresent(m -> manifestsByVersion.put(m.number(), m));
+        while (manifestsByVersion.size() > MAX_CACHED_MANIFESTS) {
+            manifestsByVersion.remove(manifestsByVersion.keySet().iterator().next());
         }
     }
 
-    private static Optional<Manifest> manifest(InForce inForce) {
+    private static Optional<Manifest> decodeManifest(InForce inForce) {
         return switch (ConfigurationCodec.decode(inForce.manifestBytes(), Manifest.class)) {
             case Result.Ok<Manifest, String>(Manifest m) -> Optional.of(m);
             case Result.Err<Manifest, String> ignored -> Optional.empty();
@@ -59,9 +59,10 @@
     }
 
     /**
-     * The version in force as a gzip stream of one {@link VersionDelta}; empty if there is none.
+     * Encodes the installed version as a gzip stream of one {@link VersionDelta}.
      *
-     * @param base number of the version that the asker holds, 0 for none
+     * @param base number of the version that the requesting peer has installed, 0 for none
+     * @return the gzip stream, or empty if no version is installed
      */
     public synchronized Optional<byte[]> encode(long base) {
         InForce inForce = installed.inForce();
@@ -70,43 +71,43 @@
             return Optional.empty();
         }
         if (encodedVersion != id.number()) {
-            encoded.clear();
+            encodedByBase.clear();
             encodedVersion = id.number();
         }
-        return Optional.of(encoded.computeIfAbsent(base, b -> gzip(delta(inForce, b))));
+        return Optional.of(encodedByBase.computeIfAbsent(base, b -> gzip(buildDelta(inForce, b))));
     }
 
-    private VersionDelta delta(InForce inForce, long base) {
+    private VersionDelta buildDelta(InForce inForce, long base) {
         VersionId id = inForce.snapshot().id();
-        VersionDelta.Builder delta = VersionDelta.newBuilder().setVersion(notice(id));
-        Manifest baseManifest = base < id.number() ? manifests.get(base) : null;
-        Manifest target = manifests.get(id.number());
+        VersionDelta.Builder delta = VersionDelta.newBuilder().setVersion(toNotice(id));
+        Manifest baseManifest = base < id.number() ? manifestsByVersion.get(base) : null;
+        Manifest target = manifestsByVersion.get(id.number());
         if (baseManifest == null || target == null) {
             delta.setManifest(ByteString.copyFrom(inForce.manifestBytes()));
             inForce.parts().values().forEach(p -> delta.addParts(ByteString.copyFrom(p)));
             return delta.build();
         }
-        ManifestDelta difference = ManifestDelta.between(baseManifest, target);
-        Set<String> held = new HashSet<>(baseManifest.parts().values());
-        delta.setBaseVersion(base).setManifestDelta(ByteString.copyFrom(ConfigurationCodec.encode(difference)));
-        difference.set().values().stream()
-                .filter(hex -> !held.contains(hex))
+        ManifestDelta manifestDelta = ManifestDelta.between(baseManifest, target);
+        Set<String> baseParts = new HashSet<>(baseManifest.parts().values());
+        delta.setBaseVersion(base).setManifestDelta(ByteString.copyFrom(ConfigurationCodec.encode(manifestDelta)));
+        manifestDelta.set().values().stream()
+                .filter(hex -> !baseParts.contains(hex))
                 .distinct()
                 .forEach(hex ->
                         delta.addParts(ByteString.copyFrom(inForce.parts().get(new Digest(hex)))));
         return delta.build();
     }
 
-    /** A version's name as it travels. */
-    public static VersionNotice notice(VersionId id) {
+    /** Converts a version id to its wire format. */
+    public static VersionNotice toNotice(VersionId id) {
         return VersionNotice.newBuilder()
                 .setVersion(id.number())
                 .setDigest(ByteString.fromHex(id.digest().hex()))
                 .build();
     }
 
-    /** The version that a notice names; empty if that is none, or its digest cannot be one. */
-    public static Optional<VersionId> named(VersionNotice notice) {
+    /** Parses the version id of a notice; empty if the notice names no version or its digest has the wrong length. */
+    public static Optional<VersionId> toVersionId(VersionNotice notice) {
         if (notice.getVersion() <= 0 || notice.getDigest().size() != DIGEST_BYTES) {
             return Optional.empty();
         }
@@ -119,7 +120,7 @@
         try (GZIPOutputStream out = new GZIPOutputStream(bytes)) {
             delta.writeTo(out);
         } catch (IOException e) {
-            throw new UncheckedIOException("a stream in memory cannot fail", e);
+            throw new UncheckedIOException("cannot write version delta to in-memory stream", e);
         }
         return bytes.toByteArray();
     }
