--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/AnswerDelivery.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/AnswerDelivery.java
@@ -26,11 +26,11 @@
      *
      * @param from the member that answers
      */
-    HttpResponse deliver(Answer answer, Member from) {
+    HttpResponse deliver(StreamedResponse answer, Member from) {
         ResponseHeadersBuilder builder = answer.headers().toBuilder();
         builder.set(CallHeaders.REQUEST_ID, call.requestId());
         ResponseHeaders headers = builder.build();
-        Answer whole = ResumableAnswer.of(forwarder, call, answer, from);
+        StreamedResponse whole = ResumableAnswer.of(forwarder, call, answer, from);
         OptionalLong length = LengthCheck.length(call.headers().method(), headers);
         AnswerGuard body = new AnswerGuard(call.requestId(), whole.body(), length, forwarder.invariants(), this::ended);
         return whole.withHeaders(headers).withBody(body).toResponse();
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Attempt.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Attempt.java
@@ -9,4 +9,4 @@
  * @param outcome completes with the head of the answer or with why there is none; never exceptionally
  * @param cancel gives it up, as far as the backend server; without effect once the outcome is known
  */
-record Attempt(CompletableFuture<Outcome<Answer>> outcome, Runnable cancel) {}
+record Attempt(CompletableFuture<Outcome<StreamedResponse>> outcome, Runnable cancel) {}
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarder.java
@@ -73,7 +73,7 @@
         Attempt begun = member.instance().equals(instance)
                 ? runHere(call, load, attemptMillis)
                 : peers.send(call, member, load, attemptMillis);
-        CompletableFuture<Outcome<Answer>> outcome = begun.outcome().thenApply(o -> {
+        CompletableFuture<Outcome<StreamedResponse>> outcome = begun.outcome().thenApply(o -> {
             // A request that its caller gave up tells nothing about the member.
             if (!givenUp.get()) {
                 learn(call, load, o, attemptMillis);
@@ -98,9 +98,9 @@
         return begun;
     }
 
-    private static void learn(Call call, PeerLoads.Attempt load, Outcome<Answer> outcome, long attemptMillis) {
+    private static void learn(Call call, PeerLoads.Attempt load, Outcome<StreamedResponse> outcome, long attemptMillis) {
         switch (outcome) {
-            case Outcome.Answered<Answer>(Answer answer) -> {
+            case Outcome.Answered<StreamedResponse>(StreamedResponse answer) -> {
                 HttpStatus status = answer.headers().status();
                 if (status.isServerError()) {
                     load.failed("status " + status.code());
@@ -108,12 +108,12 @@
                     load.responseStarted(call.match().policy().trafficClass() != TrafficClass.BULK);
                 }
             }
-            case Outcome.RefusedNotRun<Answer>(RefusalReason reason, Optional<Long> retryAfter) -> {
+            case Outcome.RefusedNotRun<StreamedResponse>(RefusalReason reason, Optional<Long> retryAfter) -> {
                 if (reason == RefusalReason.DAEMON_UNREACHABLE || reason == RefusalReason.SERVER_UNREACHABLE) {
                     load.failed(reason.word());
                 }
             }
-            case Outcome.Unknown<Answer>(String detail) -> load.outcomeUnknown(detail, attemptMillis);
+            case Outcome.Unknown<StreamedResponse>(String detail) -> load.outcomeUnknown(detail, attemptMillis);
         }
     }
 
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
@@ -108,12 +108,12 @@
         begun.outcome().thenAccept(outcome -> ended(member, outcome));
     }
 
-    private void ended(Member member, Outcome<Answer> outcome) {
-        if (outcome instanceof Outcome.Answered<Answer> answered) {
+    private void ended(Member member, Outcome<StreamedResponse> outcome) {
+        if (outcome instanceof Outcome.Answered<StreamedResponse> answered) {
             deliver(answered, member);
             return;
         }
-        if (outcome instanceof Outcome.RefusedNotRun<Answer>(RefusalReason reason, Optional<Long> after)
+        if (outcome instanceof Outcome.RefusedNotRun<StreamedResponse>(RefusalReason reason, Optional<Long> after)
                 && reason == RefusalReason.LEAVING) {
             forwarder.noteLeaving(member);
         }
@@ -150,17 +150,17 @@
         call.context().eventLoop().schedule(() -> attempt(forwarder.currentMembers()), pause, TimeUnit.MILLISECONDS);
     }
 
-    private void deliver(Outcome.Answered<Answer> answered, Member member) {
+    private void deliver(Outcome.Answered<StreamedResponse> answered, Member member) {
         forwarder.metrics().countOutcome(answered, elapsedNanos());
         result.complete(new AnswerDelivery(forwarder, call).deliver(answered.answer(), member));
     }
 
-    private void giveUp(Outcome<Answer> outcome) {
+    private void giveUp(Outcome<StreamedResponse> outcome) {
         forwarder.metrics().countOutcome(outcome, elapsedNanos());
         switch (outcome) {
-            case Outcome.Answered<Answer> answered ->
+            case Outcome.Answered<StreamedResponse> answered ->
                 throw new IllegalArgumentException("an answered call is not given up");
-            case Outcome.RefusedNotRun<Answer>(RefusalReason reason, Optional<Long> retryAfter) -> {
+            case Outcome.RefusedNotRun<StreamedResponse>(RefusalReason reason, Optional<Long> retryAfter) -> {
                 forwarder
                         .invariants()
                         .check(
@@ -169,7 +169,7 @@
                                 () -> "request " + call.requestId() + " may have run and is called not run");
                 result.complete(Problem.notRun(call.requestId(), reason, retryAfter));
             }
-            case Outcome.Unknown<Answer>(String detail) -> {
+            case Outcome.Unknown<StreamedResponse>(String detail) -> {
                 EVENTS.log(
                         CallEvent.OUTCOME_UNKNOWN,
                         call.requestId(),
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
@@ -24,7 +24,7 @@
     private final Owner owner;
     private final OwnedRequest owned;
     private final Pace pace;
-    private final CompletableFuture<Outcome<Answer>> outcome = new CompletableFuture<>();
+    private final CompletableFuture<Outcome<StreamedResponse>> outcome = new CompletableFuture<>();
     private volatile boolean cancelled;
     private volatile Exchange exchange;
     private volatile CompletableFuture<Admission> asked;
@@ -35,7 +35,7 @@
         this.pace = new Pace(owned.limit(), owner.time());
     }
 
-    CompletableFuture<Outcome<Answer>> outcome() {
+    CompletableFuture<Outcome<StreamedResponse>> outcome() {
         return outcome;
     }
 
@@ -143,7 +143,7 @@
         CallHeaders.removeInternal(headers);
         headers.remove(CallHeaders.SHED);
         headers.set(CallHeaders.REQUEST_ID, owned.requestId());
-        outcome.complete(new Outcome.Answered<>(new Answer(
+        outcome.complete(new Outcome.Answered<>(new StreamedResponse(
                 headers.build(),
                 pace.headSeen(LengthCheck.of(owned.request().method(), received, split.body())),
                 split.trailers())));
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerService.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerService.java
@@ -77,22 +77,22 @@
         return new OwnedRequest(requestId, trafficClass, headBy, limit, request);
     }
 
-    private HttpResponse encode(String requestId, Outcome<Answer> outcome) {
+    private HttpResponse encode(String requestId, Outcome<StreamedResponse> outcome) {
         return switch (outcome) {
-            case Outcome.Answered<Answer>(Answer answer) -> {
+            case Outcome.Answered<StreamedResponse>(StreamedResponse answer) -> {
                 ResponseHeadersBuilder headers = answer.headers().toBuilder();
                 headers.set(CallHeaders.OUTCOME, CallHeaders.OUTCOME_ANSWERED);
                 headers.setInt(CallHeaders.LOAD, owner.load());
                 yield answer.withHeaders(headers.build()).toResponse();
             }
-            case Outcome.RefusedNotRun<Answer>(RefusalReason reason, Optional<Long> retryAfter) -> {
+            case Outcome.RefusedNotRun<StreamedResponse>(RefusalReason reason, Optional<Long> retryAfter) -> {
                 ResponseHeadersBuilder headers =
                         head(HttpStatus.SERVICE_UNAVAILABLE, CallHeaders.OUTCOME_NOT_RUN, requestId, reason.word());
                 retryAfter.ifPresent(ms ->
                         headers.setLong(HttpHeaderNames.RETRY_AFTER, (ms + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND));
                 yield HttpResponse.of(headers.build());
             }
-            case Outcome.Unknown<Answer>(String detail) ->
+            case Outcome.Unknown<StreamedResponse>(String detail) ->
                 HttpResponse.of(head(HttpStatus.BAD_GATEWAY, CallHeaders.OUTCOME_UNKNOWN, requestId, detail)
                         .build());
         };
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/PeerSender.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/PeerSender.java
@@ -59,7 +59,7 @@
         pace.begin(exchange);
         exchange.response().whenComplete().whenComplete((done, failure) -> load.close());
         SplitHttpResponse split = exchange.response().split();
-        CompletableFuture<Outcome<Answer>> outcome = split.headers()
+        CompletableFuture<Outcome<StreamedResponse>> outcome = split.headers()
                 .handle((answer, failure) ->
                         failure == null ? outcomeOf(call, load, answer, split, exchange, pace) : outcomeOf(failure));
         return new Attempt(outcome, () -> {
@@ -69,7 +69,7 @@
         });
     }
 
-    private Outcome<Answer> outcomeOf(
+    private Outcome<StreamedResponse> outcomeOf(
             Call call,
             PeerLoads.Attempt load,
             ResponseHeaders received,
@@ -88,7 +88,7 @@
                 ResponseHeadersBuilder headers = received.toBuilder();
                 CallHeaders.removeHopByHop(headers);
                 CallHeaders.removeInternal(headers);
-                return new Outcome.Answered<>(new Answer(
+                return new Outcome.Answered<>(new StreamedResponse(
                         headers.build(),
                         pace.headSeen(LengthCheck.of(call.headers().method(), received, split.body())),
                         split.trailers()));
@@ -108,7 +108,7 @@
         }
     }
 
-    private static Outcome<Answer> outcomeOf(Throwable failure) {
+    private static Outcome<StreamedResponse> outcomeOf(Throwable failure) {
         if (Exchange.isUnprocessed(failure)) {
             return new Outcome.RefusedNotRun<>(
                     RefusalReason.DAEMON_UNREACHABLE, Optional.of(DEFAULT_RETRY_AFTER_MILLIS));
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
@@ -49,7 +49,7 @@
     }
 
     /** The answer, made resumable if it can be. */
-    static Answer of(Forwarder forwarder, Call call, Answer answer, Member from) {
+    static StreamedResponse of(Forwarder forwarder, Call call, StreamedResponse answer, Member from) {
         ResponseHeaders headers = answer.headers();
         String validator = headers.get(HttpHeaderNames.ETAG, "");
         boolean resumable = call.match().policy().idempotent()
@@ -78,7 +78,7 @@
                 current.cancel().run();
             }
         });
-        log = log.plus(new Outcome.Unknown<Answer>("cut"));
+        log = log.plus(new Outcome.Unknown<StreamedResponse>("cut"));
         askForRest(cause, rest);
         return deferred;
     }
@@ -100,12 +100,12 @@
                 call.withHeaders(headers.build()), from, rule.attemptTimeoutMillis(log, forwarder.time()));
         current.outcome().thenAccept(outcome -> {
             switch (outcome) {
-                case Outcome.Answered<Answer>(Answer answer) -> join(answer, cause, rest);
-                case Outcome.RefusedNotRun<Answer> refused -> {
+                case Outcome.Answered<StreamedResponse>(StreamedResponse answer) -> join(answer, cause, rest);
+                case Outcome.RefusedNotRun<StreamedResponse> refused -> {
                     log = log.plus(refused);
                     askForRest(cause, rest);
                 }
-                case Outcome.Unknown<Answer> unknown -> {
+                case Outcome.Unknown<StreamedResponse> unknown -> {
                     log = log.plus(unknown);
                     askForRest(cause, rest);
                 }
@@ -113,7 +113,7 @@
         });
     }
 
-    private void join(Answer answer, Throwable cause, CompletableFuture<StreamMessage<HttpData>> rest) {
+    private void join(StreamedResponse answer, Throwable cause, CompletableFuture<StreamMessage<HttpData>> rest) {
         ResponseHeaders headers = answer.headers();
         String range = "bytes " + passed + "-" + (total - 1) + "/" + total;
         boolean fits = headers.status().equals(HttpStatus.PARTIAL_CONTENT)
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Answer.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/StreamedResponse.java
@@ -16,15 +16,15 @@
  * @param body passes at the pace of whoever reads it; fails if the answer was cut
  * @param trailers complete after the body
  */
-record Answer(ResponseHeaders headers, StreamMessage<HttpData> body, CompletableFuture<HttpHeaders> trailers) {
+record StreamedResponse(ResponseHeaders headers, StreamMessage<HttpData> body, CompletableFuture<HttpHeaders> trailers) {
     /** This answer with another head. */
-    Answer withHeaders(ResponseHeaders newHeaders) {
-        return new Answer(newHeaders, body, trailers);
+    StreamedResponse withHeaders(ResponseHeaders newHeaders) {
+        return new StreamedResponse(newHeaders, body, trailers);
     }
 
     /** This answer with another body. */
-    Answer withBody(StreamMessage<HttpData> newBody) {
-        return new Answer(headers, newBody, trailers);
+    StreamedResponse withBody(StreamMessage<HttpData> newBody) {
+        return new StreamedResponse(headers, newBody, trailers);
     }
 
     /** The response that says the same. */
