--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/AnswerDelivery.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/AnswerDelivery.java
@@ -33,7 +33,7 @@
         StreamedResponse whole = ResumableAnswer.of(forwarder, call, answer, from);
         OptionalLong length = LengthCheck.length(call.headers().method(), headers);
         AnswerGuard body = new AnswerGuard(call.requestId(), whole.body(), length, forwarder.invariants(), this::ended);
-        return whole.withHeaders(headers).withBody(body).toResponse();
+        return whole.withHeaders(headers).withBody(body).toHttpResponse();
     }
 
     private void ended(long passed, Throwable failure) {
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/AnswerRecorder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/AnswerRecorder.java
@@ -69,7 +69,7 @@
                 // The caller left while its request ran. Its repeat is given the answer, so that is read all the same.
                 watched.subscribe(new BoundedDrain());
             } else {
-                head.complete(new StreamedResponse(received, watched, split.trailers()).toResponse());
+                head.complete(new StreamedResponse(received, watched, split.trailers()).toHttpResponse());
             }
             return null;
         });
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerService.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerService.java
@@ -83,7 +83,7 @@
                 ResponseHeadersBuilder headers = answer.headers().toBuilder();
                 headers.set(CallHeaders.OUTCOME, CallHeaders.OUTCOME_ANSWERED);
                 headers.setInt(CallHeaders.LOAD, owner.load());
-                yield answer.withHeaders(headers.build()).toResponse();
+                yield answer.withHeaders(headers.build()).toHttpResponse();
             }
             case Outcome.RefusedNotRun<StreamedResponse>(RefusalReason reason, Optional<Long> retryAfter) -> {
                 ResponseHeadersBuilder headers =
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/StreamedResponse.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/StreamedResponse.java
@@ -28,7 +28,7 @@
     }
 
     /** The response that says the same. */
-    HttpResponse toResponse() {
+    HttpResponse toHttpResponse() {
         if (!headers.contains(HttpHeaderNames.TRAILER)) {
             return HttpResponse.of(headers, body);
         }
