--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/AnswerDelivery.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/AnswerDelivery.java
@@ -32,11 +32,11 @@
         ResponseHeaders headers = builder.build();
         StreamedResponse whole = ResumableAnswer.of(forwarder, call, answer, from);
         OptionalLong length = LengthCheck.length(call.headers().method(), headers);
-        AnswerGuard body = new AnswerGuard(call.requestId(), whole.body(), length, forwarder.invariants(), this::ended);
+        AnswerGuard body = new AnswerGuard(call.requestId(), whole.body(), length, forwarder.invariants(), this::recordFailure);
         return whole.withHeaders(headers).withBody(body).toHttpResponse();
     }
 
-    private void ended(long passed, Throwable failure) {
+    private void recordFailure(long passed, Throwable failure) {
         if (failure instanceof CancelledSubscriptionException || call.isCallerGone()) {
             forwarder.metrics().countCancelled();
             return;
