--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/AnswerDelivery.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/AnswerDelivery.java
@@ -32,7 +32,7 @@
         ResponseHeaders headers = builder.build();
         StreamedResponse whole = ResumableAnswer.of(forwarder, call, answer, from);
         OptionalLong length = LengthCheck.length(call.headers().method(), headers);
-        AnswerGuard body = new AnswerGuard(call.requestId(), whole.body(), length, forwarder.invariants(), this::recordFailure);
+        ResponseLengthGuard body = new ResponseLengthGuard(call.requestId(), whole.body(), length, forwarder.invariants(), this::recordFailure);
         return whole.withHeaders(headers).withBody(body).toHttpResponse();
     }
 
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/AnswerGuard.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ResponseLengthGuard.java
@@ -15,7 +15,7 @@
  * <p>A short body that ended cleanly would look whole to a caller that reads to the end of the stream; here it ends
  * with an error, which the caller sees as a reset.
  */
-final class AnswerGuard extends FilteredStreamMessage<HttpData, HttpData> {
+final class ResponseLengthGuard extends FilteredStreamMessage<HttpData, HttpData> {
     /** Hears of a body that ended in error. */
     @FunctionalInterface
     interface ErrorListener {
@@ -35,7 +35,7 @@
      * @param expected its length in bytes, if its head announced one
      * @param onError is told of an error before the caller's connection is closed for it
      */
-    AnswerGuard(
+    ResponseLengthGuard(
             String requestId,
             StreamMessage<HttpData> body,
             OptionalLong expected,
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/AnswerGuardTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/AnswerGuardTest.java
@@ -19,9 +19,9 @@
 
     private final AtomicInteger errors = new AtomicInteger();
 
-    private AnswerGuard guard(OptionalLong expected) {
+    private ResponseLengthGuard guard(OptionalLong expected) {
         StreamMessage<HttpData> body = StreamMessage.of(HttpData.ofUtf8("abc"), HttpData.ofUtf8("de"));
-        return new AnswerGuard("r-1", body, expected, invariants, (passed, failure) -> errors.incrementAndGet());
+        return new ResponseLengthGuard("r-1", body, expected, invariants, (passed, failure) -> errors.incrementAndGet());
     }
 
     @Test
