--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ResponseLengthGuard.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ResponseLengthGuard.java
@@ -20,7 +20,7 @@
     @FunctionalInterface
     interface ErrorListener {
         /** The body ended after {@code passed} bytes. */
-        void ended(long passed, Throwable failure);
+        void bodyFailed(long passed, Throwable failure);
     }
 
     private final String requestId;
@@ -56,13 +56,13 @@
 
     @Override
     protected Throwable beforeError(Subscriber<? super HttpData> subscriber, Throwable cause) {
-        onError.ended(passed, cause);
+        onError.bodyFailed(passed, cause);
         return cause;
     }
 
     @Override
     protected void onCancellation(Subscriber<? super HttpData> subscriber) {
-        onError.ended(passed, CancelledSubscriptionException.get());
+        onError.bodyFailed(passed, CancelledSubscriptionException.get());
     }
 
     @Override
