--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ResponseLengthGuard.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ResponseLengthGuard.java
@@ -27,7 +27,7 @@
     private final OptionalLong expected;
     private final Invariants invariants;
     private final ErrorListener onError;
-    private long passed;
+    private long deliveredBytes;
 
     /**
      * Guards a body.
@@ -50,30 +50,30 @@
 
     @Override
     protected HttpData filter(HttpData data) {
-        passed += data.length();
+        deliveredBytes += data.length();
         return data;
     }
 
     @Override
     protected Throwable beforeError(Subscriber<? super HttpData> subscriber, Throwable cause) {
-        onError.bodyFailed(passed, cause);
+        onError.bodyFailed(deliveredBytes, cause);
         return cause;
     }
 
     @Override
     protected void onCancellation(Subscriber<? super HttpData> subscriber) {
-        onError.bodyFailed(passed, CancelledSubscriptionException.get());
+        onError.bodyFailed(deliveredBytes, CancelledSubscriptionException.get());
     }
 
     @Override
     protected void beforeComplete(Subscriber<? super HttpData> subscriber) {
-        boolean whole = expected.isEmpty() || expected.getAsLong() == passed;
+        boolean whole = expected.isEmpty() || expected.getAsLong() == deliveredBytes;
         invariants.check(
                 Invariant.OWN_WHOLE_ANSWER,
                 whole,
-                () -> "answer to " + requestId + " has " + passed + " bytes, announced " + expected);
+                () -> "answer to " + requestId + " has " + deliveredBytes + " bytes, announced " + expected);
         if (!whole) {
-            throw new IllegalStateException("the answer has " + passed + " bytes, announced " + expected);
+            throw new IllegalStateException("the answer has " + deliveredBytes + " bytes, announced " + expected);
         }
     }
 }
