--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ResponseLengthGuard.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ResponseLengthGuard.java
@@ -24,7 +24,7 @@
     }
 
     private final String requestId;
-    private final OptionalLong expected;
+    private final OptionalLong contentLength;
     private final Invariants invariants;
     private final ErrorListener onError;
     private long deliveredBytes;
@@ -44,7 +44,7 @@
         super(body, true);
         this.onError = onError;
         this.requestId = requestId;
-        this.expected = expected;
+        this.contentLength = expected;
         this.invariants = invariants;
     }
 
@@ -67,13 +67,13 @@
 
     @Override
     protected void beforeComplete(Subscriber<? super HttpData> subscriber) {
-        boolean whole = expected.isEmpty() || expected.getAsLong() == deliveredBytes;
+        boolean whole = contentLength.isEmpty() || contentLength.getAsLong() == deliveredBytes;
         invariants.check(
                 Invariant.OWN_WHOLE_ANSWER,
                 whole,
-                () -> "answer to " + requestId + " has " + deliveredBytes + " bytes, announced " + expected);
+                () -> "answer to " + requestId + " has " + deliveredBytes + " bytes, announced " + contentLength);
         if (!whole) {
-            throw new IllegalStateException("the answer has " + deliveredBytes + " bytes, announced " + expected);
+            throw new IllegalStateException("the answer has " + deliveredBytes + " bytes, announced " + contentLength);
         }
     }
 }
