--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ResponseLengthGuard.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ResponseLengthGuard.java
@@ -26,7 +26,7 @@
     private final String requestId;
     private final OptionalLong contentLength;
     private final Invariants invariants;
-    private final ErrorListener onError;
+    private final ErrorListener errorListener;
     private long deliveredBytes;
 
     /**
@@ -42,7 +42,7 @@
             Invariants invariants,
             ErrorListener onError) {
         super(body, true);
-        this.onError = onError;
+        this.errorListener = onError;
         this.requestId = requestId;
         this.contentLength = expected;
         this.invariants = invariants;
@@ -56,13 +56,13 @@
 
     @Override
     protected Throwable beforeError(Subscriber<? super HttpData> subscriber, Throwable cause) {
-        onError.bodyFailed(deliveredBytes, cause);
+        errorListener.bodyFailed(deliveredBytes, cause);
         return cause;
     }
 
     @Override
     protected void onCancellation(Subscriber<? super HttpData> subscriber) {
-        onError.bodyFailed(deliveredBytes, CancelledSubscriptionException.get());
+        errorListener.bodyFailed(deliveredBytes, CancelledSubscriptionException.get());
     }
 
     @Override
