--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/KeyedForwarder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/KeyedForwarder.java
@@ -96,7 +96,7 @@
             keys.settle(claim, new Settlement.Release());
             return Problem.notRun(call.requestId(), RefusalReason.DEADLINE, Optional.empty());
         }
-        AnswerRecorder recorder = new AnswerRecorder(settlement -> keys.settle(claim, settlement));
+        KeyedResponseRecorder recorder = new KeyedResponseRecorder(settlement -> keys.settle(claim, settlement));
         try {
             return recorder.record(forwarder.forward(runOnce(call)));
         } catch (RuntimeException e) {
@@ -132,7 +132,7 @@
             return Problem.keyReused(id, "this Idempotency-Key was used with another request");
         }
         return switch (existing.run()) {
-            case KeyState.Answered(var answer) -> AnswerRecorder.replay(id, answer);
+            case KeyState.Answered(var answer) -> KeyedResponseRecorder.replay(id, answer);
             case KeyState.Ran(int status) ->
                 Problem.keyConflict(
                         id,
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/AnswerRecorder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/KeyedResponseRecorder.java
@@ -26,7 +26,7 @@
  *
  * <p>At most {@link #MAX_KEPT_BYTES} are gathered; the answer itself streams on untouched.
  */
-final class AnswerRecorder {
+final class KeyedResponseRecorder {
     /** Largest body, and largest sum of headers, that is kept for repeats, in bytes each. */
     static final int MAX_KEPT_BYTES = 8 << 10;
 
@@ -44,7 +44,7 @@
     private boolean tooLarge;
 
     /** @param settle told once how the request ended */
-    AnswerRecorder(Consumer<Settlement> settle) {
+    KeyedResponseRecorder(Consumer<Settlement> settle) {
         this.settle = settle;
     }
 
