--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/KeyedResponseRecorder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/KeyedResponseRecorder.java
@@ -24,11 +24,11 @@
 /**
  * Watches the final answer of one keyed request go by and settles its claim when the answer has ended.
  *
- * <p>At most {@link #MAX_KEPT_BYTES} are gathered; the answer itself streams on untouched.
+ * <p>At most {@link #MAX_STORED_BYTES} are gathered; the answer itself streams on untouched.
  */
 final class KeyedResponseRecorder {
     /** Largest body, and largest sum of headers, that is kept for repeats, in bytes each. */
-    static final int MAX_KEPT_BYTES = 8 << 10;
+    static final int MAX_STORED_BYTES = 8 << 10;
 
     /** Headers that belong to one request or one connection. */
     private static final Set<AsciiString> NOT_KEPT = Set.of(
@@ -109,7 +109,7 @@
     }
 
     private synchronized void take(HttpData data) {
-        if (tooLarge || body.size() + data.length() > MAX_KEPT_BYTES) {
+        if (tooLarge || body.size() + data.length() > MAX_STORED_BYTES) {
             tooLarge = true;
             return;
         }
@@ -132,7 +132,7 @@
         int headerBytes = kept.stream()
                 .mapToInt(h -> h.name().length() + h.value().length())
                 .sum();
-        if (!whole || tooLarge || headerBytes > MAX_KEPT_BYTES) {
+        if (!whole || tooLarge || headerBytes > MAX_STORED_BYTES) {
             return new Settlement.Keep(new KeyState.Ran(status));
         }
         return new Settlement.Keep(new KeyState.Answered(new StoredAnswer(status, kept, body.toByteArray())));
