--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/KeyedResponseRecorder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/KeyedResponseRecorder.java
@@ -31,7 +31,7 @@
     static final int MAX_STORED_BYTES = 8 << 10;
 
     /** Headers that belong to one request or one connection. */
-    private static final Set<AsciiString> NOT_KEPT = Set.of(
+    private static final Set<AsciiString> UNSTORED_HEADERS = Set.of(
             HttpHeaderNames.STATUS,
             HttpHeaderNames.DATE,
             HttpHeaderNames.SERVER,
@@ -141,7 +141,7 @@
     private List<StoredAnswer.Header> keptHeaders() {
         List<StoredAnswer.Header> kept = new ArrayList<>();
         headers.forEach((name, value) -> {
-            if (!NOT_KEPT.contains(name)) {
+            if (!UNSTORED_HEADERS.contains(name)) {
                 kept.add(new StoredAnswer.Header(name.toString(), value));
             }
         });
