--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/KeyedResponseRecorder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/KeyedResponseRecorder.java
@@ -38,14 +38,14 @@
             HttpHeaderNames.CONTENT_LENGTH,
             CallHeaders.REQUEST_ID);
 
-    private final Consumer<Settlement> settle;
+    private final Consumer<Settlement> onSettlement;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private volatile ResponseHeaders headers;
     private boolean tooLarge;
 
     /** @param settle told once how the request ended */
     KeyedResponseRecorder(Consumer<Settlement> settle) {
-        this.settle = settle;
+        this.onSettlement = settle;
     }
 
     /** The same answer, watched. */
@@ -55,14 +55,14 @@
         HttpResponse toCaller = HttpResponse.of(head);
         split.headers().handle((received, failure) -> {
             if (failure != null) {
-                settle.accept(new Settlement.Keep(new KeyState.Unknown()));
+                onSettlement.accept(new Settlement.Keep(new KeyState.Unknown()));
                 head.completeExceptionally(failure);
                 return null;
             }
             headers = received;
             StreamMessage<HttpData> watched = split.body().peek(this::take);
             watched.whenComplete().handle((done, cut) -> {
-                settle.accept(settlement(cut == null));
+                onSettlement.accept(settlement(cut == null));
                 return null;
             });
             if (toCaller.whenComplete().isDone()) {
