--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/KeyedForwarder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/KeyedForwarder.java
@@ -98,7 +98,7 @@
         }
         KeyedResponseRecorder recorder = new KeyedResponseRecorder(settlement -> keys.settle(claim, settlement));
         try {
-            return recorder.record(forwarder.forward(runOnce(call)));
+            return recorder.wrap(forwarder.forward(runOnce(call)));
         } catch (RuntimeException e) {
             // What was sent before the exception is not known here.
             keys.settle(claim, new Settlement.Keep(new KeyState.Unknown()));
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/KeyedResponseRecorder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/KeyedResponseRecorder.java
@@ -49,7 +49,7 @@
     }
 
     /** The same answer, watched. */
-    HttpResponse record(HttpResponse answer) {
+    HttpResponse wrap(HttpResponse answer) {
         SplitHttpResponse split = answer.split();
         CompletableFuture<HttpResponse> head = new CompletableFuture<>();
         HttpResponse toCaller = HttpResponse.of(head);
