--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/KeyedResponseRecorder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/KeyedResponseRecorder.java
@@ -60,7 +60,7 @@
                 return null;
             }
             headers = received;
-            StreamMessage<HttpData> watched = split.body().peek(this::take);
+            StreamMessage<HttpData> watched = split.body().peek(this::bufferBody);
             watched.whenComplete().handle((done, cut) -> {
                 onSettlement.accept(settlement(cut == null));
                 return null;
@@ -108,7 +108,7 @@
         return tooLarge;
     }
 
-    private synchronized void take(HttpData data) {
+    private synchronized void bufferBody(HttpData data) {
         if (tooLarge || body.size() + data.length() > MAX_STORED_BYTES) {
             tooLarge = true;
             return;
