--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/KeyedResponseRecorder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/KeyedResponseRecorder.java
@@ -62,7 +62,7 @@
             headers = received;
             StreamMessage<HttpData> watched = split.body().peek(this::bufferBody);
             watched.whenComplete().handle((done, cut) -> {
-                onSettlement.accept(settlement(cut == null));
+                onSettlement.accept(settlementAtEnd(cut == null));
                 return null;
             });
             if (toCaller.whenComplete().isDone()) {
@@ -116,7 +116,7 @@
         body.writeBytes(data.array());
     }
 
-    private synchronized Settlement settlement(boolean whole) {
+    private synchronized Settlement settlementAtEnd(boolean whole) {
         // Only a daemon's own refusals carry this header: it is removed from what backend servers answer.
         switch (headers.get(CallHeaders.OUTCOME, "")) {
             case CallHeaders.OUTCOME_NOT_RUN -> {
