--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/KeyedResponseRecorder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/KeyedResponseRecorder.java
@@ -128,7 +128,7 @@
             default -> {}
         }
         int status = headers.status().code();
-        List<StoredAnswer.Header> kept = keptHeaders();
+        List<StoredAnswer.Header> kept = headersToStore();
         int headerBytes = kept.stream()
                 .mapToInt(h -> h.name().length() + h.value().length())
                 .sum();
@@ -138,7 +138,7 @@
         return new Settlement.Keep(new KeyState.Answered(new StoredAnswer(status, kept, body.toByteArray())));
     }
 
-    private List<StoredAnswer.Header> keptHeaders() {
+    private List<StoredAnswer.Header> headersToStore() {
         List<StoredAnswer.Header> kept = new ArrayList<>();
         headers.forEach((name, value) -> {
             if (!UNSTORED_HEADERS.contains(name)) {
