--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/AnswerDelivery.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/AnswerDelivery.java
@@ -37,7 +37,7 @@
     }
 
     private void recordFailure(long passed, Throwable failure) {
-        if (failure instanceof CancelledSubscriptionException || call.isCallerGone()) {
+        if (failure instanceof CancelledSubscriptionException || call.isCallerDisconnected()) {
             forwarder.metrics().countCancelled();
             return;
         }
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Call.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Call.java
@@ -56,7 +56,7 @@
     }
 
     /** Tells whether the caller's connection is gone. */
-    boolean isCallerGone() {
+    boolean isCallerDisconnected() {
         Channel channel = context.log().partial().channel();
         return context.isCancelled() || channel == null || !channel.isActive();
     }
