--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Call.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Call.java
@@ -32,7 +32,7 @@
     /** A request to send, which can be sent once. */
     HttpRequest newRequest(RequestHeaders attemptHeaders) {
         return switch (body) {
-            case CallBody.Held held ->
+            case CallBody.Buffered held ->
                 held.content().isEmpty()
                         ? HttpRequest.of(attemptHeaders)
                         : HttpRequest.of(attemptHeaders, held.content());
@@ -63,6 +63,6 @@
 
     /** Tells whether the body can be sent more than once. */
     boolean isReplayable() {
-        return body instanceof CallBody.Held;
+        return body instanceof CallBody.Buffered;
     }
 }
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/EntryService.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/EntryService.java
@@ -110,7 +110,7 @@
                 deadline,
                 limit,
                 headers,
-                new CallBody.Held(HttpData.empty()),
+                new CallBody.Buffered(HttpData.empty()),
                 ctx);
         long length = contentLength(request);
         if (length == 0) {
@@ -130,7 +130,7 @@
         return HttpResponse.of(request.aggregate().handle((whole, failure) -> {
             timeout.cancel(false);
             return failure == null
-                    ? forwarder.forward(call.withBody(new CallBody.Held(whole.content())))
+                    ? forwarder.forward(call.withBody(new CallBody.Buffered(whole.content())))
                     : Problem.requestTimeout(call.requestId());
         }));
     }
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/KeyedForwarder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/KeyedForwarder.java
@@ -68,7 +68,7 @@
 
     /** A streamed body is not known yet; of it, the declared length alone counts. */
     private static Digest fingerprint(Call call) {
-        byte[] body = call.body() instanceof CallBody.Held(HttpData content) ? content.array() : NO_BODY;
+        byte[] body = call.body() instanceof CallBody.Buffered(HttpData content) ? content.array() : NO_BODY;
         RequestHeaders headers = call.headers();
         return RequestFingerprint.of(
                 headers.method().name(),
