--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallHeaders.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallHeaders.java
@@ -18,7 +18,7 @@
     static final AsciiString TRAFFIC_CLASS = AsciiString.cached("berylwick-class");
 
     /** Request, entry to owner: milliseconds within which the head of the answer must be there. */
-    static final AsciiString HEAD_MILLIS = AsciiString.cached("berylwick-head-ms");
+    static final AsciiString RESPONSE_START_TIMEOUT_MILLIS = AsciiString.cached("berylwick-head-ms");
 
     /** Request, entry to owner, bulk transfers only: longest time in milliseconds in which nothing may move. */
     static final AsciiString STALL_MILLIS = AsciiString.cached("berylwick-stall-ms");
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerService.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerService.java
@@ -66,7 +66,7 @@
             case "BULK" -> TrafficClass.BULK;
             default -> TrafficClass.READ;
         };
-        Deadline headBy = Deadline.afterMillis(time, headers.getLong(CallHeaders.HEAD_MILLIS, 0));
+        Deadline headBy = Deadline.afterMillis(time, headers.getLong(CallHeaders.RESPONSE_START_TIMEOUT_MILLIS, 0));
         long wholeMillis = headers.getLong(CallHeaders.TIMEOUT_MILLIS, -1);
         long stallMillis = headers.getLong(CallHeaders.STALL_MILLIS, -1);
         Optional<Deadline> wholeBy =
