--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallHeaders.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallHeaders.java
@@ -21,7 +21,7 @@
     static final AsciiString RESPONSE_START_TIMEOUT_MILLIS = AsciiString.cached("berylwick-head-ms");
 
     /** Request, entry to owner, bulk transfers only: longest time in milliseconds in which nothing may move. */
-    static final AsciiString STALL_MILLIS = AsciiString.cached("berylwick-stall-ms");
+    static final AsciiString STALL_TIMEOUT_MILLIS = AsciiString.cached("berylwick-stall-ms");
 
     /** Response, owner to entry: see {@link #OUTCOME_ANSWERED} and the other words. */
     static final AsciiString OUTCOME = AsciiString.cached("berylwick-outcome");
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerService.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerService.java
@@ -68,7 +68,7 @@
         };
         Deadline headBy = Deadline.afterMillis(time, headers.getLong(CallHeaders.RESPONSE_START_TIMEOUT_MILLIS, 0));
         long wholeMillis = headers.getLong(CallHeaders.TIMEOUT_MILLIS, -1);
-        long stallMillis = headers.getLong(CallHeaders.STALL_MILLIS, -1);
+        long stallMillis = headers.getLong(CallHeaders.STALL_TIMEOUT_MILLIS, -1);
         Optional<Deadline> wholeBy =
                 wholeMillis < 0 ? Optional.empty() : Optional.of(Deadline.afterMillis(time, wholeMillis));
         TransferLimit limit = stallMillis < 0
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/PeerSender.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/PeerSender.java
@@ -49,7 +49,7 @@
             case TransferLimit.Whole(Deadline by) ->
                 headers.setLong(CallHeaders.TIMEOUT_MILLIS, by.remainingMillis(time));
             case TransferLimit.Progress(long stallMillis, Optional<Deadline> callerBy) -> {
-                headers.setLong(CallHeaders.STALL_MILLIS, stallMillis);
+                headers.setLong(CallHeaders.STALL_TIMEOUT_MILLIS, stallMillis);
                 callerBy.ifPresent(by -> headers.setLong(CallHeaders.TIMEOUT_MILLIS, by.remainingMillis(time)));
             }
         }
