--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallMetrics.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallMetrics.java
@@ -28,7 +28,7 @@
     public static final String CANCELLED = "call.cancelled";
 
     /** Counter: what was decided after an attempt without answer; the verdict's name follows. */
-    public static final String VERDICT = "call.verdict.";
+    public static final String RETRY_VERDICT_PREFIX = "call.verdict.";
 
     /** Counter: answers cut while they streamed. */
     public static final String CUT = "call.answer.cut";
@@ -69,7 +69,7 @@
         crossed = registry.counter(CROSSED);
         headLatency = registry.timer(HEAD_LATENCY);
         for (RetryRule.Verdict v : RetryRule.Verdict.values()) {
-            verdicts.put(v, registry.counter(VERDICT + v));
+            verdicts.put(v, registry.counter(RETRY_VERDICT_PREFIX + v));
         }
         registry.gauge(RUNNING, () -> running::get);
     }
