--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallMetrics.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallMetrics.java
@@ -31,7 +31,7 @@
     public static final String RETRY_VERDICT_PREFIX = "call.verdict.";
 
     /** Counter: answers cut while they streamed. */
-    public static final String CUT = "call.answer.cut";
+    public static final String TRUNCATED = "call.answer.cut";
 
     /** Counter: answers that went on from another attempt. */
     public static final String RESUMED = "call.answer.resumed";
@@ -64,7 +64,7 @@
         unknown = registry.counter(UNKNOWN);
         rejected = registry.counter(REJECTED);
         cancelled = registry.counter(CANCELLED);
-        cut = registry.counter(CUT);
+        cut = registry.counter(TRUNCATED);
         resumed = registry.counter(RESUMED);
         crossed = registry.counter(CROSSED);
         headLatency = registry.timer(HEAD_LATENCY);
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/AnswerTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/AnswerTest.java
@@ -146,7 +146,7 @@
             assertTrue(got.contains("content-length: " + WHOLE.length()));
             assertTrue(got.length() < WHOLE.length());
         }
-        Await.until("the cut is counted", () -> entry.count(CallMetrics.CUT) == 1, () -> entry.count(CallMetrics.CUT));
+        Await.until("the cut is counted", () -> entry.count(CallMetrics.TRUNCATED) == 1, () -> entry.count(CallMetrics.TRUNCATED));
     }
 
     @Test
