--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallMetrics.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallMetrics.java
@@ -37,7 +37,7 @@
     public static final String RESUMED = "call.answer.resumed";
 
     /** Counter: answers dropped because they name another request. */
-    public static final String CROSSED = "call.answer.crossed";
+    public static final String MISMATCHED = "call.answer.crossed";
 
     /** Timer: from receiving a call to the head of its final answer. */
     public static final String HEAD_LATENCY = "call.latency.head";
@@ -66,7 +66,7 @@
         cancelled = registry.counter(CANCELLED);
         cut = registry.counter(TRUNCATED);
         resumed = registry.counter(RESUMED);
-        crossed = registry.counter(CROSSED);
+        crossed = registry.counter(MISMATCHED);
         headLatency = registry.timer(HEAD_LATENCY);
         for (RetryRule.Verdict v : RetryRule.Verdict.values()) {
             verdicts.put(v, registry.counter(RETRY_VERDICT_PREFIX + v));
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/AnswerTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/AnswerTest.java
@@ -95,7 +95,7 @@
         assertEquals(502, answer.status().code());
         assertFalse(answer.contentUtf8().contains("secret"));
         Await.until("the server's connection closed", () -> server.closedByPeer() > 0, server::closedByPeer);
-        assertEquals(1, owner.count(CallMetrics.CROSSED));
+        assertEquals(1, owner.count(CallMetrics.MISMATCHED));
         assertEquals("next", get("http", "/orders/1", "next").join().contentUtf8());
     }
 
