--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallMetrics.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallMetrics.java
@@ -40,7 +40,7 @@
     public static final String MISMATCHED = "call.answer.crossed";
 
     /** Timer: from receiving a call to the head of its final answer. */
-    public static final String HEAD_LATENCY = "call.latency.head";
+    public static final String RESPONSE_START_LATENCY = "call.latency.head";
 
     /** Gauge: calls that run in this daemon, as entry or as owner. */
     public static final String RUNNING = "call.running";
@@ -67,7 +67,7 @@
         cut = registry.counter(TRUNCATED);
         resumed = registry.counter(RESUMED);
         crossed = registry.counter(MISMATCHED);
-        headLatency = registry.timer(HEAD_LATENCY);
+        headLatency = registry.timer(RESPONSE_START_LATENCY);
         for (RetryRule.Verdict v : RetryRule.Verdict.values()) {
             verdicts.put(v, registry.counter(RETRY_VERDICT_PREFIX + v));
         }
