--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallMetrics.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallMetrics.java
@@ -50,7 +50,7 @@
     private final Counter unknown;
     private final Counter rejected;
     private final Counter cancelled;
-    private final Counter cut;
+    private final Counter truncated;
     private final Counter resumed;
     private final Counter crossed;
     private final Timer headLatency;
@@ -64,7 +64,7 @@
         unknown = registry.counter(UNKNOWN);
         rejected = registry.counter(REJECTED);
         cancelled = registry.counter(CANCELLED);
-        cut = registry.counter(TRUNCATED);
+        truncated = registry.counter(TRUNCATED);
         resumed = registry.counter(RESUMED);
         crossed = registry.counter(MISMATCHED);
         headLatency = registry.timer(RESPONSE_START_LATENCY);
@@ -97,7 +97,7 @@
     }
 
     void countCut() {
-        cut.inc();
+        truncated.inc();
     }
 
     void countResumed() {
