--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallMetrics.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallMetrics.java
@@ -52,7 +52,7 @@
     private final Counter cancelled;
     private final Counter truncated;
     private final Counter resumed;
-    private final Counter crossed;
+    private final Counter mismatched;
     private final Timer headLatency;
     private final Map<RetryRule.Verdict, Counter> verdicts = new EnumMap<>(RetryRule.Verdict.class);
     private final AtomicInteger running = new AtomicInteger();
@@ -66,7 +66,7 @@
         cancelled = registry.counter(CANCELLED);
         truncated = registry.counter(TRUNCATED);
         resumed = registry.counter(RESUMED);
-        crossed = registry.counter(MISMATCHED);
+        mismatched = registry.counter(MISMATCHED);
         headLatency = registry.timer(RESPONSE_START_LATENCY);
         for (RetryRule.Verdict v : RetryRule.Verdict.values()) {
             verdicts.put(v, registry.counter(RETRY_VERDICT_PREFIX + v));
@@ -105,7 +105,7 @@
     }
 
     void countCrossed() {
-        crossed.inc();
+        mismatched.inc();
     }
 
     /** A call begins here. */
