--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallMetrics.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallMetrics.java
@@ -53,7 +53,7 @@
     private final Counter truncated;
     private final Counter resumed;
     private final Counter mismatched;
-    private final Timer headLatency;
+    private final Timer responseStartLatency;
     private final Map<RetryRule.Verdict, Counter> verdicts = new EnumMap<>(RetryRule.Verdict.class);
     private final AtomicInteger running = new AtomicInteger();
 
@@ -67,7 +67,7 @@
         truncated = registry.counter(TRUNCATED);
         resumed = registry.counter(RESUMED);
         mismatched = registry.counter(MISMATCHED);
-        headLatency = registry.timer(RESPONSE_START_LATENCY);
+        responseStartLatency = registry.timer(RESPONSE_START_LATENCY);
         for (RetryRule.Verdict v : RetryRule.Verdict.values()) {
             verdicts.put(v, registry.counter(RETRY_VERDICT_PREFIX + v));
         }
@@ -76,7 +76,7 @@
 
     /** A call got its final outcome. */
     void countOutcome(Outcome<?> outcome, long elapsedNanos) {
-        headLatency.update(elapsedNanos, TimeUnit.NANOSECONDS);
+        responseStartLatency.update(elapsedNanos, TimeUnit.NANOSECONDS);
         switch (outcome) {
             case Outcome.Answered<?> a -> answered.inc();
             case Outcome.RefusedNotRun<?> r -> notRun.inc();
