--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/AnswerDelivery.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/AnswerDelivery.java
@@ -41,7 +41,7 @@
             forwarder.metrics().countCancelled();
             return;
         }
-        forwarder.metrics().countCut();
+        forwarder.metrics().countTruncated();
         EVENTS.log(
                 CallEvent.ANSWER_CUT,
                 call.requestId(),
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallMetrics.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallMetrics.java
@@ -96,7 +96,7 @@
         cancelled.inc();
     }
 
-    void countCut() {
+    void countTruncated() {
         truncated.inc();
     }
 
