--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallMetrics.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallMetrics.java
@@ -104,7 +104,7 @@
         resumed.inc();
     }
 
-    void countCrossed() {
+    void countMismatched() {
         mismatched.inc();
     }
 
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
@@ -125,7 +125,7 @@
         if (!echoed.equals(owned.requestId())) {
             // The connection is one answer behind or ahead; every later answer on it would reach a wrong caller too.
             EVENTS.log(CallEvent.CROSSED_ANSWER, owned.requestId(), echoed);
-            owner.metrics().countCrossed();
+            owner.metrics().countMismatched();
             split.body().abort();
             exchange.closeConnection();
             outcome.complete(new Outcome.Unknown<>("the answer was another request's"));
