--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallMetrics.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallMetrics.java
@@ -109,7 +109,7 @@
     }
 
     /** A call begins here. */
-    void begin() {
+    void callStarted() {
         running.incrementAndGet();
     }
 
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
@@ -55,7 +55,7 @@
     /** Sends the first attempt. */
     HttpResponse start() {
         forwarder.budgetFor(call).countRequest();
-        forwarder.metrics().begin();
+        forwarder.metrics().callStarted();
         HttpResponse response = HttpResponse.of(result);
         CallerWatch watch = CallerWatch.begin(call.context(), response::abort);
         response.whenComplete().whenComplete((done, failure) -> {
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
@@ -84,7 +84,7 @@
             return;
         }
         owner.checkMayWork(owned.requestId());
-        owner.metrics().begin();
+        owner.metrics().callStarted();
         Exchange begun =
                 owner.server().execute(pace.watch(toSend()), owned.deadline().remainingMillis(owner.time()));
         pace.begin(begun);
