--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallMetrics.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallMetrics.java
@@ -114,7 +114,7 @@
     }
 
     /** A call ended here. */
-    void end() {
+    void callEnded() {
         running.decrementAndGet();
     }
 
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
@@ -60,7 +60,7 @@
         CallerWatch watch = CallerWatch.begin(call.context(), response::abort);
         response.whenComplete().whenComplete((done, failure) -> {
             watch.close();
-            forwarder.metrics().end();
+            forwarder.metrics().callEnded();
             if (failure != null) {
                 cancel();
             }
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
@@ -92,7 +92,7 @@
             // On the connection's own thread, after the client library has put the connection back among the idle
             // ones. Freed any earlier, the slot's next request would find none idle and open one more.
             begun.context().eventLoop().execute(permit::close);
-            owner.metrics().end();
+            owner.metrics().callEnded();
         });
         exchange = begun;
         SplitHttpResponse split = begun.response().split();
