--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallPath.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallPath.java
@@ -31,7 +31,7 @@
 
     private static final EventLog EVENTS = new EventLog(CallPath.class);
     private static final int DEFAULT_SLOTS = 12;
-    private static final int DEFAULT_QUEUE = 48;
+    private static final int DEFAULT_QUEUE_LIMIT = 48;
     private static final long ANNOUNCE_MILLIS = 2_000;
     private static final long SEND_AWAY_MILLIS = 1_000;
     private static final long GRACE_MILLIS = 600_000;
@@ -76,7 +76,7 @@
                         .schedule(task, Math.max(0, at.remainingNanos(time)), TimeUnit.NANOSECONDS),
                 registry,
                 invariants,
-                SlotLimits.ofAllClasses(DEFAULT_SLOTS, DEFAULT_QUEUE));
+                SlotLimits.ofAllClasses(DEFAULT_SLOTS, DEFAULT_QUEUE_LIMIT));
         PeerLoads loads =
                 new PeerLoads(membership::view, new PeerLoads.LocalLoad(instance, limiter::load), time, registry);
         MemberChooser chooser = new MemberChooser(settings.place(), loads, time, registry, ThreadLocalRandom::current);
