--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallPath.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallPath.java
@@ -33,7 +33,7 @@
     private static final int DEFAULT_SLOTS = 12;
     private static final int DEFAULT_QUEUE_LIMIT = 48;
     private static final long LEAVE_PROPAGATION_MILLIS = 2_000;
-    private static final long SEND_AWAY_MILLIS = 1_000;
+    private static final long CONNECTION_CLOSE_MILLIS = 1_000;
     private static final long GRACE_MILLIS = 600_000;
     private static final long POLL_MILLIS = 20;
 
@@ -133,7 +133,7 @@
         }
         entry.drain();
         closeListener.run();
-        Deadline sentAway = Deadline.afterMillis(time, SEND_AWAY_MILLIS);
+        Deadline sentAway = Deadline.afterMillis(time, CONNECTION_CLOSE_MILLIS);
         while (!grace.isPast(time) && (metrics.running() > 0 || !sentAway.isPast(time) && hasOtherMembers())) {
             TimeUnit.MILLISECONDS.sleep(POLL_MILLIS);
         }
