--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallPath.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallPath.java
@@ -34,7 +34,7 @@
     private static final int DEFAULT_QUEUE_LIMIT = 48;
     private static final long LEAVE_PROPAGATION_MILLIS = 2_000;
     private static final long CONNECTION_CLOSE_MILLIS = 1_000;
-    private static final long GRACE_MILLIS = 600_000;
+    private static final long DRAIN_TIMEOUT_MILLIS = 600_000;
     private static final long POLL_MILLIS = 20;
 
     private final String instance;
@@ -123,7 +123,7 @@
      */
     public void drain(Runnable closeListener) throws InterruptedException {
         EVENTS.log(CallEvent.DRAINING, metrics.running());
-        Deadline grace = Deadline.afterMillis(time, GRACE_MILLIS);
+        Deadline grace = Deadline.afterMillis(time, DRAIN_TIMEOUT_MILLIS);
         Deadline announced = Deadline.afterMillis(time, LEAVE_PROPAGATION_MILLIS);
         while (!announced.isPast(time) && hasOtherMembers()) {
             TimeUnit.MILLISECONDS.sleep(POLL_MILLIS);
