--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallPath.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallPath.java
@@ -35,7 +35,7 @@
     private static final long LEAVE_PROPAGATION_MILLIS = 2_000;
     private static final long CONNECTION_CLOSE_MILLIS = 1_000;
     private static final long DRAIN_TIMEOUT_MILLIS = 600_000;
-    private static final long POLL_MILLIS = 20;
+    private static final long POLL_INTERVAL_MILLIS = 20;
 
     private final String instance;
     private final PeerClients peers = new PeerClients();
@@ -126,16 +126,16 @@
         Deadline grace = Deadline.afterMillis(time, DRAIN_TIMEOUT_MILLIS);
         Deadline announced = Deadline.afterMillis(time, LEAVE_PROPAGATION_MILLIS);
         while (!announced.isPast(time) && hasOtherMembers()) {
-            TimeUnit.MILLISECONDS.sleep(POLL_MILLIS);
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MILLIS);
         }
         while (!grace.isPast(time) && limiter.inUse() + limiter.waiting() > 0) {
-            TimeUnit.MILLISECONDS.sleep(POLL_MILLIS);
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MILLIS);
         }
         entry.drain();
         closeListener.run();
         Deadline sentAway = Deadline.afterMillis(time, CONNECTION_CLOSE_MILLIS);
         while (!grace.isPast(time) && (metrics.running() > 0 || !sentAway.isPast(time) && hasOtherMembers())) {
-            TimeUnit.MILLISECONDS.sleep(POLL_MILLIS);
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MILLIS);
         }
         int left = metrics.running();
         EVENTS.log(CallEvent.DRAINED, left);
