--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallPath.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallPath.java
@@ -39,7 +39,7 @@
 
     private final String instance;
     private final PeerClients peers = new PeerClients();
-    private final BackendServerClient server;
+    private final BackendServerClient backendClient;
     private final SlotLimiter limiter;
     private final EntryService entry;
     private final OwnerService owner;
@@ -68,7 +68,7 @@
         this.invariants = invariants;
         this.time = time;
         metrics = new CallMetrics(registry);
-        server = new BackendServerClient(settings.backendServer().address());
+        backendClient = new BackendServerClient(settings.backendServer().address());
         limiter = new SlotLimiter(
                 time,
                 (at, task) -> CommonPools.workerGroup()
@@ -80,7 +80,7 @@
         PeerLoads loads =
                 new PeerLoads(membership::view, new PeerLoads.LocalLoad(instance, limiter::load), time, registry);
         MemberChooser chooser = new MemberChooser(settings.place(), loads, time, registry, ThreadLocalRandom::current);
-        Owner ownServer = new Owner(limiter, server, state, metrics, invariants, time);
+        Owner ownServer = new Owner(limiter, backendClient, state, metrics, invariants, time);
         PeerSender sender = new PeerSender(peers, time);
         Forwarder forwarder =
                 new Forwarder(instance, ownServer, sender, chooser, loads, membership, metrics, invariants, time);
@@ -150,6 +150,6 @@
     @Override
     public void close() {
         peers.close();
-        server.close();
+        backendClient.close();
     }
 }
