--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallPath.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallPath.java
@@ -38,7 +38,7 @@
     private static final long POLL_INTERVAL_MILLIS = 20;
 
     private final String instance;
-    private final PeerClients peers = new PeerClients();
+    private final PeerClients peerClients = new PeerClients();
     private final BackendServerClient backendClient;
     private final SlotLimiter limiter;
     private final EntryService entry;
@@ -81,7 +81,7 @@
                 new PeerLoads(membership::view, new PeerLoads.LocalLoad(instance, limiter::load), time, registry);
         MemberChooser chooser = new MemberChooser(settings.place(), loads, time, registry, ThreadLocalRandom::current);
         Owner ownServer = new Owner(limiter, backendClient, state, metrics, invariants, time);
-        PeerSender sender = new PeerSender(peers, time);
+        PeerSender sender = new PeerSender(peerClients, time);
         Forwarder forwarder =
                 new Forwarder(instance, ownServer, sender, chooser, loads, membership, metrics, invariants, time);
         entry = new EntryService(installed, membership, new KeyedForwarder(forwarder, keys, time), metrics, time);
@@ -149,7 +149,7 @@
 
     @Override
     public void close() {
-        peers.close();
+        peerClients.close();
         backendClient.close();
     }
 }
