--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallPath.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallPath.java
@@ -41,7 +41,7 @@
     private final PeerClients peerClients = new PeerClients();
     private final BackendServerClient backendClient;
     private final SlotLimiter limiter;
-    private final EntryService entry;
+    private final EntryService entryService;
     private final OwnerService owner;
     private final MembershipTable membership;
     private final CallMetrics metrics;
@@ -84,7 +84,7 @@
         PeerSender sender = new PeerSender(peerClients, time);
         Forwarder forwarder =
                 new Forwarder(instance, ownServer, sender, chooser, loads, membership, metrics, invariants, time);
-        entry = new EntryService(installed, membership, new KeyedForwarder(forwarder, keys, time), metrics, time);
+        entryService = new EntryService(installed, membership, new KeyedForwarder(forwarder, keys, time), metrics, time);
         owner = new OwnerService(instance, ownServer, time);
         String service = settings.backendServer().service();
         installed.addListener(v -> {
@@ -103,7 +103,7 @@
 
     /** Serves callers. */
     public EntryService entry() {
-        return entry;
+        return entryService;
     }
 
     /** Serves other daemons. */
@@ -131,7 +131,7 @@
         while (!grace.isPast(time) && limiter.inUse() + limiter.waiting() > 0) {
             TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MILLIS);
         }
-        entry.drain();
+        entryService.drain();
         closeListener.run();
         Deadline sentAway = Deadline.afterMillis(time, CONNECTION_CLOSE_MILLIS);
         while (!grace.isPast(time) && (metrics.running() > 0 || !sentAway.isPast(time) && hasOtherMembers())) {
