--- a/org.berylwick.daemon/src/org/berylwick/daemon/DaemonServers.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/DaemonServers.java
@@ -41,7 +41,7 @@
             Consumer<HostPort> onPeersListening) {
         this.onPeersListening = onPeersListening;
         callers = builder(listen.callers())
-                .serviceUnder("/", calls.entry())
+                .serviceUnder("/", calls.entryService())
                 .childChannelPipelineCustomizer(
                         pipeline -> noteListener(pipeline.channel().parent()))
                 .build();
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallPath.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallPath.java
@@ -102,7 +102,7 @@
     }
 
     /** Serves callers. */
-    public EntryService entry() {
+    public EntryService entryService() {
         return entryService;
     }
 
--- a/org.berylwick.daemon/src/org/berylwick/daemon/warmup/LoopbackCallPath.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/warmup/LoopbackCallPath.java
@@ -111,7 +111,7 @@
         ownerPath = callPath(OWNER, address(echo), time);
         owner = started(ownerPath.owner());
         entryPath = callPath("warm-up-entry", ANY_PORT, time);
-        entry = started(entryPath.entry());
+        entry = started(entryPath.entryService());
         // Installed last: the paths learn their limits from the install.
         installed.install(VersionContent.encode(
                 VersionId.NONE, new AuditEntry("", "", "", time.epochMillis(), List.of()), configuration()));
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/CallRig.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/CallRig.java
@@ -68,7 +68,7 @@
             KeyDuty keys = new KeyDuty(new MemoryStore(TIME), instance, invariants, metrics, TIME);
             calls = new CallPath(settings, installed, membership, keys, () -> state, metrics, invariants, TIME);
             installed.install(version);
-            callers = serve(calls.entry());
+            callers = serve(calls.entryService());
             peers = serve(calls.owner());
         }
 
