--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallPath.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallPath.java
@@ -42,7 +42,7 @@
     private final BackendServerClient backendClient;
     private final SlotLimiter limiter;
     private final EntryService entryService;
-    private final OwnerService owner;
+    private final OwnerService ownerService;
     private final MembershipTable membership;
     private final CallMetrics metrics;
     private final Invariants invariants;
@@ -85,7 +85,7 @@
         Forwarder forwarder =
                 new Forwarder(instance, ownServer, sender, chooser, loads, membership, metrics, invariants, time);
         entryService = new EntryService(installed, membership, new KeyedForwarder(forwarder, keys, time), metrics, time);
-        owner = new OwnerService(instance, ownServer, time);
+        ownerService = new OwnerService(instance, ownServer, time);
         String service = settings.backendServer().service();
         installed.addListener(v -> {
             Configuration configuration = v.snapshot().configuration();
@@ -108,7 +108,7 @@
 
     /** Serves other daemons. */
     public OwnerService owner() {
-        return owner;
+        return ownerService;
     }
 
     /**
