--- a/org.berylwick.daemon/src/org/berylwick/daemon/DaemonServers.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/DaemonServers.java
@@ -45,7 +45,7 @@
                 .childChannelPipelineCustomizer(
                         pipeline -> noteListener(pipeline.channel().parent()))
                 .build();
-        ServerBuilder peersBuilder = builder(listen.peers()).serviceUnder("/", calls.owner());
+        ServerBuilder peersBuilder = builder(listen.peers()).serviceUnder("/", calls.ownerService());
         spread.ifPresent(
                 s -> peersBuilder.service(GrpcService.builder().addService(s).build()));
         peers = peersBuilder.build();
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallPath.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallPath.java
@@ -107,7 +107,7 @@
     }
 
     /** Serves other daemons. */
-    public OwnerService owner() {
+    public OwnerService ownerService() {
         return ownerService;
     }
 
--- a/org.berylwick.daemon/src/org/berylwick/daemon/warmup/LoopbackCallPath.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/warmup/LoopbackCallPath.java
@@ -109,7 +109,7 @@
         keys.start();
         echo = started((ctx, request) -> HttpResponse.of(ResponseHeaders.of(HttpStatus.OK), request));
         ownerPath = callPath(OWNER, address(echo), time);
-        owner = started(ownerPath.owner());
+        owner = started(ownerPath.ownerService());
         entryPath = callPath("warm-up-entry", ANY_PORT, time);
         entry = started(entryPath.entryService());
         // Installed last: the paths learn their limits from the install.
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/CallRig.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/CallRig.java
@@ -69,7 +69,7 @@
             calls = new CallPath(settings, installed, membership, keys, () -> state, metrics, invariants, TIME);
             installed.install(version);
             callers = serve(calls.entryService());
-            peers = serve(calls.owner());
+            peers = serve(calls.ownerService());
         }
 
         private static Server serve(HttpService service) {
