--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallerRequest.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallerRequest.java
@@ -13,7 +13,7 @@
      * @param requestId as the caller named it, if it did
      * @param timeoutMillis how long the caller waits, if it said so
      */
-    record Accepted(String host, Optional<String> requestId, Optional<Long> timeoutMillis) implements CallerRequest {}
+    record Valid(String host, Optional<String> requestId, Optional<Long> timeoutMillis) implements CallerRequest {}
 
     /**
      * Headers that break a rule.
@@ -49,7 +49,7 @@
                 return new Malformed("x-request-timeout-ms must be a whole number of milliseconds, at most a day");
             }
         }
-        return new Accepted(hostOf(headers.authority()), id, millis);
+        return new Valid(hostOf(headers.authority()), id, millis);
     }
 
     private static boolean isRequestId(String id) {
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/EntryService.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/EntryService.java
@@ -64,11 +64,11 @@
                 metrics.countRejected();
                 yield Problem.badRequest(newRequestId(), detail);
             }
-            case CallerRequest.Accepted accepted -> find(ctx, request, accepted);
+            case CallerRequest.Valid accepted -> find(ctx, request, accepted);
         };
     }
 
-    private HttpResponse find(ServiceRequestContext ctx, HttpRequest request, CallerRequest.Accepted accepted) {
+    private HttpResponse find(ServiceRequestContext ctx, HttpRequest request, CallerRequest.Valid accepted) {
         Snapshot snapshot = installed.snapshot();
         String requestId = accepted.requestId().orElseGet(EntryService::newRequestId);
         if (snapshot.id().number() == 0) {
@@ -94,7 +94,7 @@
             HttpRequest request,
             String requestId,
             RouteMatch match,
-            CallerRequest.Accepted accepted) {
+            CallerRequest.Valid accepted) {
         long policyMillis = match.policy().timeoutMillis();
         Optional<Deadline> callerBy = accepted.timeoutMillis().map(ms -> Deadline.afterMillis(time, ms));
         Deadline policyBy = Deadline.afterMillis(time, policyMillis);
