--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallerRequest.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallerRequest.java
@@ -29,7 +29,7 @@
     long MAX_TIMEOUT_MILLIS = 86_400_000;
 
     /** Reads a request's headers. */
-    static CallerRequest read(RequestHeaders headers) {
+    static CallerRequest parse(RequestHeaders headers) {
         List<String> ids = headers.getAll(CallHeaders.REQUEST_ID);
         if (ids.size() > 1) {
             return new Malformed("x-request-id is given more than once");
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/EntryService.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/EntryService.java
@@ -59,7 +59,7 @@
             // close, when a request of its could cross with the close and be lost.
             ctx.initiateConnectionShutdown();
         }
-        return switch (CallerRequest.read(request.headers())) {
+        return switch (CallerRequest.parse(request.headers())) {
             case CallerRequest.Malformed(String detail) -> {
                 metrics.countRejected();
                 yield Problem.badRequest(newRequestId(), detail);
