--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallerRequest.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallerRequest.java
@@ -35,7 +35,7 @@
             return new Malformed("x-request-id is given more than once");
         }
         Optional<String> id = ids.stream().filter(v -> !v.isEmpty()).findFirst();
-        if (id.isPresent() && !isRequestId(id.get())) {
+        if (id.isPresent() && !isValidRequestId(id.get())) {
             return new Malformed("x-request-id must be at most 128 visible ASCII characters");
         }
         List<String> timeouts = headers.getAll(CallHeaders.TIMEOUT_MILLIS);
@@ -52,7 +52,7 @@
         return new Valid(hostOf(headers.authority()), id, millis);
     }
 
-    private static boolean isRequestId(String id) {
+    private static boolean isValidRequestId(String id) {
         return id.length() <= MAX_REQUEST_ID_LENGTH && id.chars().allMatch(c -> c > ' ' && c < 0x7f);
     }
 
