--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallerWatch.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallerDisconnectListener.java
@@ -11,21 +11,21 @@
  * <p>The server library waits a second before it ends the request of a closed HTTP/1.1 connection. Through calls ten
  * deep that would be ten seconds in which servers work for nobody. HTTP/2 streams are reset without that wait.
  */
-final class CallerWatch implements AutoCloseable {
+final class CallerDisconnectListener implements AutoCloseable {
     private final Optional<Channel> channel;
     private final ChannelFutureListener listener;
 
-    private CallerWatch(Optional<Channel> channel, Runnable onGone) {
+    private CallerDisconnectListener(Optional<Channel> channel, Runnable onGone) {
         this.channel = channel;
         this.listener = closed -> onGone.run();
         channel.ifPresent(c -> c.closeFuture().addListener(listener));
     }
 
     /** Begins to watch the caller of a request. */
-    static CallerWatch begin(ServiceRequestContext context, Runnable onGone) {
+    static CallerDisconnectListener begin(ServiceRequestContext context, Runnable onGone) {
         boolean shared = context.sessionProtocol().isMultiplex();
         Channel channel = context.log().partial().channel();
-        return new CallerWatch(shared ? Optional.empty() : Optional.ofNullable(channel), onGone);
+        return new CallerDisconnectListener(shared ? Optional.empty() : Optional.ofNullable(channel), onGone);
     }
 
     @Override
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
@@ -57,7 +57,7 @@
         forwarder.budgetFor(call).countRequest();
         forwarder.metrics().callStarted();
         HttpResponse response = HttpResponse.of(result);
-        CallerWatch watch = CallerWatch.begin(call.context(), response::abort);
+        CallerDisconnectListener watch = CallerDisconnectListener.begin(call.context(), response::abort);
         response.whenComplete().whenComplete((done, failure) -> {
             watch.close();
             forwarder.metrics().callEnded();
