--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallerDisconnectListener.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallerDisconnectListener.java
@@ -22,7 +22,7 @@
     }
 
     /** Begins to watch the caller of a request. */
-    static CallerDisconnectListener begin(ServiceRequestContext context, Runnable onGone) {
+    static CallerDisconnectListener register(ServiceRequestContext context, Runnable onGone) {
         boolean shared = context.sessionProtocol().isMultiplex();
         Channel channel = context.log().partial().channel();
         return new CallerDisconnectListener(shared ? Optional.empty() : Optional.ofNullable(channel), onGone);
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
@@ -57,7 +57,7 @@
         forwarder.budgetFor(call).countRequest();
         forwarder.metrics().callStarted();
         HttpResponse response = HttpResponse.of(result);
-        CallerDisconnectListener watch = CallerDisconnectListener.begin(call.context(), response::abort);
+        CallerDisconnectListener watch = CallerDisconnectListener.register(call.context(), response::abort);
         response.whenComplete().whenComplete((done, failure) -> {
             watch.close();
             forwarder.metrics().callEnded();
