--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/EntryService.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/EntryService.java
@@ -23,7 +23,7 @@
 
 /** Takes requests from callers, finds their brand and route, and has them run. */
 public final class EntryService implements HttpService {
-    private static final long MAX_REPLAYED_BODY_BYTES = 64 << 10;
+    private static final long MAX_BUFFERED_BODY_BYTES = 64 << 10;
 
     private static final long STARTING_RETRY_AFTER_MILLIS = 1_000;
 
@@ -116,7 +116,7 @@
         if (length == 0) {
             return forwarder.forward(call);
         }
-        if (length < 0 || length > MAX_REPLAYED_BODY_BYTES) {
+        if (length < 0 || length > MAX_BUFFERED_BODY_BYTES) {
             return forwarder.forward(call.withBody(CallBody.streamed(ctx, request)));
         }
         return hold(request, call);
