--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/EntryService.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/EntryService.java
@@ -64,11 +64,11 @@
                 metrics.countRejected();
                 yield Problem.badRequest(newRequestId(), detail);
             }
-            case CallerRequest.Valid accepted -> find(ctx, request, accepted);
+            case CallerRequest.Valid accepted -> routeRequest(ctx, request, accepted);
         };
     }
 
-    private HttpResponse find(ServiceRequestContext ctx, HttpRequest request, CallerRequest.Valid accepted) {
+    private HttpResponse routeRequest(ServiceRequestContext ctx, HttpRequest request, CallerRequest.Valid accepted) {
         Snapshot snapshot = installed.snapshot();
         String requestId = accepted.requestId().orElseGet(EntryService::newRequestId);
         if (snapshot.id().number() == 0) {
