--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/EntryService.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/EntryService.java
@@ -119,11 +119,11 @@
         if (length < 0 || length > MAX_BUFFERED_BODY_BYTES) {
             return forwarder.forward(call.withBody(CallBody.streamed(ctx, request)));
         }
-        return hold(request, call);
+        return bufferAndForward(request, call);
     }
 
     /** Reads a small body to its end first, so that it can be sent again. */
-    private HttpResponse hold(HttpRequest request, Call call) {
+    private HttpResponse bufferAndForward(HttpRequest request, Call call) {
         var timeout = call.context()
                 .eventLoop()
                 .schedule(() -> request.abort(), call.deadline().remainingMillis(time), TimeUnit.MILLISECONDS);
