--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/EntryService.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/EntryService.java
@@ -102,7 +102,7 @@
         TransferLimit limit = match.policy().trafficClass() == TrafficClass.BULK
                 ? new TransferLimit.Progress(policyMillis, callerBy)
                 : new TransferLimit.Whole(deadline);
-        RequestHeaders headers = forwarded(request.headers(), requestId, match);
+        RequestHeaders headers = headersToForward(request.headers(), requestId, match);
         Call call = new Call(
                 requestId,
                 match,
@@ -135,7 +135,7 @@
         }));
     }
 
-    private static RequestHeaders forwarded(RequestHeaders received, String requestId, RouteMatch match) {
+    private static RequestHeaders headersToForward(RequestHeaders received, String requestId, RouteMatch match) {
         RequestHeadersBuilder headers = received.toBuilder();
         CallHeaders.removeHopByHop(headers);
         CallHeaders.removeInternal(headers);
