--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarder.java
@@ -71,7 +71,7 @@
         AtomicBoolean givenUp = new AtomicBoolean();
         PeerLoads.Attempt load = loads.begin(member);
         Attempt begun = member.instance().equals(instance)
-                ? runHere(call, load, attemptMillis)
+                ? runLocally(call, load, attemptMillis)
                 : peers.send(call, member, load, attemptMillis);
         CompletableFuture<Outcome<StreamedResponse>> outcome = begun.outcome().thenApply(o -> {
             // A request that its caller gave up tells nothing about the member.
@@ -86,7 +86,7 @@
         });
     }
 
-    private Attempt runHere(Call call, PeerLoads.Attempt load, long attemptMillis) {
+    private Attempt runLocally(Call call, PeerLoads.Attempt load, long attemptMillis) {
         Deadline by = Deadline.afterMillis(time, attemptMillis);
         Attempt begun = owner.run(new OwnedRequest(
                 call.requestId(),
