--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarder.java
@@ -76,7 +76,7 @@
         CompletableFuture<Outcome<StreamedResponse>> outcome = begun.outcome().thenApply(o -> {
             // A request that its caller gave up tells nothing about the member.
             if (!givenUp.get()) {
-                learn(call, load, o, attemptMillis);
+                recordOutcome(call, load, o, attemptMillis);
             }
             return o;
         });
@@ -98,7 +98,7 @@
         return begun;
     }
 
-    private static void learn(Call call, PeerLoads.Attempt load, Outcome<StreamedResponse> outcome, long attemptMillis) {
+    private static void recordOutcome(Call call, PeerLoads.Attempt load, Outcome<StreamedResponse> outcome, long attemptMillis) {
         switch (outcome) {
             case Outcome.Answered<StreamedResponse>(StreamedResponse answer) -> {
                 HttpStatus status = answer.headers().status();
