--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarder.java
@@ -123,7 +123,7 @@
     }
 
     /** Remembers at once that a member's own daemon says it is leaving, before its announcement arrives. */
-    void noteLeaving(Member member) {
+    void markLeaving(Member member) {
         membership.merge(member.withState(Member.State.LEAVING));
     }
 
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
@@ -115,7 +115,7 @@
         }
         if (outcome instanceof Outcome.RefusedNotRun<StreamedResponse>(RefusalReason reason, Optional<Long> after)
                 && reason == RefusalReason.LEAVING) {
-            forwarder.noteLeaving(member);
+            forwarder.markLeaving(member);
         }
         log = log.plus(outcome);
         tried.add(member.instance());
