--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarder.java
@@ -131,7 +131,7 @@
         return membership.view();
     }
 
-    RetryBudget budgetFor(Call call) {
+    RetryBudget retryBudgetFor(Call call) {
         return budgets.forService(call.match().service().name());
     }
 
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
@@ -54,7 +54,7 @@
 
     /** Sends the first attempt. */
     HttpResponse start() {
-        forwarder.budgetFor(call).countRequest();
+        forwarder.retryBudgetFor(call).countRequest();
         forwarder.metrics().callStarted();
         HttpResponse response = HttpResponse.of(result);
         CallerDisconnectListener watch = CallerDisconnectListener.register(call.context(), response::abort);
@@ -123,7 +123,7 @@
             giveUp(log.finalOutcome());
             return;
         }
-        Verdict verdict = rule.decide(log, forwarder.budgetFor(call), forwarder.time());
+        Verdict verdict = rule.decide(log, forwarder.retryBudgetFor(call), forwarder.time());
         forwarder.metrics().countVerdict(verdict);
         if (verdict == Verdict.RETRY) {
             attempt(forwarder.currentMembers());
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
@@ -86,7 +86,7 @@
     private void askForRest(Throwable cause, CompletableFuture<StreamMessage<HttpData>> rest) {
         RetryRule rule = new RetryRule(true, true, call.match().policy().maxAttempts(), headBy());
         Verdict verdict =
-                call.isCallerDisconnected() ? Verdict.TOO_LATE : rule.decide(log, forwarder.budgetFor(call), forwarder.time());
+                call.isCallerDisconnected() ? Verdict.TOO_LATE : rule.decide(log, forwarder.retryBudgetFor(call), forwarder.time());
         Optional<Member> member = verdict == Verdict.RETRY ? otherMember() : Optional.empty();
         if (member.isEmpty()) {
             rest.complete(StreamMessage.aborted(cause));
