--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarder.java
@@ -24,7 +24,7 @@
 /** Sends calls to members until each is answered or must be given up. */
 final class Forwarder {
     private final String instance;
-    private final Owner owner;
+    private final Owner localOwner;
     private final PeerSender peers;
     private final MemberChooser chooser;
     private final PeerLoads loads;
@@ -50,7 +50,7 @@
             Invariants invariants,
             TimeSource time) {
         this.instance = instance;
-        this.owner = owner;
+        this.localOwner = owner;
         this.peers = peers;
         this.chooser = chooser;
         this.loads = loads;
@@ -88,7 +88,7 @@
 
     private Attempt runLocally(Call call, PeerLoads.Attempt load, long attemptMillis) {
         Deadline by = Deadline.afterMillis(time, attemptMillis);
-        Attempt begun = owner.run(new OwnedRequest(
+        Attempt begun = localOwner.run(new OwnedRequest(
                 call.requestId(),
                 call.match().policy().trafficClass(),
                 by,
