--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
@@ -28,7 +28,7 @@
 final class Forwarding {
     private static final EventLog EVENTS = new EventLog(Forwarding.class);
     private static final long NO_MEMBER_RETRY_AFTER_MILLIS = 1_000;
-    private static final Backoff SAME_MEMBER = new Backoff(10, 200);
+    private static final Backoff SAME_MEMBER_BACKOFF = new Backoff(10, 200);
 
     private final Forwarder forwarder;
     private final Call call;
@@ -139,7 +139,7 @@
     }
 
     private void noMemberLeft() {
-        long pause = SAME_MEMBER.delayMillis(rounds, ThreadLocalRandom.current());
+        long pause = SAME_MEMBER_BACKOFF.delayMillis(rounds, ThreadLocalRandom.current());
         boolean inTime = call.deadline().remainingMillis(forwarder.time()) > pause;
         if (tried.isEmpty() || cancelled || !inTime) {
             giveUp(log.finalOutcome());
