--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
@@ -35,7 +35,7 @@
     private final RetryRule rule;
     private final long startNanos;
     private final CompletableFuture<HttpResponse> result = new CompletableFuture<>();
-    private final Set<String> tried = new HashSet<>();
+    private final Set<String> triedInstances = new HashSet<>();
     private AttemptHistory log = AttemptHistory.NONE;
     private int rounds;
     private volatile boolean cancelled;
@@ -82,7 +82,7 @@
     }
 
     private void attempt(MembershipView members) {
-        switch (forwarder.choose(members, call, tried)) {
+        switch (forwarder.choose(members, call, triedInstances)) {
             case MemberChoice.Chosen(Member member) -> attempt(member);
             case MemberChoice.AllTried(Member member) -> noMemberLeft();
             case MemberChoice.NoMember(RefusalReason reason) -> {
@@ -118,7 +118,7 @@
             forwarder.markLeaving(member);
         }
         log = log.plus(outcome);
-        tried.add(member.instance());
+        triedInstances.add(member.instance());
         if (cancelled) {
             giveUp(log.finalOutcome());
             return;
@@ -141,12 +141,12 @@
     private void noMemberLeft() {
         long pause = SAME_MEMBER_BACKOFF.delayMillis(rounds, ThreadLocalRandom.current());
         boolean inTime = call.deadline().remainingMillis(forwarder.time()) > pause;
-        if (tried.isEmpty() || cancelled || !inTime) {
+        if (triedInstances.isEmpty() || cancelled || !inTime) {
             giveUp(log.finalOutcome());
             return;
         }
         rounds++;
-        tried.clear();
+        triedInstances.clear();
         call.context().eventLoop().schedule(() -> attempt(forwarder.currentMembers()), pause, TimeUnit.MILLISECONDS);
     }
 
