--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
@@ -36,7 +36,7 @@
     private final long startNanos;
     private final CompletableFuture<HttpResponse> result = new CompletableFuture<>();
     private final Set<String> triedInstances = new HashSet<>();
-    private AttemptHistory log = AttemptHistory.NONE;
+    private AttemptHistory history = AttemptHistory.NONE;
     private int rounds;
     private volatile boolean cancelled;
     private volatile Attempt current;
@@ -86,7 +86,7 @@
             case MemberChoice.Chosen(Member member) -> attempt(member);
             case MemberChoice.AllTried(Member member) -> noMemberLeft();
             case MemberChoice.NoMember(RefusalReason reason) -> {
-                if (log.attempts() > 0) {
+                if (history.attempts() > 0) {
                     noMemberLeft();
                 } else {
                     giveUp(new Outcome.RefusedNotRun<>(reason, Optional.of(NO_MEMBER_RETRY_AFTER_MILLIS)));
@@ -96,11 +96,11 @@
     }
 
     private void attempt(Member member) {
-        boolean mayRun = !log.mayHaveRun() || call.match().policy().idempotent();
+        boolean mayRun = !history.mayHaveRun() || call.match().policy().idempotent();
         forwarder
                 .invariants()
                 .check(Invariant.AT_MOST_ONCE, mayRun, () -> "request " + call.requestId() + " is sent once too often");
-        Attempt begun = forwarder.send(call, member, rule.attemptTimeoutMillis(log, forwarder.time()));
+        Attempt begun = forwarder.send(call, member, rule.attemptTimeoutMillis(history, forwarder.time()));
         current = begun;
         if (cancelled) {
             begun.cancel().run();
@@ -117,13 +117,13 @@
                 && reason == RefusalReason.LEAVING) {
             forwarder.markLeaving(member);
         }
-        log = log.plus(outcome);
+        history = history.plus(outcome);
         triedInstances.add(member.instance());
         if (cancelled) {
-            giveUp(log.finalOutcome());
+            giveUp(history.finalOutcome());
             return;
         }
-        Verdict verdict = rule.decide(log, forwarder.retryBudgetFor(call), forwarder.time());
+        Verdict verdict = rule.decide(history, forwarder.retryBudgetFor(call), forwarder.time());
         forwarder.metrics().countVerdict(verdict);
         if (verdict == Verdict.RETRY) {
             attempt(forwarder.currentMembers());
@@ -135,14 +135,14 @@
                     call.requestId(),
                     call.match().service().name());
         }
-        giveUp(log.finalOutcome());
+        giveUp(history.finalOutcome());
     }
 
     private void noMemberLeft() {
         long pause = SAME_MEMBER_BACKOFF.delayMillis(rounds, ThreadLocalRandom.current());
         boolean inTime = call.deadline().remainingMillis(forwarder.time()) > pause;
         if (triedInstances.isEmpty() || cancelled || !inTime) {
-            giveUp(log.finalOutcome());
+            giveUp(history.finalOutcome());
             return;
         }
         rounds++;
@@ -165,7 +165,7 @@
                         .invariants()
                         .check(
                                 Invariant.REFUSAL_TRUE,
-                                !log.mayHaveRun(),
+                                !history.mayHaveRun(),
                                 () -> "request " + call.requestId() + " may have run and is called not run");
                 result.complete(Problem.notRun(call.requestId(), reason, retryAfter));
             }
