--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
@@ -37,7 +37,7 @@
     private final CompletableFuture<HttpResponse> result = new CompletableFuture<>();
     private final Set<String> triedInstances = new HashSet<>();
     private AttemptHistory history = AttemptHistory.NONE;
-    private int rounds;
+    private int completedRounds;
     private volatile boolean cancelled;
     private volatile Attempt current;
 
@@ -139,13 +139,13 @@
     }
 
     private void noMemberLeft() {
-        long pause = SAME_MEMBER_BACKOFF.delayMillis(rounds, ThreadLocalRandom.current());
+        long pause = SAME_MEMBER_BACKOFF.delayMillis(completedRounds, ThreadLocalRandom.current());
         boolean inTime = call.deadline().remainingMillis(forwarder.time()) > pause;
         if (triedInstances.isEmpty() || cancelled || !inTime) {
             giveUp(history.finalOutcome());
             return;
         }
-        rounds++;
+        completedRounds++;
         triedInstances.clear();
         call.context().eventLoop().schedule(() -> attempt(forwarder.currentMembers()), pause, TimeUnit.MILLISECONDS);
     }
