--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
@@ -39,7 +39,7 @@
     private AttemptHistory history = AttemptHistory.NONE;
     private int completedRounds;
     private volatile boolean cancelled;
-    private volatile Attempt current;
+    private volatile Attempt currentAttempt;
 
     Forwarding(Forwarder forwarder, Call call) {
         this.forwarder = forwarder;
@@ -75,7 +75,7 @@
 
     private void cancel() {
         cancelled = true;
-        Attempt running = current;
+        Attempt running = currentAttempt;
         if (running != null) {
             running.cancel().run();
         }
@@ -101,7 +101,7 @@
                 .invariants()
                 .check(Invariant.AT_MOST_ONCE, mayRun, () -> "request " + call.requestId() + " is sent once too often");
         Attempt begun = forwarder.send(call, member, rule.attemptTimeoutMillis(history, forwarder.time()));
-        current = begun;
+        currentAttempt = begun;
         if (cancelled) {
             begun.cancel().run();
         }
