--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
@@ -68,7 +68,7 @@
         if (call.deadline().remainingMillis(forwarder.time()) <= 0) {
             giveUp(new Outcome.RefusedNotRun<>(RefusalReason.DEADLINE, Optional.empty()));
         } else {
-            attempt(call.members());
+            sendToChosenMember(call.members());
         }
         return response;
     }
@@ -81,7 +81,7 @@
         }
     }
 
-    private void attempt(MembershipView members) {
+    private void sendToChosenMember(MembershipView members) {
         switch (forwarder.choose(members, call, triedInstances)) {
             case MemberChoice.Chosen(Member member) -> attempt(member);
             case MemberChoice.AllTried(Member member) -> noMemberLeft();
@@ -126,7 +126,7 @@
         Verdict verdict = rule.decide(history, forwarder.retryBudgetFor(call), forwarder.time());
         forwarder.metrics().countVerdict(verdict);
         if (verdict == Verdict.RETRY) {
-            attempt(forwarder.currentMembers());
+            sendToChosenMember(forwarder.currentMembers());
             return;
         }
         if (verdict == Verdict.OVER_BUDGET) {
@@ -147,7 +147,7 @@
         }
         completedRounds++;
         triedInstances.clear();
-        call.context().eventLoop().schedule(() -> attempt(forwarder.currentMembers()), pause, TimeUnit.MILLISECONDS);
+        call.context().eventLoop().schedule(() -> sendToChosenMember(forwarder.currentMembers()), pause, TimeUnit.MILLISECONDS);
     }
 
     private void deliver(Outcome.Answered<StreamedResponse> answered, Member member) {
