--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
@@ -83,7 +83,7 @@
 
     private void sendToChosenMember(MembershipView members) {
         switch (forwarder.choose(members, call, triedInstances)) {
-            case MemberChoice.Chosen(Member member) -> attempt(member);
+            case MemberChoice.Chosen(Member member) -> sendTo(member);
             case MemberChoice.AllTried(Member member) -> noMemberLeft();
             case MemberChoice.NoMember(RefusalReason reason) -> {
                 if (history.attempts() > 0) {
@@ -95,7 +95,7 @@
         }
     }
 
-    private void attempt(Member member) {
+    private void sendTo(Member member) {
         boolean mayRun = !history.mayHaveRun() || call.match().policy().idempotent();
         forwarder
                 .invariants()
