--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
@@ -105,10 +105,10 @@
         if (cancelled) {
             begun.cancel().run();
         }
-        begun.outcome().thenAccept(outcome -> ended(member, outcome));
+        begun.outcome().thenAccept(outcome -> handleOutcome(member, outcome));
     }
 
-    private void ended(Member member, Outcome<StreamedResponse> outcome) {
+    private void handleOutcome(Member member, Outcome<StreamedResponse> outcome) {
         if (outcome instanceof Outcome.Answered<StreamedResponse> answered) {
             deliver(answered, member);
             return;
