--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
@@ -84,10 +84,10 @@
     private void sendToChosenMember(MembershipView members) {
         switch (forwarder.choose(members, call, triedInstances)) {
             case MemberChoice.Chosen(Member member) -> sendTo(member);
-            case MemberChoice.AllTried(Member member) -> noMemberLeft();
+            case MemberChoice.AllTried(Member member) -> retryTriedMembers();
             case MemberChoice.NoMember(RefusalReason reason) -> {
                 if (history.attempts() > 0) {
-                    noMemberLeft();
+                    retryTriedMembers();
                 } else {
                     giveUp(new Outcome.RefusedNotRun<>(reason, Optional.of(NO_MEMBER_RETRY_AFTER_MILLIS)));
                 }
@@ -138,7 +138,7 @@
         giveUp(history.finalOutcome());
     }
 
-    private void noMemberLeft() {
+    private void retryTriedMembers() {
         long pause = SAME_MEMBER_BACKOFF.delayMillis(completedRounds, ThreadLocalRandom.current());
         boolean inTime = call.deadline().remainingMillis(forwarder.time()) > pause;
         if (triedInstances.isEmpty() || cancelled || !inTime) {
