--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
@@ -66,7 +66,7 @@
             }
         });
         if (call.deadline().remainingMillis(forwarder.time()) <= 0) {
-            giveUp(new Outcome.RefusedNotRun<>(RefusalReason.DEADLINE, Optional.empty()));
+            completeWithProblem(new Outcome.RefusedNotRun<>(RefusalReason.DEADLINE, Optional.empty()));
         } else {
             sendToChosenMember(call.members());
         }
@@ -89,7 +89,7 @@
                 if (history.attempts() > 0) {
                     retryTriedMembers();
                 } else {
-                    giveUp(new Outcome.RefusedNotRun<>(reason, Optional.of(NO_MEMBER_RETRY_AFTER_MILLIS)));
+                    completeWithProblem(new Outcome.RefusedNotRun<>(reason, Optional.of(NO_MEMBER_RETRY_AFTER_MILLIS)));
                 }
             }
         }
@@ -120,7 +120,7 @@
         history = history.plus(outcome);
         triedInstances.add(member.instance());
         if (cancelled) {
-            giveUp(history.finalOutcome());
+            completeWithProblem(history.finalOutcome());
             return;
         }
         Verdict verdict = rule.decide(history, forwarder.retryBudgetFor(call), forwarder.time());
@@ -135,14 +135,14 @@
                     call.requestId(),
                     call.match().service().name());
         }
-        giveUp(history.finalOutcome());
+        completeWithProblem(history.finalOutcome());
     }
 
     private void retryTriedMembers() {
         long pause = SAME_MEMBER_BACKOFF.delayMillis(completedRounds, ThreadLocalRandom.current());
         boolean inTime = call.deadline().remainingMillis(forwarder.time()) > pause;
         if (triedInstances.isEmpty() || cancelled || !inTime) {
-            giveUp(history.finalOutcome());
+            completeWithProblem(history.finalOutcome());
             return;
         }
         completedRounds++;
@@ -155,7 +155,7 @@
         result.complete(new AnswerDelivery(forwarder, call).deliver(answered.answer(), member));
     }
 
-    private void giveUp(Outcome<StreamedResponse> outcome) {
+    private void completeWithProblem(Outcome<StreamedResponse> outcome) {
         forwarder.metrics().countOutcome(outcome, elapsedNanos());
         switch (outcome) {
             case Outcome.Answered<StreamedResponse> answered ->
