--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallPath.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallPath.java
@@ -84,7 +84,7 @@
         PeerSender sender = new PeerSender(peerClients, time);
         Forwarder forwarder =
                 new Forwarder(instance, ownServer, sender, chooser, loads, membership, metrics, invariants, time);
-        entryService = new EntryService(installed, membership, new KeyedForwarder(forwarder, keys, time), metrics, time);
+        entryService = new EntryService(installed, membership, new IdempotencyKeyForwarder(forwarder, keys, time), metrics, time);
         ownerService = new OwnerService(instance, ownServer, time);
         String service = settings.backendServer().service();
         installed.addListener(v -> {
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/EntryService.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/EntryService.java
@@ -29,7 +29,7 @@
 
     private final InstalledVersion installed;
     private final MembershipTable membership;
-    private final KeyedForwarder forwarder;
+    private final IdempotencyKeyForwarder forwarder;
     private final CallMetrics metrics;
     private final TimeSource time;
     private volatile boolean draining;
@@ -37,7 +37,7 @@
     EntryService(
             InstalledVersion installed,
             MembershipTable membership,
-            KeyedForwarder forwarder,
+            IdempotencyKeyForwarder forwarder,
             CallMetrics metrics,
             TimeSource time) {
         this.installed = installed;
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/KeyedForwarder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/IdempotencyKeyForwarder.java
@@ -29,7 +29,7 @@
  * <p>Nothing is sent before the store holds the claim. The answer goes to the caller while it is recorded, not after. A
  * caller that leaves before its answer begins does not cancel the request: its repeat will ask for the answer.
  */
-final class KeyedForwarder {
+final class IdempotencyKeyForwarder {
     private static final Pattern VALID_KEY = Pattern.compile("[\\x21-\\x7E]{1,255}");
     private static final long RETRY_AFTER_MILLIS = 1_000;
     private static final byte[] NO_BODY = new byte[0];
@@ -38,7 +38,7 @@
     private final KeyDuty keys;
     private final TimeSource time;
 
-    KeyedForwarder(Forwarder forwarder, KeyDuty keys, TimeSource time) {
+    IdempotencyKeyForwarder(Forwarder forwarder, KeyDuty keys, TimeSource time) {
         this.forwarder = forwarder;
         this.keys = keys;
         this.time = time;
