--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/IdempotencyKeyForwarder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/IdempotencyKeyForwarder.java
@@ -32,7 +32,7 @@
 final class IdempotencyKeyForwarder {
     private static final Pattern VALID_KEY = Pattern.compile("[\\x21-\\x7E]{1,255}");
     private static final long RETRY_AFTER_MILLIS = 1_000;
-    private static final byte[] NO_BODY = new byte[0];
+    private static final byte[] EMPTY_BODY = new byte[0];
 
     private final Forwarder forwarder;
     private final KeyDuty keys;
@@ -68,7 +68,7 @@
 
     /** A streamed body is not known yet; of it, the declared length alone counts. */
     private static Digest fingerprint(Call call) {
-        byte[] body = call.body() instanceof CallBody.Buffered(HttpData content) ? content.array() : NO_BODY;
+        byte[] body = call.body() instanceof CallBody.Buffered(HttpData content) ? content.array() : EMPTY_BODY;
         RequestHeaders headers = call.headers();
         return RequestFingerprint.of(
                 headers.method().name(),
