--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/IdempotencyKeyForwarder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/IdempotencyKeyForwarder.java
@@ -84,14 +84,14 @@
         return HttpResponse.of(keys.claim(request, call.deadline())
                 .thenApplyAsync(
                         outcome -> switch (outcome) {
-                            case ClaimOutcome.Granted(KeyClaim claim) -> run(call, claim);
+                            case ClaimOutcome.Granted(KeyClaim claim) -> runClaimed(call, claim);
                             case ClaimOutcome.Taken(KeyRecord existing) -> repeat(call, fingerprint, existing);
                             case ClaimOutcome.Refused(ClaimError error, var ignored) -> refuse(call, error);
                         },
                         call.context().eventLoop()));
     }
 
-    private HttpResponse run(Call call, KeyClaim claim) {
+    private HttpResponse runClaimed(Call call, KeyClaim claim) {
         if (call.deadline().isPast(time)) {
             keys.settle(claim, new Settlement.Release());
             return Problem.notRun(call.requestId(), RefusalReason.DEADLINE, Optional.empty());
