--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/IdempotencyKeyForwarder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/IdempotencyKeyForwarder.java
@@ -98,7 +98,7 @@
         }
         KeyedResponseRecorder recorder = new KeyedResponseRecorder(settlement -> keys.settle(claim, settlement));
         try {
-            return recorder.wrap(forwarder.forward(runOnce(call)));
+            return recorder.wrap(forwarder.forward(withoutIdempotentPolicy(call)));
         } catch (RuntimeException e) {
             // What was sent before the exception is not known here.
             keys.settle(claim, new Settlement.Keep(new KeyState.Unknown()));
@@ -110,7 +110,7 @@
      * The call under a policy that is not idempotent: a caller that names a key asks for one run, also where the policy
      * says that a second one does no harm.
      */
-    private static Call runOnce(Call call) {
+    private static Call withoutIdempotentPolicy(Call call) {
         RouteMatch match = call.match();
         Policy p = match.policy();
         Policy once = new Policy(
