--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/IdempotencyKeyForwarder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/IdempotencyKeyForwarder.java
@@ -85,7 +85,7 @@
                 .thenApplyAsync(
                         outcome -> switch (outcome) {
                             case ClaimOutcome.Granted(KeyClaim claim) -> runClaimed(call, claim);
-                            case ClaimOutcome.Taken(KeyRecord existing) -> repeat(call, fingerprint, existing);
+                            case ClaimOutcome.Taken(KeyRecord existing) -> respondToRepeat(call, fingerprint, existing);
                             case ClaimOutcome.Refused(ClaimError error, var ignored) -> refuse(call, error);
                         },
                         call.context().eventLoop()));
@@ -126,7 +126,7 @@
         return call.withMatch(new RouteMatch(match.brand(), match.route(), once, match.service()));
     }
 
-    private HttpResponse repeat(Call call, Digest fingerprint, KeyRecord existing) {
+    private HttpResponse respondToRepeat(Call call, Digest fingerprint, KeyRecord existing) {
         String id = call.requestId();
         if (!existing.fingerprint().equals(fingerprint.hex())) {
             return Problem.keyReused(id, "this Idempotency-Key was used with another request");
