--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/IdempotencyKeyForwarder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/IdempotencyKeyForwarder.java
@@ -147,12 +147,12 @@
                         "key-in-progress",
                         "the first request with this Idempotency-Key has no recorded outcome yet",
                         Optional.of(RETRY_AFTER_MILLIS));
-            case KeyState.Claimed ignored -> unknown(id);
-            case KeyState.Unknown() -> unknown(id);
+            case KeyState.Claimed ignored -> outcomeUnknown(id);
+            case KeyState.Unknown() -> outcomeUnknown(id);
         };
     }
 
-    private static HttpResponse unknown(String requestId) {
+    private static HttpResponse outcomeUnknown(String requestId) {
         return Problem.keyConflict(
                 requestId,
                 "key-outcome-unknown",
