--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/IdempotencyKeyForwarder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/IdempotencyKeyForwarder.java
@@ -86,7 +86,7 @@
                         outcome -> switch (outcome) {
                             case ClaimOutcome.Granted(KeyClaim claim) -> runClaimed(call, claim);
                             case ClaimOutcome.Taken(KeyRecord existing) -> respondToRepeat(call, fingerprint, existing);
-                            case ClaimOutcome.Refused(ClaimError error, var ignored) -> refuse(call, error);
+                            case ClaimOutcome.Refused(ClaimError error, var ignored) -> respondToClaimError(call, error);
                         },
                         call.context().eventLoop()));
     }
@@ -160,7 +160,7 @@
                 Optional.empty());
     }
 
-    private HttpResponse refuse(Call call, ClaimError error) {
+    private HttpResponse respondToClaimError(Call call, ClaimError error) {
         return switch (error) {
             case ClaimError.TooManyClaims() ->
                 Problem.notRun(call.requestId(), RefusalReason.OVERLOADED, Optional.of(RETRY_AFTER_MILLIS));
