--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Problem.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Problem.java
@@ -13,7 +13,7 @@
 
 /** What a daemon itself answers to a caller in place of a backend server, as problem details in JSON. */
 final class Problem {
-    private static final MediaType PROBLEM_JSON = MediaType.create("application", "problem+json");
+    private static final MediaType PROBLEM_JSON_TYPE = MediaType.create("application", "problem+json");
     private static final long MILLIS_PER_SECOND = 1_000;
 
     private Problem() {}
@@ -74,7 +74,7 @@
     private static HttpResponse of(
             HttpStatus status, String type, String detail, String requestId, Optional<Long> retryAfterMillis) {
         ResponseHeadersBuilder headers =
-                ResponseHeaders.builder(status).contentType(PROBLEM_JSON).set(CallHeaders.REQUEST_ID, requestId);
+                ResponseHeaders.builder(status).contentType(PROBLEM_JSON_TYPE).set(CallHeaders.REQUEST_ID, requestId);
         // Whole seconds are all the header can say; rounding up keeps callers from coming back too early.
         retryAfterMillis.ifPresent(ms -> headers.setLong(
                 HttpHeaderNames.RETRY_AFTER, Math.max(1, (ms + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND)));
