--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
@@ -34,7 +34,7 @@
     private final Forwarder forwarder;
     private final Call call;
     private final String validator;
-    private final long total;
+    private final long contentLength;
     private long passed;
     private Member from;
     private AttemptHistory log = AttemptHistory.NONE;
@@ -44,7 +44,7 @@
         this.forwarder = forwarder;
         this.call = call;
         this.validator = validator;
-        this.total = total;
+        this.contentLength = total;
         this.from = from;
     }
 
@@ -115,7 +115,7 @@
 
     private void join(StreamedResponse answer, Throwable cause, CompletableFuture<StreamMessage<HttpData>> rest) {
         ResponseHeaders headers = answer.headers();
-        String range = "bytes " + passed + "-" + (total - 1) + "/" + total;
+        String range = "bytes " + passed + "-" + (contentLength - 1) + "/" + contentLength;
         boolean fits = headers.status().equals(HttpStatus.PARTIAL_CONTENT)
                 && validator.equals(headers.get(HttpHeaderNames.ETAG))
                 && range.equals(headers.get(HttpHeaderNames.CONTENT_RANGE));
