--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
@@ -35,7 +35,7 @@
     private final Call call;
     private final String validator;
     private final long contentLength;
-    private long passed;
+    private long deliveredBytes;
     private Member from;
     private AttemptHistory log = AttemptHistory.NONE;
     private Attempt current;
@@ -67,7 +67,7 @@
     }
 
     private StreamMessage<HttpData> follow(StreamMessage<HttpData> part) {
-        return part.peek(d -> passed += d.length()).recoverAndResume(this::resume);
+        return part.peek(d -> deliveredBytes += d.length()).recoverAndResume(this::resume);
     }
 
     private StreamMessage<HttpData> resume(Throwable cause) {
@@ -93,7 +93,7 @@
             return;
         }
         RequestHeadersBuilder headers = call.headers().toBuilder();
-        headers.set(HttpHeaderNames.RANGE, "bytes=" + passed + "-");
+        headers.set(HttpHeaderNames.RANGE, "bytes=" + deliveredBytes + "-");
         headers.set(HttpHeaderNames.IF_RANGE, validator);
         from = member.get();
         current = forwarder.send(
@@ -115,7 +115,7 @@
 
     private void join(StreamedResponse answer, Throwable cause, CompletableFuture<StreamMessage<HttpData>> rest) {
         ResponseHeaders headers = answer.headers();
-        String range = "bytes " + passed + "-" + (contentLength - 1) + "/" + contentLength;
+        String range = "bytes " + deliveredBytes + "-" + (contentLength - 1) + "/" + contentLength;
         boolean fits = headers.status().equals(HttpStatus.PARTIAL_CONTENT)
                 && validator.equals(headers.get(HttpHeaderNames.ETAG))
                 && range.equals(headers.get(HttpHeaderNames.CONTENT_RANGE));
@@ -125,7 +125,7 @@
             return;
         }
         forwarder.metrics().countResumed();
-        EVENTS.log(CallEvent.ANSWER_RESUMED, call.requestId(), passed, from.instance());
+        EVENTS.log(CallEvent.ANSWER_RESUMED, call.requestId(), deliveredBytes, from.instance());
         rest.complete(follow(answer.body()));
     }
 
