--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
@@ -36,7 +36,7 @@
     private final String validator;
     private final long contentLength;
     private long deliveredBytes;
-    private Member from;
+    private Member servingMember;
     private AttemptHistory log = AttemptHistory.NONE;
     private Attempt current;
 
@@ -45,7 +45,7 @@
         this.call = call;
         this.validator = validator;
         this.contentLength = total;
-        this.from = from;
+        this.servingMember = from;
     }
 
     /** The answer, made resumable if it can be. */
@@ -95,9 +95,9 @@
         RequestHeadersBuilder headers = call.headers().toBuilder();
         headers.set(HttpHeaderNames.RANGE, "bytes=" + deliveredBytes + "-");
         headers.set(HttpHeaderNames.IF_RANGE, validator);
-        from = member.get();
+        servingMember = member.get();
         current = forwarder.send(
-                call.withHeaders(headers.build()), from, rule.attemptTimeoutMillis(log, forwarder.time()));
+                call.withHeaders(headers.build()), servingMember, rule.attemptTimeoutMillis(log, forwarder.time()));
         current.outcome().thenAccept(outcome -> {
             switch (outcome) {
                 case Outcome.Answered<StreamedResponse>(StreamedResponse answer) -> join(answer, cause, rest);
@@ -125,12 +125,12 @@
             return;
         }
         forwarder.metrics().countResumed();
-        EVENTS.log(CallEvent.ANSWER_RESUMED, call.requestId(), deliveredBytes, from.instance());
+        EVENTS.log(CallEvent.ANSWER_RESUMED, call.requestId(), deliveredBytes, servingMember.instance());
         rest.complete(follow(answer.body()));
     }
 
     private Optional<Member> otherMember() {
-        return switch (forwarder.choose(forwarder.currentMembers(), call, Set.of(from.instance()))) {
+        return switch (forwarder.choose(forwarder.currentMembers(), call, Set.of(servingMember.instance()))) {
             case MemberChoice.Chosen(Member member) -> Optional.of(member);
             case MemberChoice.AllTried(Member member) -> Optional.of(member);
             case MemberChoice.NoMember none -> Optional.empty();
