--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
@@ -37,7 +37,7 @@
     private final long contentLength;
     private long deliveredBytes;
     private Member servingMember;
-    private AttemptHistory log = AttemptHistory.NONE;
+    private AttemptHistory history = AttemptHistory.NONE;
     private Attempt current;
 
     private ResumableAnswer(Forwarder forwarder, Call call, String validator, long total, Member from) {
@@ -78,7 +78,7 @@
                 current.cancel().run();
             }
         });
-        log = log.plus(new Outcome.Unknown<StreamedResponse>("cut"));
+        history = history.plus(new Outcome.Unknown<StreamedResponse>("cut"));
         askForRest(cause, rest);
         return deferred;
     }
@@ -86,7 +86,7 @@
     private void askForRest(Throwable cause, CompletableFuture<StreamMessage<HttpData>> rest) {
         RetryRule rule = new RetryRule(true, true, call.match().policy().maxAttempts(), headBy());
         Verdict verdict =
-                call.isCallerDisconnected() ? Verdict.TOO_LATE : rule.decide(log, forwarder.retryBudgetFor(call), forwarder.time());
+                call.isCallerDisconnected() ? Verdict.TOO_LATE : rule.decide(history, forwarder.retryBudgetFor(call), forwarder.time());
         Optional<Member> member = verdict == Verdict.RETRY ? otherMember() : Optional.empty();
         if (member.isEmpty()) {
             rest.complete(StreamMessage.aborted(cause));
@@ -97,16 +97,16 @@
         headers.set(HttpHeaderNames.IF_RANGE, validator);
         servingMember = member.get();
         current = forwarder.send(
-                call.withHeaders(headers.build()), servingMember, rule.attemptTimeoutMillis(log, forwarder.time()));
+                call.withHeaders(headers.build()), servingMember, rule.attemptTimeoutMillis(history, forwarder.time()));
         current.outcome().thenAccept(outcome -> {
             switch (outcome) {
                 case Outcome.Answered<StreamedResponse>(StreamedResponse answer) -> join(answer, cause, rest);
                 case Outcome.RefusedNotRun<StreamedResponse> refused -> {
-                    log = log.plus(refused);
+                    history = history.plus(refused);
                     askForRest(cause, rest);
                 }
                 case Outcome.Unknown<StreamedResponse> unknown -> {
-                    log = log.plus(unknown);
+                    history = history.plus(unknown);
                     askForRest(cause, rest);
                 }
             }
