--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
@@ -38,7 +38,7 @@
     private long deliveredBytes;
     private Member servingMember;
     private AttemptHistory history = AttemptHistory.NONE;
-    private Attempt current;
+    private Attempt currentAttempt;
 
     private ResumableAnswer(Forwarder forwarder, Call call, String validator, long total, Member from) {
         this.forwarder = forwarder;
@@ -74,8 +74,8 @@
         CompletableFuture<StreamMessage<HttpData>> rest = new CompletableFuture<>();
         StreamMessage<HttpData> deferred = StreamMessage.of(rest);
         deferred.whenComplete().whenComplete((done, failure) -> {
-            if (failure != null && current != null) {
-                current.cancel().run();
+            if (failure != null && currentAttempt != null) {
+                currentAttempt.cancel().run();
             }
         });
         history = history.plus(new Outcome.Unknown<StreamedResponse>("cut"));
@@ -96,9 +96,9 @@
         headers.set(HttpHeaderNames.RANGE, "bytes=" + deliveredBytes + "-");
         headers.set(HttpHeaderNames.IF_RANGE, validator);
         servingMember = member.get();
-        current = forwarder.send(
+        currentAttempt = forwarder.send(
                 call.withHeaders(headers.build()), servingMember, rule.attemptTimeoutMillis(history, forwarder.time()));
-        current.outcome().thenAccept(outcome -> {
+        currentAttempt.outcome().thenAccept(outcome -> {
             switch (outcome) {
                 case Outcome.Answered<StreamedResponse>(StreamedResponse answer) -> join(answer, cause, rest);
                 case Outcome.RefusedNotRun<StreamedResponse> refused -> {
