--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
@@ -63,10 +63,10 @@
             return answer;
         }
         ResumableAnswer whole = new ResumableAnswer(forwarder, call, validator, headers.contentLength(), from);
-        return answer.withBody(whole.follow(answer.body()));
+        return answer.withBody(whole.resumeOnFailure(answer.body()));
     }
 
-    private StreamMessage<HttpData> follow(StreamMessage<HttpData> part) {
+    private StreamMessage<HttpData> resumeOnFailure(StreamMessage<HttpData> part) {
         return part.peek(d -> deliveredBytes += d.length()).recoverAndResume(this::resume);
     }
 
@@ -126,7 +126,7 @@
         }
         forwarder.metrics().countResumed();
         EVENTS.log(CallEvent.ANSWER_RESUMED, call.requestId(), deliveredBytes, servingMember.instance());
-        rest.complete(follow(answer.body()));
+        rest.complete(resumeOnFailure(answer.body()));
     }
 
     private Optional<Member> otherMember() {
