--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
@@ -79,11 +79,11 @@
             }
         });
         history = history.plus(new Outcome.Unknown<StreamedResponse>("cut"));
-        askForRest(cause, rest);
+        requestRemainder(cause, rest);
         return deferred;
     }
 
-    private void askForRest(Throwable cause, CompletableFuture<StreamMessage<HttpData>> rest) {
+    private void requestRemainder(Throwable cause, CompletableFuture<StreamMessage<HttpData>> rest) {
         RetryRule rule = new RetryRule(true, true, call.match().policy().maxAttempts(), headBy());
         Verdict verdict =
                 call.isCallerDisconnected() ? Verdict.TOO_LATE : rule.decide(history, forwarder.retryBudgetFor(call), forwarder.time());
@@ -103,11 +103,11 @@
                 case Outcome.Answered<StreamedResponse>(StreamedResponse answer) -> join(answer, cause, rest);
                 case Outcome.RefusedNotRun<StreamedResponse> refused -> {
                     history = history.plus(refused);
-                    askForRest(cause, rest);
+                    requestRemainder(cause, rest);
                 }
                 case Outcome.Unknown<StreamedResponse> unknown -> {
                     history = history.plus(unknown);
-                    askForRest(cause, rest);
+                    requestRemainder(cause, rest);
                 }
             }
         });
