--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
@@ -100,7 +100,7 @@
                 call.withHeaders(headers.build()), servingMember, rule.attemptTimeoutMillis(history, forwarder.time()));
         currentAttempt.outcome().thenAccept(outcome -> {
             switch (outcome) {
-                case Outcome.Answered<StreamedResponse>(StreamedResponse answer) -> join(answer, cause, rest);
+                case Outcome.Answered<StreamedResponse>(StreamedResponse answer) -> appendRemainder(answer, cause, rest);
                 case Outcome.RefusedNotRun<StreamedResponse> refused -> {
                     history = history.plus(refused);
                     requestRemainder(cause, rest);
@@ -113,7 +113,7 @@
         });
     }
 
-    private void join(StreamedResponse answer, Throwable cause, CompletableFuture<StreamMessage<HttpData>> rest) {
+    private void appendRemainder(StreamedResponse answer, Throwable cause, CompletableFuture<StreamMessage<HttpData>> rest) {
         ResponseHeaders headers = answer.headers();
         String range = "bytes " + deliveredBytes + "-" + (contentLength - 1) + "/" + contentLength;
         boolean fits = headers.status().equals(HttpStatus.PARTIAL_CONTENT)
