--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
@@ -87,7 +87,7 @@
         RetryRule rule = new RetryRule(true, true, call.match().policy().maxAttempts(), headBy());
         Verdict verdict =
                 call.isCallerDisconnected() ? Verdict.TOO_LATE : rule.decide(history, forwarder.retryBudgetFor(call), forwarder.time());
-        Optional<Member> member = verdict == Verdict.RETRY ? otherMember() : Optional.empty();
+        Optional<Member> member = verdict == Verdict.RETRY ? chooseMember() : Optional.empty();
         if (member.isEmpty()) {
             rest.complete(StreamMessage.aborted(cause));
             return;
@@ -129,7 +129,7 @@
         rest.complete(resumeOnFailure(answer.body()));
     }
 
-    private Optional<Member> otherMember() {
+    private Optional<Member> chooseMember() {
         return switch (forwarder.choose(forwarder.currentMembers(), call, Set.of(servingMember.instance()))) {
             case MemberChoice.Chosen(Member member) -> Optional.of(member);
             case MemberChoice.AllTried(Member member) -> Optional.of(member);
