--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
@@ -84,7 +84,7 @@
     }
 
     private void requestRemainder(Throwable cause, CompletableFuture<StreamMessage<HttpData>> rest) {
-        RetryRule rule = new RetryRule(true, true, call.match().policy().maxAttempts(), headBy());
+        RetryRule rule = new RetryRule(true, true, call.match().policy().maxAttempts(), responseStartDeadline());
         Verdict verdict =
                 call.isCallerDisconnected() ? Verdict.TOO_LATE : rule.decide(history, forwarder.retryBudgetFor(call), forwarder.time());
         Optional<Member> member = verdict == Verdict.RETRY ? chooseMember() : Optional.empty();
@@ -137,7 +137,7 @@
         };
     }
 
-    private Deadline headBy() {
+    private Deadline responseStartDeadline() {
         return switch (call.limit()) {
             case TransferLimit.Whole(Deadline by) -> by;
             case TransferLimit.Progress(long stallMillis, Optional<Deadline> callerBy) -> {
