--- a/org.berylwick.test/tst/org/berylwick/daemon/call/AnswerGuardTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/ResponseLengthGuardTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A body whose length is not what its head announced does not end cleanly. */
-class AnswerGuardTest {
+class ResponseLengthGuardTest {
     private final Invariants invariants = new Invariants(new MetricRegistry());
 
     private final AtomicInteger errors = new AtomicInteger();
