--- a/org.berylwick.test/tst/org/berylwick/daemon/call/ResponseLengthGuardTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/ResponseLengthGuardTest.java
@@ -19,15 +19,15 @@
 
     private final AtomicInteger errors = new AtomicInteger();
 
-    private ResponseLengthGuard guard(OptionalLong expected) {
+    private ResponseLengthGuard guardedBody(OptionalLong expected) {
         StreamMessage<HttpData> body = StreamMessage.of(HttpData.ofUtf8("abc"), HttpData.ofUtf8("de"));
         return new ResponseLengthGuard("r-1", body, expected, invariants, (passed, failure) -> errors.incrementAndGet());
     }
 
     @Test
     void wholeBodyPasses() {
-        assertEquals(2, guard(OptionalLong.of(5)).collect().join().size());
-        assertEquals(2, guard(OptionalLong.empty()).collect().join().size());
+        assertEquals(2, guardedBody(OptionalLong.of(5)).collect().join().size());
+        assertEquals(2, guardedBody(OptionalLong.empty()).collect().join().size());
         assertEquals(0, invariants.breaches(Invariant.OWN_WHOLE_ANSWER));
     }
 
@@ -35,10 +35,10 @@
     void shortAndLongBodiesEndInError() {
         assertThrows(
                 CompletionException.class,
-                () -> guard(OptionalLong.of(6)).collect().join());
+                () -> guardedBody(OptionalLong.of(6)).collect().join());
         assertThrows(
                 CompletionException.class,
-                () -> guard(OptionalLong.of(4)).collect().join());
+                () -> guardedBody(OptionalLong.of(4)).collect().join());
         assertEquals(2, invariants.breaches(Invariant.OWN_WHOLE_ANSWER));
     }
 }
