--- a/org.berylwick.test/tst/org/berylwick/daemon/call/ResponseLengthGuardTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/ResponseLengthGuardTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void wholeBodyPasses() {
+    void bodyOfAnnouncedLengthCompletes() {
         assertEquals(2, guardedBody(OptionalLong.of(5)).collect().join().size());
         assertEquals(2, guardedBody(OptionalLong.empty()).collect().join().size());
         assertEquals(0, invariants.breaches(Invariant.OWN_WHOLE_ANSWER));
