--- a/org.berylwick.test/tst/org/berylwick/daemon/call/ResponseLengthGuardTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/ResponseLengthGuardTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void shortAndLongBodiesEndInError() {
+    void shorterAndLongerBodiesFail() {
         assertThrows(
                 CompletionException.class,
                 () -> guardedBody(OptionalLong.of(6)).collect().join());
