--- a/org.berylwick.test/tst/org/berylwick/daemon/call/AnswerTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/ResponseDeliveryTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Callers get the whole answer to their own request, or see that they did not. */
-class AnswerTest {
+class ResponseDeliveryTest {
     private static final String WHOLE = "0123456789".repeat(20_000);
     private static final String HALF = WHOLE.substring(0, WHOLE.length() / 2);
 
