--- a/org.berylwick.test/tst/org/berylwick/daemon/call/ResponseDeliveryTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/ResponseDeliveryTest.java
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void lateAnswerOfACallThatWasGivenUpReachesNobody() {
+    void lateResponseToTimedOutCallIsNotDelivered() {
         // The first caller waits 300 ms and is told at once that the outcome is unknown; its connection to the server
         // is closed, so the answer that the server writes later finds nobody. The next callers get their own.
         server.setScript((c, r) -> {
