--- a/org.berylwick.test/tst/org/berylwick/daemon/call/ResponseDeliveryTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/ResponseDeliveryTest.java
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void answerThatNamesAnotherRequestIsDroppedWithItsConnection() {
+    void responseWithAnotherRequestIdIsDroppedAndItsConnectionClosed() {
         // The caller gets 502: the server answers on this connection for a request of somebody else. The answer is
         // dropped and the connection closed, and the next caller gets its own answer.
         server.setScript((c, r) -> {
