--- a/org.berylwick.test/tst/org/berylwick/daemon/call/ResponseDeliveryTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/ResponseDeliveryTest.java
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void doubledAnswersAndStrayBytesReachNobody() {
+    void duplicateResponsesAndStrayBytesAreNotDelivered() {
         // Every caller gets its own answer although the server writes each one twice, or bytes after it: the second
         // one would be the answer to whoever uses the connection next.
         server.setScript((c, r) -> {
