--- a/org.berylwick.test/tst/org/berylwick/daemon/call/ResponseDeliveryTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/ResponseDeliveryTest.java
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void answerCutAtHalfItsLengthEndsAsClosedConnection() throws IOException {
+    void truncatedResponseEndsWithClosedConnection() throws IOException {
         // The caller reads half of the announced length and then the end of the connection, not of the answer.
         server.setScript((c, r) -> {
             writeFirstHalf(c, r, "");
