--- a/org.berylwick.test/tst/org/berylwick/daemon/call/ResponseDeliveryTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/ResponseDeliveryTest.java
@@ -166,7 +166,7 @@
     }
 
     @Test
-    void answerThatEndsOnlyWithItsConnectionIsNotTakenForWhole() throws IOException {
+    void responseDelimitedByConnectionCloseIsTreatedAsTruncated() throws IOException {
         // The caller sees a cut: the server announced neither a length nor chunks and closed, which a server that
         // crashed midway does as well.
         server.setScript((c, r) -> {
