--- a/org.berylwick.test/tst/org/berylwick/daemon/call/ResponseDeliveryTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/ResponseDeliveryTest.java
@@ -186,7 +186,7 @@
     }
 
     @Test
-    void answerCutUnderHttp2EndsAsReset() {
+    void truncatedResponseEndsWithHttp2StreamReset() {
         // The caller's stream is reset; it never ends as if it were whole.
         server.setScript((c, r) -> {
             writeFirstHalf(c, r, "");
