--- a/org.berylwick.test/tst/org/berylwick/daemon/call/ResponseDeliveryTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/ResponseDeliveryTest.java
@@ -198,7 +198,7 @@
     }
 
     @Test
-    void answerCutBetweenTheDaemonsEndsAsClosedConnection() throws IOException {
+    void responseCutBetweenDaemonsEndsWithClosedConnection() throws IOException {
         // The caller sees its connection end midway: the connection from entry to owner is cut while half of the
         // answer is through.
         try (TcpRelay relay = new TcpRelay(owner.peersAddress());
