--- a/org.berylwick.test/tst/org/berylwick/daemon/call/ResponseDeliveryTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/ResponseDeliveryTest.java
@@ -216,7 +216,7 @@
     }
 
     @Test
-    void archiveWithAStrongValidatorGoesOnByRangeAfterACut() {
+    void truncatedArchiveWithStrongValidatorIsResumedByRangeRequest() {
         // The caller gets the whole archive: the server resets after half of it; the rest is asked for by range, on
         // the condition that it is still the same content.
         server.setScript((c, r) -> {
