--- a/org.berylwick.test/tst/org/berylwick/daemon/call/ResponseDeliveryTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/ResponseDeliveryTest.java
@@ -238,7 +238,7 @@
     }
 
     @Test
-    void archiveThatChangedMeanwhileIsNotJoined() {
+    void changedArchiveIsNotResumed() {
         // The caller sees a cut: after the reset the server has another version of the archive and sends it whole;
         // joining its end to the beginning of the old one would make a file that never existed.
         server.setScript((c, r) -> {
