--- a/org.berylwick.test/tst/org/berylwick/daemon/call/ResponseDeliveryTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/ResponseDeliveryTest.java
@@ -257,7 +257,7 @@
     }
 
     @Test
-    void archiveWithAWeakValidatorIsNotResumed() {
+    void archiveWithWeakValidatorIsNotResumed() {
         // The caller sees a cut: a weak validator does not promise equal bytes.
         server.setScript((c, r) -> {
             writeFirstHalf(c, r, "etag: W/\"v1\"\r\n");
