--- a/org.berylwick.test/tst/org/berylwick/daemon/call/ResponseDeliveryTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/ResponseDeliveryTest.java
@@ -270,7 +270,7 @@
     }
 
     @Test
-    void archiveThatIsCutAgainAndAgainEndsAsCut() {
+    void resumptionsAreLimitedByMaxAttempts() {
         // The caller sees a cut after as many attempts as the policy allows; it is not resumed for ever.
         server.setScript((c, r) -> {
             int from = r.header("range").isEmpty()
