--- a/org.berylwick.test/tst/org/berylwick/daemon/call/DeadlineTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/DeadlineTest.java
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void callersTimeoutOnlyShortensThePolicys() {
+    void callerTimeoutCanOnlyShortenPolicyTimeout() {
         // The server is told the smaller of what the policy allows (5 s) and what the caller says.
         RawServer server = new RawServer();
         RigDaemon entry = rig.add("entry", "none", server.address());
