--- a/org.berylwick.test/tst/org/berylwick/daemon/call/DeadlineTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/DeadlineTest.java
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void callerThatGoesAwayCancelsAtTheServer() throws IOException {
+    void callerDisconnectCancelsRequestAtBackendServer() throws IOException {
         // The caller closes its connection while the server works: the server's connection is closed at once, and
         // the order is not sent again.
         RawServer server = new RawServer((c, r) -> c.awaitClosedByPeer());
