--- a/org.berylwick.test/tst/org/berylwick/daemon/call/DeadlineTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/DeadlineTest.java
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void idempotentReadGivesUpASilentServerWhileThereIsTimeForAnother() {
+    void idempotentReadIsRetriedBeforeDeadlineIfServerIsSilent() {
         // The caller gets its tile within its 5 s although the only server known at first accepts everything and
         // never answers: the attempt there is given up and cancelled while there is time for the one that came up.
         RawServer silent = new RawServer((c, r) -> c.awaitClosedByPeer());
