--- a/org.berylwick.test/tst/org/berylwick/daemon/call/DeadlineTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/DeadlineTest.java
@@ -151,7 +151,7 @@
     }
 
     @Test
-    void deadlineShrinksThroughCallsTenDeep() {
+    void deadlineNeverGrowsAlongChainOfTenCalls() {
         // The caller waits 3 s; the tenth server is told at most what is left of that, each one no more than the one
         // before, and as it never answers the caller hears of it by its deadline.
         List<Long> told = new CopyOnWriteArrayList<>();
