--- a/org.berylwick.test/tst/org/berylwick/daemon/call/DeadlineTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/DeadlineTest.java
@@ -171,7 +171,7 @@
     }
 
     @Test
-    void cancellationReachesTheLastOfTenServers() throws IOException {
+    void cancellationReachesLastServerOfChain() throws IOException {
         // The caller goes away while the tenth server works: the tenth server's request is cancelled.
         List<Long> told = new CopyOnWriteArrayList<>();
         CompletableFuture<Void> last = new CompletableFuture<>();
