--- a/org.berylwick.test/tst/org/berylwick/daemon/call/DeadlineTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/DeadlineTest.java
@@ -185,7 +185,7 @@
     }
 
     @Test
-    void outageIsNotMultipliedByRetries() {
+    void retriesDuringOutageAreLimitedByBudget() {
         // Every server resets every read: 100 callers cause no more runs than 100 and the share of retries, and each
         // is told at once.
         RawServer broken = new RawServer((c, r) -> c.reset());
