--- a/org.berylwick.test/tst/org/berylwick/daemon/call/DeadlineTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/DeadlineTest.java
@@ -28,7 +28,7 @@
 
 /** Deadlines and cancellation reach the backend server, through both daemons and through calls ten deep. */
 class DeadlineTest {
-    private static final int DEPTH = 10;
+    private static final int CHAIN_LENGTH = 10;
 
     private final CallRig rig = new CallRig(Declarations.TEXT);
     private final List<Server> servers = new ArrayList<>();
@@ -158,13 +158,13 @@
         CompletableFuture<Void> last = new CompletableFuture<>();
         RigDaemon entry = chain(told, last);
         AggregatedHttpResponse answer = WebClient.of("http://" + entry.callersAddress())
-                .execute(headers("/tiles/" + DEPTH, "deep-1", 3_000))
+                .execute(headers("/tiles/" + CHAIN_LENGTH, "deep-1", 3_000))
                 .aggregate()
                 .join();
         assertTrue(answer.status().isServerError(), answer.status().toString());
         // Repeats go on while this looks.
-        List<Long> firstPass = List.copyOf(told).subList(0, DEPTH);
-        for (int i = 1; i < DEPTH; i++) {
+        List<Long> firstPass = List.copyOf(told).subList(0, CHAIN_LENGTH);
+        for (int i = 1; i < CHAIN_LENGTH; i++) {
             assertTrue(firstPass.get(i) <= firstPass.get(i - 1), told.toString());
         }
         assertTrue(firstPass.getFirst() <= 3_000 && firstPass.getLast() > 0, told.toString());
@@ -177,11 +177,11 @@
         CompletableFuture<Void> last = new CompletableFuture<>();
         RigDaemon entry = chain(told, last);
         try (RawCaller caller = new RawCaller(entry.callersAddress())) {
-            caller.get("/tiles/" + DEPTH, "x-request-id: deep-2\r\n");
-            Await.until("the tenth server works", () -> told.size() == DEPTH, told::toString);
+            caller.get("/tiles/" + CHAIN_LENGTH, "x-request-id: deep-2\r\n");
+            Await.until("the tenth server works", () -> told.size() == CHAIN_LENGTH, told::toString);
         }
         Await.until("the tenth is cancelled", last::isDone, told::toString);
-        assertEquals(DEPTH, told.size());
+        assertEquals(CHAIN_LENGTH, told.size());
     }
 
     @Test
