--- a/org.berylwick.test/tst/org/berylwick/daemon/call/DeadlineTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/DeadlineTest.java
@@ -104,7 +104,7 @@
     }
 
     /** A backend server that passes each request on to its own daemon, as often as the path has segments left. */
-    private HostPort chained(AtomicReference<HostPort> ownDaemon, List<Long> told, CompletableFuture<Void> last) {
+    private HostPort startChainedServer(AtomicReference<HostPort> ownDaemon, List<Long> told, CompletableFuture<Void> last) {
         Server server = Server.builder()
                 .http(new InetSocketAddress("127.0.0.1", 0))
                 .requestTimeoutMillis(0)
@@ -144,7 +144,7 @@
         RigDaemon entry = rig.add("entry", "none", new HostPort("127.0.0.1", 1));
         for (String name : List.of("a", "b")) {
             AtomicReference<HostPort> own = new AtomicReference<>();
-            RigDaemon daemon = rig.addMember(name, "web", chained(own, told, last));
+            RigDaemon daemon = rig.addMember(name, "web", startChainedServer(own, told, last));
             own.set(daemon.callersAddress());
         }
         return entry;
