--- a/org.berylwick.test/tst/org/berylwick/daemon/call/DeadlineTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/DeadlineTest.java
@@ -108,14 +108,14 @@
         Server server = Server.builder()
                 .http(new InetSocketAddress("127.0.0.1", 0))
                 .requestTimeoutMillis(0)
-                .serviceUnder("/", (ctx, request) -> pass(ctx, request, ownDaemon.get(), told, last))
+                .serviceUnder("/", (ctx, request) -> forwardToDaemon(ctx, request, ownDaemon.get(), told, last))
                 .build();
         server.start().join();
         servers.add(server);
         return new HostPort("127.0.0.1", server.activeLocalPort());
     }
 
-    private static HttpResponse pass(
+    private static HttpResponse forwardToDaemon(
             ServiceRequestContext ctx,
             HttpRequest request,
             HostPort daemon,
