--- a/org.berylwick.test/tst/org/berylwick/daemon/call/DeadlineTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/DeadlineTest.java
@@ -140,7 +140,7 @@
         return response;
     }
 
-    private RigDaemon chain(List<Long> told, CompletableFuture<Void> last) {
+    private RigDaemon startChain(List<Long> told, CompletableFuture<Void> last) {
         RigDaemon entry = rig.add("entry", "none", new HostPort("127.0.0.1", 1));
         for (String name : List.of("a", "b")) {
             AtomicReference<HostPort> own = new AtomicReference<>();
@@ -156,7 +156,7 @@
         // before, and as it never answers the caller hears of it by its deadline.
         List<Long> told = new CopyOnWriteArrayList<>();
         CompletableFuture<Void> last = new CompletableFuture<>();
-        RigDaemon entry = chain(told, last);
+        RigDaemon entry = startChain(told, last);
         AggregatedHttpResponse answer = WebClient.of("http://" + entry.callersAddress())
                 .execute(headers("/tiles/" + CHAIN_LENGTH, "deep-1", 3_000))
                 .aggregate()
@@ -175,7 +175,7 @@
         // The caller goes away while the tenth server works: the tenth server's request is cancelled.
         List<Long> told = new CopyOnWriteArrayList<>();
         CompletableFuture<Void> last = new CompletableFuture<>();
-        RigDaemon entry = chain(told, last);
+        RigDaemon entry = startChain(told, last);
         try (RawCaller caller = new RawCaller(entry.callersAddress())) {
             caller.get("/tiles/" + CHAIN_LENGTH, "x-request-id: deep-2\r\n");
             Await.until("the tenth server works", () -> told.size() == CHAIN_LENGTH, told::toString);
