--- a/org.berylwick.test/tst/org/berylwick/daemon/call/HeaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/HeaderTest.java
@@ -39,7 +39,7 @@
         }
     }
 
-    private RawServer.Request seen() {
+    private RawServer.Request lastServerRequest() {
         return server.requests().getLast();
     }
 
@@ -53,8 +53,8 @@
                         "/orders/1",
                         "berylwick-outcome: not-run\r\nberylwick-class: BULK\r\nBerylwick-Anything: x\r\n"
                                 + "x-brand: other\r\n"));
-        assertFalse(seen().headers().keySet().stream().anyMatch(n -> n.startsWith("berylwick-")));
-        assertEquals("one", seen().header("x-brand"));
+        assertFalse(lastServerRequest().headers().keySet().stream().anyMatch(n -> n.startsWith("berylwick-")));
+        assertEquals("one", lastServerRequest().header("x-brand"));
     }
 
     @Test
@@ -68,7 +68,7 @@
                         "connection: x-private, keep-alive\r\nx-private: 1\r\nkeep-alive: 5\r\nte: trailers\r\n"
                                 + "proxy-authorization: secret\r\n"));
         for (String name : List.of("x-private", "keep-alive", "te", "proxy-authorization")) {
-            assertEquals("", seen().header(name), name);
+            assertEquals("", lastServerRequest().header(name), name);
         }
     }
 
