--- a/org.berylwick.test/tst/org/berylwick/daemon/call/HeaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/HeaderTest.java
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void headersThatOnlyDaemonsMaySetAreTakenFromCallers() throws IOException {
+    void internalHeadersFromCallersAreRemoved() throws IOException {
         // The caller poses as a daemon; the backend server sees none of it, and the daemon's own word stands.
         assertEquals(
                 "200",
