--- a/org.berylwick.test/tst/org/berylwick/daemon/call/HeaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/HeaderTest.java
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void headersOfOneConnectionEndThere() throws IOException {
+    void hopByHopHeadersAreNotForwarded() throws IOException {
         // Hop-by-hop headers, also those that Connection names, are for the entry alone.
         assertEquals(
                 "200",
