--- a/org.berylwick.test/tst/org/berylwick/daemon/call/HeaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/HeaderTest.java
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void malformedRequestsAreRefusedAndNotRun() throws IOException {
+    void malformedRequestsAreRejectedAndNotRun() throws IOException {
         // The caller gets 400 with the rule that its request breaks, or 431 for headers that are too large, and the
         // server hears nothing.
         List<String> malformed = List.of(
