--- a/org.berylwick.test/tst/org/berylwick/daemon/call/HeaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/HeaderTest.java
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void peersThatAreNoDaemonsAreRefusedAtTheOwner() throws IOException {
+    void ownerRefusesRequestsWithoutInternalHeaders() throws IOException {
         // Somebody connects to the owner's port without naming the instance or a request id: refused, not run.
         assertEquals("503", statusOf(owner.peersAddress(), "/orders/1", "x-request-id: q\r\n"));
         assertEquals("503", statusOf(owner.peersAddress(), "/orders/1", "berylwick-instance: a\r\n"));
