--- a/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyKillTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyKillTest.java
@@ -89,7 +89,7 @@
         return ChildProcess.start("edge-1", Map.of(), command);
     }
 
-    private static HttpRequest keyed(String callers, String path, String key) {
+    private static HttpRequest keyedRequest(String callers, String path, String key) {
         return HttpRequest.newBuilder(URI.create("http://" + callers + path))
                 .header("idempotency-key", key)
                 .timeout(Duration.ofSeconds(30))
@@ -134,16 +134,16 @@
                 String callers = entry.awaitLine(LISTENING, START_TIMEOUT).group(1);
                 LocalFleet.await(
                         "the entry daemon serves",
-                        () -> isServed(keyed(callers, "/placements", "first-" + System.nanoTime())));
+                        () -> isServed(keyedRequest(callers, "/placements", "first-" + System.nanoTime())));
                 CompletableFuture<HttpResponse<String>> first = http.sendAsync(
-                        keyed(callers, "/placements?service_ms=1500", "killed"), BodyHandlers.ofString());
+                        keyedRequest(callers, "/placements?service_ms=1500", "killed"), BodyHandlers.ofString());
                 LocalFleet.await("the request runs", () -> runs(fleet) == 1);
                 entry.process().destroyForcibly().waitFor();
                 assertTrue(first.handle((answer, failure) -> failure != null).join(), "the caller's connection breaks");
             } finally {
                 entry.close();
             }
-            HttpRequest repeat = keyed(other, "/placements?service_ms=1500", "killed");
+            HttpRequest repeat = keyedRequest(other, "/placements?service_ms=1500", "killed");
             assertTrue(send(repeat).startsWith("409"));
             LocalFleet.await("the claim's time has passed", () -> send(repeat).contains("key-outcome-unknown"));
             assertTrue(send(repeat).startsWith("409"));
