--- a/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyKillTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyKillTest.java
@@ -72,10 +72,10 @@
     private final HttpClient http = HttpClient.newHttpClient();
 
     @TempDir
-    Path folder;
+    Path directory;
 
     private ChildProcess startEntry(HostPort platform) throws IOException {
-        Path settings = folder.resolve("edge-1.toml");
+        Path settings = directory.resolve("edge-1.toml");
         Files.writeString(settings, SETTINGS.formatted(platform));
         List<String> command = List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
