--- a/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyKillTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyKillTest.java
@@ -137,7 +137,7 @@
                         () -> isServed(keyedRequest(callers, "/placements", "first-" + System.nanoTime())));
                 CompletableFuture<HttpResponse<String>> first = http.sendAsync(
                         keyedRequest(callers, "/placements?service_ms=1500", "killed"), BodyHandlers.ofString());
-                LocalFleet.await("the request runs", () -> runs(fleet) == 1);
+                LocalFleet.await("the request runs", () -> runsOfKilledKey(fleet) == 1);
                 entry.process().destroyForcibly().waitFor();
                 assertTrue(first.handle((answer, failure) -> failure != null).join(), "the caller's connection breaks");
             } finally {
@@ -147,14 +147,14 @@
             assertTrue(send(repeat).startsWith("409"));
             LocalFleet.await("the claim's time has passed", () -> send(repeat).contains("key-outcome-unknown"));
             assertTrue(send(repeat).startsWith("409"));
-            assertEquals(1, runs(fleet));
+            assertEquals(1, runsOfKilledKey(fleet));
             assertEquals(0, fleet.daemon("b-1").invariantBreaches());
         } finally {
             http.close();
         }
     }
 
-    private static long runs(LocalFleet fleet) {
+    private static long runsOfKilledKey(LocalFleet fleet) {
         return fleet.backend("b-1").ledger().runsOfKey("killed");
     }
 }
