--- a/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyKillTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyKillTest.java
@@ -124,7 +124,7 @@
      * the request, neither at once nor after the claim's time has passed: nobody can tell that the first did not run.
      */
     @Test
-    void aRepeatAfterTheEntryDaemonWasKilledIsNotRun() throws Exception {
+    void repeatAfterEntryDaemonWasKilledIsNotRun() throws Exception {
         try (LocalFleet fleet = new LocalFleet()) {
             fleet.add(new Instance("b-1", "bookings", new Place("ncr", "quezon")));
             fleet.awaitAllUp(fleet.apply(DECLARATIONS));
