--- a/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
@@ -27,7 +27,7 @@
 /** Requests with an {@code Idempotency-Key} through two daemons, with the backend servers' ledgers as judges. */
 class IdempotencyKeyTest {
     private static final List<String> INSTANCES = List.of("b-1", "b-2");
-    private static final int SENDERS = 12;
+    private static final int REQUESTS_PER_KEY = 12;
     private static final int KEYS = 10;
     private static final int LARGE_BYTES = 20_000;
     private static final String DECLARATIONS = """
@@ -180,7 +180,7 @@
         for (int k = 0; k < KEYS; k++) {
             String key = "race-" + k;
             List<CompletableFuture<HttpResponse<String>>> sent = new ArrayList<>();
-            for (int i = 0; i < SENDERS; i++) {
+            for (int i = 0; i < REQUESTS_PER_KEY; i++) {
                 sent.add(http.sendAsync(keyed(i % 2, "/placements", key, "{}"), BodyHandlers.ofString()));
             }
             for (CompletableFuture<HttpResponse<String>> answer : sent) {
