--- a/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
@@ -28,7 +28,7 @@
 class IdempotencyKeyTest {
     private static final List<String> INSTANCES = List.of("b-1", "b-2");
     private static final int REQUESTS_PER_KEY = 12;
-    private static final int KEYS = 10;
+    private static final int CONTENDED_KEYS = 10;
     private static final int LARGE_BYTES = 20_000;
     private static final String DECLARATIONS = """
             [[brand]]
@@ -177,7 +177,7 @@
      */
     @Test
     void requestsWithOneKeyThroughBothDaemonsAtOnceRunOnce() {
-        for (int k = 0; k < KEYS; k++) {
+        for (int k = 0; k < CONTENDED_KEYS; k++) {
             String key = "race-" + k;
             List<CompletableFuture<HttpResponse<String>>> sent = new ArrayList<>();
             for (int i = 0; i < REQUESTS_PER_KEY; i++) {
