--- a/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
@@ -120,7 +120,7 @@
                 .timeout(Duration.ofSeconds(30));
     }
 
-    private static HttpRequest keyed(int daemon, String path, String key, String body) {
+    private static HttpRequest keyedRequest(int daemon, String path, String key, String body) {
         return request("127.0.0.1", daemon, path)
                 .header("idempotency-key", key)
                 .POST(BodyPublishers.ofString(body))
@@ -161,8 +161,8 @@
 
     @Test
     void aRepeatThroughAnotherDaemonGetsTheFirstAnswer() throws Exception {
-        HttpResponse<String> first = send(keyed(0, "/placements", "repeat", "{}"));
-        HttpResponse<String> second = sendUntilRecorded(keyed(1, "/placements", "repeat", "{}"));
+        HttpResponse<String> first = send(keyedRequest(0, "/placements", "repeat", "{}"));
+        HttpResponse<String> second = sendUntilRecorded(keyedRequest(1, "/placements", "repeat", "{}"));
         assertEquals(200, first.statusCode(), first.body());
         assertEquals(200, second.statusCode(), second.body());
         assertEquals(first.body(), second.body());
@@ -181,7 +181,7 @@
             String key = "race-" + k;
             List<CompletableFuture<HttpResponse<String>>> sent = new ArrayList<>();
             for (int i = 0; i < REQUESTS_PER_KEY; i++) {
-                sent.add(http.sendAsync(keyed(i % 2, "/placements", key, "{}"), BodyHandlers.ofString()));
+                sent.add(http.sendAsync(keyedRequest(i % 2, "/placements", key, "{}"), BodyHandlers.ofString()));
             }
             for (CompletableFuture<HttpResponse<String>> answer : sent) {
                 int status = answer.join().statusCode();
@@ -193,15 +193,15 @@
 
     @Test
     void anotherRequestUnderAUsedKeyIsRefused() throws Exception {
-        send(keyed(0, "/placements", "reused", "{\"panel\": 1}"));
-        HttpResponse<String> other = send(keyed(1, "/placements", "reused", "{\"panel\": 2}"));
+        send(keyedRequest(0, "/placements", "reused", "{\"panel\": 1}"));
+        HttpResponse<String> other = send(keyedRequest(1, "/placements", "reused", "{\"panel\": 2}"));
         assertEquals(422, other.statusCode(), other.body());
         assertEquals(1, runs("reused"));
     }
 
     @Test
     void aKeyOfOneBrandSaysNothingAboutAnother() throws Exception {
-        send(keyed(0, "/placements", "brands", "{}"));
+        send(keyedRequest(0, "/placements", "brands", "{}"));
         HttpResponse<String> other = send(request("localhost", 0, "/placements")
                 .header("idempotency-key", "brands")
                 .POST(BodyPublishers.ofString("{}"))
@@ -218,7 +218,7 @@
                 .build());
         assertEquals(400, without.statusCode());
         assertTrue(without.body().contains("policy refunds requires the header Idempotency-Key"), without.body());
-        assertEquals(400, send(keyed(0, "/refunds", "x".repeat(300), "")).statusCode());
+        assertEquals(400, send(keyedRequest(0, "/refunds", "x".repeat(300), "")).statusCode());
         HttpRequest twice = request("127.0.0.1", 0, "/refunds")
                 .header("idempotency-key", "a")
                 .header("idempotency-key", "b")
@@ -238,13 +238,13 @@
     @Test
     void whileTheStoreIsOutARequestIsRefusedAsNotRun() throws Exception {
         fleet.platform().faults().startOutage(Duration.ofMinutes(1));
-        HttpResponse<String> refused = send(keyed(0, "/placements", "outage", "{}"));
+        HttpResponse<String> refused = send(keyedRequest(0, "/placements", "outage", "{}"));
         assertEquals(503, refused.statusCode());
         assertTrue(refused.body().contains("store-unavailable"), refused.body());
         assertTrue(header(refused, "retry-after").isPresent());
         assertEquals(0, runs("outage"));
         fleet.platform().faults().endOutage();
-        assertEquals(200, send(keyed(1, "/placements", "outage", "{}")).statusCode());
+        assertEquals(200, send(keyedRequest(1, "/placements", "outage", "{}")).statusCode());
         assertEquals(1, runs("outage"));
     }
 
@@ -255,9 +255,9 @@
     @Test
     void lostAnswersOfTheStoreAreSettledByReading() throws Exception {
         fleet.platform().faults().loseAnswers(2, false);
-        HttpResponse<String> first = send(keyed(0, "/placements", "lost", "{}"));
+        HttpResponse<String> first = send(keyedRequest(0, "/placements", "lost", "{}"));
         assertEquals(200, first.statusCode(), first.body());
-        HttpResponse<String> second = sendUntilRecorded(keyed(1, "/placements", "lost", "{}"));
+        HttpResponse<String> second = sendUntilRecorded(keyedRequest(1, "/placements", "lost", "{}"));
         assertEquals(first.body(), second.body());
         assertEquals(1, runs("lost"));
     }
@@ -269,10 +269,10 @@
     @Test
     void aRepeatAfterAnUnknownOutcomeIsNotRun() throws Exception {
         INSTANCES.forEach(i -> fleet.backend(i).faults().spoilNext(AnswerFault.LOST, 1));
-        HttpResponse<String> first = send(keyed(0, "/placements", "unknown", "{}"));
+        HttpResponse<String> first = send(keyedRequest(0, "/placements", "unknown", "{}"));
         assertEquals(502, first.statusCode(), first.body());
         INSTANCES.forEach(i -> fleet.backend(i).faults().spoilNext(AnswerFault.LOST, 0));
-        HttpResponse<String> second = sendUntilRecorded(keyed(1, "/placements", "unknown", "{}"));
+        HttpResponse<String> second = sendUntilRecorded(keyedRequest(1, "/placements", "unknown", "{}"));
         assertEquals(409, second.statusCode());
         assertTrue(second.body().contains("key-outcome-unknown"), second.body());
         assertEquals(1, runs("unknown"));
@@ -285,7 +285,7 @@
     @Test
     void aKeyedRequestRunsOnceAlsoUnderAnIdempotentPolicy() throws Exception {
         INSTANCES.forEach(i -> fleet.backend(i).faults().spoilNext(AnswerFault.LOST, 1));
-        HttpResponse<String> first = send(keyed(0, "/extensions", "idempotent", "{}"));
+        HttpResponse<String> first = send(keyedRequest(0, "/extensions", "idempotent", "{}"));
         INSTANCES.forEach(i -> fleet.backend(i).faults().spoilNext(AnswerFault.LOST, 0));
         assertEquals(502, first.statusCode(), first.body());
         assertEquals(1, runs("idempotent"));
@@ -299,11 +299,11 @@
     void aRepeatAfterTheCallerLeftGetsTheFirstAnswer() throws Exception {
         String path = "/placements?service_ms=800";
         try (HttpClient leaving = HttpClient.newHttpClient()) {
-            leaving.sendAsync(keyed(0, path, "left", "{}"), BodyHandlers.ofString());
+            leaving.sendAsync(keyedRequest(0, path, "left", "{}"), BodyHandlers.ofString());
             LocalFleet.await("the request runs", () -> runs("left") == 1);
             leaving.shutdownNow();
         }
-        HttpResponse<String> second = sendUntilRecorded(keyed(1, path, "left", "{}"));
+        HttpResponse<String> second = sendUntilRecorded(keyedRequest(1, path, "left", "{}"));
         assertEquals(200, second.statusCode(), second.body());
         assertEquals(Optional.of("true"), header(second, "idempotency-replayed"));
         assertEquals(1, runs("left"));
@@ -312,10 +312,10 @@
     @Test
     void aRequestThatWasNotRunLeavesItsKeyFree() throws Exception {
         INSTANCES.forEach(i -> fleet.backend(i).faults().setShedding(true));
-        HttpResponse<String> first = send(keyed(0, "/placements", "shed", "{}"));
+        HttpResponse<String> first = send(keyedRequest(0, "/placements", "shed", "{}"));
         assertEquals(503, first.statusCode(), first.body());
         INSTANCES.forEach(i -> fleet.backend(i).faults().setShedding(false));
-        HttpResponse<String> second = sendUntilRecorded(keyed(1, "/placements", "shed", "{}"));
+        HttpResponse<String> second = sendUntilRecorded(keyedRequest(1, "/placements", "shed", "{}"));
         assertEquals(200, second.statusCode(), second.body());
         assertEquals(1, runs("shed"));
     }
@@ -323,9 +323,9 @@
     @Test
     void aLargeAnswerIsDeliveredWholeAndItsRepeatIsToldThatItRan() throws Exception {
         String path = "/placements?bytes=" + LARGE_BYTES;
-        HttpResponse<byte[]> first = http.send(keyed(0, path, "large", "{}"), BodyHandlers.ofByteArray());
+        HttpResponse<byte[]> first = http.send(keyedRequest(0, path, "large", "{}"), BodyHandlers.ofByteArray());
         assertEquals(LARGE_BYTES, first.body().length);
-        HttpResponse<String> second = sendUntilRecorded(keyed(1, path, "large", "{}"));
+        HttpResponse<String> second = sendUntilRecorded(keyedRequest(1, path, "large", "{}"));
         assertEquals(409, second.statusCode());
         assertTrue(second.body().contains("key-already-run"), second.body());
         assertEquals(1, runs("large"));
@@ -338,14 +338,14 @@
     @Test
     void anAnswerIsDeliveredThoughItCannotBeRecordedYet() throws Exception {
         CompletableFuture<HttpResponse<String>> first =
-                http.sendAsync(keyed(0, "/placements?service_ms=500", "late-record", "{}"), BodyHandlers.ofString());
+                http.sendAsync(keyedRequest(0, "/placements?service_ms=500", "late-record", "{}"), BodyHandlers.ofString());
         LocalFleet.await("the request runs", () -> runs("late-record") == 1);
         long before = writesOfKeys();
         fleet.platform().faults().startOutage(Duration.ofMinutes(1));
         assertEquals(200, first.join().statusCode(), first.join().body());
         LocalFleet.await("the record meets the outage", () -> writesOfKeys() > before);
         fleet.platform().faults().endOutage();
-        HttpResponse<String> second = sendUntilRecorded(keyed(1, "/placements?service_ms=500", "late-record", "{}"));
+        HttpResponse<String> second = sendUntilRecorded(keyedRequest(1, "/placements?service_ms=500", "late-record", "{}"));
         assertEquals(first.join().body(), second.body());
         assertEquals(1, runs("late-record"));
     }
