--- a/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
@@ -151,7 +151,7 @@
                 .sum();
     }
 
-    private static long writesOfKeys() {
+    private static long keyWrites() {
         return fleet.platform().counter().counts().bySegment().getOrDefault("write keys", 0L);
     }
 
@@ -340,10 +340,10 @@
         CompletableFuture<HttpResponse<String>> first =
                 http.sendAsync(keyedRequest(0, "/placements?service_ms=500", "late-record", "{}"), BodyHandlers.ofString());
         LocalFleet.await("the request runs", () -> runs("late-record") == 1);
-        long before = writesOfKeys();
+        long before = keyWrites();
         fleet.platform().faults().startOutage(Duration.ofMinutes(1));
         assertEquals(200, first.join().statusCode(), first.join().body());
-        LocalFleet.await("the record meets the outage", () -> writesOfKeys() > before);
+        LocalFleet.await("the record meets the outage", () -> keyWrites() > before);
         fleet.platform().faults().endOutage();
         HttpResponse<String> second = sendUntilRecorded(keyedRequest(1, "/placements?service_ms=500", "late-record", "{}"));
         assertEquals(first.join().body(), second.body());
