--- a/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
@@ -145,7 +145,7 @@
         return last.getLast();
     }
 
-    private static long runs(String key) {
+    private static long runsOfKey(String key) {
         return INSTANCES.stream()
                 .mapToLong(i -> fleet.backend(i).ledger().runsOfKey(key))
                 .sum();
@@ -168,7 +168,7 @@
         assertEquals(first.body(), second.body());
         assertEquals(Optional.of("true"), header(second, "idempotency-replayed"));
         assertEquals(Optional.empty(), header(first, "idempotency-replayed"));
-        assertEquals(1, runs("repeat"));
+        assertEquals(1, runsOfKey("repeat"));
     }
 
     /**
@@ -187,7 +187,7 @@
                 int status = answer.join().statusCode();
                 assertTrue(status == 200 || status == 409, answer.join().body());
             }
-            assertEquals(1, runs(key), key);
+            assertEquals(1, runsOfKey(key), key);
         }
     }
 
@@ -196,7 +196,7 @@
         send(keyedRequest(0, "/placements", "reused", "{\"panel\": 1}"));
         HttpResponse<String> other = send(keyedRequest(1, "/placements", "reused", "{\"panel\": 2}"));
         assertEquals(422, other.statusCode(), other.body());
-        assertEquals(1, runs("reused"));
+        assertEquals(1, runsOfKey("reused"));
     }
 
     @Test
@@ -208,7 +208,7 @@
                 .build());
         assertEquals(200, other.statusCode(), other.body());
         assertEquals(Optional.empty(), header(other, "idempotency-replayed"));
-        assertEquals(2, runs("brands"));
+        assertEquals(2, runsOfKey("brands"));
     }
 
     @Test
@@ -242,10 +242,10 @@
         assertEquals(503, refused.statusCode());
         assertTrue(refused.body().contains("store-unavailable"), refused.body());
         assertTrue(header(refused, "retry-after").isPresent());
-        assertEquals(0, runs("outage"));
+        assertEquals(0, runsOfKey("outage"));
         fleet.platform().faults().endOutage();
         assertEquals(200, send(keyedRequest(1, "/placements", "outage", "{}")).statusCode());
-        assertEquals(1, runs("outage"));
+        assertEquals(1, runsOfKey("outage"));
     }
 
     /**
@@ -259,7 +259,7 @@
         assertEquals(200, first.statusCode(), first.body());
         HttpResponse<String> second = sendUntilRecorded(keyedRequest(1, "/placements", "lost", "{}"));
         assertEquals(first.body(), second.body());
-        assertEquals(1, runs("lost"));
+        assertEquals(1, runsOfKey("lost"));
     }
 
     /**
@@ -275,7 +275,7 @@
         HttpResponse<String> second = sendUntilRecorded(keyedRequest(1, "/placements", "unknown", "{}"));
         assertEquals(409, second.statusCode());
         assertTrue(second.body().contains("key-outcome-unknown"), second.body());
-        assertEquals(1, runs("unknown"));
+        assertEquals(1, runsOfKey("unknown"));
     }
 
     /**
@@ -288,7 +288,7 @@
         HttpResponse<String> first = send(keyedRequest(0, "/extensions", "idempotent", "{}"));
         INSTANCES.forEach(i -> fleet.backend(i).faults().spoilNext(AnswerFault.LOST, 0));
         assertEquals(502, first.statusCode(), first.body());
-        assertEquals(1, runs("idempotent"));
+        assertEquals(1, runsOfKey("idempotent"));
     }
 
     /**
@@ -300,13 +300,13 @@
         String path = "/placements?service_ms=800";
         try (HttpClient leaving = HttpClient.newHttpClient()) {
             leaving.sendAsync(keyedRequest(0, path, "left", "{}"), BodyHandlers.ofString());
-            LocalFleet.await("the request runs", () -> runs("left") == 1);
+            LocalFleet.await("the request runs", () -> runsOfKey("left") == 1);
             leaving.shutdownNow();
         }
         HttpResponse<String> second = sendUntilRecorded(keyedRequest(1, path, "left", "{}"));
         assertEquals(200, second.statusCode(), second.body());
         assertEquals(Optional.of("true"), header(second, "idempotency-replayed"));
-        assertEquals(1, runs("left"));
+        assertEquals(1, runsOfKey("left"));
     }
 
     @Test
@@ -317,7 +317,7 @@
         INSTANCES.forEach(i -> fleet.backend(i).faults().setShedding(false));
         HttpResponse<String> second = sendUntilRecorded(keyedRequest(1, "/placements", "shed", "{}"));
         assertEquals(200, second.statusCode(), second.body());
-        assertEquals(1, runs("shed"));
+        assertEquals(1, runsOfKey("shed"));
     }
 
     @Test
@@ -328,7 +328,7 @@
         HttpResponse<String> second = sendUntilRecorded(keyedRequest(1, path, "large", "{}"));
         assertEquals(409, second.statusCode());
         assertTrue(second.body().contains("key-already-run"), second.body());
-        assertEquals(1, runs("large"));
+        assertEquals(1, runsOfKey("large"));
     }
 
     /**
@@ -339,7 +339,7 @@
     void anAnswerIsDeliveredThoughItCannotBeRecordedYet() throws Exception {
         CompletableFuture<HttpResponse<String>> first =
                 http.sendAsync(keyedRequest(0, "/placements?service_ms=500", "late-record", "{}"), BodyHandlers.ofString());
-        LocalFleet.await("the request runs", () -> runs("late-record") == 1);
+        LocalFleet.await("the request runs", () -> runsOfKey("late-record") == 1);
         long before = keyWrites();
         fleet.platform().faults().startOutage(Duration.ofMinutes(1));
         assertEquals(200, first.join().statusCode(), first.join().body());
@@ -347,6 +347,6 @@
         fleet.platform().faults().endOutage();
         HttpResponse<String> second = sendUntilRecorded(keyedRequest(1, "/placements?service_ms=500", "late-record", "{}"));
         assertEquals(first.join().body(), second.body());
-        assertEquals(1, runs("late-record"));
+        assertEquals(1, runsOfKey("late-record"));
     }
 }
