--- a/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
@@ -160,7 +160,7 @@
     }
 
     @Test
-    void aRepeatThroughAnotherDaemonGetsTheFirstAnswer() throws Exception {
+    void repeatThroughAnotherDaemonReceivesFirstResponse() throws Exception {
         HttpResponse<String> first = send(keyedRequest(0, "/placements", "repeat", "{}"));
         HttpResponse<String> second = sendUntilRecorded(keyedRequest(1, "/placements", "repeat", "{}"));
         assertEquals(200, first.statusCode(), first.body());
