--- a/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
@@ -176,7 +176,7 @@
      * the key unclaimed at the same time, and without the store's condition each would have it run.
      */
     @Test
-    void requestsWithOneKeyThroughBothDaemonsAtOnceRunOnce() {
+    void concurrentRequestsWithOneKeyRunOnce() {
         for (int k = 0; k < CONTENDED_KEYS; k++) {
             String key = "race-" + k;
             List<CompletableFuture<HttpResponse<String>>> sent = new ArrayList<>();
