--- a/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
@@ -192,7 +192,7 @@
     }
 
     @Test
-    void anotherRequestUnderAUsedKeyIsRefused() throws Exception {
+    void differentRequestWithUsedKeyIsRejected() throws Exception {
         send(keyedRequest(0, "/placements", "reused", "{\"panel\": 1}"));
         HttpResponse<String> other = send(keyedRequest(1, "/placements", "reused", "{\"panel\": 2}"));
         assertEquals(422, other.statusCode(), other.body());
