--- a/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
@@ -200,7 +200,7 @@
     }
 
     @Test
-    void aKeyOfOneBrandSaysNothingAboutAnother() throws Exception {
+    void keysOfDifferentBrandsAreIndependent() throws Exception {
         send(keyedRequest(0, "/placements", "brands", "{}"));
         HttpResponse<String> other = send(request("localhost", 0, "/placements")
                 .header("idempotency-key", "brands")
