--- a/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
@@ -212,7 +212,7 @@
     }
 
     @Test
-    void aRouteThatRequiresAKeyRefusesRequestsWithoutOneAndWithABadOne() throws Exception {
+    void missingAndInvalidKeysAreRejectedWhereRequired() throws Exception {
         HttpResponse<String> without = send(request("127.0.0.1", 0, "/refunds")
                 .POST(BodyPublishers.noBody())
                 .build());
