--- a/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
@@ -236,7 +236,7 @@
      * told that it was not run and when to come back; once the store is back, the same request runs.
      */
     @Test
-    void whileTheStoreIsOutARequestIsRefusedAsNotRun() throws Exception {
+    void keyedRequestIsRefusedAsNotRunDuringStoreOutage() throws Exception {
         fleet.platform().faults().startOutage(Duration.ofMinutes(1));
         HttpResponse<String> refused = send(keyedRequest(0, "/placements", "outage", "{}"));
         assertEquals(503, refused.statusCode());
