--- a/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
@@ -253,7 +253,7 @@
      * reads the slot, knows its own claim again and lets the request run; the caller notices nothing.
      */
     @Test
-    void lostAnswersOfTheStoreAreSettledByReading() throws Exception {
+    void lostStoreResponsesAreResolvedByReading() throws Exception {
         fleet.platform().faults().loseAnswers(2, false);
         HttpResponse<String> first = send(keyedRequest(0, "/placements", "lost", "{}"));
         assertEquals(200, first.statusCode(), first.body());
