--- a/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
@@ -267,7 +267,7 @@
      * a repeat must not run it again, and is told the same as a conflict.
      */
     @Test
-    void aRepeatAfterAnUnknownOutcomeIsNotRun() throws Exception {
+    void repeatAfterUnknownOutcomeIsNotRun() throws Exception {
         INSTANCES.forEach(i -> fleet.backend(i).faults().spoilNext(AnswerFault.LOST, 1));
         HttpResponse<String> first = send(keyedRequest(0, "/placements", "unknown", "{}"));
         assertEquals(502, first.statusCode(), first.body());
