--- a/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
@@ -283,7 +283,7 @@
      * answer was lost. A caller that names a key asks for one run all the same.
      */
     @Test
-    void aKeyedRequestRunsOnceAlsoUnderAnIdempotentPolicy() throws Exception {
+    void keyedRequestIsNotRetriedUnderIdempotentPolicy() throws Exception {
         INSTANCES.forEach(i -> fleet.backend(i).faults().spoilNext(AnswerFault.LOST, 1));
         HttpResponse<String> first = send(keyedRequest(0, "/extensions", "idempotent", "{}"));
         INSTANCES.forEach(i -> fleet.backend(i).faults().spoilNext(AnswerFault.LOST, 0));
