--- a/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
@@ -296,7 +296,7 @@
      * and its answer is kept: cancelling it would leave the caller with an outcome that nobody knows.
      */
     @Test
-    void aRepeatAfterTheCallerLeftGetsTheFirstAnswer() throws Exception {
+    void repeatAfterCallerDisconnectReceivesFirstResponse() throws Exception {
         String path = "/placements?service_ms=800";
         try (HttpClient leaving = HttpClient.newHttpClient()) {
             leaving.sendAsync(keyedRequest(0, path, "left", "{}"), BodyHandlers.ofString());
