--- a/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
@@ -310,7 +310,7 @@
     }
 
     @Test
-    void aRequestThatWasNotRunLeavesItsKeyFree() throws Exception {
+    void requestThatWasNotRunReleasesItsKey() throws Exception {
         INSTANCES.forEach(i -> fleet.backend(i).faults().setShedding(true));
         HttpResponse<String> first = send(keyedRequest(0, "/placements", "shed", "{}"));
         assertEquals(503, first.statusCode(), first.body());
