--- a/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
@@ -321,7 +321,7 @@
     }
 
     @Test
-    void aLargeAnswerIsDeliveredWholeAndItsRepeatIsToldThatItRan() throws Exception {
+    void largeResponseIsDeliveredButNotStoredForRepeats() throws Exception {
         String path = "/placements?bytes=" + LARGE_BYTES;
         HttpResponse<byte[]> first = http.send(keyedRequest(0, path, "large", "{}"), BodyHandlers.ofByteArray());
         assertEquals(LARGE_BYTES, first.body().length);
