--- a/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
@@ -336,7 +336,7 @@
      * same; a repeat is told that the first is under way, until the record reaches the store.
      */
     @Test
-    void anAnswerIsDeliveredThoughItCannotBeRecordedYet() throws Exception {
+    void responseIsDeliveredBeforeItsOutcomeIsRecorded() throws Exception {
         CompletableFuture<HttpResponse<String>> first =
                 http.sendAsync(keyedRequest(0, "/placements?service_ms=500", "late-record", "{}"), BodyHandlers.ofString());
         LocalFleet.await("the request runs", () -> runsOfKey("late-record") == 1);
