--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/StreamedResponse.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/StreamedResponse.java
@@ -32,8 +32,8 @@
         if (!headers.contains(HttpHeaderNames.TRAILER)) {
             return HttpResponse.of(headers, body);
         }
-        StreamMessage<HttpObject> end = StreamMessage.of(trailers.thenApply(
+        StreamMessage<HttpObject> trailerStream = StreamMessage.of(trailers.thenApply(
                 t -> t.isEmpty() ? StreamMessage.<HttpObject>of() : StreamMessage.<HttpObject>of(t)));
-        return HttpResponse.of(headers, StreamMessage.concat(body, end));
+        return HttpResponse.of(headers, StreamMessage.concat(body, trailerStream));
     }
 }
