--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/AnswerDelivery.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/AnswerDelivery.java
@@ -24,19 +24,19 @@
     /**
      * The response to the caller.
      *
-     * @param from the member that answers
+     * @param member the member that answers
      */
-    HttpResponse deliver(StreamedResponse answer, Member from) {
-        ResponseHeadersBuilder builder = answer.headers().toBuilder();
+    HttpResponse deliver(StreamedResponse response, Member member) {
+        ResponseHeadersBuilder builder = response.headers().toBuilder();
         builder.set(CallHeaders.REQUEST_ID, call.requestId());
         ResponseHeaders headers = builder.build();
-        StreamedResponse whole = ResumableAnswer.of(forwarder, call, answer, from);
-        OptionalLong length = LengthCheck.length(call.headers().method(), headers);
-        ResponseLengthGuard body = new ResponseLengthGuard(call.requestId(), whole.body(), length, forwarder.invariants(), this::recordFailure);
-        return whole.withHeaders(headers).withBody(body).toHttpResponse();
+        StreamedResponse resumable = ResumableAnswer.of(forwarder, call, response, member);
+        OptionalLong contentLength = LengthCheck.length(call.headers().method(), headers);
+        ResponseLengthGuard body = new ResponseLengthGuard(call.requestId(), resumable.body(), contentLength, forwarder.invariants(), this::recordFailure);
+        return resumable.withHeaders(headers).withBody(body).toHttpResponse();
     }
 
-    private void recordFailure(long passed, Throwable failure) {
+    private void recordFailure(long deliveredBytes, Throwable failure) {
         if (failure instanceof CancelledSubscriptionException || call.isCallerDisconnected()) {
             forwarder.metrics().countCancelled();
             return;
@@ -45,7 +45,7 @@
         EVENTS.log(
                 CallEvent.ANSWER_CUT,
                 call.requestId(),
-                passed,
+                deliveredBytes,
                 failure.getClass().getSimpleName());
     }
 }
