--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ResponseLengthGuard.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ResponseLengthGuard.java
@@ -20,7 +20,7 @@
     @FunctionalInterface
     interface ErrorListener {
         /** The body ended after {@code passed} bytes. */
-        void bodyFailed(long passed, Throwable failure);
+        void bodyFailed(long deliveredBytes, Throwable failure);
     }
 
     private final String requestId;
@@ -32,19 +32,19 @@
     /**
      * Guards a body.
      *
-     * @param expected its length in bytes, if its head announced one
-     * @param onError is told of an error before the caller's connection is closed for it
+     * @param contentLength its length in bytes, if its head announced one
+     * @param errorListener is told of an error before the caller's connection is closed for it
      */
     ResponseLengthGuard(
             String requestId,
             StreamMessage<HttpData> body,
-            OptionalLong expected,
+            OptionalLong contentLength,
             Invariants invariants,
-            ErrorListener onError) {
+            ErrorListener errorListener) {
         super(body, true);
-        this.errorListener = onError;
+        this.errorListener = errorListener;
         this.requestId = requestId;
-        this.contentLength = expected;
+        this.contentLength = contentLength;
         this.invariants = invariants;
     }
 
@@ -67,12 +67,12 @@
 
     @Override
     protected void beforeComplete(Subscriber<? super HttpData> subscriber) {
-        boolean whole = contentLength.isEmpty() || contentLength.getAsLong() == deliveredBytes;
+        boolean lengthMatches = contentLength.isEmpty() || contentLength.getAsLong() == deliveredBytes;
         invariants.check(
                 Invariant.OWN_WHOLE_ANSWER,
-                whole,
+                lengthMatches,
                 () -> "answer to " + requestId + " has " + deliveredBytes + " bytes, announced " + contentLength);
-        if (!whole) {
+        if (!lengthMatches) {
             throw new IllegalStateException("the answer has " + deliveredBytes + " bytes, announced " + contentLength);
         }
     }
