--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/KeyedResponseRecorder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/KeyedResponseRecorder.java
@@ -43,37 +43,37 @@
     private volatile ResponseHeaders headers;
     private boolean tooLarge;
 
-    /** @param settle told once how the request ended */
-    KeyedResponseRecorder(Consumer<Settlement> settle) {
-        this.onSettlement = settle;
+    /** @param onSettlement told once how the request ended */
+    KeyedResponseRecorder(Consumer<Settlement> onSettlement) {
+        this.onSettlement = onSettlement;
     }
 
     /** The same answer, watched. */
-    HttpResponse wrap(HttpResponse answer) {
-        SplitHttpResponse split = answer.split();
-        CompletableFuture<HttpResponse> head = new CompletableFuture<>();
-        HttpResponse toCaller = HttpResponse.of(head);
-        split.headers().handle((received, failure) -> {
+    HttpResponse wrap(HttpResponse response) {
+        SplitHttpResponse split = response.split();
+        CompletableFuture<HttpResponse> responseWithHeaders = new CompletableFuture<>();
+        HttpResponse callerResponse = HttpResponse.of(responseWithHeaders);
+        split.headers().handle((receivedHeaders, failure) -> {
             if (failure != null) {
                 onSettlement.accept(new Settlement.Keep(new KeyState.Unknown()));
-                head.completeExceptionally(failure);
+                responseWithHeaders.completeExceptionally(failure);
                 return null;
             }
-            headers = received;
-            StreamMessage<HttpData> watched = split.body().peek(this::bufferBody);
-            watched.whenComplete().handle((done, cut) -> {
-                onSettlement.accept(settlementAtEnd(cut == null));
+            headers = receivedHeaders;
+            StreamMessage<HttpData> observedBody = split.body().peek(this::bufferBody);
+            observedBody.whenComplete().handle((ignored, bodyFailure) -> {
+                onSettlement.accept(settlementAtEnd(bodyFailure == null));
                 return null;
             });
-            if (toCaller.whenComplete().isDone()) {
+            if (callerResponse.whenComplete().isDone()) {
                 // The caller left while its request ran. Its repeat is given the answer, so that is read all the same.
-                watched.subscribe(new BoundedDrain());
+                observedBody.subscribe(new BoundedDrain());
             } else {
-                head.complete(new StreamedResponse(received, watched, split.trailers()).toHttpResponse());
+                responseWithHeaders.complete(new StreamedResponse(receivedHeaders, observedBody, split.trailers()).toHttpResponse());
             }
             return null;
         });
-        return toCaller;
+        return callerResponse;
     }
 
     /** Reads an answer that nobody waits for, until it is larger than what is kept. */
@@ -116,7 +116,7 @@
         body.writeBytes(data.array());
     }
 
-    private synchronized Settlement settlementAtEnd(boolean whole) {
+    private synchronized Settlement settlementAtEnd(boolean complete) {
         // Only a daemon's own refusals carry this header: it is removed from what backend servers answer.
         switch (headers.get(CallHeaders.OUTCOME, "")) {
             case CallHeaders.OUTCOME_NOT_RUN -> {
@@ -128,32 +128,32 @@
             default -> {}
         }
         int status = headers.status().code();
-        List<StoredAnswer.Header> kept = headersToStore();
-        int headerBytes = kept.stream()
+        List<StoredAnswer.Header> storedHeaders = headersToStore();
+        int headerBytes = storedHeaders.stream()
                 .mapToInt(h -> h.name().length() + h.value().length())
                 .sum();
-        if (!whole || tooLarge || headerBytes > MAX_STORED_BYTES) {
+        if (!complete || tooLarge || headerBytes > MAX_STORED_BYTES) {
             return new Settlement.Keep(new KeyState.Ran(status));
         }
-        return new Settlement.Keep(new KeyState.Answered(new StoredAnswer(status, kept, body.toByteArray())));
+        return new Settlement.Keep(new KeyState.Answered(new StoredAnswer(status, storedHeaders, body.toByteArray())));
     }
 
     private List<StoredAnswer.Header> headersToStore() {
-        List<StoredAnswer.Header> kept = new ArrayList<>();
+        List<StoredAnswer.Header> storedHeaders = new ArrayList<>();
         headers.forEach((name, value) -> {
             if (!UNSTORED_HEADERS.contains(name)) {
-                kept.add(new StoredAnswer.Header(name.toString(), value));
+                storedHeaders.add(new StoredAnswer.Header(name.toString(), value));
             }
         });
-        return kept;
+        return storedHeaders;
     }
 
     /** A kept answer, given to a repeat. */
-    static HttpResponse replay(String requestId, StoredAnswer answer) {
-        ResponseHeadersBuilder headers = ResponseHeaders.builder(HttpStatus.valueOf(answer.status()));
-        answer.headers().forEach(h -> headers.add(h.name(), h.value()));
+    static HttpResponse replay(String requestId, StoredAnswer storedResponse) {
+        ResponseHeadersBuilder headers = ResponseHeaders.builder(HttpStatus.valueOf(storedResponse.status()));
+        storedResponse.headers().forEach(h -> headers.add(h.name(), h.value()));
         headers.set(CallHeaders.REQUEST_ID, requestId);
         headers.set(CallHeaders.IDEMPOTENCY_REPLAYED, "true");
-        return HttpResponse.of(headers.build(), HttpData.wrap(answer.body()));
+        return HttpResponse.of(headers.build(), HttpData.wrap(storedResponse.body()));
     }
 }
