--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Call.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Call.java
@@ -32,10 +32,10 @@
     /** A request to send, which can be sent once. */
     HttpRequest newRequest(RequestHeaders attemptHeaders) {
         return switch (body) {
-            case CallBody.Buffered held ->
-                held.content().isEmpty()
+            case CallBody.Buffered buffered ->
+                buffered.content().isEmpty()
                         ? HttpRequest.of(attemptHeaders)
-                        : HttpRequest.of(attemptHeaders, held.content());
+                        : HttpRequest.of(attemptHeaders, buffered.content());
             case CallBody.Streamed streamed -> streamed.request().withHeaders(attemptHeaders);
         };
     }
