--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallHeaders.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallHeaders.java
@@ -85,9 +85,9 @@
 
     /** Removes the headers that only daemons may set: a caller could otherwise forge an outcome or a class. */
     static void removeInternal(HttpHeadersBuilder headers) {
-        List<AsciiString> internal = headers.names().stream()
+        List<AsciiString> internalNames = headers.names().stream()
                 .filter(n -> n.startsWith(INTERNAL_PREFIX))
                 .toList();
-        internal.forEach(headers::remove);
+        internalNames.forEach(headers::remove);
     }
 }
