--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallMetrics.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallMetrics.java
@@ -68,8 +68,8 @@
         resumed = registry.counter(RESUMED);
         mismatched = registry.counter(MISMATCHED);
         responseStartLatency = registry.timer(RESPONSE_START_LATENCY);
-        for (RetryRule.Verdict v : RetryRule.Verdict.values()) {
-            verdicts.put(v, registry.counter(RETRY_VERDICT_PREFIX + v));
+        for (RetryRule.Verdict verdict : RetryRule.Verdict.values()) {
+            verdicts.put(verdict, registry.counter(RETRY_VERDICT_PREFIX + verdict));
         }
         registry.gauge(RUNNING, () -> running::get);
     }
