--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallPath.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallPath.java
@@ -52,14 +52,14 @@
      * The call path of one daemon.
      *
      * @param keys decides which request runs under an idempotency key
-     * @param state whether the own backend server takes requests
+     * @param localState whether the own backend server takes requests
      */
     public CallPath(
             DaemonSettings settings,
             InstalledVersion installed,
             MembershipTable membership,
             KeyDuty keys,
-            Supplier<Member.State> state,
+            Supplier<Member.State> localState,
             MetricRegistry registry,
             Invariants invariants,
             TimeSource time) {
@@ -71,24 +71,24 @@
         backendClient = new BackendServerClient(settings.backendServer().address());
         limiter = new SlotLimiter(
                 time,
-                (at, task) -> CommonPools.workerGroup()
+                (deadline, task) -> CommonPools.workerGroup()
                         .next()
-                        .schedule(task, Math.max(0, at.remainingNanos(time)), TimeUnit.NANOSECONDS),
+                        .schedule(task, Math.max(0, deadline.remainingNanos(time)), TimeUnit.NANOSECONDS),
                 registry,
                 invariants,
                 SlotLimits.ofAllClasses(DEFAULT_SLOTS, DEFAULT_QUEUE_LIMIT));
         PeerLoads loads =
                 new PeerLoads(membership::view, new PeerLoads.LocalLoad(instance, limiter::load), time, registry);
         MemberChooser chooser = new MemberChooser(settings.place(), loads, time, registry, ThreadLocalRandom::current);
-        Owner ownServer = new Owner(limiter, backendClient, state, metrics, invariants, time);
+        Owner localOwner = new Owner(limiter, backendClient, localState, metrics, invariants, time);
         PeerSender sender = new PeerSender(peerClients, time);
         Forwarder forwarder =
-                new Forwarder(instance, ownServer, sender, chooser, loads, membership, metrics, invariants, time);
+                new Forwarder(instance, localOwner, sender, chooser, loads, membership, metrics, invariants, time);
         entryService = new EntryService(installed, membership, new IdempotencyKeyForwarder(forwarder, keys, time), metrics, time);
-        ownerService = new OwnerService(instance, ownServer, time);
+        ownerService = new OwnerService(instance, localOwner, time);
         String service = settings.backendServer().service();
-        installed.addListener(v -> {
-            Configuration configuration = v.snapshot().configuration();
+        installed.addListener(inForce -> {
+            Configuration configuration = inForce.snapshot().configuration();
             ServiceSpec spec = configuration.services().get(service);
             if (spec != null) {
                 limiter.setLimits(SlotLimits.of(configuration, spec));
@@ -123,23 +123,23 @@
      */
     public void drain(Runnable closeListener) throws InterruptedException {
         EVENTS.log(CallEvent.DRAINING, metrics.running());
-        Deadline grace = Deadline.afterMillis(time, DRAIN_TIMEOUT_MILLIS);
-        Deadline announced = Deadline.afterMillis(time, LEAVE_PROPAGATION_MILLIS);
-        while (!announced.isPast(time) && hasOtherMembers()) {
+        Deadline drainDeadline = Deadline.afterMillis(time, DRAIN_TIMEOUT_MILLIS);
+        Deadline leavePropagated = Deadline.afterMillis(time, LEAVE_PROPAGATION_MILLIS);
+        while (!leavePropagated.isPast(time) && hasOtherMembers()) {
             TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MILLIS);
         }
-        while (!grace.isPast(time) && limiter.inUse() + limiter.waiting() > 0) {
+        while (!drainDeadline.isPast(time) && limiter.inUse() + limiter.waiting() > 0) {
             TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MILLIS);
         }
         entryService.drain();
         closeListener.run();
-        Deadline sentAway = Deadline.afterMillis(time, CONNECTION_CLOSE_MILLIS);
-        while (!grace.isPast(time) && (metrics.running() > 0 || !sentAway.isPast(time) && hasOtherMembers())) {
+        Deadline connectionsClosed = Deadline.afterMillis(time, CONNECTION_CLOSE_MILLIS);
+        while (!drainDeadline.isPast(time) && (metrics.running() > 0 || !connectionsClosed.isPast(time) && hasOtherMembers())) {
             TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MILLIS);
         }
-        int left = metrics.running();
-        EVENTS.log(CallEvent.DRAINED, left);
-        invariants.check(Invariant.GRACEFUL_STOP, left == 0, () -> left + " requests are cut by a planned stop");
+        int remaining = metrics.running();
+        EVENTS.log(CallEvent.DRAINED, remaining);
+        invariants.check(Invariant.GRACEFUL_STOP, remaining == 0, () -> remaining + " requests are cut by a planned stop");
     }
 
     private boolean hasOtherMembers() {
