--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallerRequest.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallerRequest.java
@@ -30,26 +30,26 @@
 
     /** Reads a request's headers. */
     static CallerRequest parse(RequestHeaders headers) {
-        List<String> ids = headers.getAll(CallHeaders.REQUEST_ID);
-        if (ids.size() > 1) {
+        List<String> requestIds = headers.getAll(CallHeaders.REQUEST_ID);
+        if (requestIds.size() > 1) {
             return new Malformed("x-request-id is given more than once");
         }
-        Optional<String> id = ids.stream().filter(v -> !v.isEmpty()).findFirst();
-        if (id.isPresent() && !isValidRequestId(id.get())) {
+        Optional<String> requestId = requestIds.stream().filter(value -> !value.isEmpty()).findFirst();
+        if (requestId.isPresent() && !isValidRequestId(requestId.get())) {
             return new Malformed("x-request-id must be at most 128 visible ASCII characters");
         }
         List<String> timeouts = headers.getAll(CallHeaders.TIMEOUT_MILLIS);
         if (timeouts.size() > 1) {
             return new Malformed("x-request-timeout-ms is given more than once");
         }
-        Optional<Long> millis = Optional.empty();
+        Optional<Long> timeoutMillis = Optional.empty();
         if (!timeouts.isEmpty()) {
-            millis = parseMillis(timeouts.getFirst());
-            if (millis.isEmpty()) {
+            timeoutMillis = parseMillis(timeouts.getFirst());
+            if (timeoutMillis.isEmpty()) {
                 return new Malformed("x-request-timeout-ms must be a whole number of milliseconds, at most a day");
             }
         }
-        return new Valid(hostOf(headers.authority()), id, millis);
+        return new Valid(hostOf(headers.authority()), requestId, timeoutMillis);
     }
 
     private static boolean isValidRequestId(String id) {
