--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallerDisconnectListener.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallerDisconnectListener.java
@@ -15,17 +15,17 @@
     private final Optional<Channel> channel;
     private final ChannelFutureListener listener;
 
-    private CallerDisconnectListener(Optional<Channel> channel, Runnable onGone) {
+    private CallerDisconnectListener(Optional<Channel> channel, Runnable onDisconnect) {
         this.channel = channel;
-        this.listener = closed -> onGone.run();
+        this.listener = closed -> onDisconnect.run();
         channel.ifPresent(c -> c.closeFuture().addListener(listener));
     }
 
     /** Begins to watch the caller of a request. */
-    static CallerDisconnectListener register(ServiceRequestContext context, Runnable onGone) {
-        boolean shared = context.sessionProtocol().isMultiplex();
+    static CallerDisconnectListener register(ServiceRequestContext context, Runnable onDisconnect) {
+        boolean multiplexed = context.sessionProtocol().isMultiplex();
         Channel channel = context.log().partial().channel();
-        return new CallerDisconnectListener(shared ? Optional.empty() : Optional.ofNullable(channel), onGone);
+        return new CallerDisconnectListener(multiplexed ? Optional.empty() : Optional.ofNullable(channel), onDisconnect);
     }
 
     @Override
