--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/EntryService.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/EntryService.java
@@ -64,25 +64,25 @@
                 metrics.countRejected();
                 yield Problem.badRequest(newRequestId(), detail);
             }
-            case CallerRequest.Valid accepted -> routeRequest(ctx, request, accepted);
+            case CallerRequest.Valid callerRequest -> routeRequest(ctx, request, callerRequest);
         };
     }
 
-    private HttpResponse routeRequest(ServiceRequestContext ctx, HttpRequest request, CallerRequest.Valid accepted) {
+    private HttpResponse routeRequest(ServiceRequestContext ctx, HttpRequest request, CallerRequest.Valid callerRequest) {
         Snapshot snapshot = installed.snapshot();
-        String requestId = accepted.requestId().orElseGet(EntryService::newRequestId);
+        String requestId = callerRequest.requestId().orElseGet(EntryService::newRequestId);
         if (snapshot.id().number() == 0) {
             // A daemon without a version knows no route at all; "no such route" would tell the caller to give up.
             return Problem.notRun(requestId, RefusalReason.STARTING, Optional.of(STARTING_RETRY_AFTER_MILLIS));
         }
-        String host = accepted.host();
+        String host = callerRequest.host();
         Optional<RouteMatch> match =
                 snapshot.table().find(host, request.method().name(), ctx.path());
         if (match.isEmpty()) {
             metrics.countRejected();
             return Problem.noRoute(requestId, "no route for " + request.method() + " " + host + ctx.path());
         }
-        return forward(ctx, request, requestId, match.get(), accepted);
+        return forward(ctx, request, requestId, match.get(), callerRequest);
     }
 
     private static String newRequestId() {
@@ -94,13 +94,13 @@
             HttpRequest request,
             String requestId,
             RouteMatch match,
-            CallerRequest.Valid accepted) {
-        long policyMillis = match.policy().timeoutMillis();
-        Optional<Deadline> callerBy = accepted.timeoutMillis().map(ms -> Deadline.afterMillis(time, ms));
-        Deadline policyBy = Deadline.afterMillis(time, policyMillis);
-        Deadline deadline = callerBy.map(policyBy::earlier).orElse(policyBy);
+            CallerRequest.Valid callerRequest) {
+        long policyTimeoutMillis = match.policy().timeoutMillis();
+        Optional<Deadline> callerDeadline = callerRequest.timeoutMillis().map(ms -> Deadline.afterMillis(time, ms));
+        Deadline policyDeadline = Deadline.afterMillis(time, policyTimeoutMillis);
+        Deadline deadline = callerDeadline.map(policyDeadline::earlier).orElse(policyDeadline);
         TransferLimit limit = match.policy().trafficClass() == TrafficClass.BULK
-                ? new TransferLimit.Progress(policyMillis, callerBy)
+                ? new TransferLimit.Progress(policyTimeoutMillis, callerDeadline)
                 : new TransferLimit.Whole(deadline);
         RequestHeaders headers = headersToForward(request.headers(), requestId, match);
         Call call = new Call(
@@ -112,11 +112,11 @@
                 headers,
                 new CallBody.Buffered(HttpData.empty()),
                 ctx);
-        long length = contentLength(request);
-        if (length == 0) {
+        long contentLength = contentLength(request);
+        if (contentLength == 0) {
             return forwarder.forward(call);
         }
-        if (length < 0 || length > MAX_BUFFERED_BODY_BYTES) {
+        if (contentLength < 0 || contentLength > MAX_BUFFERED_BODY_BYTES) {
             return forwarder.forward(call.withBody(CallBody.streamed(ctx, request)));
         }
         return bufferAndForward(request, call);
@@ -124,19 +124,19 @@
 
     /** Reads a small body to its end first, so that it can be sent again. */
     private HttpResponse bufferAndForward(HttpRequest request, Call call) {
-        var timeout = call.context()
+        var bodyTimeout = call.context()
                 .eventLoop()
                 .schedule(() -> request.abort(), call.deadline().remainingMillis(time), TimeUnit.MILLISECONDS);
-        return HttpResponse.of(request.aggregate().handle((whole, failure) -> {
-            timeout.cancel(false);
+        return HttpResponse.of(request.aggregate().handle((aggregated, failure) -> {
+            bodyTimeout.cancel(false);
             return failure == null
-                    ? forwarder.forward(call.withBody(new CallBody.Buffered(whole.content())))
+                    ? forwarder.forward(call.withBody(new CallBody.Buffered(aggregated.content())))
                     : Problem.requestTimeout(call.requestId());
         }));
     }
 
-    private static RequestHeaders headersToForward(RequestHeaders received, String requestId, RouteMatch match) {
-        RequestHeadersBuilder headers = received.toBuilder();
+    private static RequestHeaders headersToForward(RequestHeaders receivedHeaders, String requestId, RouteMatch match) {
+        RequestHeadersBuilder headers = receivedHeaders.toBuilder();
         CallHeaders.removeHopByHop(headers);
         CallHeaders.removeInternal(headers);
         headers.remove(HttpHeaderNames.EXPECT);
