--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarder.java
@@ -41,7 +41,7 @@
      */
     Forwarder(
             String instance,
-            Owner owner,
+            Owner localOwner,
             PeerSender peers,
             MemberChooser chooser,
             PeerLoads loads,
@@ -50,7 +50,7 @@
             Invariants invariants,
             TimeSource time) {
         this.instance = instance;
-        this.localOwner = owner;
+        this.localOwner = localOwner;
         this.peers = peers;
         this.chooser = chooser;
         this.loads = loads;
@@ -67,59 +67,59 @@
     }
 
     /** Sends one attempt to a member, over the network unless it is this daemon's own. */
-    Attempt send(Call call, Member member, long attemptMillis) {
-        AtomicBoolean givenUp = new AtomicBoolean();
-        PeerLoads.Attempt load = loads.begin(member);
-        Attempt begun = member.instance().equals(instance)
-                ? runLocally(call, load, attemptMillis)
-                : peers.send(call, member, load, attemptMillis);
-        CompletableFuture<Outcome<StreamedResponse>> outcome = begun.outcome().thenApply(o -> {
+    Attempt send(Call call, Member member, long attemptTimeoutMillis) {
+        AtomicBoolean cancelled = new AtomicBoolean();
+        PeerLoads.Attempt loadAttempt = loads.begin(member);
+        Attempt attempt = member.instance().equals(instance)
+                ? runLocally(call, loadAttempt, attemptTimeoutMillis)
+                : peers.send(call, member, loadAttempt, attemptTimeoutMillis);
+        CompletableFuture<Outcome<StreamedResponse>> outcome = attempt.outcome().thenApply(o -> {
             // A request that its caller gave up tells nothing about the member.
-            if (!givenUp.get()) {
-                recordOutcome(call, load, o, attemptMillis);
+            if (!cancelled.get()) {
+                recordOutcome(call, loadAttempt, o, attemptTimeoutMillis);
             }
             return o;
         });
         return new Attempt(outcome, () -> {
-            givenUp.set(true);
-            begun.cancel().run();
+            cancelled.set(true);
+            attempt.cancel().run();
         });
     }
 
-    private Attempt runLocally(Call call, PeerLoads.Attempt load, long attemptMillis) {
-        Deadline by = Deadline.afterMillis(time, attemptMillis);
-        Attempt begun = localOwner.run(new OwnedRequest(
+    private Attempt runLocally(Call call, PeerLoads.Attempt loadAttempt, long attemptTimeoutMillis) {
+        Deadline deadline = Deadline.afterMillis(time, attemptTimeoutMillis);
+        Attempt attempt = localOwner.run(new OwnedRequest(
                 call.requestId(),
                 call.match().policy().trafficClass(),
-                by,
+                deadline,
                 call.limit(),
                 call.newRequest(call.headers())));
-        begun.outcome().thenRun(load::close);
-        return begun;
+        attempt.outcome().thenRun(loadAttempt::close);
+        return attempt;
     }
 
-    private static void recordOutcome(Call call, PeerLoads.Attempt load, Outcome<StreamedResponse> outcome, long attemptMillis) {
+    private static void recordOutcome(Call call, PeerLoads.Attempt loadAttempt, Outcome<StreamedResponse> outcome, long attemptTimeoutMillis) {
         switch (outcome) {
-            case Outcome.Answered<StreamedResponse>(StreamedResponse answer) -> {
-                HttpStatus status = answer.headers().status();
+            case Outcome.Answered<StreamedResponse>(StreamedResponse response) -> {
+                HttpStatus status = response.headers().status();
                 if (status.isServerError()) {
-                    load.failed("status " + status.code());
+                    loadAttempt.failed("status " + status.code());
                 } else {
-                    load.responseStarted(call.match().policy().trafficClass() != TrafficClass.BULK);
+                    loadAttempt.responseStarted(call.match().policy().trafficClass() != TrafficClass.BULK);
                 }
             }
             case Outcome.RefusedNotRun<StreamedResponse>(RefusalReason reason, Optional<Long> retryAfter) -> {
                 if (reason == RefusalReason.DAEMON_UNREACHABLE || reason == RefusalReason.SERVER_UNREACHABLE) {
-                    load.failed(reason.word());
+                    loadAttempt.failed(reason.word());
                 }
             }
-            case Outcome.Unknown<StreamedResponse>(String detail) -> load.outcomeUnknown(detail, attemptMillis);
+            case Outcome.Unknown<StreamedResponse>(String detail) -> loadAttempt.outcomeUnknown(detail, attemptTimeoutMillis);
         }
     }
 
     /** Picks a member that was not tried yet. */
-    MemberChoice choose(MembershipView members, Call call, Set<String> tried) {
-        return chooser.choose(members, call.match(), tried);
+    MemberChoice choose(MembershipView members, Call call, Set<String> triedInstances) {
+        return chooser.choose(members, call.match(), triedInstances);
     }
 
     /** Remembers at once that a member's own daemon says it is leaving, before its announcement arrives. */
