--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
@@ -57,9 +57,9 @@
         forwarder.retryBudgetFor(call).countRequest();
         forwarder.metrics().callStarted();
         HttpResponse response = HttpResponse.of(result);
-        CallerDisconnectListener watch = CallerDisconnectListener.register(call.context(), response::abort);
-        response.whenComplete().whenComplete((done, failure) -> {
-            watch.close();
+        CallerDisconnectListener disconnectListener = CallerDisconnectListener.register(call.context(), response::abort);
+        response.whenComplete().whenComplete((ignored, failure) -> {
+            disconnectListener.close();
             forwarder.metrics().callEnded();
             if (failure != null) {
                 cancel();
@@ -75,9 +75,9 @@
 
     private void cancel() {
         cancelled = true;
-        Attempt running = currentAttempt;
-        if (running != null) {
-            running.cancel().run();
+        Attempt attemptToCancel = currentAttempt;
+        if (attemptToCancel != null) {
+            attemptToCancel.cancel().run();
         }
     }
 
@@ -96,16 +96,16 @@
     }
 
     private void sendTo(Member member) {
-        boolean mayRun = !history.mayHaveRun() || call.match().policy().idempotent();
+        boolean sendPermitted = !history.mayHaveRun() || call.match().policy().idempotent();
         forwarder
                 .invariants()
-                .check(Invariant.AT_MOST_ONCE, mayRun, () -> "request " + call.requestId() + " is sent once too often");
-        Attempt begun = forwarder.send(call, member, rule.attemptTimeoutMillis(history, forwarder.time()));
-        currentAttempt = begun;
+                .check(Invariant.AT_MOST_ONCE, sendPermitted, () -> "request " + call.requestId() + " is sent once too often");
+        Attempt attempt = forwarder.send(call, member, rule.attemptTimeoutMillis(history, forwarder.time()));
+        currentAttempt = attempt;
         if (cancelled) {
-            begun.cancel().run();
+            attempt.cancel().run();
         }
-        begun.outcome().thenAccept(outcome -> handleOutcome(member, outcome));
+        attempt.outcome().thenAccept(outcome -> handleOutcome(member, outcome));
     }
 
     private void handleOutcome(Member member, Outcome<StreamedResponse> outcome) {
@@ -113,7 +113,7 @@
             deliver(answered, member);
             return;
         }
-        if (outcome instanceof Outcome.RefusedNotRun<StreamedResponse>(RefusalReason reason, Optional<Long> after)
+        if (outcome instanceof Outcome.RefusedNotRun<StreamedResponse>(RefusalReason reason, Optional<Long> retryAfter)
                 && reason == RefusalReason.LEAVING) {
             forwarder.markLeaving(member);
         }
@@ -139,15 +139,15 @@
     }
 
     private void retryTriedMembers() {
-        long pause = SAME_MEMBER_BACKOFF.delayMillis(completedRounds, ThreadLocalRandom.current());
-        boolean inTime = call.deadline().remainingMillis(forwarder.time()) > pause;
-        if (triedInstances.isEmpty() || cancelled || !inTime) {
+        long delayMillis = SAME_MEMBER_BACKOFF.delayMillis(completedRounds, ThreadLocalRandom.current());
+        boolean timeRemains = call.deadline().remainingMillis(forwarder.time()) > delayMillis;
+        if (triedInstances.isEmpty() || cancelled || !timeRemains) {
             completeWithProblem(history.finalOutcome());
             return;
         }
         completedRounds++;
         triedInstances.clear();
-        call.context().eventLoop().schedule(() -> sendToChosenMember(forwarder.currentMembers()), pause, TimeUnit.MILLISECONDS);
+        call.context().eventLoop().schedule(() -> sendToChosenMember(forwarder.currentMembers()), delayMillis, TimeUnit.MILLISECONDS);
     }
 
     private void deliver(Outcome.Answered<StreamedResponse> answered, Member member) {
@@ -176,10 +176,10 @@
                         call.match().service().name(),
                         detail);
                 // The owner's clock may find the deadline passed some milliseconds before the one here does.
-                boolean late = detail.equals(Exchange.NO_ANSWER_IN_TIME)
+                boolean timedOut = detail.equals(Exchange.NO_ANSWER_IN_TIME)
                         || call.deadline().remainingMillis(forwarder.time()) <= 0;
                 result.complete(Problem.unknown(
-                        call.requestId(), late, call.match().policy().idempotent(), detail));
+                        call.requestId(), timedOut, call.match().policy().idempotent(), detail));
             }
         }
     }
