--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/IdempotencyKeyForwarder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/IdempotencyKeyForwarder.java
@@ -46,13 +46,13 @@
 
     /** Runs the call, or answers it without running it; the response is the final answer. */
     HttpResponse forward(Call call) {
-        Policy.KeyRule rule = call.match().policy().idempotencyKey();
-        if (rule == Policy.KeyRule.IGNORED) {
+        Policy.KeyRule keyRule = call.match().policy().idempotencyKey();
+        if (keyRule == Policy.KeyRule.IGNORED) {
             return forwarder.forward(call);
         }
         List<String> values = call.headers().getAll(CallHeaders.IDEMPOTENCY_KEY);
         if (values.isEmpty()) {
-            return rule == Policy.KeyRule.OPTIONAL
+            return keyRule == Policy.KeyRule.OPTIONAL
                     ? forwarder.forward(call)
                     : Problem.badRequest(
                             call.requestId(),
@@ -69,18 +69,18 @@
     /** A streamed body is not known yet; of it, the declared length alone counts. */
     private static Digest fingerprint(Call call) {
         byte[] body = call.body() instanceof CallBody.Buffered(HttpData content) ? content.array() : EMPTY_BODY;
-        RequestHeaders headers = call.headers();
+        RequestHeaders requestHeaders = call.headers();
         return RequestFingerprint.of(
-                headers.method().name(),
-                headers.path(),
-                headers.get(HttpHeaderNames.AUTHORIZATION, ""),
-                headers.contentLength(),
+                requestHeaders.method().name(),
+                requestHeaders.path(),
+                requestHeaders.get(HttpHeaderNames.AUTHORIZATION, ""),
+                requestHeaders.contentLength(),
                 body);
     }
 
     private HttpResponse claim(Call call, KeyId key, Digest fingerprint) {
-        long untilMillis = time.epochMillis() + call.deadline().remainingMillis(time);
-        KeyRequest request = new KeyRequest(key, fingerprint, untilMillis);
+        long claimExpiresAtMillis = time.epochMillis() + call.deadline().remainingMillis(time);
+        KeyRequest request = new KeyRequest(key, fingerprint, claimExpiresAtMillis);
         return HttpResponse.of(keys.claim(request, call.deadline())
                 .thenApplyAsync(
                         outcome -> switch (outcome) {
@@ -112,43 +112,43 @@
      */
     private static Call withoutIdempotentPolicy(Call call) {
         RouteMatch match = call.match();
-        Policy p = match.policy();
-        Policy once = new Policy(
-                p.name(),
-                p.priority(),
-                p.routes(),
-                p.brands(),
-                p.trafficClass(),
-                p.timeoutMillis(),
-                p.maxAttempts(),
+        Policy policy = match.policy();
+        Policy nonIdempotent = new Policy(
+                policy.name(),
+                policy.priority(),
+                policy.routes(),
+                policy.brands(),
+                policy.trafficClass(),
+                policy.timeoutMillis(),
+                policy.maxAttempts(),
                 false,
-                p.idempotencyKey());
-        return call.withMatch(new RouteMatch(match.brand(), match.route(), once, match.service()));
+                policy.idempotencyKey());
+        return call.withMatch(new RouteMatch(match.brand(), match.route(), nonIdempotent, match.service()));
     }
 
     private HttpResponse respondToRepeat(Call call, Digest fingerprint, KeyRecord existing) {
-        String id = call.requestId();
+        String requestId = call.requestId();
         if (!existing.fingerprint().equals(fingerprint.hex())) {
-            return Problem.keyReused(id, "this Idempotency-Key was used with another request");
+            return Problem.keyReused(requestId, "this Idempotency-Key was used with another request");
         }
         return switch (existing.run()) {
-            case KeyState.Answered(var answer) -> KeyedResponseRecorder.replay(id, answer);
+            case KeyState.Answered(var answer) -> KeyedResponseRecorder.replay(requestId, answer);
             case KeyState.Ran(int status) ->
                 Problem.keyConflict(
-                        id,
+                        requestId,
                         "key-already-run",
                         "the first request with this Idempotency-Key ran and was answered " + status
                                 + "; its answer was not kept",
                         Optional.empty());
-            case KeyState.Claimed(long untilMillis)
-            when time.epochMillis() < untilMillis ->
+            case KeyState.Claimed(long claimExpiresAtMillis)
+            when time.epochMillis() < claimExpiresAtMillis ->
                 Problem.keyConflict(
-                        id,
+                        requestId,
                         "key-in-progress",
                         "the first request with this Idempotency-Key has no recorded outcome yet",
                         Optional.of(RETRY_AFTER_MILLIS));
-            case KeyState.Claimed ignored -> outcomeUnknown(id);
-            case KeyState.Unknown() -> outcomeUnknown(id);
+            case KeyState.Claimed ignored -> outcomeUnknown(requestId);
+            case KeyState.Unknown() -> outcomeUnknown(requestId);
         };
     }
 
