--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Problem.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Problem.java
@@ -46,11 +46,11 @@
     /**
      * The request may have run.
      *
-     * @param harmless whether the caller may send it again; only then it is told when
+     * @param retrySafe whether the caller may send it again; only then it is told when
      */
-    static HttpResponse unknown(String requestId, boolean timedOut, boolean harmless, String detail) {
+    static HttpResponse unknown(String requestId, boolean timedOut, boolean retrySafe, String detail) {
         HttpStatus status = timedOut ? HttpStatus.GATEWAY_TIMEOUT : HttpStatus.BAD_GATEWAY;
-        Optional<Long> retryAfter = harmless ? Optional.of(MILLIS_PER_SECOND) : Optional.empty();
+        Optional<Long> retryAfter = retrySafe ? Optional.of(MILLIS_PER_SECOND) : Optional.empty();
         HttpResponse problem = of(status, "outcome-unknown", detail, requestId, retryAfter);
         return withOutcome(problem, CallHeaders.OUTCOME_UNKNOWN);
     }
