--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
@@ -40,17 +40,17 @@
     private AttemptHistory history = AttemptHistory.NONE;
     private Attempt currentAttempt;
 
-    private ResumableAnswer(Forwarder forwarder, Call call, String validator, long total, Member from) {
+    private ResumableAnswer(Forwarder forwarder, Call call, String validator, long contentLength, Member servingMember) {
         this.forwarder = forwarder;
         this.call = call;
         this.validator = validator;
-        this.contentLength = total;
-        this.servingMember = from;
+        this.contentLength = contentLength;
+        this.servingMember = servingMember;
     }
 
     /** The answer, made resumable if it can be. */
-    static StreamedResponse of(Forwarder forwarder, Call call, StreamedResponse answer, Member from) {
-        ResponseHeaders headers = answer.headers();
+    static StreamedResponse of(Forwarder forwarder, Call call, StreamedResponse response, Member servingMember) {
+        ResponseHeaders headers = response.headers();
         String validator = headers.get(HttpHeaderNames.ETAG, "");
         boolean resumable = call.match().policy().idempotent()
                 && call.isReplayable()
@@ -60,36 +60,36 @@
                 && !validator.isEmpty()
                 && !validator.startsWith(WEAK_PREFIX);
         if (!resumable) {
-            return answer;
+            return response;
         }
-        ResumableAnswer whole = new ResumableAnswer(forwarder, call, validator, headers.contentLength(), from);
-        return answer.withBody(whole.resumeOnFailure(answer.body()));
+        ResumableAnswer resumableAnswer = new ResumableAnswer(forwarder, call, validator, headers.contentLength(), servingMember);
+        return response.withBody(resumableAnswer.resumeOnFailure(response.body()));
     }
 
-    private StreamMessage<HttpData> resumeOnFailure(StreamMessage<HttpData> part) {
-        return part.peek(d -> deliveredBytes += d.length()).recoverAndResume(this::resume);
+    private StreamMessage<HttpData> resumeOnFailure(StreamMessage<HttpData> body) {
+        return body.peek(data -> deliveredBytes += data.length()).recoverAndResume(this::resume);
     }
 
     private StreamMessage<HttpData> resume(Throwable cause) {
-        CompletableFuture<StreamMessage<HttpData>> rest = new CompletableFuture<>();
-        StreamMessage<HttpData> deferred = StreamMessage.of(rest);
-        deferred.whenComplete().whenComplete((done, failure) -> {
+        CompletableFuture<StreamMessage<HttpData>> remainder = new CompletableFuture<>();
+        StreamMessage<HttpData> deferred = StreamMessage.of(remainder);
+        deferred.whenComplete().whenComplete((ignored, failure) -> {
             if (failure != null && currentAttempt != null) {
                 currentAttempt.cancel().run();
             }
         });
         history = history.plus(new Outcome.Unknown<StreamedResponse>("cut"));
-        requestRemainder(cause, rest);
+        requestRemainder(cause, remainder);
         return deferred;
     }
 
-    private void requestRemainder(Throwable cause, CompletableFuture<StreamMessage<HttpData>> rest) {
+    private void requestRemainder(Throwable cause, CompletableFuture<StreamMessage<HttpData>> remainder) {
         RetryRule rule = new RetryRule(true, true, call.match().policy().maxAttempts(), responseStartDeadline());
         Verdict verdict =
                 call.isCallerDisconnected() ? Verdict.TOO_LATE : rule.decide(history, forwarder.retryBudgetFor(call), forwarder.time());
         Optional<Member> member = verdict == Verdict.RETRY ? chooseMember() : Optional.empty();
         if (member.isEmpty()) {
-            rest.complete(StreamMessage.aborted(cause));
+            remainder.complete(StreamMessage.aborted(cause));
             return;
         }
         RequestHeadersBuilder headers = call.headers().toBuilder();
@@ -100,33 +100,33 @@
                 call.withHeaders(headers.build()), servingMember, rule.attemptTimeoutMillis(history, forwarder.time()));
         currentAttempt.outcome().thenAccept(outcome -> {
             switch (outcome) {
-                case Outcome.Answered<StreamedResponse>(StreamedResponse answer) -> appendRemainder(answer, cause, rest);
+                case Outcome.Answered<StreamedResponse>(StreamedResponse response) -> appendRemainder(response, cause, remainder);
                 case Outcome.RefusedNotRun<StreamedResponse> refused -> {
                     history = history.plus(refused);
-                    requestRemainder(cause, rest);
+                    requestRemainder(cause, remainder);
                 }
                 case Outcome.Unknown<StreamedResponse> unknown -> {
                     history = history.plus(unknown);
-                    requestRemainder(cause, rest);
+                    requestRemainder(cause, remainder);
                 }
             }
         });
     }
 
-    private void appendRemainder(StreamedResponse answer, Throwable cause, CompletableFuture<StreamMessage<HttpData>> rest) {
-        ResponseHeaders headers = answer.headers();
-        String range = "bytes " + deliveredBytes + "-" + (contentLength - 1) + "/" + contentLength;
-        boolean fits = headers.status().equals(HttpStatus.PARTIAL_CONTENT)
+    private void appendRemainder(StreamedResponse response, Throwable cause, CompletableFuture<StreamMessage<HttpData>> remainder) {
+        ResponseHeaders headers = response.headers();
+        String expectedContentRange = "bytes " + deliveredBytes + "-" + (contentLength - 1) + "/" + contentLength;
+        boolean rangeMatches = headers.status().equals(HttpStatus.PARTIAL_CONTENT)
                 && validator.equals(headers.get(HttpHeaderNames.ETAG))
-                && range.equals(headers.get(HttpHeaderNames.CONTENT_RANGE));
-        if (!fits) {
-            answer.body().abort();
-            rest.complete(StreamMessage.aborted(cause));
+                && expectedContentRange.equals(headers.get(HttpHeaderNames.CONTENT_RANGE));
+        if (!rangeMatches) {
+            response.body().abort();
+            remainder.complete(StreamMessage.aborted(cause));
             return;
         }
         forwarder.metrics().countResumed();
         EVENTS.log(CallEvent.ANSWER_RESUMED, call.requestId(), deliveredBytes, servingMember.instance());
-        rest.complete(resumeOnFailure(answer.body()));
+        remainder.complete(resumeOnFailure(response.body()));
     }
 
     private Optional<Member> chooseMember() {
@@ -139,10 +139,10 @@
 
     private Deadline responseStartDeadline() {
         return switch (call.limit()) {
-            case TransferLimit.Whole(Deadline by) -> by;
-            case TransferLimit.Progress(long stallMillis, Optional<Deadline> callerBy) -> {
-                Deadline stall = Deadline.afterMillis(forwarder.time(), stallMillis);
-                yield callerBy.map(stall::earlier).orElse(stall);
+            case TransferLimit.Whole(Deadline deadline) -> deadline;
+            case TransferLimit.Progress(long stallMillis, Optional<Deadline> callerDeadline) -> {
+                Deadline stallDeadline = Deadline.afterMillis(forwarder.time(), stallMillis);
+                yield callerDeadline.map(stallDeadline::earlier).orElse(stallDeadline);
             }
         };
     }
