--- a/org.berylwick.test/tst/org/berylwick/daemon/call/ResponseLengthGuardTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/ResponseLengthGuardTest.java
@@ -19,9 +19,9 @@
 
     private final AtomicInteger errors = new AtomicInteger();
 
-    private ResponseLengthGuard guardedBody(OptionalLong expected) {
+    private ResponseLengthGuard guardedBody(OptionalLong contentLength) {
         StreamMessage<HttpData> body = StreamMessage.of(HttpData.ofUtf8("abc"), HttpData.ofUtf8("de"));
-        return new ResponseLengthGuard("r-1", body, expected, invariants, (passed, failure) -> errors.incrementAndGet());
+        return new ResponseLengthGuard("r-1", body, contentLength, invariants, (deliveredBytes, failure) -> errors.incrementAndGet());
     }
 
     @Test
