--- a/org.berylwick.test/tst/org/berylwick/daemon/call/DeadlineTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/DeadlineTest.java
@@ -57,11 +57,11 @@
         RigDaemon entry = rig.add("entry", "none", server.address());
         rig.addMember("a", "web", server.address());
         WebClient client = WebClient.of("http://" + entry.callersAddress());
-        for (long asked : new long[] {-1, 1_000, 60_000}) {
-            client.execute(headers("/orders/1", "t" + asked, asked)).aggregate().join();
-            long told = Long.parseLong(server.requests().getLast().header("x-request-timeout-ms"));
-            long most = asked == 1_000 ? 1_000 : 5_000;
-            assertTrue(told > 0 && told <= most, told + " of " + most);
+        for (long callerTimeoutMillis : new long[] {-1, 1_000, 60_000}) {
+            client.execute(headers("/orders/1", "t" + callerTimeoutMillis, callerTimeoutMillis)).aggregate().join();
+            long receivedTimeout = Long.parseLong(server.requests().getLast().header("x-request-timeout-ms"));
+            long limit = callerTimeoutMillis == 1_000 ? 1_000 : 5_000;
+            assertTrue(receivedTimeout > 0 && receivedTimeout <= limit, receivedTimeout + " of " + limit);
         }
         server.close();
     }
@@ -86,29 +86,29 @@
     void idempotentReadIsRetriedBeforeDeadlineIfServerIsSilent() {
         // The caller gets its tile within its 5 s although the only server known at first accepts everything and
         // never answers: the attempt there is given up and cancelled while there is time for the one that came up.
-        RawServer silent = new RawServer((c, r) -> c.awaitClosedByPeer());
-        RawServer healthy = new RawServer();
-        RigDaemon entry = rig.add("entry", "none", silent.address());
-        rig.addMember("a", "web", silent.address());
-        CompletableFuture<AggregatedHttpResponse> answer = WebClient.builder("http://" + entry.callersAddress())
+        RawServer silentServer = new RawServer((c, r) -> c.awaitClosedByPeer());
+        RawServer healthyServer = new RawServer();
+        RigDaemon entry = rig.add("entry", "none", silentServer.address());
+        rig.addMember("a", "web", silentServer.address());
+        CompletableFuture<AggregatedHttpResponse> response = WebClient.builder("http://" + entry.callersAddress())
                 .responseTimeoutMillis(60_000)
                 .build()
                 .execute(headers("/tiles/1", "s-1", 5_000))
                 .aggregate();
-        Await.until("the silent server has the read", () -> silent.runs("s-1") == 1, () -> silent.runs("s-1"));
-        rig.addMember("b", "web", healthy.address());
-        assertEquals(200, answer.join().status().code(), answer.join().contentUtf8());
-        Await.until("cancelled at the silent one", () -> silent.closedByPeer() == 1, silent::closedByPeer);
-        silent.close();
-        healthy.close();
+        Await.until("the silent server has the read", () -> silentServer.runs("s-1") == 1, () -> silentServer.runs("s-1"));
+        rig.addMember("b", "web", healthyServer.address());
+        assertEquals(200, response.join().status().code(), response.join().contentUtf8());
+        Await.until("cancelled at the silent one", () -> silentServer.closedByPeer() == 1, silentServer::closedByPeer);
+        silentServer.close();
+        healthyServer.close();
     }
 
     /** A backend server that passes each request on to its own daemon, as often as the path has segments left. */
-    private HostPort startChainedServer(AtomicReference<HostPort> ownDaemon, List<Long> told, CompletableFuture<Void> last) {
+    private HostPort startChainedServer(AtomicReference<HostPort> ownDaemon, List<Long> receivedTimeouts, CompletableFuture<Void> lastCancelled) {
         Server server = Server.builder()
                 .http(new InetSocketAddress("127.0.0.1", 0))
                 .requestTimeoutMillis(0)
-                .serviceUnder("/", (ctx, request) -> forwardToDaemon(ctx, request, ownDaemon.get(), told, last))
+                .serviceUnder("/", (ctx, request) -> forwardToDaemon(ctx, request, ownDaemon.get(), receivedTimeouts, lastCancelled))
                 .build();
         server.start().join();
         servers.add(server);
@@ -119,33 +119,33 @@
             ServiceRequestContext ctx,
             HttpRequest request,
             HostPort daemon,
-            List<Long> told,
-            CompletableFuture<Void> last) {
-        told.add(request.headers().getLong("x-request-timeout-ms", -1));
-        int depth = Integer.parseInt(ctx.path().substring(ctx.path().lastIndexOf('/') + 1));
-        if (depth == 1) {
+            List<Long> receivedTimeouts,
+            CompletableFuture<Void> lastCancelled) {
+        receivedTimeouts.add(request.headers().getLong("x-request-timeout-ms", -1));
+        int remainingCalls = Integer.parseInt(ctx.path().substring(ctx.path().lastIndexOf('/') + 1));
+        if (remainingCalls == 1) {
             CompletableFuture<HttpResponse> never = new CompletableFuture<>();
             HttpResponse response = HttpResponse.of(never);
-            ctx.log().partial().channel().closeFuture().addListener(closed -> last.complete(null));
+            ctx.log().partial().channel().closeFuture().addListener(closed -> lastCancelled.complete(null));
             return response;
         }
-        RequestHeaders onwards =
-                request.headers().toBuilder().path("/tiles/" + (depth - 1)).build();
+        RequestHeaders forwardedHeaders =
+                request.headers().toBuilder().path("/tiles/" + (remainingCalls - 1)).build();
         HttpResponse response = WebClient.builder("http://" + daemon)
                 .responseTimeoutMillis(0)
                 .build()
-                .execute(onwards);
+                .execute(forwardedHeaders);
         // The server library waits a second before it ends the request of a closed connection.
         ctx.log().partial().channel().closeFuture().addListener(closed -> response.abort());
         return response;
     }
 
-    private RigDaemon startChain(List<Long> told, CompletableFuture<Void> last) {
+    private RigDaemon startChain(List<Long> receivedTimeouts, CompletableFuture<Void> lastCancelled) {
         RigDaemon entry = rig.add("entry", "none", new HostPort("127.0.0.1", 1));
         for (String name : List.of("a", "b")) {
-            AtomicReference<HostPort> own = new AtomicReference<>();
-            RigDaemon daemon = rig.addMember(name, "web", startChainedServer(own, told, last));
-            own.set(daemon.callersAddress());
+            AtomicReference<HostPort> ownDaemon = new AtomicReference<>();
+            RigDaemon daemon = rig.addMember(name, "web", startChainedServer(ownDaemon, receivedTimeouts, lastCancelled));
+            ownDaemon.set(daemon.callersAddress());
         }
         return entry;
     }
@@ -154,55 +154,55 @@
     void deadlineNeverGrowsAlongChainOfTenCalls() {
         // The caller waits 3 s; the tenth server is told at most what is left of that, each one no more than the one
         // before, and as it never answers the caller hears of it by its deadline.
-        List<Long> told = new CopyOnWriteArrayList<>();
-        CompletableFuture<Void> last = new CompletableFuture<>();
-        RigDaemon entry = startChain(told, last);
-        AggregatedHttpResponse answer = WebClient.of("http://" + entry.callersAddress())
+        List<Long> receivedTimeouts = new CopyOnWriteArrayList<>();
+        CompletableFuture<Void> lastCancelled = new CompletableFuture<>();
+        RigDaemon entry = startChain(receivedTimeouts, lastCancelled);
+        AggregatedHttpResponse response = WebClient.of("http://" + entry.callersAddress())
                 .execute(headers("/tiles/" + CHAIN_LENGTH, "deep-1", 3_000))
                 .aggregate()
                 .join();
-        assertTrue(answer.status().isServerError(), answer.status().toString());
+        assertTrue(response.status().isServerError(), response.status().toString());
         // Repeats go on while this looks.
-        List<Long> firstPass = List.copyOf(told).subList(0, CHAIN_LENGTH);
+        List<Long> firstAttempts = List.copyOf(receivedTimeouts).subList(0, CHAIN_LENGTH);
         for (int i = 1; i < CHAIN_LENGTH; i++) {
-            assertTrue(firstPass.get(i) <= firstPass.get(i - 1), told.toString());
+            assertTrue(firstAttempts.get(i) <= firstAttempts.get(i - 1), receivedTimeouts.toString());
         }
-        assertTrue(firstPass.getFirst() <= 3_000 && firstPass.getLast() > 0, told.toString());
+        assertTrue(firstAttempts.getFirst() <= 3_000 && firstAttempts.getLast() > 0, receivedTimeouts.toString());
     }
 
     @Test
     void cancellationReachesLastServerOfChain() throws IOException {
         // The caller goes away while the tenth server works: the tenth server's request is cancelled.
-        List<Long> told = new CopyOnWriteArrayList<>();
-        CompletableFuture<Void> last = new CompletableFuture<>();
-        RigDaemon entry = startChain(told, last);
+        List<Long> receivedTimeouts = new CopyOnWriteArrayList<>();
+        CompletableFuture<Void> lastCancelled = new CompletableFuture<>();
+        RigDaemon entry = startChain(receivedTimeouts, lastCancelled);
         try (RawCaller caller = new RawCaller(entry.callersAddress())) {
             caller.get("/tiles/" + CHAIN_LENGTH, "x-request-id: deep-2\r\n");
-            Await.until("the tenth server works", () -> told.size() == CHAIN_LENGTH, told::toString);
+            Await.until("the tenth server works", () -> receivedTimeouts.size() == CHAIN_LENGTH, receivedTimeouts::toString);
         }
-        Await.until("the tenth is cancelled", last::isDone, told::toString);
-        assertEquals(CHAIN_LENGTH, told.size());
+        Await.until("the tenth is cancelled", lastCancelled::isDone, receivedTimeouts::toString);
+        assertEquals(CHAIN_LENGTH, receivedTimeouts.size());
     }
 
     @Test
     void retriesDuringOutageAreLimitedByBudget() {
         // Every server resets every read: 100 callers cause no more runs than 100 and the share of retries, and each
         // is told at once.
-        RawServer broken = new RawServer((c, r) -> c.reset());
-        RigDaemon entry = rig.add("entry", "none", broken.address());
-        rig.addMember("a", "web", broken.address());
-        rig.addMember("b", "web", broken.address());
+        RawServer resettingServer = new RawServer((c, r) -> c.reset());
+        RigDaemon entry = rig.add("entry", "none", resettingServer.address());
+        rig.addMember("a", "web", resettingServer.address());
+        rig.addMember("b", "web", resettingServer.address());
         WebClient client = WebClient.of("http://" + entry.callersAddress());
         for (int i = 0; i < 100; i++) {
-            AggregatedHttpResponse answer = client.execute(headers("/tiles/1", "out-" + i, -1))
+            AggregatedHttpResponse response = client.execute(headers("/tiles/1", "out-" + i, -1))
                     .aggregate()
                     .join();
-            assertEquals(502, answer.status().code());
-            assertEquals("1", answer.headers().get("retry-after"));
+            assertEquals(502, response.status().code());
+            assertEquals("1", response.headers().get("retry-after"));
         }
-        int runs = broken.requests().size();
+        int runs = resettingServer.requests().size();
         assertTrue(runs >= 100 && runs <= 100 + 10 + 20, "runs " + runs);
         assertTrue(entry.count(CallMetrics.RETRY_VERDICT_PREFIX + "OVER_BUDGET") > 0);
-        broken.close();
+        resettingServer.close();
     }
 }
