--- a/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyKillTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyKillTest.java
@@ -89,8 +89,8 @@
         return ChildProcess.start("edge-1", Map.of(), command);
     }
 
-    private static HttpRequest keyedRequest(String callers, String path, String key) {
-        return HttpRequest.newBuilder(URI.create("http://" + callers + path))
+    private static HttpRequest keyedRequest(String callersAddress, String path, String key) {
+        return HttpRequest.newBuilder(URI.create("http://" + callersAddress + path))
                 .header("idempotency-key", key)
                 .timeout(Duration.ofSeconds(30))
                 .POST(BodyPublishers.ofString("{}"))
@@ -128,22 +128,22 @@
         try (LocalFleet fleet = new LocalFleet()) {
             fleet.add(new Instance("b-1", "bookings", new Place("ncr", "quezon")));
             fleet.awaitAllUp(fleet.apply(DECLARATIONS));
-            String other = fleet.daemon("b-1").callersAddress().toString();
+            String otherCallersAddress = fleet.daemon("b-1").callersAddress().toString();
             ChildProcess entry = startEntry(fleet.platform().address());
             try {
-                String callers = entry.awaitLine(LISTENING, START_TIMEOUT).group(1);
+                String callersAddress = entry.awaitLine(LISTENING, START_TIMEOUT).group(1);
                 LocalFleet.await(
                         "the entry daemon serves",
-                        () -> isServed(keyedRequest(callers, "/placements", "first-" + System.nanoTime())));
+                        () -> isServed(keyedRequest(callersAddress, "/placements", "first-" + System.nanoTime())));
                 CompletableFuture<HttpResponse<String>> first = http.sendAsync(
-                        keyedRequest(callers, "/placements?service_ms=1500", "killed"), BodyHandlers.ofString());
+                        keyedRequest(callersAddress, "/placements?service_ms=1500", "killed"), BodyHandlers.ofString());
                 LocalFleet.await("the request runs", () -> runsOfKilledKey(fleet) == 1);
                 entry.process().destroyForcibly().waitFor();
-                assertTrue(first.handle((answer, failure) -> failure != null).join(), "the caller's connection breaks");
+                assertTrue(first.handle((response, failure) -> failure != null).join(), "the caller's connection breaks");
             } finally {
                 entry.close();
             }
-            HttpRequest repeat = keyedRequest(other, "/placements?service_ms=1500", "killed");
+            HttpRequest repeat = keyedRequest(otherCallersAddress, "/placements?service_ms=1500", "killed");
             assertTrue(send(repeat).startsWith("409"));
             LocalFleet.await("the claim's time has passed", () -> send(repeat).contains("key-outcome-unknown"));
             assertTrue(send(repeat).startsWith("409"));
