--- a/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
@@ -114,14 +114,14 @@
         assertEquals(0, breaches, "invariants broken inside the daemons");
     }
 
-    private static HttpRequest.Builder request(String host, int daemon, String path) {
-        int port = fleet.daemon(INSTANCES.get(daemon)).callersAddress().port();
+    private static HttpRequest.Builder request(String host, int daemonIndex, String path) {
+        int port = fleet.daemon(INSTANCES.get(daemonIndex)).callersAddress().port();
         return HttpRequest.newBuilder(URI.create("http://" + host + ":" + port + path))
                 .timeout(Duration.ofSeconds(30));
     }
 
-    private static HttpRequest keyedRequest(int daemon, String path, String key, String body) {
-        return request("127.0.0.1", daemon, path)
+    private static HttpRequest keyedRequest(int daemonIndex, String path, String key, String body) {
+        return request("127.0.0.1", daemonIndex, path)
                 .header("idempotency-key", key)
                 .POST(BodyPublishers.ofString(body))
                 .build();
@@ -133,16 +133,16 @@
 
     /** Sends until the outcome of the first request is recorded. */
     private static HttpResponse<String> sendUntilRecorded(HttpRequest request) {
-        List<HttpResponse<String>> last = new ArrayList<>();
+        List<HttpResponse<String>> responses = new ArrayList<>();
         LocalFleet.await("the outcome of the first request is recorded", () -> {
             try {
-                last.add(send(request));
+                responses.add(send(request));
             } catch (IOException | InterruptedException e) {
                 throw new IllegalStateException(e);
             }
-            return !last.getLast().body().contains("key-in-progress");
+            return !responses.getLast().body().contains("key-in-progress");
         });
-        return last.getLast();
+        return responses.getLast();
     }
 
     private static long runsOfKey(String key) {
@@ -183,9 +183,9 @@
             for (int i = 0; i < REQUESTS_PER_KEY; i++) {
                 sent.add(http.sendAsync(keyedRequest(i % 2, "/placements", key, "{}"), BodyHandlers.ofString()));
             }
-            for (CompletableFuture<HttpResponse<String>> answer : sent) {
-                int status = answer.join().statusCode();
-                assertTrue(status == 200 || status == 409, answer.join().body());
+            for (CompletableFuture<HttpResponse<String>> response : sent) {
+                int status = response.join().statusCode();
+                assertTrue(status == 200 || status == 409, response.join().body());
             }
             assertEquals(1, runsOfKey(key), key);
         }
@@ -213,22 +213,22 @@
 
     @Test
     void missingAndInvalidKeysAreRejectedWhereRequired() throws Exception {
-        HttpResponse<String> without = send(request("127.0.0.1", 0, "/refunds")
+        HttpResponse<String> responseWithoutKey = send(request("127.0.0.1", 0, "/refunds")
                 .POST(BodyPublishers.noBody())
                 .build());
-        assertEquals(400, without.statusCode());
-        assertTrue(without.body().contains("policy refunds requires the header Idempotency-Key"), without.body());
+        assertEquals(400, responseWithoutKey.statusCode());
+        assertTrue(responseWithoutKey.body().contains("policy refunds requires the header Idempotency-Key"), responseWithoutKey.body());
         assertEquals(400, send(keyedRequest(0, "/refunds", "x".repeat(300), "")).statusCode());
-        HttpRequest twice = request("127.0.0.1", 0, "/refunds")
+        HttpRequest requestWithTwoKeys = request("127.0.0.1", 0, "/refunds")
                 .header("idempotency-key", "a")
                 .header("idempotency-key", "b")
                 .POST(BodyPublishers.noBody())
                 .build();
-        assertEquals(400, send(twice).statusCode());
-        HttpResponse<String> optional = send(request("127.0.0.1", 0, "/placements")
+        assertEquals(400, send(requestWithTwoKeys).statusCode());
+        HttpResponse<String> responseOfOptionalRoute = send(request("127.0.0.1", 0, "/placements")
                 .POST(BodyPublishers.noBody())
                 .build());
-        assertEquals(200, optional.statusCode());
+        assertEquals(200, responseOfOptionalRoute.statusCode());
     }
 
     /**
@@ -298,10 +298,10 @@
     @Test
     void repeatAfterCallerDisconnectReceivesFirstResponse() throws Exception {
         String path = "/placements?service_ms=800";
-        try (HttpClient leaving = HttpClient.newHttpClient()) {
-            leaving.sendAsync(keyedRequest(0, path, "left", "{}"), BodyHandlers.ofString());
+        try (HttpClient disconnectingClient = HttpClient.newHttpClient()) {
+            disconnectingClient.sendAsync(keyedRequest(0, path, "left", "{}"), BodyHandlers.ofString());
             LocalFleet.await("the request runs", () -> runsOfKey("left") == 1);
-            leaving.shutdownNow();
+            disconnectingClient.shutdownNow();
         }
         HttpResponse<String> second = sendUntilRecorded(keyedRequest(1, path, "left", "{}"));
         assertEquals(200, second.statusCode(), second.body());
@@ -340,10 +340,10 @@
         CompletableFuture<HttpResponse<String>> first =
                 http.sendAsync(keyedRequest(0, "/placements?service_ms=500", "late-record", "{}"), BodyHandlers.ofString());
         LocalFleet.await("the request runs", () -> runsOfKey("late-record") == 1);
-        long before = keyWrites();
+        long keyWritesBefore = keyWrites();
         fleet.platform().faults().startOutage(Duration.ofMinutes(1));
         assertEquals(200, first.join().statusCode(), first.join().body());
-        LocalFleet.await("the record meets the outage", () -> keyWrites() > before);
+        LocalFleet.await("the record meets the outage", () -> keyWrites() > keyWritesBefore);
         fleet.platform().faults().endOutage();
         HttpResponse<String> second = sendUntilRecorded(keyedRequest(1, "/placements?service_ms=500", "late-record", "{}"));
         assertEquals(first.join().body(), second.body());
