--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/AnswerDelivery.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/AnswerDelivery.java
@@ -9,7 +9,7 @@
 import org.berylwick.internal.event.EventLog;
 import org.berylwick.lib.Member;
 
-/** Passes an answer on to the caller, whole or visibly cut. */
+/** Delivers a response to the caller, which either receives all of it or an error that shows it was truncated. */
 final class AnswerDelivery {
     private static final EventLog EVENTS = new EventLog(AnswerDelivery.class);
 
@@ -22,9 +22,9 @@
     }
 
     /**
-     * The response to the caller.
+     * Returns the response for the caller.
      *
-     * @param member the member that answers
+     * @param member member that sends the response
      */
     HttpResponse deliver(StreamedResponse response, Member member) {
         ResponseHeadersBuilder builder = response.headers().toBuilder();
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/KeyedResponseRecorder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/KeyedResponseRecorder.java
@@ -22,15 +22,16 @@
 import org.reactivestreams.Subscription;
 
 /**
- * Watches the final answer of one keyed request go by and settles its claim when the answer has ended.
+ * Records the final response to a request with an idempotency key, and settles the claim of the key when the response
+ * has ended.
  *
- * <p>At most {@link #MAX_STORED_BYTES} are gathered; the answer itself streams on untouched.
+ * <p>At most {@link #MAX_STORED_BYTES} of the body are buffered; the response itself is streamed to the caller unchanged.
  */
 final class KeyedResponseRecorder {
-    /** Largest body, and largest sum of headers, that is kept for repeats, in bytes each. */
+    /** Maximum size in bytes of the body, and likewise of all headers, of a response that is stored for repeats. */
     static final int MAX_STORED_BYTES = 8 << 10;
 
-    /** Headers that belong to one request or one connection. */
+    /** Headers that apply to a single request or connection and are not stored. */
     private static final Set<AsciiString> UNSTORED_HEADERS = Set.of(
             HttpHeaderNames.STATUS,
             HttpHeaderNames.DATE,
@@ -43,12 +44,12 @@
     private volatile ResponseHeaders headers;
     private boolean tooLarge;
 
-    /** @param onSettlement told once how the request ended */
+    /** @param onSettlement called once with the outcome of the request */
     KeyedResponseRecorder(Consumer<Settlement> onSettlement) {
         this.onSettlement = onSettlement;
     }
 
-    /** The same answer, watched. */
+    /** Returns a response that delivers the given one unchanged while it is recorded. */
     HttpResponse wrap(HttpResponse response) {
         SplitHttpResponse split = response.split();
         CompletableFuture<HttpResponse> responseWithHeaders = new CompletableFuture<>();
@@ -66,7 +67,8 @@
                 return null;
             });
             if (callerResponse.whenComplete().isDone()) {
-                // The caller left while its request ran. Its repeat is given the answer, so that is read all the same.
+                // The caller disconnected while its request ran. A repeat will receive the stored response, so the body
+                // still has to be read.
                 observedBody.subscribe(new BoundedDrain());
             } else {
                 responseWithHeaders.complete(
@@ -77,7 +79,7 @@
         return callerResponse;
     }
 
-    /** Reads an answer that nobody waits for, until it is larger than what is kept. */
+    /** Reads a response body without a caller, until it ends or becomes too large to be stored. */
     private final class BoundedDrain implements Subscriber<HttpData> {
         private Subscription subscription;
 
@@ -96,12 +98,12 @@
 
         @Override
         public void onError(Throwable cause) {
-            // The end of the stream is watched already.
+            // The completion future of the observed body already reports the end of the stream.
         }
 
         @Override
         public void onComplete() {
-            // The end of the stream is watched already.
+            // The completion future of the observed body already reports the end of the stream.
         }
     }
 
@@ -118,7 +120,7 @@
     }
 
     private synchronized Settlement settlementAtEnd(boolean complete) {
-        // Only a daemon's own refusals carry this header: it is removed from what backend servers answer.
+        // Only responses created by a daemon carry this header: it is removed from responses of backend servers.
         switch (headers.get(CallHeaders.OUTCOME, "")) {
             case CallHeaders.OUTCOME_NOT_RUN -> {
                 return new Settlement.Release();
@@ -149,7 +151,7 @@
         return storedHeaders;
     }
 
-    /** A kept answer, given to a repeat. */
+    /** Returns the response to a repeated request, built from the stored response. */
     static HttpResponse replay(String requestId, StoredAnswer storedResponse) {
         ResponseHeadersBuilder headers = ResponseHeaders.builder(HttpStatus.valueOf(storedResponse.status()));
         storedResponse.headers().forEach(h -> headers.add(h.name(), h.value()));
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Problem.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Problem.java
@@ -11,7 +11,7 @@
 import org.berylwick.internal.config.ConfigurationCodec;
 import org.berylwick.lib.RefusalReason;
 
-/** What a daemon itself answers to a caller in place of a backend server, as problem details in JSON. */
+/** Error responses that a daemon itself sends to callers, as problem details in JSON. */
 final class Problem {
     private static final MediaType PROBLEM_JSON_TYPE = MediaType.create("application", "problem+json");
     private static final long MILLIS_PER_SECOND = 1_000;
@@ -20,24 +20,24 @@
 
     private record Body(String type, int status, String detail, String requestId) {}
 
-    /** No brand or route takes the request. */
+    /** No brand or route matches the request. */
     static HttpResponse noRoute(String requestId, String detail) {
         return of(HttpStatus.NOT_FOUND, "no-route", detail, requestId, Optional.empty());
     }
 
-    /** The request itself breaks a rule. */
+    /** The request is invalid. */
     static HttpResponse badRequest(String requestId, String detail) {
         return of(HttpStatus.BAD_REQUEST, "bad-request", detail, requestId, Optional.empty());
     }
 
-    /** The request was not run; {@code Retry-After} says when to come back. */
+    /** The request was not run; {@code Retry-After} is set if a retry delay is given. */
     static HttpResponse notRun(String requestId, RefusalReason reason, Optional<Long> retryAfterMillis) {
         HttpResponse problem =
                 of(HttpStatus.SERVICE_UNAVAILABLE, "not-run", reason.word(), requestId, retryAfterMillis);
         return withOutcome(problem, CallHeaders.OUTCOME_NOT_RUN);
     }
 
-    /** The request's headers or body did not arrive in time. */
+    /** The request body did not arrive completely before the deadline. */
     static HttpResponse requestTimeout(String requestId) {
         return of(
                 HttpStatus.REQUEST_TIMEOUT, "request-timeout", "the body did not arrive", requestId, Optional.empty());
@@ -46,7 +46,8 @@
     /**
      * The request may have run.
      *
-     * @param retrySafe whether the caller may send it again; only then it is told when
+     * @param timedOut whether the deadline passed, which is reported as 504 instead of 502
+     * @param retrySafe whether the caller may safely send the request again; only then {@code Retry-After} is set
      */
     static HttpResponse unknown(String requestId, boolean timedOut, boolean retrySafe, String detail) {
         HttpStatus status = timedOut ? HttpStatus.GATEWAY_TIMEOUT : HttpStatus.BAD_GATEWAY;
@@ -55,17 +56,17 @@
         return withOutcome(problem, CallHeaders.OUTCOME_UNKNOWN);
     }
 
-    /** The request was not run, because its key is taken; {@code Retry-After} says when an answer may be there. */
+    /** The request was not run, because its key is already used; {@code Retry-After} is set if a response may follow. */
     static HttpResponse keyConflict(String requestId, String type, String detail, Optional<Long> retryAfterMillis) {
         return of(HttpStatus.CONFLICT, type, detail, requestId, retryAfterMillis);
     }
 
-    /** The request was not run, because another request has used its key. */
+    /** The request was not run, because its key was used with a different request. */
     static HttpResponse keyReused(String requestId, String detail) {
         return of(HttpStatus.UNPROCESSABLE_ENTITY, "key-reused", detail, requestId, Optional.empty());
     }
 
-    /** Says in a header what a daemon knows, for the stage that records it; backend servers cannot set it. */
+    /** Adds the outcome as an internal header for {@link KeyedResponseRecorder}; backend servers cannot set this header. */
     private static HttpResponse withOutcome(HttpResponse problem, String outcome) {
         return problem.mapHeaders(
                 h -> h.toBuilder().set(CallHeaders.OUTCOME, outcome).build());
@@ -75,7 +76,7 @@
             HttpStatus status, String type, String detail, String requestId, Optional<Long> retryAfterMillis) {
         ResponseHeadersBuilder headers =
                 ResponseHeaders.builder(status).contentType(PROBLEM_JSON_TYPE).set(CallHeaders.REQUEST_ID, requestId);
-        // Whole seconds are all the header can say; rounding up keeps callers from coming back too early.
+        // The header has whole seconds; rounding up keeps callers from retrying too early.
         retryAfterMillis.ifPresent(ms -> headers.setLong(
                 HttpHeaderNames.RETRY_AFTER, Math.max(1, (ms + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND)));
         byte[] body = ConfigurationCodec.encode(new Body(type, status.code(), detail, requestId));
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ResponseLengthGuard.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ResponseLengthGuard.java
@@ -10,16 +10,16 @@
 import org.reactivestreams.Subscriber;
 
 /**
- * A body that may only end cleanly with as many bytes as its head announced.
+ * A response body that completes successfully only if its length matches the announced {@code Content-Length}.
  *
- * <p>A short body that ended cleanly would look whole to a caller that reads to the end of the stream; here it ends
- * with an error, which the caller sees as a reset.
+ * <p>If a truncated body completed successfully, a caller that reads to the end of the stream would take it for a
+ * complete one. Here it fails instead, and the caller sees its connection or stream being reset.
  */
 final class ResponseLengthGuard extends FilteredStreamMessage<HttpData, HttpData> {
-    /** Hears of a body that ended in error. */
+    /** Notified of a body that failed or was cancelled. */
     @FunctionalInterface
     interface ErrorListener {
-        /** The body ended after {@code passed} bytes. */
+        /** Called when the body has failed or was cancelled after {@code deliveredBytes} bytes. */
         void bodyFailed(long deliveredBytes, Throwable failure);
     }
 
@@ -30,10 +30,10 @@
     private long deliveredBytes;
 
     /**
-     * Guards a body.
+     * Creates a guarded body.
      *
-     * @param contentLength its length in bytes, if its head announced one
-     * @param errorListener is told of an error before the caller's connection is closed for it
+     * @param contentLength length of the body in bytes, if the response headers announced it
+     * @param errorListener notified of a failure before the caller's connection is closed because of it
      */
     ResponseLengthGuard(
             String requestId,
@@ -71,9 +71,9 @@
         invariants.check(
                 Invariant.OWN_WHOLE_ANSWER,
                 lengthMatches,
-                () -> "answer to " + requestId + " has " + deliveredBytes + " bytes, announced " + contentLength);
+                () -> "response to request " + requestId + " has " + deliveredBytes + " bytes, announced " + contentLength);
         if (!lengthMatches) {
-            throw new IllegalStateException("the answer has " + deliveredBytes + " bytes, announced " + contentLength);
+            throw new IllegalStateException("response body has " + deliveredBytes + " bytes, announced " + contentLength);
         }
     }
 }
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
@@ -21,11 +21,11 @@
 import org.berylwick.lib.Outcome;
 
 /**
- * A transfer that goes on from another attempt when it is cut midway.
+ * A response whose remainder is requested in another attempt if its body fails midway.
  *
- * <p>Only an idempotent GET whose whole answer has a strong validator and a known length: the rest is asked for by
- * range on the condition of that validator, so bytes of two different contents are never joined. If the rest can't be
- * had, the answer ends as cut.
+ * <p>Applies only to idempotent GET requests whose full response has a strong validator and a known length. The
+ * remainder is requested with {@code Range} and, for that validator, {@code If-Range}, so that parts of two different
+ * representations are never combined. If the remainder is not available, the body fails with the original error.
  */
 final class ResumableAnswer {
     private static final EventLog EVENTS = new EventLog(ResumableAnswer.class);
@@ -49,7 +49,7 @@
         this.servingMember = servingMember;
     }
 
-    /** The answer, made resumable if it can be. */
+    /** Returns the response with a resumable body if it meets the conditions, otherwise unchanged. */
     static StreamedResponse of(Forwarder forwarder, Call call, StreamedResponse response, Member servingMember) {
         ResponseHeaders headers = response.headers();
         String validator = headers.get(HttpHeaderNames.ETAG, "");
@@ -80,7 +80,7 @@
                 currentAttempt.cancel().run();
             }
         });
-        history = history.plus(new Outcome.Unknown<StreamedResponse>("cut"));
+        history = history.plus(new Outcome.Unknown<StreamedResponse>("response truncated"));
         requestRemainder(cause, remainder);
         return deferred;
     }
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/StreamedResponse.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/StreamedResponse.java
@@ -10,25 +10,25 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * An answer whose head is there and whose body still streams.
+ * A response whose headers have arrived and whose body is still being streamed.
  *
- * @param headers its head
- * @param body passes at the pace of whoever reads it; fails if the answer was cut
- * @param trailers complete after the body
+ * @param headers response headers
+ * @param body response body, with backpressure from its subscriber; fails if the response was truncated
+ * @param trailers completes after the body
  */
 record StreamedResponse(
         ResponseHeaders headers, StreamMessage<HttpData> body, CompletableFuture<HttpHeaders> trailers) {
-    /** This answer with another head. */
+    /** Returns this response with other headers. */
     StreamedResponse withHeaders(ResponseHeaders newHeaders) {
         return new StreamedResponse(newHeaders, body, trailers);
     }
 
-    /** This answer with another body. */
+    /** Returns this response with another body. */
     StreamedResponse withBody(StreamMessage<HttpData> newBody) {
         return new StreamedResponse(headers, newBody, trailers);
     }
 
-    /** The response that says the same. */
+    /** Converts to a response of the server library. Trailers are sent only if the headers announce them. */
     HttpResponse toHttpResponse() {
         if (!headers.contains(HttpHeaderNames.TRAILER)) {
             return HttpResponse.of(headers, body);
