--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Call.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Call.java
@@ -9,16 +9,16 @@
 import org.berylwick.lib.MembershipView;
 
 /**
- * One request with all that was pinned at its start.
+ * A caller's request, with the configuration and the members that were current when it arrived.
  *
- * @param requestId names it on every hop
- * @param match brand, route, policy and service, all of one version
- * @param members the members known at its start
- * @param deadline by when the caller has the head of its final answer
- * @param limit what bounds the rest of the answer
- * @param headers as they go on, without those that must not travel
- * @param body to send with each attempt
- * @param context of the request at the server
+ * @param requestId identifies the request on every hop
+ * @param match brand, route, policy and service, all from the same configuration version
+ * @param members members known when the request arrived
+ * @param deadline time by which the caller must receive the headers of the final response
+ * @param limit time limit for the rest of the response
+ * @param headers request headers to forward, without those that must not be forwarded
+ * @param body request body, sent with each attempt
+ * @param context server-side context of the request
  */
 record Call(
         String requestId,
@@ -29,7 +29,7 @@
         RequestHeaders headers,
         CallBody body,
         ServiceRequestContext context) {
-    /** A request to send, which can be sent once. */
+    /** Creates the request of one attempt; it can be sent only once. */
     HttpRequest newRequest(RequestHeaders attemptHeaders) {
         return switch (body) {
             case CallBody.Buffered buffered ->
@@ -40,28 +40,28 @@
         };
     }
 
-    /** This call under another policy. */
+    /** Returns this call with another route match. */
     Call withMatch(RouteMatch newMatch) {
         return new Call(requestId, newMatch, members, deadline, limit, headers, body, context);
     }
 
-    /** This call with other headers. */
+    /** Returns this call with other headers. */
     Call withHeaders(RequestHeaders newHeaders) {
         return new Call(requestId, match, members, deadline, limit, newHeaders, body, context);
     }
 
-    /** This call with another body. */
+    /** Returns this call with another body. */
     Call withBody(CallBody newBody) {
         return new Call(requestId, match, members, deadline, limit, headers, newBody, context);
     }
 
-    /** Tells whether the caller's connection is gone. */
+    /** Returns whether the caller cancelled the request or its connection is closed. */
     boolean isCallerDisconnected() {
         Channel channel = context.log().partial().channel();
         return context.isCancelled() || channel == null || !channel.isActive();
     }
 
-    /** Tells whether the body can be sent more than once. */
+    /** Returns whether the request can be sent more than once, which requires a buffered body. */
     boolean isReplayable() {
         return body instanceof CallBody.Buffered;
     }
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallBody.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallBody.java
@@ -4,20 +4,20 @@
 import com.linecorp.armeria.common.HttpRequest;
 import com.linecorp.armeria.server.ServiceRequestContext;
 
-/** The body of a call. */
+/** Request body of a call. */
 sealed interface CallBody {
-    /** A body that is small enough to be held and sent again; may be empty. */
+    /** A body that is small enough to be buffered, so that it can be sent again; may be empty. */
     record Buffered(HttpData content) implements CallBody {}
 
-    /** A body that passes through as the caller sends it, once. */
+    /** A body that is streamed through while the caller sends it; it can be sent only once. */
     record Streamed(HttpRequest request) implements CallBody {}
 
     /**
-     * A body that passes through, taken from its caller's connection on that connection's own thread.
+     * Creates a streamed body that is consumed on the event loop of the caller's connection.
      *
-     * <p>The connection stops being read while much of a body waits to be taken, and is read on when that was taken;
-     * with the two on different threads "read on" could come before "stop", and about one in a hundred uploads to a
-     * server that paused stood still for good.
+     * <p>For backpressure, the server library pauses reading from the connection while much of the body is unconsumed,
+     * and resumes it afterwards. When the body was consumed on another thread, the resume could overtake the pause, and
+     * about 1 in 100 uploads to a server that paused reading stalled forever.
      */
     static CallBody streamed(ServiceRequestContext context, HttpRequest request) {
         return new Streamed(request.subscribeOn(context.eventLoop().withoutContext()));
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallHeaders.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallHeaders.java
@@ -6,57 +6,57 @@
 import java.util.List;
 import java.util.Set;
 
-/** The header names that daemons add to calls, and which headers never travel on. */
+/** Headers that daemons set on requests and responses, and removal of headers that must not be forwarded. */
 final class CallHeaders {
-    /** Prefix of all headers that only daemons may set. */
+    /** Prefix of internal headers, which only daemons may set. */
     static final String INTERNAL_PREFIX = "berylwick-";
 
-    /** Request, entry to owner: the instance that is meant, so that a reused address is noticed. */
+    /** Request, entry to owner: the intended instance, so that an address reused by another instance is detected. */
     static final AsciiString INSTANCE = AsciiString.cached("berylwick-instance");
 
     /** Request, entry to owner: name of the traffic class. */
     static final AsciiString TRAFFIC_CLASS = AsciiString.cached("berylwick-class");
 
-    /** Request, entry to owner: milliseconds within which the head of the answer must be there. */
+    /** Request, entry to owner: milliseconds within which the response headers must arrive. */
     static final AsciiString RESPONSE_START_TIMEOUT_MILLIS = AsciiString.cached("berylwick-head-ms");
 
-    /** Request, entry to owner, bulk transfers only: longest time in milliseconds in which nothing may move. */
+    /** Request, entry to owner, bulk transfers only: maximum milliseconds without progress of the body. */
     static final AsciiString STALL_TIMEOUT_MILLIS = AsciiString.cached("berylwick-stall-ms");
 
-    /** Response, owner to entry: see {@link #OUTCOME_ANSWERED} and the other words. */
+    /** Response, owner to entry: one of the {@code OUTCOME_} values. */
     static final AsciiString OUTCOME = AsciiString.cached("berylwick-outcome");
 
-    /** Response, owner to entry: why a request was not run. */
+    /** Response, owner to entry: reason why the request was not run. */
     static final AsciiString REASON = AsciiString.cached("berylwick-reason");
 
-    /** Response, owner to entry: requests running and waiting at the owner. */
+    /** Response, owner to entry: number of requests running and queued at the owner. */
     static final AsciiString LOAD = AsciiString.cached("berylwick-load");
 
-    /** The backend server answered. */
+    /** Value of {@link #OUTCOME}: the backend server responded. */
     static final String OUTCOME_ANSWERED = "answered";
 
-    /** The backend server never saw the request. */
+    /** Value of {@link #OUTCOME}: the backend server never received the request. */
     static final String OUTCOME_NOT_RUN = "not-run";
 
-    /** The request may have run. */
+    /** Value of {@link #OUTCOME}: the request may have run. */
     static final String OUTCOME_UNKNOWN = "unknown";
 
-    /** Milliseconds that the sender will still wait; set by callers, shortened on the way. */
+    /** Request: milliseconds for which the sender will still wait; set by callers, reduced on every hop. */
     static final AsciiString TIMEOUT_MILLIS = AsciiString.cached("x-request-timeout-ms");
 
-    /** Names a request from the caller to the backend server and back. */
+    /** Request and response: identifies a request on every hop between caller and backend server. */
     static final AsciiString REQUEST_ID = AsciiString.cached("x-request-id");
 
-    /** Request, to the backend server: the brand that the request carries. */
+    /** Request, to the backend server: name of the brand that the request belongs to. */
     static final AsciiString BRAND = AsciiString.cached("x-brand");
 
-    /** Request: names a request of the caller's that must run once in all, however often it is sent. */
+    /** Request: key chosen by the caller; requests that repeat it must be run only once in total. */
     static final AsciiString IDEMPOTENCY_KEY = AsciiString.cached("idempotency-key");
 
-    /** Response: {@code true} on an answer that was given before to a request with the same key. */
+    /** Response: {@code true} if this is the stored response to an earlier request with the same key. */
     static final AsciiString IDEMPOTENCY_REPLAYED = AsciiString.cached("idempotency-replayed");
 
-    /** Response of a backend server that shed a request without running it. */
+    /** Response, from the backend server: it shed the request without running it. */
     static final AsciiString SHED = AsciiString.cached("x-shed");
 
     private static final Set<AsciiString> HOP_BY_HOP = Set.of(
@@ -71,7 +71,7 @@
 
     private CallHeaders() {}
 
-    /** Removes the headers that are about one connection only, also those that {@code Connection} names. */
+    /** Removes hop-by-hop headers, including those listed in {@code Connection}. */
     static void removeHopByHop(HttpHeadersBuilder headers) {
         for (String names : headers.getAll(HttpHeaderNames.CONNECTION)) {
             for (String name : names.split(",")) {
@@ -83,7 +83,7 @@
         HOP_BY_HOP.forEach(headers::remove);
     }
 
-    /** Removes the headers that only daemons may set: a caller could otherwise forge an outcome or a class. */
+    /** Removes internal headers; otherwise a caller could forge an outcome or a traffic class. */
     static void removeInternal(HttpHeadersBuilder headers) {
         List<AsciiString> internalNames = headers.names().stream()
                 .filter(n -> n.startsWith(INTERNAL_PREFIX))
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallMetrics.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallMetrics.java
@@ -10,39 +10,39 @@
 import org.berylwick.internal.retry.RetryRule;
 import org.berylwick.lib.Outcome;
 
-/** The metrics of the call path; any thread may count. */
+/** Metrics of the call path. Thread-safe. */
 public final class CallMetrics {
-    /** Counter: calls given their final answer by the backend server. */
+    /** Counter: calls that received a final response from a backend server. */
     public static final String ANSWERED = "call.answered";
 
-    /** Counter: calls given up as not run. */
+    /** Counter: calls that failed and were reported as not run. */
     public static final String NOT_RUN = "call.not-run";
 
-    /** Counter: calls given up as unknown. */
+    /** Counter: calls that failed and were reported with an unknown outcome. */
     public static final String UNKNOWN = "call.unknown";
 
-    /** Counter: calls that no route takes or that break a rule. */
+    /** Counter: calls that match no route or have invalid headers. */
     public static final String REJECTED = "call.rejected";
 
-    /** Counter: callers that went away before the end of their answer. */
+    /** Counter: calls whose caller disconnected before the end of the response. */
     public static final String CANCELLED = "call.cancelled";
 
-    /** Counter: what was decided after an attempt without answer; the verdict's name follows. */
+    /** Prefix of counters, followed by the name of the verdict: retry decisions after an attempt without a response. */
     public static final String RETRY_VERDICT_PREFIX = "call.verdict.";
 
-    /** Counter: answers cut while they streamed. */
+    /** Counter: responses that were truncated while being streamed. */
     public static final String TRUNCATED = "call.answer.cut";
 
-    /** Counter: answers that went on from another attempt. */
+    /** Counter: truncated responses that were resumed by another attempt. */
     public static final String RESUMED = "call.answer.resumed";
 
-    /** Counter: answers dropped because they name another request. */
+    /** Counter: responses dropped because they carry the id of another request. */
     public static final String MISMATCHED = "call.answer.crossed";
 
-    /** Timer: from receiving a call to the head of its final answer. */
+    /** Timer: from receiving a call to the headers of its final response. */
     public static final String RESPONSE_START_LATENCY = "call.latency.head";
 
-    /** Gauge: calls that run in this daemon, as entry or as owner. */
+    /** Gauge: calls in progress in this daemon, as entry or as owner. */
     public static final String RUNNING = "call.running";
 
     private final Counter answered;
@@ -57,7 +57,7 @@
     private final Map<RetryRule.Verdict, Counter> verdicts = new EnumMap<>(RetryRule.Verdict.class);
     private final AtomicInteger running = new AtomicInteger();
 
-    /** Counts in {@code registry}. */
+    /** Registers the metrics in {@code registry}. */
     CallMetrics(MetricRegistry registry) {
         answered = registry.counter(ANSWERED);
         notRun = registry.counter(NOT_RUN);
@@ -74,7 +74,7 @@
         registry.gauge(RUNNING, () -> running::get);
     }
 
-    /** A call got its final outcome. */
+    /** Records the final outcome of a call. */
     void countOutcome(Outcome<?> outcome, long elapsedNanos) {
         responseStartLatency.update(elapsedNanos, TimeUnit.NANOSECONDS);
         switch (outcome) {
@@ -108,17 +108,17 @@
         mismatched.inc();
     }
 
-    /** A call begins here. */
+    /** Records that a call started in this daemon. */
     void callStarted() {
         running.incrementAndGet();
     }
 
-    /** A call ended here. */
+    /** Records that a call ended in this daemon. */
     void callEnded() {
         running.decrementAndGet();
     }
 
-    /** Calls that run here now. */
+    /** Number of calls in progress in this daemon. */
     int running() {
         return running.get();
     }
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallerDisconnectListener.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallerDisconnectListener.java
@@ -6,10 +6,11 @@
 import java.util.Optional;
 
 /**
- * Tells at once when an HTTP/1.1 caller closes its connection.
+ * Runs a callback as soon as an HTTP/1.1 caller closes its connection.
  *
- * <p>The server library waits a second before it ends the request of a closed HTTP/1.1 connection. Through calls ten
- * deep that would be ten seconds in which servers work for nobody. HTTP/2 streams are reset without that wait.
+ * <p>The server library waits one second before it aborts the request of a closed HTTP/1.1 connection. In a chain of
+ * ten calls this would add up to ten seconds in which servers work on an abandoned request. HTTP/2 streams are reset
+ * without this delay, so no callback is registered for them.
  */
 final class CallerDisconnectListener implements AutoCloseable {
     private final Optional<Channel> channel;
@@ -21,7 +22,7 @@
         channel.ifPresent(c -> c.closeFuture().addListener(listener));
     }
 
-    /** Begins to watch the caller of a request. */
+    /** Registers a callback for the connection of a request; {@link #close()} removes it. */
     static CallerDisconnectListener register(ServiceRequestContext context, Runnable onDisconnect) {
         boolean multiplexed = context.sessionProtocol().isMultiplex();
         Channel channel = context.log().partial().channel();
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallerRequest.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallerRequest.java
@@ -4,31 +4,31 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What a caller's headers say about how its request is to be treated. */
+/** Result of validating the headers of a caller's request. */
 sealed interface CallerRequest {
     /**
-     * Headers that keep the rules.
+     * Valid headers.
      *
-     * @param host the authority without port, empty without one
-     * @param requestId as the caller named it, if it did
-     * @param timeoutMillis how long the caller waits, if it said so
+     * @param host authority without the port, empty if the request has no authority
+     * @param requestId request id chosen by the caller, if any
+     * @param timeoutMillis time for which the caller waits, if stated
      */
     record Valid(String host, Optional<String> requestId, Optional<Long> timeoutMillis) implements CallerRequest {}
 
     /**
-     * Headers that break a rule.
+     * Invalid headers.
      *
-     * @param detail which one, for the caller
+     * @param detail description of the error, sent to the caller
      */
     record Malformed(String detail) implements CallerRequest {}
 
-    /** Longest request id that is accepted. */
+    /** Maximum length of a request id in characters. */
     int MAX_REQUEST_ID_LENGTH = 128;
 
-    /** Longest timeout that is accepted, a day: more is a mistake and would overflow deadlines. */
+    /** Maximum timeout, one day. A larger value is a mistake of the caller and would overflow deadlines. */
     long MAX_TIMEOUT_MILLIS = 86_400_000;
 
-    /** Reads a request's headers. */
+    /** Parses and validates the headers of a request. */
     static CallerRequest parse(RequestHeaders headers) {
         List<String> requestIds = headers.getAll(CallHeaders.REQUEST_ID);
         if (requestIds.size() > 1) {
