--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallPath.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallPath.java
@@ -24,9 +24,9 @@
 import org.berylwick.lib.ServiceSpec;
 import org.berylwick.lib.TimeSource;
 
-/** Owns everything that a request meets in this daemon. */
+/** Creates and owns the components that process requests in this daemon. */
 public final class CallPath implements KernelService {
-    /** The name in the kernel. */
+    /** Name of this service in the kernel. */
     public static final String NAME = "call-path";
 
     private static final EventLog EVENTS = new EventLog(CallPath.class);
@@ -49,10 +49,10 @@
     private final TimeSource time;
 
     /**
-     * The call path of one daemon.
+     * Creates the call path of a daemon.
      *
-     * @param keys decides which request runs under an idempotency key
-     * @param localState whether the own backend server takes requests
+     * @param keys decides which of the requests with the same idempotency key is run
+     * @param localState supplies the state of this daemon's own member, which decides whether requests are accepted
      */
     public CallPath(
             DaemonSettings settings,
@@ -102,25 +102,26 @@
         return NAME;
     }
 
-    /** Serves callers. */
+    /** Returns the service for callers. */
     public EntryService entryService() {
         return entryService;
     }
 
-    /** Serves other daemons. */
+    /** Returns the service for other daemons. */
     public OwnerService ownerService() {
         return ownerService;
     }
 
     /**
-     * Returns once nothing runs here any more, or after ten minutes; the own backend server must be announced as
-     * leaving before.
+     * Waits until no call is in progress in this daemon, at most ten minutes. This daemon's member must already be
+     * announced as leaving.
      *
-     * <p>The entry serves everybody as before until other members have had time to learn of the leave and the backend
-     * server has finished, since what it runs may call others through this daemon. Only then callers are sent away:
-     * while anybody could still connect, the last request would never come.
+     * <p>The entry accepts requests as before until other members have had time to learn that this one is leaving and
+     * the backend server has finished its requests, since these may call other services through this daemon. Then the
+     * connections of callers are closed and no new ones are accepted: as long as callers could connect, new requests
+     * would keep arriving and draining would not end.
      *
-     * @param closeListener ends accepting callers' connections
+     * @param closeListener stops accepting connections from callers
      */
     public void drain(Runnable closeListener) throws InterruptedException {
         EVENTS.log(CallEvent.DRAINING, metrics.running());
@@ -142,7 +143,7 @@
         int remaining = metrics.running();
         EVENTS.log(CallEvent.DRAINED, remaining);
         invariants.check(
-                Invariant.GRACEFUL_STOP, remaining == 0, () -> remaining + " requests are cut by a planned stop");
+                Invariant.GRACEFUL_STOP, remaining == 0, () -> remaining + " requests are still in progress and will be aborted by a planned stop");
     }
 
     private boolean hasOtherMembers() {
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/EntryService.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/EntryService.java
@@ -21,7 +21,7 @@
 import org.berylwick.lib.TimeSource;
 import org.berylwick.lib.TrafficClass;
 
-/** Takes requests from callers, finds their brand and route, and has them run. */
+/** Accepts requests from callers, determines their brand and route, and forwards them. */
 public final class EntryService implements HttpService {
     private static final long MAX_BUFFERED_BODY_BYTES = 64 << 10;
 
@@ -47,7 +47,7 @@
         this.time = time;
     }
 
-    /** Sends callers away from now on: each is still answered, and its connection ends with the answer. */
+    /** From now on, closes the connection of each caller after the response to its next request. */
     void drain() {
         draining = true;
     }
@@ -55,8 +55,8 @@
     @Override
     public HttpResponse serve(ServiceRequestContext ctx, HttpRequest request) {
         if (draining) {
-            // Connection: close with HTTP/1.1 and GOAWAY with HTTP/2: the caller goes elsewhere before the sockets
-            // close, when a request of its could cross with the close and be lost.
+            // Sends "Connection: close" with HTTP/1.1 and GOAWAY with HTTP/2, so that the caller connects to another
+            // daemon before the sockets are closed. A request sent while its socket is being closed could be lost.
             ctx.initiateConnectionShutdown();
         }
         return switch (CallerRequest.parse(request.headers())) {
@@ -73,7 +73,7 @@
         Snapshot snapshot = installed.snapshot();
         String requestId = callerRequest.requestId().orElseGet(EntryService::newRequestId);
         if (snapshot.id().number() == 0) {
-            // A daemon without a version knows no route at all; "no such route" would tell the caller to give up.
+            // Without a configuration version no route is known yet; a 404 would make the caller give up.
             return Problem.notRun(requestId, RefusalReason.STARTING, Optional.of(STARTING_RETRY_AFTER_MILLIS));
         }
         String host = callerRequest.host();
@@ -123,7 +123,7 @@
         return bufferAndForward(request, call);
     }
 
-    /** Reads a small body to its end first, so that it can be sent again. */
+    /** Buffers a small request body before forwarding, so that it can be sent again. */
     private HttpResponse bufferAndForward(HttpRequest request, Call call) {
         var bodyTimeout = call.context()
                 .eventLoop()
@@ -148,7 +148,7 @@
         return headers.build();
     }
 
-    /** The body's length if it is known, -1 if not. */
+    /** Returns the length of the request body, or -1 if it is unknown. */
     private static long contentLength(HttpRequest request) {
         long declared = request.headers().contentLength();
         if (declared >= 0) {
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarder.java
@@ -21,7 +21,7 @@
 import org.berylwick.lib.TimeSource;
 import org.berylwick.lib.TrafficClass;
 
-/** Sends calls to members until each is answered or must be given up. */
+/** Forwards calls to members, with retries. */
 final class Forwarder {
     private final String instance;
     private final Owner localOwner;
@@ -35,9 +35,10 @@
     private final TimeSource time;
 
     /**
-     * The forwarder of one daemon.
+     * Creates the forwarder of a daemon.
      *
-     * @param instance the own instance, whose calls need no connection
+     * @param instance instance of this daemon; calls to it are run locally instead of over the network
+     * @param localOwner runs requests on this daemon's backend server
      */
     Forwarder(
             String instance,
@@ -61,12 +62,12 @@
         this.time = time;
     }
 
-    /** Runs the call; the response is the final answer, and cancelling it cancels the call. */
+    /** Forwards the call and returns its final response; cancelling the response cancels the call. */
     HttpResponse forward(Call call) {
         return new Forwarding(this, call).start();
     }
 
-    /** Sends one attempt to a member, over the network unless it is this daemon's own. */
+    /** Sends one attempt to a member; over the network, unless the member is this daemon itself. */
     Attempt send(Call call, Member member, long attemptTimeoutMillis) {
         AtomicBoolean cancelled = new AtomicBoolean();
         PeerLoads.Attempt loadAttempt = loads.begin(member);
@@ -74,7 +75,7 @@
                 ? runLocally(call, loadAttempt, attemptTimeoutMillis)
                 : peers.send(call, member, loadAttempt, attemptTimeoutMillis);
         CompletableFuture<Outcome<StreamedResponse>> outcome = attempt.outcome().thenApply(o -> {
-            // A request that its caller gave up tells nothing about the member.
+            // The outcome of a cancelled attempt says nothing about the member.
             if (!cancelled.get()) {
                 recordOutcome(call, loadAttempt, o, attemptTimeoutMillis);
             }
@@ -119,12 +120,12 @@
         }
     }
 
-    /** Picks a member that was not tried yet. */
+    /** Chooses a member for the next attempt, preferring those that have not been tried. */
     MemberChoice choose(MembershipView members, Call call, Set<String> triedInstances) {
         return chooser.choose(members, call.match(), triedInstances);
     }
 
-    /** Remembers at once that a member's own daemon says it is leaving, before its announcement arrives. */
+    /** Marks a member as leaving after its own daemon reported so, without waiting for the announcement. */
     void markLeaving(Member member) {
         membership.merge(member.withState(Member.State.LEAVING));
     }
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
@@ -21,9 +21,9 @@
 import org.berylwick.lib.RefusalReason;
 
 /**
- * One call on its way: attempts follow one another until one is answered or no more may be made.
+ * Forwards one call: sends attempts one after another until one gets a response or no further retry is allowed.
  *
- * <p>The first attempt uses the members that were pinned at the start of the request, later ones those known by then.
+ * <p>The first attempt uses the members known when the request arrived, retries use the current members.
  */
 final class Forwarding {
     private static final EventLog EVENTS = new EventLog(Forwarding.class);
@@ -52,7 +52,7 @@
         this.startNanos = forwarder.time().nanoTime();
     }
 
-    /** Sends the first attempt. */
+    /** Sends the first attempt and returns the final response. */
     HttpResponse start() {
         forwarder.retryBudgetFor(call).countRequest();
         forwarder.metrics().callStarted();
@@ -103,7 +103,7 @@
                 .check(
                         Invariant.AT_MOST_ONCE,
                         sendPermitted,
-                        () -> "request " + call.requestId() + " is sent once too often");
+                        () -> "request " + call.requestId() + " is not idempotent and is sent again although it may have run");
         Attempt attempt = forwarder.send(call, member, rule.attemptTimeoutMillis(history, forwarder.time()));
         currentAttempt = attempt;
         if (cancelled) {
@@ -165,14 +165,14 @@
         forwarder.metrics().countOutcome(outcome, elapsedNanos());
         switch (outcome) {
             case Outcome.Answered<StreamedResponse> answered ->
-                throw new IllegalArgumentException("an answered call is not given up");
+                throw new IllegalArgumentException("call has a response and cannot be completed with a problem");
             case Outcome.RefusedNotRun<StreamedResponse>(RefusalReason reason, Optional<Long> retryAfter) -> {
                 forwarder
                         .invariants()
                         .check(
                                 Invariant.REFUSAL_TRUE,
                                 !history.mayHaveRun(),
-                                () -> "request " + call.requestId() + " may have run and is called not run");
+                                () -> "request " + call.requestId() + " may have run but is reported as not run");
                 result.complete(Problem.notRun(call.requestId(), reason, retryAfter));
             }
             case Outcome.Unknown<StreamedResponse>(String detail) -> {
@@ -181,7 +181,7 @@
                         call.requestId(),
                         call.match().service().name(),
                         detail);
-                // The owner's clock may find the deadline passed some milliseconds before the one here does.
+                // The owner may see the deadline pass some milliseconds earlier than this daemon does.
                 boolean timedOut = detail.equals(Exchange.NO_ANSWER_IN_TIME)
                         || call.deadline().remainingMillis(forwarder.time()) <= 0;
                 result.complete(Problem.unknown(
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/IdempotencyKeyForwarder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/IdempotencyKeyForwarder.java
@@ -24,10 +24,12 @@
 import org.berylwick.lib.TimeSource;
 
 /**
- * Lets a request whose policy asks for an idempotency key run only as the first with its key, and answers the repeats.
+ * Forwards only the first request with a given idempotency key and responds to repeats from the stored outcome, if the
+ * policy accepts such keys.
  *
- * <p>Nothing is sent before the store holds the claim. The answer goes to the caller while it is recorded, not after. A
- * caller that leaves before its answer begins does not cancel the request: its repeat will ask for the answer.
+ * <p>Nothing is forwarded before the claim of the key is in the store. The response is delivered to the caller while it
+ * is being recorded, not afterwards. A caller that disconnects before its response begins does not cancel the request,
+ * since it is expected to repeat the request in order to get the response.
  */
 final class IdempotencyKeyForwarder {
     private static final Pattern VALID_KEY = Pattern.compile("[\\x21-\\x7E]{1,255}");
@@ -44,7 +46,7 @@
         this.time = time;
     }
 
-    /** Runs the call, or answers it without running it; the response is the final answer. */
+    /** Returns the final response to the call, which is forwarded unless its key has been used or is invalid. */
     HttpResponse forward(Call call) {
         Policy.KeyRule keyRule = call.match().policy().idempotencyKey();
         if (keyRule == Policy.KeyRule.IGNORED) {
@@ -66,7 +68,7 @@
         return claim(call, key, fingerprint(call));
     }
 
-    /** A streamed body is not known yet; of it, the declared length alone counts. */
+    /** Of a streamed body, which has not been received yet, only the declared length is included. */
     private static Digest fingerprint(Call call) {
         byte[] body = call.body() instanceof CallBody.Buffered(HttpData content) ? content.array() : EMPTY_BODY;
         RequestHeaders requestHeaders = call.headers();
@@ -101,15 +103,15 @@
         try {
             return recorder.wrap(forwarder.forward(withoutIdempotentPolicy(call)));
         } catch (RuntimeException e) {
-            // What was sent before the exception is not known here.
+            // It is unknown whether the request was sent before the exception.
             keys.settle(claim, new Settlement.Keep(new KeyState.Unknown()));
             throw e;
         }
     }
 
     /**
-     * The call under a policy that is not idempotent: a caller that names a key asks for one run, also where the policy
-     * says that a second one does no harm.
+     * Returns the call with a non-idempotent policy: a caller that sends a key asks for a single run, even if the policy
+     * declares that running the request again is safe.
      */
     private static Call withoutIdempotentPolicy(Call call) {
         RouteMatch match = call.match();
