--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/CallPath.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/CallPath.java
@@ -143,7 +143,9 @@
         int remaining = metrics.running();
         EVENTS.log(CallEvent.DRAINED, remaining);
         invariants.check(
-                Invariant.GRACEFUL_STOP, remaining == 0, () -> remaining + " requests are still in progress and will be aborted by a planned stop");
+                Invariant.GRACEFUL_STOP,
+                remaining == 0,
+                () -> remaining + " requests are still in progress and will be aborted by a planned stop");
     }
 
     private boolean hasOtherMembers() {
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
@@ -103,7 +103,8 @@
                 .check(
                         Invariant.AT_MOST_ONCE,
                         sendPermitted,
-                        () -> "request " + call.requestId() + " is not idempotent and is sent again although it may have run");
+                        () -> "request " + call.requestId()
+                                + " is not idempotent and is sent again although it may have run");
         Attempt attempt = forwarder.send(call, member, rule.attemptTimeoutMillis(history, forwarder.time()));
         currentAttempt = attempt;
         if (cancelled) {
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/IdempotencyKeyForwarder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/IdempotencyKeyForwarder.java
@@ -110,8 +110,8 @@
     }
 
     /**
-     * Returns the call with a non-idempotent policy: a caller that sends a key asks for a single run, even if the policy
-     * declares that running the request again is safe.
+     * Returns the call with a non-idempotent policy: a caller that sends a key asks for a single run, even if the
+     * policy declares that running the request again is safe.
      */
     private static Call withoutIdempotentPolicy(Call call) {
         RouteMatch match = call.match();
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/KeyedResponseRecorder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/KeyedResponseRecorder.java
@@ -25,7 +25,8 @@
  * Records the final response to a request with an idempotency key, and settles the claim of the key when the response
  * has ended.
  *
- * <p>At most {@link #MAX_STORED_BYTES} of the body are buffered; the response itself is streamed to the caller unchanged.
+ * <p>At most {@link #MAX_STORED_BYTES} of the body are buffered; the response itself is streamed to the caller
+ * unchanged.
  */
 final class KeyedResponseRecorder {
     /** Maximum size in bytes of the body, and likewise of all headers, of a response that is stored for repeats. */
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Problem.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Problem.java
@@ -56,7 +56,9 @@
         return withOutcome(problem, CallHeaders.OUTCOME_UNKNOWN);
     }
 
-    /** The request was not run, because its key is already used; {@code Retry-After} is set if a response may follow. */
+    /**
+     * The request was not run, because its key is already used; {@code Retry-After} is set if a response may follow.
+     */
     static HttpResponse keyConflict(String requestId, String type, String detail, Optional<Long> retryAfterMillis) {
         return of(HttpStatus.CONFLICT, type, detail, requestId, retryAfterMillis);
     }
@@ -66,7 +68,9 @@
         return of(HttpStatus.UNPROCESSABLE_ENTITY, "key-reused", detail, requestId, Optional.empty());
     }
 
-    /** Adds the outcome as an internal header for {@link KeyedResponseRecorder}; backend servers cannot set this header. */
+    /**
+     * Adds the outcome as an internal header for {@link KeyedResponseRecorder}; backend servers cannot set this header.
+     */
     private static HttpResponse withOutcome(HttpResponse problem, String outcome) {
         return problem.mapHeaders(
                 h -> h.toBuilder().set(CallHeaders.OUTCOME, outcome).build());
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ResponseLengthGuard.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ResponseLengthGuard.java
@@ -71,9 +71,11 @@
         invariants.check(
                 Invariant.OWN_WHOLE_ANSWER,
                 lengthMatches,
-                () -> "response to request " + requestId + " has " + deliveredBytes + " bytes, announced " + contentLength);
+                () -> "response to request " + requestId + " has " + deliveredBytes + " bytes, announced "
+                        + contentLength);
         if (!lengthMatches) {
-            throw new IllegalStateException("response body has " + deliveredBytes + " bytes, announced " + contentLength);
+            throw new IllegalStateException(
+                    "response body has " + deliveredBytes + " bytes, announced " + contentLength);
         }
     }
 }
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/DeadlineTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/DeadlineTest.java
@@ -77,7 +77,8 @@
         rig.addMember("a", "web", server.address());
         try (RawCaller caller = new RawCaller(entry.callersAddress())) {
             caller.get("/orders/1", "x-request-id: gone\r\n");
-            Await.until("the server has received the request", () -> server.runs("gone") == 1, () -> server.runs("gone"));
+            Await.until(
+                    "the server has received the request", () -> server.runs("gone") == 1, () -> server.runs("gone"));
         }
         Await.until("the request is cancelled at the server", () -> server.closedByPeer() == 1, server::closedByPeer);
         assertEquals(1, server.runs("gone"));
@@ -86,7 +87,8 @@
 
     @Test
     void idempotentReadIsRetriedBeforeDeadlineIfServerIsSilent() {
-        // The only server known at first accepts requests but never responds. The attempt must be cancelled early enough
+        // The only server known at first accepts requests but never responds. The attempt must be cancelled early
+        // enough
         // to retry at a server that starts later, within the caller's timeout of 5 s.
         RawServer silentServer = new RawServer((c, r) -> c.awaitClosedByPeer());
         RawServer healthyServer = new RawServer();
@@ -98,10 +100,15 @@
                 .execute(headers("/tiles/1", "s-1", 5_000))
                 .aggregate();
         Await.until(
-                "the silent server has received the request", () -> silentServer.runs("s-1") == 1, () -> silentServer.runs("s-1"));
+                "the silent server has received the request",
+                () -> silentServer.runs("s-1") == 1,
+                () -> silentServer.runs("s-1"));
         rig.addMember("b", "web", healthyServer.address());
         assertEquals(200, response.join().status().code(), response.join().contentUtf8());
-        Await.until("the request is cancelled at the silent server", () -> silentServer.closedByPeer() == 1, silentServer::closedByPeer);
+        Await.until(
+                "the request is cancelled at the silent server",
+                () -> silentServer.closedByPeer() == 1,
+                silentServer::closedByPeer);
         silentServer.close();
         healthyServer.close();
     }
@@ -164,7 +171,8 @@
 
     @Test
     void deadlineNeverGrowsAlongChainOfTenCalls() {
-        // The caller's timeout is 3 s. Each server in the chain must receive a timeout no longer than that of the server
+        // The caller's timeout is 3 s. Each server in the chain must receive a timeout no longer than that of the
+        // server
         // before it. The last server never responds, so the caller must receive an error.
         List<Long> receivedTimeouts = new CopyOnWriteArrayList<>();
         CompletableFuture<Void> lastCancelled = new CompletableFuture<>();
@@ -201,7 +209,8 @@
 
     @Test
     void retriesDuringOutageAreLimitedByBudget() {
-        // All servers reset every connection. The number of requests they receive for 100 calls must not exceed 100 plus
+        // All servers reset every connection. The number of requests they receive for 100 calls must not exceed 100
+        // plus
         // the retry budget, and each call must fail with 502.
         RawServer resettingServer = new RawServer((c, r) -> c.reset());
         RigDaemon entry = rig.add("entry", "none", resettingServer.address());
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/HeaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/HeaderTest.java
@@ -17,7 +17,9 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Tests which headers of callers and backend servers are forwarded and which headers cause a request to be rejected. */
+/**
+ * Tests which headers of callers and backend servers are forwarded and which headers cause a request to be rejected.
+ */
 class HeaderTest {
     private final CallRig rig = new CallRig(Declarations.TEXT);
     private final RawServer server = new RawServer();
@@ -95,7 +97,8 @@
 
     @Test
     void malformedRequestsAreRejectedAndNotRun() throws IOException {
-        // Invalid headers are rejected with 400, headers that are too large with 400 or 431 and unknown routes with 404.
+        // Invalid headers are rejected with 400, headers that are too large with 400 or 431 and unknown routes with
+        // 404.
         // None of these requests may reach the backend server.
         List<String> malformed = List.of(
                 "x-request-timeout-ms: soon\r\n",
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyKillTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyKillTest.java
@@ -141,7 +141,8 @@
                 LocalFleet.await("the backend server runs the request", () -> runsOfKilledKey(fleet) == 1);
                 entry.process().destroyForcibly().waitFor();
                 assertTrue(
-                        first.handle((response, failure) -> failure != null).join(), "the first request fails at the caller");
+                        first.handle((response, failure) -> failure != null).join(),
+                        "the first request fails at the caller");
             } finally {
                 entry.close();
             }
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/IdempotencyKeyTest.java
@@ -172,9 +172,9 @@
     }
 
     /**
-     * Several requests with the same key arrive at both daemons at the same time, as if a caller whose connection stalls
-     * kept retrying. Both daemons find the key unclaimed; without the conditional write to the store, both would run a
-     * request.
+     * Several requests with the same key arrive at both daemons at the same time, as if a caller whose connection
+     * stalls kept retrying. Both daemons find the key unclaimed; without the conditional write to the store, both would
+     * run a request.
      */
     @Test
     void concurrentRequestsWithOneKeyRunOnce() {
@@ -252,8 +252,8 @@
     }
 
     /**
-     * The store writes the claim and then the outcome, but both of its responses are lost. The daemon must read the slot
-     * again, recognize its own claim and run the request; the caller must not be affected.
+     * The store writes the claim and then the outcome, but both of its responses are lost. The daemon must read the
+     * slot again, recognize its own claim and run the request; the caller must not be affected.
      */
     @Test
     void lostStoreResponsesAreResolvedByReading() throws Exception {
@@ -295,8 +295,8 @@
     }
 
     /**
-     * The caller's connection is lost while its request runs, and the caller repeats the request. The first request must
-     * not be cancelled, since its outcome would then be unknown; its response must be stored for the repeat.
+     * The caller's connection is lost while its request runs, and the caller repeats the request. The first request
+     * must not be cancelled, since its outcome would then be unknown; its response must be stored for the repeat.
      */
     @Test
     void repeatAfterCallerDisconnectReceivesFirstResponse() throws Exception {
