--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/IdempotencyKeyForwarder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/IdempotencyKeyForwarder.java
@@ -101,7 +101,7 @@
         }
         KeyedResponseRecorder recorder = new KeyedResponseRecorder(settlement -> keys.settle(claim, settlement));
         try {
-            return recorder.wrap(forwarder.forward(withoutIdempotentPolicy(call)));
+            return recorder.record(forwarder.forward(withoutIdempotentPolicy(call)));
         } catch (RuntimeException e) {
             // It is unknown whether the request was sent before the exception.
             keys.settle(claim, new Settlement.Keep(new KeyState.Unknown()));
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/KeyedResponseRecorder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/KeyedResponseRecorder.java
@@ -51,7 +51,7 @@
     }
 
     /** Returns a response that delivers the given one unchanged while it is recorded. */
-    HttpResponse wrap(HttpResponse response) {
+    HttpResponse record(HttpResponse response) {
         SplitHttpResponse split = response.split();
         CompletableFuture<HttpResponse> responseWithHeaders = new CompletableFuture<>();
         HttpResponse callerResponse = HttpResponse.of(responseWithHeaders);
