--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/IdempotencyKeyForwarder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/IdempotencyKeyForwarder.java
@@ -135,7 +135,7 @@
             return Problem.keyReused(requestId, "this Idempotency-Key was used with another request");
         }
         return switch (existing.run()) {
-            case KeyState.Answered(var answer) -> KeyedResponseRecorder.replay(requestId, answer);
+            case KeyState.Answered(var storedResponse) -> KeyedResponseRecorder.replay(requestId, storedResponse);
             case KeyState.Ran(int status) ->
                 Problem.keyConflict(
                         requestId,
