--- a/org.berylwick.test/tst/org/berylwick/daemon/call/ResponseDeliveryTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/ResponseDeliveryTest.java
@@ -150,7 +150,7 @@
             assertTrue(received.length() < FULL_BODY.length());
         }
         Await.until(
-                "the cut is counted",
+                "the truncated response is counted",
                 () -> entry.count(CallMetrics.TRUNCATED) == 1,
                 () -> entry.count(CallMetrics.TRUNCATED));
     }
