--- a/org.berylwick/src/org/berylwick/internal/routing/ChoiceMetrics.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/ChoiceMetrics.java
@@ -15,7 +15,7 @@
     static final String EJECTIONS = "choice.ejections";
 
     /** Counter: members readmitted after an ejection. */
-    static final String RETURNS = "choice.returns";
+    static final String READMISSIONS = "choice.returns";
 
     private ChoiceMetrics() {}
 }
--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -74,7 +74,7 @@
         this.currentView = currentView;
         this.time = time;
         ejections = metrics.counter(ChoiceMetrics.EJECTIONS);
-        readmissions = metrics.counter(ChoiceMetrics.RETURNS);
+        readmissions = metrics.counter(ChoiceMetrics.READMISSIONS);
     }
 
     /** Records that a request is sent to a member; the returned attempt records its outcome. */
