--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -102,7 +102,7 @@
         f.time.advance(EjectionState.INITIAL_BACKOFF.multipliedBy(2).minusMillis(1));
         assertEquals("good", f.chooseMember(true).instance());
         f.time.advance(Duration.ofMillis(1));
-        for (int i = 0; i < EjectionState.SUCCESSES_TO_RETURN; i++) {
+        for (int i = 0; i < EjectionState.SUCCESSES_TO_READMIT; i++) {
             assertEquals("bad", f.chooseMember(true).instance());
             respond(bad, Duration.ZERO);
         }
--- a/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
@@ -15,7 +15,7 @@
     static final int FAILURES_TO_EJECT = 5;
 
     /** Consecutive successes that end a probation. */
-    static final int SUCCESSES_TO_RETURN = 3;
+    static final int SUCCESSES_TO_READMIT = 3;
 
     static final Duration INITIAL_BACKOFF = Duration.ofSeconds(1);
     static final Duration MAX_BACKOFF = Duration.ofSeconds(60);
@@ -64,7 +64,7 @@
             return false;
         }
         successesSinceEjection++;
-        if (successesSinceEjection < SUCCESSES_TO_RETURN) {
+        if (successesSinceEjection < SUCCESSES_TO_READMIT) {
             return false;
         }
         ejectedUntil = Optional.empty();
