--- a/org.berylwick/src/org/berylwick/internal/routing/MemberLoadRecord.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberLoadRecord.java
@@ -23,7 +23,7 @@
      */
     private static final long MIN_INCARNATION_GAP_BETWEEN_STARTS = 1_000;
 
-    private static final double INITIAL_WEIGHT = 0.1;
+    private static final double INITIAL_SLOW_START_FACTOR = 0.1;
     private static final double LATENCY_SMOOTHING_FACTOR = 0.1;
 
     private final Member member;
@@ -100,7 +100,7 @@
             return 1;
         }
         double ageRatio = (double) (nowNanos - appearedAtNanos.get()) / SLOW_START_DURATION.toNanos();
-        return Math.clamp(ageRatio, INITIAL_WEIGHT, 1);
+        return Math.clamp(ageRatio, INITIAL_SLOW_START_FACTOR, 1);
     }
 
     synchronized EjectionState.Status ejectionStatus(long nowNanos) {
