--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -192,7 +192,7 @@
     void membersKnownAtProcessStartHaveFullWeight() {
         Member a = f.add("a", MAKATI);
         f.countChoices(1);
-        assertEquals(1, f.loads.record(a).weight(f.time.nanoTime()));
+        assertEquals(1, f.loads.record(a).slowStartFactor(f.time.nanoTime()));
     }
 
     @Test
--- a/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
@@ -183,7 +183,7 @@
     }
 
     private double weight(Member m, long nowNanos) {
-        return Math.max(1, m.slots()) * loads.record(m).weight(nowNanos);
+        return Math.max(1, m.slots()) * loads.record(m).slowStartFactor(nowNanos);
     }
 
     private double utilization(Member m, long nowNanos) {
--- a/org.berylwick/src/org/berylwick/internal/routing/MemberLoadRecord.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberLoadRecord.java
@@ -95,7 +95,7 @@
     }
 
     /** Factor applied to the slots of a new member when requests are distributed; rises linearly to 1. */
-    double weight(long nowNanos) {
+    double slowStartFactor(long nowNanos) {
         if (appearedAtNanos.isEmpty()) {
             return 1;
         }
--- a/org.berylwick/src/org/berylwick/internal/routing/Tiers.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/Tiers.java
@@ -67,7 +67,7 @@
         for (Member m : members) {
             MemberLoadRecord loadRecord = loads.record(m);
             load += loadRecord.load(nowNanos);
-            capacity += Math.max(1, m.slots()) * loadRecord.weight(nowNanos);
+            capacity += Math.max(1, m.slots()) * loadRecord.slowStartFactor(nowNanos);
         }
         return new Tier(distance, members, load, capacity);
     }
