--- a/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
@@ -68,7 +68,7 @@
      * @param tried instances that have already refused this request
      */
     public MemberChoice choose(MembershipView members, RouteMatch match, Set<String> tried) {
-        loads.updateMembers();
+        loads.updateRecords();
         long nowNanos = time.nanoTime();
         List<Member> selected = members.ofService(match.route().service()).stream()
                 .filter(m -> match.route().servers().matches(m.labels()))
--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -178,7 +178,7 @@
      * <p>Members that existed when this process first saw their service get full weight at once: this process may be
      * new, but they are not.
      */
-    void updateMembers() {
+    void updateRecords() {
         if (currentView.get() != appliedView) {
             applyCurrentView();
         }
