--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -200,10 +200,10 @@
         Member a = f.add("a", MAKATI);
         f.add("b", MAKATI);
         f.countChoices(1);
-        assertEquals(2, f.loads.size());
+        assertEquals(2, f.loads.recordCount());
         f.remove(a);
         f.countChoices(1);
-        assertEquals(1, f.loads.size());
+        assertEquals(1, f.loads.recordCount());
     }
 
     @Test
--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -200,7 +200,7 @@
     }
 
     /** Number of members that have a record. */
-    int size() {
+    int recordCount() {
         return recordsByInstance.size();
     }
 
