--- a/org.berylwick/src/org/berylwick/internal/routing/RoutingTable.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/RoutingTable.java
@@ -33,7 +33,7 @@
     public static RoutingTable compile(Configuration configuration) {
         Map<String, List<RouteMatch>> matchesByHost = new HashMap<>();
         for (Brand brand : configuration.brands().values()) {
-            List<RouteMatch> matches = routesOf(configuration, brand);
+            List<RouteMatch> matches = matchesOf(configuration, brand);
             for (String host : brand.hosts()) {
                 matchesByHost.put(host.toLowerCase(Locale.ROOT), matches);
             }
@@ -41,7 +41,7 @@
         return new RoutingTable(Map.copyOf(matchesByHost));
     }
 
-    private static List<RouteMatch> routesOf(Configuration configuration, Brand brand) {
+    private static List<RouteMatch> matchesOf(Configuration configuration, Brand brand) {
         List<RouteMatch> matches = new ArrayList<>();
         for (Route route : configuration.routes().values()) {
             if (!route.brands().matches(brand.labels())) {
