--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserPropertyTest.java
@@ -93,7 +93,7 @@
         assertTrue(kept >= capacity / (capacity + fartherSlots) - 1e-9 && kept <= 1);
         assertTrue(keptAtHigherLoad <= kept + 1e-9);
         assertTrue(kept - keptAtHigherLoad < 0.08);
-        assertTrue(nearLoad / capacity > Tiers.SPILL_THRESHOLD || kept == 1);
+        assertTrue(nearLoad / capacity > Tiers.SPILL_UTILIZATION_THRESHOLD || kept == 1);
         assertTrue(nearLoad / capacity > fartherLoad / fartherSlots || kept == 1);
     }
 
--- a/org.berylwick/src/org/berylwick/internal/routing/Tiers.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/Tiers.java
@@ -13,7 +13,7 @@
  */
 final class Tiers {
     /** Utilization above which a tier spills requests over. */
-    static final double SPILL_THRESHOLD = 0.6;
+    static final double SPILL_UTILIZATION_THRESHOLD = 0.6;
 
     /**
      * Difference in utilization from which spillover is not reduced. With smaller differences it is reduced in
@@ -83,7 +83,7 @@
         if (capacity == 0) {
             return 1;
         }
-        double pressure = Math.clamp((nearTier.utilization() - SPILL_THRESHOLD) / (1 - SPILL_THRESHOLD), 0, 1);
+        double pressure = Math.clamp((nearTier.utilization() - SPILL_UTILIZATION_THRESHOLD) / (1 - SPILL_UTILIZATION_THRESHOLD), 0, 1);
         double gapFactor = Math.clamp((nearTier.utilization() - load / capacity) / FULL_SPILL_UTILIZATION_GAP, 0, 1);
         double fairShare = nearTier.capacity / (nearTier.capacity + capacity);
         return 1 - pressure * gapFactor * (1 - fairShare);
