--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -39,7 +39,7 @@
     private final Scheduler scheduler;
     private final SlotMetrics metrics;
     private final Invariants invariants;
-    private final Map<TrafficClass, TrafficClassQueue> classes = new EnumMap<>(TrafficClass.class);
+    private final Map<TrafficClass, TrafficClassQueue> queuesByClass = new EnumMap<>(TrafficClass.class);
     private final UsableSlots usableSlots;
     private SlotLimits limits;
     private TrafficClassShares slotShares;
@@ -111,7 +111,7 @@
         usableSlots = new UsableSlots(limits.slots());
         for (TrafficClass c : TrafficClass.values()) {
             TrafficClassQueue queue = new TrafficClassQueue(c);
-            classes.put(c, queue);
+            queuesByClass.put(c, queue);
             metrics.gauge(SlotMetrics.IN_USE + c, queue::inUse);
             metrics.gauge(SlotMetrics.WAITING + c, queue::waiting);
         }
@@ -143,7 +143,7 @@
         SlotRequest request;
         synchronized (this) {
             long now = time.nanoTime();
-            TrafficClassQueue queue = classes.get(trafficClass);
+            TrafficClassQueue queue = queuesByClass.get(trafficClass);
             request = new SlotRequest(
                     trafficClass, deadline, nextSequence++, now, queue.meanHoldNanos(), this::removeCancelled);
             raiseUsableSlots(decisions);
@@ -176,7 +176,7 @@
 
     /** Number of slots in use by one class. */
     public synchronized int inUse(TrafficClass trafficClass) {
-        return classes.get(trafficClass).inUse();
+        return queuesByClass.get(trafficClass).inUse();
     }
 
     /** Number of waiting requests. */
@@ -221,7 +221,7 @@
         }
         Optional<TrafficClassQueue> mostBorrowed = Optional.empty();
         int maxBorrowed = 0;
-        for (TrafficClassQueue q : classes.values()) {
+        for (TrafficClassQueue q : queuesByClass.values()) {
             int borrowed = q.waiting() - queueShares.guarantee(q.trafficClass());
             if (borrowed > 0 && borrowed >= maxBorrowed) {
                 maxBorrowed = borrowed;
@@ -245,7 +245,7 @@
             return true;
         }
         int reserved = 0;
-        for (TrafficClassQueue q : classes.values()) {
+        for (TrafficClassQueue q : queuesByClass.values()) {
             reserved += q == queue ? q.inUse() : Math.max(q.inUse(), slotShares.guarantee(q.trafficClass()));
         }
         return reserved < usableSlots.usable();
@@ -253,7 +253,7 @@
 
     private Optional<TrafficClassQueue> nextClassToServe() {
         Optional<TrafficClassQueue> furthestBelowGuarantee = Optional.empty();
-        for (TrafficClassQueue q : classes.values()) {
+        for (TrafficClassQueue q : queuesByClass.values()) {
             if (q.waiting() > 0
                     && q.inUse() < slotShares.guarantee(q.trafficClass())
                     && (furthestBelowGuarantee.isEmpty()
@@ -264,7 +264,7 @@
         if (furthestBelowGuarantee.isPresent()) {
             return furthestBelowGuarantee.filter(this::mayAcquire);
         }
-        return classes.values().stream()
+        return queuesByClass.values().stream()
                 .filter(q -> q.waiting() > 0 && mayAcquire(q))
                 .findFirst();
     }
@@ -289,10 +289,10 @@
 
     private Decision admit(SlotRequest request) {
         inUse++;
-        classes.get(request.trafficClass()).acquireSlot();
+        queuesByClass.get(request.trafficClass()).acquireSlot();
         metrics.admitted(request.trafficClass());
         int heldByClass =
-                classes.values().stream().mapToInt(TrafficClassQueue::inUse).sum();
+                queuesByClass.values().stream().mapToInt(TrafficClassQueue::inUse).sum();
         int heldSlots = inUse;
         invariants.check(
                 Invariant.SLOTS_EXACT,
@@ -308,7 +308,7 @@
     }
 
     private long retryAfterMillis(TrafficClass trafficClass) {
-        TrafficClassQueue queue = classes.get(trafficClass);
+        TrafficClassQueue queue = queuesByClass.get(trafficClass);
         if (queue.meanHoldNanos() == 0) {
             return DEFAULT_RETRY_AFTER.toMillis();
         }
@@ -319,7 +319,7 @@
     private void release(TrafficClass trafficClass, Optional<Long> acquiredAtNanos) {
         List<Decision> decisions = new ArrayList<>(1);
         synchronized (this) {
-            TrafficClassQueue queue = classes.get(trafficClass);
+            TrafficClassQueue queue = queuesByClass.get(trafficClass);
             queue.releaseSlot();
             inUse--;
             acquiredAtNanos.ifPresent(acquiredAt -> queue.recordHoldTime(time.nanoTime() - acquiredAt));
@@ -360,7 +360,7 @@
     }
 
     private void refuseUnservable(List<Decision> decisions) {
-        for (TrafficClassQueue q : classes.values()) {
+        for (TrafficClassQueue q : queuesByClass.values()) {
             q.removeUnservable(time.nanoTime(), slotShares.guarantee(q.trafficClass()), request -> {
                 waiting--;
                 boolean expired = request.startByNanos() - time.nanoTime() <= 0;
@@ -370,7 +370,7 @@
     }
 
     private synchronized void removeCancelled(SlotRequest request) {
-        if (classes.get(request.trafficClass()).remove(request)) {
+        if (queuesByClass.get(request.trafficClass()).remove(request)) {
             waiting--;
             metrics.cancelled(request.trafficClass());
         }
@@ -385,7 +385,7 @@
             return;
         }
         Optional<Deadline> earliest = usableSlots.nextRaise();
-        for (TrafficClassQueue q : classes.values()) {
+        for (TrafficClassQueue q : queuesByClass.values()) {
             if (q.waiting() > 0) {
                 Deadline start = new Deadline(q.peekFirst().orElseThrow().startByNanos());
                 earliest = Optional.of(earliest.map(start::earlier).orElse(start));
