--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -46,7 +46,7 @@
     private TrafficClassShares queueShares;
     private int inUse;
     private int waiting;
-    private long nextSequence;
+    private long nextArrivalNumber;
     private Optional<Deadline> scheduledWakeUp = Optional.empty();
 
     /** Result of a request for a slot. */
@@ -145,7 +145,7 @@
             long now = time.nanoTime();
             TrafficClassQueue queue = queuesByClass.get(trafficClass);
             request = new SlotRequest(
-                    trafficClass, deadline, nextSequence++, now, queue.meanHoldNanos(), this::removeCancelled);
+                    trafficClass, deadline, nextArrivalNumber++, now, queue.meanHoldNanos(), this::removeCancelled);
             raiseUsableSlots(decisions);
             if (deadline.isPast(time)) {
                 decisions.add(refuse(request, RefusalCause.EXPIRED));
