--- a/org.berylwick/src/org/berylwick/internal/limit/SlotMetrics.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotMetrics.java
@@ -40,7 +40,7 @@
     private final MetricRegistry registry;
     private final Map<TrafficClass, Counter> admitted = new EnumMap<>(TrafficClass.class);
     private final Map<TrafficClass, Counter> cancelled = new EnumMap<>(TrafficClass.class);
-    private final Map<TrafficClass, Histogram> waits = new EnumMap<>(TrafficClass.class);
+    private final Map<TrafficClass, Histogram> waitMicros = new EnumMap<>(TrafficClass.class);
     private final Map<TrafficClass, Map<RefusalCause, Counter>> refused = new EnumMap<>(TrafficClass.class);
     private final Counter sheds;
 
@@ -50,7 +50,7 @@
         for (TrafficClass c : TrafficClass.values()) {
             admitted.put(c, registry.counter(ADMITTED + c));
             cancelled.put(c, registry.counter(CANCELLED + c));
-            waits.put(c, registry.histogram(WAIT_MICROS + c));
+            waitMicros.put(c, registry.histogram(WAIT_MICROS + c));
             Map<RefusalCause, Counter> causes = new EnumMap<>(RefusalCause.class);
             for (RefusalCause cause : RefusalCause.values()) {
                 causes.put(cause, registry.counter(REFUSED + c + "." + cause));
@@ -68,7 +68,7 @@
     }
 
     void waited(TrafficClass c, long nanos) {
-        waits.get(c).update(nanos / 1_000);
+        waitMicros.get(c).update(nanos / 1_000);
     }
 
     void cancelled(TrafficClass c) {
