--- a/org.berylwick/src/org/berylwick/internal/limit/SlotRequest.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotRequest.java
@@ -9,7 +9,7 @@
 final class SlotRequest extends CompletableFuture<SlotLimiter.Admission> {
     private final TrafficClass trafficClass;
     private final Deadline deadline;
-    private final long sequence;
+    private final long arrivalNumber;
     private final long arrivedAtNanos;
     private final long startByNanos;
     private final Consumer<SlotRequest> onCancel;
@@ -29,7 +29,7 @@
             Consumer<SlotRequest> onCancel) {
         this.trafficClass = trafficClass;
         this.deadline = deadline;
-        this.sequence = sequence;
+        this.arrivalNumber = sequence;
         this.arrivedAtNanos = nowNanos;
         this.onCancel = onCancel;
         // A request that starts later would most likely exceed its deadline and waste the slot. The margin is only
@@ -48,7 +48,7 @@
     }
 
     long sequence() {
-        return sequence;
+        return arrivalNumber;
     }
 
     long arrivedAtNanos() {
