--- a/org.berylwick/src/org/berylwick/internal/limit/SlotRequest.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotRequest.java
@@ -47,7 +47,7 @@
         return deadline;
     }
 
-    long sequence() {
+    long arrivalNumber() {
         return arrivalNumber;
     }
 
--- a/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
@@ -19,7 +19,7 @@
 
     private static final Comparator<SlotRequest> EARLIEST_START_FIRST = (a, b) -> {
         int byStart = Long.signum(a.startByNanos() - b.startByNanos());
-        return byStart != 0 ? byStart : Long.signum(a.sequence() - b.sequence());
+        return byStart != 0 ? byStart : Long.signum(a.arrivalNumber() - b.arrivalNumber());
     };
 
     /**
