--- a/org.berylwick/src/org/berylwick/internal/limit/SlotRequest.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotRequest.java
@@ -11,7 +11,7 @@
     private final Deadline deadline;
     private final long arrivalNumber;
     private final long arrivedAtNanos;
-    private final long startByNanos;
+    private final long latestStartAtNanos;
     private final Consumer<SlotRequest> onCancel;
 
     /**
@@ -36,7 +36,7 @@
         // half the mean hold time, and at most half of the remaining time, because run times differ widely within a
         // class.
         long margin = Math.min(meanHoldNanos / 2, (deadline.atNanos() - nowNanos) / 2);
-        this.startByNanos = deadline.atNanos() - Math.max(0, margin);
+        this.latestStartAtNanos = deadline.atNanos() - Math.max(0, margin);
     }
 
     TrafficClass trafficClass() {
@@ -57,7 +57,7 @@
 
     /** Latest time at which the request is still started. */
     long startByNanos() {
-        return startByNanos;
+        return latestStartAtNanos;
     }
 
     @Override
