--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -195,7 +195,7 @@
     }
 
     private void enqueue(TrafficClassQueue queue, SlotRequest request, List<Decision> decisions) {
-        long untilStart = request.startByNanos() - time.nanoTime();
+        long untilStart = request.latestStartAtNanos() - time.nanoTime();
         if (untilStart
                 < queue.estimateWaitNanos(queue.countAhead(request), slotShares.guarantee(request.trafficClass()))) {
             decisions.add(refuse(request, RefusalCause.TOO_SLOW));
@@ -277,7 +277,7 @@
         for (Optional<TrafficClassQueue> q = nextClassToServe(); q.isPresent(); q = nextClassToServe()) {
             SlotRequest request = q.get().pollFirst();
             waiting--;
-            if (request.startByNanos() - time.nanoTime() <= 0) {
+            if (request.latestStartAtNanos() - time.nanoTime() <= 0) {
                 decisions.add(refuse(request, RefusalCause.EXPIRED));
                 continue;
             }
@@ -363,7 +363,7 @@
         for (TrafficClassQueue q : queuesByClass.values()) {
             q.removeUnservable(time.nanoTime(), slotShares.guarantee(q.trafficClass()), request -> {
                 waiting--;
-                boolean expired = request.startByNanos() - time.nanoTime() <= 0;
+                boolean expired = request.latestStartAtNanos() - time.nanoTime() <= 0;
                 decisions.add(refuse(request, expired ? RefusalCause.EXPIRED : RefusalCause.TOO_SLOW));
             });
         }
@@ -387,7 +387,7 @@
         Optional<Deadline> earliest = usableSlots.nextRaise();
         for (TrafficClassQueue q : queuesByClass.values()) {
             if (q.waiting() > 0) {
-                Deadline start = new Deadline(q.peekFirst().orElseThrow().startByNanos());
+                Deadline start = new Deadline(q.peekFirst().orElseThrow().latestStartAtNanos());
                 earliest = Optional.of(earliest.map(start::earlier).orElse(start));
             }
         }
--- a/org.berylwick/src/org/berylwick/internal/limit/SlotRequest.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotRequest.java
@@ -56,7 +56,7 @@
     }
 
     /** Latest time at which the request is still started. */
-    long startByNanos() {
+    long latestStartAtNanos() {
         return latestStartAtNanos;
     }
 
--- a/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
@@ -18,7 +18,7 @@
     static final Duration MAX_HOLD_TIME_TO_BORROW = Duration.ofSeconds(1);
 
     private static final Comparator<SlotRequest> EARLIEST_START_FIRST = (a, b) -> {
-        int byStart = Long.signum(a.startByNanos() - b.startByNanos());
+        int byStart = Long.signum(a.latestStartAtNanos() - b.latestStartAtNanos());
         return byStart != 0 ? byStart : Long.signum(a.arrivalNumber() - b.arrivalNumber());
     };
 
@@ -121,8 +121,8 @@
         int ahead = 0;
         for (Iterator<SlotRequest> i = waitingRequests.iterator(); i.hasNext(); ) {
             SlotRequest request = i.next();
-            if (request.startByNanos() - nowNanos > 0
-                    && request.startByNanos() - nowNanos >= estimateWaitNanos(ahead, slots)) {
+            if (request.latestStartAtNanos() - nowNanos > 0
+                    && request.latestStartAtNanos() - nowNanos >= estimateWaitNanos(ahead, slots)) {
                 ahead++;
                 continue;
             }
