--- a/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
@@ -17,7 +17,7 @@
     /** Longest mean hold time with which a class may borrow; with longer ones it returns slots too late. */
     static final Duration MAX_HOLD_TIME_TO_BORROW = Duration.ofSeconds(1);
 
-    private static final Comparator<SlotRequest> EARLIEST_START_FIRST = (a, b) -> {
+    private static final Comparator<SlotRequest> BY_LATEST_START = (a, b) -> {
         int byStart = Long.signum(a.latestStartAtNanos() - b.latestStartAtNanos());
         return byStart != 0 ? byStart : Long.signum(a.arrivalNumber() - b.arrivalNumber());
     };
@@ -29,7 +29,7 @@
     private static final double HOLD_TIME_SMOOTHING_FACTOR = 0.1;
 
     private final TrafficClass trafficClass;
-    private final TreeSet<SlotRequest> waitingRequests = new TreeSet<>(EARLIEST_START_FIRST);
+    private final TreeSet<SlotRequest> waitingRequests = new TreeSet<>(BY_LATEST_START);
     private int inUse;
     private double meanHoldNanos;
 
