--- a/org.berylwick/src/org/berylwick/internal/retry/AttemptHistory.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/AttemptHistory.java
@@ -11,10 +11,10 @@
  * @param mayHaveRun whether any attempt may have run the request
  * @param lastRefusalReason reason of the last refused attempt
  * @param retryAfterMillis retry delay that the last refusal suggested
- * @param detail detail of the last unknown outcome, empty if there was none
+ * @param lastUnknownDetail detail of the last unknown outcome, empty if there was none
  */
 public record AttemptHistory(
-        int attempts, boolean mayHaveRun, RefusalReason lastRefusalReason, Optional<Long> retryAfterMillis, String detail) {
+        int attempts, boolean mayHaveRun, RefusalReason lastRefusalReason, Optional<Long> retryAfterMillis, String lastUnknownDetail) {
     /** History of a request without attempts. */
     public static final AttemptHistory NONE =
             new AttemptHistory(0, false, RefusalReason.NO_MEMBER, Optional.empty(), "");
@@ -26,7 +26,7 @@
                 throw new IllegalArgumentException(
                         "an answered attempt cannot be added: an answered request is not retried");
             case Outcome.RefusedNotRun<?>(RefusalReason refusalReason, Optional<Long> retryAfter) ->
-                new AttemptHistory(attempts + 1, mayHaveRun, refusalReason, retryAfter, detail);
+                new AttemptHistory(attempts + 1, mayHaveRun, refusalReason, retryAfter, lastUnknownDetail);
             case Outcome.Unknown<?>(String unknownDetail) ->
                 new AttemptHistory(attempts + 1, true, lastRefusalReason, retryAfterMillis, unknownDetail);
         };
@@ -39,6 +39,6 @@
      * the caller would send a request again that is reported as not run.
      */
     public <A> Outcome<A> finalOutcome() {
-        return mayHaveRun ? new Outcome.Unknown<>(detail) : new Outcome.RefusedNotRun<>(lastRefusalReason, retryAfterMillis);
+        return mayHaveRun ? new Outcome.Unknown<>(lastUnknownDetail) : new Outcome.RefusedNotRun<>(lastRefusalReason, retryAfterMillis);
     }
 }
