--- a/org.berylwick/src/org/berylwick/internal/retry/RetryBudget.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/RetryBudget.java
@@ -15,7 +15,7 @@
     private final double retryRatio;
     private final int minRetries;
     private final long bucketNanos;
-    private final long originNanos;
+    private final long createdAtNanos;
     private final long[] requests = new long[BUCKETS];
     private final long[] retries = new long[BUCKETS];
     private long newestBucket;
@@ -32,7 +32,7 @@
         this.retryRatio = retryRatio;
         this.minRetries = minRetries;
         this.bucketNanos = Math.max(1, windowMillis * 1_000_000L / BUCKETS);
-        this.originNanos = time.nanoTime();
+        this.createdAtNanos = time.nanoTime();
     }
 
     /** Counts a request; to be called once per request, not per attempt. */
@@ -51,7 +51,7 @@
     }
 
     private int currentBucketIndex() {
-        long bucket = (time.nanoTime() - originNanos) / bucketNanos;
+        long bucket = (time.nanoTime() - createdAtNanos) / bucketNanos;
         long expiredBuckets = Math.min(BUCKETS, bucket - newestBucket);
         for (long i = 1; i <= expiredBuckets; i++) {
             int index = (int) ((newestBucket + i) % BUCKETS);
