--- a/org.berylwick/src/org/berylwick/internal/retry/RetryBudget.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/RetryBudget.java
@@ -37,12 +37,12 @@
 
     /** Counts a request; to be called once per request, not per attempt. */
     public synchronized void countRequest() {
-        requests[currentBucketIndex()]++;
+        requests[advanceToCurrentBucket()]++;
     }
 
     /** Takes one retry from the budget; returns false if none is left. */
     public synchronized boolean tryAcquireRetry() {
-        int index = currentBucketIndex();
+        int index = advanceToCurrentBucket();
         if (sum(retries) + 1 > minRetries + retryRatio * sum(requests)) {
             return false;
         }
@@ -50,7 +50,7 @@
         return true;
     }
 
-    private int currentBucketIndex() {
+    private int advanceToCurrentBucket() {
         long bucket = (time.nanoTime() - createdAtNanos) / bucketNanos;
         long expiredBuckets = Math.min(BUCKETS, bucket - newestBucket);
         for (long i = 1; i <= expiredBuckets; i++) {
