--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyDuty.java
@@ -42,7 +42,7 @@
     private static final long CLOSE_TIMEOUT_MILLIS = 5_000;
     private static final long CLOSE_POLL_INTERVAL_MILLIS = 10;
 
-    private final KeyClaimStore claims;
+    private final KeyClaimStore claimStore;
     private final Invariants invariants;
     private final TimeSource time;
     private final AtomicInteger outstandingClaims = new AtomicInteger();
@@ -63,7 +63,7 @@
      */
     public KeyDuty(
             PlatformStore store, String claimant, Invariants invariants, MetricRegistry metrics, TimeSource time) {
-        this.claims = new KeyClaimStore(store, claimant, time);
+        this.claimStore = new KeyClaimStore(store, claimant, time);
         this.invariants = invariants;
         this.time = time;
         granted = metrics.counter(KeyMetrics.GRANTED);
@@ -84,7 +84,7 @@
     @Override
     public void start() {
         for (int i = 0; i < THREADS; i++) {
-            workers.add(new KeyWorker(NAME + "-" + i, this, claims, time));
+            workers.add(new KeyWorker(NAME + "-" + i, this, claimStore, time));
         }
     }
 
