--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
@@ -16,7 +16,7 @@
     private static final long RETRY_DELAY_MILLIS = 500;
 
     private final KeyDuty keyDuty;
-    private final KeyClaimStore claims;
+    private final KeyClaimStore claimStore;
     private final TimeSource time;
     private final Ring<KeyJob> jobs = new Ring<>(KeyDuty.MAX_OUTSTANDING_CLAIMS);
     private final ArrayDeque<PendingRetry> retries = new ArrayDeque<>();
@@ -26,7 +26,7 @@
 
     KeyWorker(String name, KeyDuty keyDuty, KeyClaimStore claims, TimeSource time) {
         this.keyDuty = keyDuty;
-        this.claims = claims;
+        this.claimStore = claims;
         this.time = time;
         this.duty = new Duty(name, this::runRound);
     }
@@ -74,7 +74,7 @@
     // as outstanding forever. An exception is therefore treated like a store call without a response.
     private ClaimOutcome tryClaim(KeyJob.Claim job) {
         try {
-            return claims.claim(job.request(), job.deadline());
+            return claimStore.claim(job.request(), job.deadline());
         } catch (RuntimeException e) {
             return new ClaimOutcome.Refused(new ClaimError.Undecided(e.toString()), Optional.empty());
         }
@@ -82,7 +82,7 @@
 
     private SettleOutcome trySettle(KeyJob.Settle job) {
         try {
-            return claims.settle(job.claim(), job.settlement(), Deadline.afterMillis(time, SETTLE_TIMEOUT_MILLIS));
+            return claimStore.settle(job.claim(), job.settlement(), Deadline.afterMillis(time, SETTLE_TIMEOUT_MILLIS));
         } catch (RuntimeException e) {
             return new SettleOutcome.RetryNeeded(new ClaimError.Undecided(e.toString()));
         }
