--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
@@ -32,7 +32,7 @@
     private static final StoredResponse RESPONSE = new StoredResponse(
             201, List.of(new StoredResponse.Header("location", "/placements/9")), new byte[] {1, 2, 3});
     private static final int CLAIMANTS = 3;
-    private static final int REQUESTS_EACH = 2;
+    private static final int REQUESTS_PER_CLAIMANT = 2;
     private static final int SETTLE_ATTEMPTS = 200;
 
     private final ManualTimeSource time = new ManualTimeSource();
@@ -59,7 +59,7 @@
     }
 
     private void runClaimant(KeyClaimStore claims, Random behaviors, Counts counts) {
-        for (int i = 0; i < REQUESTS_EACH; i++) {
+        for (int i = 0; i < REQUESTS_PER_CLAIMANT; i++) {
             switch (claims.claim(request(), distantDeadline)) {
                 case ClaimOutcome.Granted(KeyClaim claim) -> {
                     if (!runRequest(
