--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
@@ -169,10 +169,10 @@
         assertInstanceOf(ClaimOutcome.Taken.class, claims.claim(request(), distantDeadline));
         time.advance(Duration.ofMillis(1));
         assertInstanceOf(ClaimOutcome.Granted.class, claims.claim(request(), distantDeadline));
-        assertEquals(1, slot(store).records().size());
+        assertEquals(1, readSlot(store).records().size());
     }
 
-    private KeySlot slot(MemoryStore store) {
+    private KeySlot readSlot(MemoryStore store) {
         return value(KeySlot.decode(value(store.get(KEY.slotObjectKey(), distantDeadline))
                 .orElseThrow()
                 .value()));
