--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
@@ -173,12 +173,12 @@
     }
 
     private KeySlot readSlot(MemoryStore store) {
-        return value(KeySlot.decode(value(store.get(KEY.slotObjectKey(), distantDeadline))
+        return okValue(KeySlot.decode(okValue(store.get(KEY.slotObjectKey(), distantDeadline))
                 .orElseThrow()
                 .value()));
     }
 
-    private static <T, E> T value(Result<T, E> result) {
+    private static <T, E> T okValue(Result<T, E> result) {
         return switch (result) {
             case Result.Ok<T, E>(T value) -> value;
             case Result.Err<T, E>(E error) -> throw new AssertionError(error);
@@ -193,7 +193,7 @@
             KeyRecord record = new KeyRecord("k" + i, "f", "c" + i, "d", i, new KeyState.Answered(response));
             slot = slot.withRecord(record, i);
         }
-        KeySlot reencoded = value(KeySlot.decode(slot.encode(3_400).orElseThrow()));
+        KeySlot reencoded = okValue(KeySlot.decode(slot.encode(3_400).orElseThrow()));
         assertEquals(new KeyState.Ran(200), reencoded.records().get(0).run());
         assertEquals(slot.records().subList(1, 3), reencoded.records().subList(1, 3));
         assertEquals(Optional.empty(), slot.encode(100));
@@ -244,7 +244,7 @@
         assertInstanceOf(ClaimError.Unreadable.class, refused.error());
         assertEquals(
                 1,
-                value(store.get(KEY.slotObjectKey(), distantDeadline))
+                okValue(store.get(KEY.slotObjectKey(), distantDeadline))
                         .orElseThrow()
                         .value()
                         .length);
