--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterFixture.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterFixture.java
@@ -46,7 +46,7 @@
         return admission.isDone() && !admission.isCancelled() && admission.join() instanceof Admission.Refused;
     }
 
-    long breaches() {
+    long slotsExactBreaches() {
         return invariants.breaches(Invariant.SLOTS_EXACT);
     }
 }
--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
@@ -72,7 +72,7 @@
         held.forEach(Permit::close);
         assertEquals(0, f.limiter.inUse());
         assertEquals(0, f.limiter.waiting());
-        assertEquals(0, f.breaches());
+        assertEquals(0, f.slotsExactBreaches());
     }
 
     @Property(seed = "20262", tries = 60)
@@ -160,7 +160,7 @@
         }
         assertEquals(0, f.limiter.inUse());
         assertEquals(0, f.limiter.waiting());
-        assertEquals(0, f.breaches());
+        assertEquals(0, f.slotsExactBreaches());
     }
 
     private static void acquireAndReleaseRepeatedly(SlotLimiterFixture f) {
