--- a/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/routing/MemberChooserTest.java
@@ -104,7 +104,7 @@
         f.time.advance(Duration.ofMillis(1));
         for (int i = 0; i < EjectionState.SUCCESSES_TO_READMIT; i++) {
             assertEquals("bad", f.chooseMember(true).instance());
-            respond(bad, Duration.ZERO);
+            respondAfter(bad, Duration.ZERO);
         }
         assertTrue(f.countChoices(CHOICES).containsKey("bad"));
     }
@@ -140,7 +140,7 @@
         f.add("c", MAKATI);
         f.add("d", MAKATI);
         for (int i = 0; i < 40; i++) {
-            f.members.forEach(m -> respond(m, Duration.ofMillis(m == slow ? 2_000 : 20)));
+            f.members.forEach(m -> respondAfter(m, Duration.ofMillis(m == slow ? 2_000 : 20)));
         }
         assertFalse(f.countChoices(CHOICES).containsKey("slow"));
     }
@@ -152,7 +152,7 @@
         f.add("c", MAKATI);
         f.add("d", MAKATI);
         for (int i = 0; i < 40; i++) {
-            f.members.forEach(m -> respond(m, Duration.ofMillis(m == far ? 200 : 1)));
+            f.members.forEach(m -> respondAfter(m, Duration.ofMillis(m == far ? 200 : 1)));
         }
         assertEquals(EjectionState.Status.HEALTHY, f.loads.record(far).ejectionStatus(f.time.nanoTime()));
     }
@@ -229,7 +229,7 @@
         assertInstanceOf(MemberChoice.AllTried.class, f.choose(true, Set.of("a", "b", "c")));
     }
 
-    private void respond(Member m, Duration after) {
+    private void respondAfter(Member m, Duration after) {
         try (PeerLoads.Attempt a = f.loads.begin(m)) {
             f.time.advance(after);
             a.responseStarted(true);
