--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -142,10 +142,10 @@
         List<Decision> decisions = new ArrayList<>(1);
         SlotRequest request;
         synchronized (this) {
-            long now = time.nanoTime();
+            long nowNanos = time.nanoTime();
             TrafficClassQueue queue = queuesByClass.get(trafficClass);
             request = new SlotRequest(
-                    trafficClass, deadline, nextArrivalNumber++, now, queue.meanHoldNanos(), this::removeCancelled);
+                    trafficClass, deadline, nextArrivalNumber++, nowNanos, queue.meanHoldNanos(), this::removeCancelled);
             raiseUsableSlots(decisions);
             if (deadline.isPast(time)) {
                 decisions.add(refuse(request, RefusalCause.EXPIRED));
@@ -195,8 +195,8 @@
     }
 
     private void enqueue(TrafficClassQueue queue, SlotRequest request, List<Decision> decisions) {
-        long untilStart = request.latestStartAtNanos() - time.nanoTime();
-        if (untilStart
+        long nanosUntilLatestStart = request.latestStartAtNanos() - time.nanoTime();
+        if (nanosUntilLatestStart
                 < queue.estimateWaitNanos(queue.countAhead(request), slotShares.guarantee(request.trafficClass()))) {
             decisions.add(refuse(request, RefusalCause.TOO_SLOW));
             return;
@@ -387,8 +387,8 @@
         Optional<Deadline> earliest = usableSlots.nextRaise();
         for (TrafficClassQueue q : queuesByClass.values()) {
             if (q.waiting() > 0) {
-                Deadline start = new Deadline(q.peekFirst().orElseThrow().latestStartAtNanos());
-                earliest = Optional.of(earliest.map(start::earlier).orElse(start));
+                Deadline latestStart = new Deadline(q.peekFirst().orElseThrow().latestStartAtNanos());
+                earliest = Optional.of(earliest.map(latestStart::earlier).orElse(latestStart));
             }
         }
         Deadline wakeUpAt = earliest.orElseThrow();
