--- a/org.berylwick/src/org/berylwick/internal/limit/SlotRequest.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotRequest.java
@@ -23,20 +23,20 @@
     SlotRequest(
             TrafficClass trafficClass,
             Deadline deadline,
-            long sequence,
-            long nowNanos,
+            long arrivalNumber,
+            long arrivedAtNanos,
             long meanHoldNanos,
             Consumer<SlotRequest> onCancel) {
         this.trafficClass = trafficClass;
         this.deadline = deadline;
-        this.arrivalNumber = sequence;
-        this.arrivedAtNanos = nowNanos;
+        this.arrivalNumber = arrivalNumber;
+        this.arrivedAtNanos = arrivedAtNanos;
         this.onCancel = onCancel;
         // A request that starts later would most likely exceed its deadline and waste the slot. The margin is only
         // half the mean hold time, and at most half of the remaining time, because run times differ widely within a
         // class.
-        long margin = Math.min(meanHoldNanos / 2, (deadline.atNanos() - nowNanos) / 2);
-        this.latestStartAtNanos = deadline.atNanos() - Math.max(0, margin);
+        long marginNanos = Math.min(meanHoldNanos / 2, (deadline.atNanos() - arrivedAtNanos) / 2);
+        this.latestStartAtNanos = deadline.atNanos() - Math.max(0, marginNanos);
     }
 
     TrafficClass trafficClass() {
