--- a/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
@@ -18,8 +18,8 @@
     static final Duration MAX_HOLD_TIME_TO_BORROW = Duration.ofSeconds(1);
 
     private static final Comparator<SlotRequest> BY_LATEST_START = (a, b) -> {
-        int byStart = Long.signum(a.latestStartAtNanos() - b.latestStartAtNanos());
-        return byStart != 0 ? byStart : Long.signum(a.arrivalNumber() - b.arrivalNumber());
+        int byLatestStart = Long.signum(a.latestStartAtNanos() - b.latestStartAtNanos());
+        return byLatestStart != 0 ? byLatestStart : Long.signum(a.arrivalNumber() - b.arrivalNumber());
     };
 
     /**
@@ -108,22 +108,22 @@
     /**
      * Estimates how long a request waits for a slot, based on the mean hold time.
      *
-     * @param ahead number of waiting requests before it
-     * @param slots number of slots guaranteed to the class
+     * @param requestsAhead number of waiting requests before it
+     * @param guaranteedSlots number of slots guaranteed to the class
      * @return nanoseconds from now
      */
-    long estimateWaitNanos(int ahead, int slots) {
-        return (long) ((ahead + 1) * meanHoldNanos / Math.max(1, Math.max(inUse, slots)));
+    long estimateWaitNanos(int requestsAhead, int guaranteedSlots) {
+        return (long) ((requestsAhead + 1) * meanHoldNanos / Math.max(1, Math.max(inUse, guaranteedSlots)));
     }
 
     /** Removes every waiting request that is not expected to start in time. */
-    void removeUnservable(long nowNanos, int slots, Consumer<SlotRequest> onRemoved) {
-        int ahead = 0;
+    void removeUnservable(long nowNanos, int guaranteedSlots, Consumer<SlotRequest> onRemoved) {
+        int requestsAhead = 0;
         for (Iterator<SlotRequest> i = waitingRequests.iterator(); i.hasNext(); ) {
             SlotRequest request = i.next();
             if (request.latestStartAtNanos() - nowNanos > 0
-                    && request.latestStartAtNanos() - nowNanos >= estimateWaitNanos(ahead, slots)) {
-                ahead++;
+                    && request.latestStartAtNanos() - nowNanos >= estimateWaitNanos(requestsAhead, guaranteedSlots)) {
+                requestsAhead++;
                 continue;
             }
             i.remove();
