--- a/org.berylwick/src/org/berylwick/internal/limit/TrafficClassShares.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/TrafficClassShares.java
@@ -58,8 +58,8 @@
                 .filter(e -> e.getValue() > 1)
                 .max(Comparator.comparingInt(Map.Entry::getValue))
                 .map(Map.Entry::getKey);
-        largest.ifPresent(r -> {
-            guarantees.merge(r, -1, Integer::sum);
+        largest.ifPresent(donor -> {
+            guarantees.merge(donor, -1, Integer::sum);
             guarantees.put(c, 1);
         });
     }
