--- a/org.berylwick/src/org/berylwick/internal/limit/UsableSlots.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/UsableSlots.java
@@ -61,12 +61,12 @@
         if (usable >= declared) {
             return false;
         }
-        long steps = (nowNanos - changedAtNanos) / RAISE_INTERVAL.toNanos();
-        if (steps <= 0) {
+        long elapsedIntervals = (nowNanos - changedAtNanos) / RAISE_INTERVAL.toNanos();
+        if (elapsedIntervals <= 0) {
             return false;
         }
-        usable = (int) Math.min(declared, usable + steps);
-        changedAtNanos += steps * RAISE_INTERVAL.toNanos();
+        usable = (int) Math.min(declared, usable + elapsedIntervals);
+        changedAtNanos += elapsedIntervals * RAISE_INTERVAL.toNanos();
         return true;
     }
 
