--- a/org.berylwick/src/org/berylwick/internal/retry/RetryRule.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/RetryRule.java
@@ -59,8 +59,8 @@
      * @return milliseconds, at least 1
      */
     public long attemptTimeoutMillis(AttemptHistory history, TimeSource time) {
-        long remaining = Math.max(1, deadline.remainingMillis(time));
+        long remainingMillis = Math.max(1, deadline.remainingMillis(time));
         boolean retryPossible = idempotent && replayable && history.attempts() + 1 < maxAttempts;
-        return retryPossible ? remaining - Math.min(MAX_RESERVE_MILLIS, remaining / RESERVE_DIVISOR) : remaining;
+        return retryPossible ? remainingMillis - Math.min(MAX_RESERVE_MILLIS, remainingMillis / RESERVE_DIVISOR) : remainingMillis;
     }
 }
