--- a/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
+++ b/org.berylwick/src/org/berylwick/internal/idempotency/KeyWorker.java
@@ -24,9 +24,9 @@
 
     private record PendingRetry(KeyJob.Settle job, Deadline notBefore) {}
 
-    KeyWorker(String name, KeyDuty keyDuty, KeyClaimStore claims, TimeSource time) {
+    KeyWorker(String name, KeyDuty keyDuty, KeyClaimStore claimStore, TimeSource time) {
         this.keyDuty = keyDuty;
-        this.claimStore = claims;
+        this.claimStore = claimStore;
         this.time = time;
         this.duty = new Duty(name, this::runRound);
     }
