--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
@@ -58,12 +58,12 @@
         private final AtomicInteger unreleasedClaims = new AtomicInteger();
     }
 
-    private void runClaimant(KeyClaimStore claims, Random behaviors, Counts counts) {
+    private void runClaimant(KeyClaimStore claimStore, Random behaviors, Counts counts) {
         for (int i = 0; i < REQUESTS_PER_CLAIMANT; i++) {
-            switch (claims.claim(request(), distantDeadline)) {
+            switch (claimStore.claim(request(), distantDeadline)) {
                 case ClaimOutcome.Granted(KeyClaim claim) -> {
                     if (!runRequest(
-                            claims,
+                            claimStore,
                             claim,
                             ClaimantBehavior.values()[behaviors.nextInt(ClaimantBehavior.values().length)],
                             counts)) {
@@ -76,12 +76,12 @@
                     }
                 }
                 case ClaimOutcome.Refused(var ignored, Optional<KeyClaim> claimToRelease) ->
-                    claimToRelease.ifPresent(claim -> settle(claims, claim, new Settlement.Release()));
+                    claimToRelease.ifPresent(claim -> settle(claimStore, claim, new Settlement.Release()));
             }
         }
     }
 
-    private boolean runRequest(KeyClaimStore claims, KeyClaim claim, ClaimantBehavior behavior, Counts counts) {
+    private boolean runRequest(KeyClaimStore claimStore, KeyClaim claim, ClaimantBehavior behavior, Counts counts) {
         if (behavior != ClaimantBehavior.NOT_RUN) {
             counts.unreleasedClaims.incrementAndGet();
         }
@@ -90,11 +90,11 @@
         }
         switch (behavior) {
             case ANSWERED -> {
-                settle(claims, claim, new Settlement.Keep(new KeyState.Answered(RESPONSE)));
+                settle(claimStore, claim, new Settlement.Keep(new KeyState.Answered(RESPONSE)));
                 counts.answered.incrementAndGet();
             }
-            case UNKNOWN -> settle(claims, claim, new Settlement.Keep(new KeyState.Unknown()));
-            case NOT_RUN -> settle(claims, claim, new Settlement.Release());
+            case UNKNOWN -> settle(claimStore, claim, new Settlement.Keep(new KeyState.Unknown()));
+            case NOT_RUN -> settle(claimStore, claim, new Settlement.Release());
             case CRASHED_BEFORE_SENDING, CRASHED_AFTER_SENDING -> {
                 return false;
             }
@@ -103,9 +103,9 @@
         return true;
     }
 
-    private void settle(KeyClaimStore claims, KeyClaim claim, Settlement settlement) {
+    private void settle(KeyClaimStore claimStore, KeyClaim claim, Settlement settlement) {
         for (int i = 0; i < SETTLE_ATTEMPTS; i++) {
-            switch (claims.settle(claim, settlement, distantDeadline)) {
+            switch (claimStore.settle(claim, settlement, distantDeadline)) {
                 case SettleOutcome.Settled() -> {
                     return;
                 }
@@ -130,11 +130,11 @@
         List<AssertionError> failures = new ArrayList<>();
         List<Runnable> claimants = new ArrayList<>();
         for (int i = 0; i < CLAIMANTS; i++) {
-            KeyClaimStore claims = new KeyClaimStore(interleaved.store(), "daemon-" + i, time);
+            KeyClaimStore claimStore = new KeyClaimStore(interleaved.store(), "daemon-" + i, time);
             Random behaviors = new Random(random.nextLong());
             claimants.add(() -> {
                 try {
-                    runClaimant(claims, behaviors, counts);
+                    runClaimant(claimStore, behaviors, counts);
                 } catch (AssertionError e) {
                     failures.add(e);
                 }
@@ -163,12 +163,12 @@
     @Test
     void keyIsFreeAndItsRecordRemovedAfterRetention() {
         MemoryStore store = new MemoryStore(time);
-        KeyClaimStore claims = new KeyClaimStore(store, "daemon", time);
-        assertInstanceOf(ClaimOutcome.Granted.class, claims.claim(request(), distantDeadline));
+        KeyClaimStore claimStore = new KeyClaimStore(store, "daemon", time);
+        assertInstanceOf(ClaimOutcome.Granted.class, claimStore.claim(request(), distantDeadline));
         time.advance(Duration.ofMillis(KeySlot.RETENTION_MILLIS));
-        assertInstanceOf(ClaimOutcome.Taken.class, claims.claim(request(), distantDeadline));
+        assertInstanceOf(ClaimOutcome.Taken.class, claimStore.claim(request(), distantDeadline));
         time.advance(Duration.ofMillis(1));
-        assertInstanceOf(ClaimOutcome.Granted.class, claims.claim(request(), distantDeadline));
+        assertInstanceOf(ClaimOutcome.Granted.class, claimStore.claim(request(), distantDeadline));
         assertEquals(1, readSlot(store).records().size());
     }
 
@@ -221,17 +221,17 @@
                 return Optional.of(new StoreError.Unavailable("store unavailable"));
             }
         });
-        KeyClaimStore claims = new KeyClaimStore(store, "daemon", time);
+        KeyClaimStore claimStore = new KeyClaimStore(store, "daemon", time);
         ClaimOutcome.Refused refused =
-                assertInstanceOf(ClaimOutcome.Refused.class, claims.claim(request(), distantDeadline));
+                assertInstanceOf(ClaimOutcome.Refused.class, claimStore.claim(request(), distantDeadline));
         KeyClaim claimToRelease = refused.claimToRelease().orElseThrow();
         assertEquals(
-                new SettleOutcome.Settled(), claims.settle(claimToRelease, new Settlement.Release(), distantDeadline));
+                new SettleOutcome.Settled(), claimStore.settle(claimToRelease, new Settlement.Release(), distantDeadline));
         StoreCall.Write delayedWrite = delayedWrites.getFirst().write().orElseThrow();
         assertInstanceOf(
                 Result.Err.class,
                 store.put(KEY.slotObjectKey(), delayedWrite.value(), delayedWrite.precondition(), distantDeadline));
-        assertInstanceOf(ClaimOutcome.Granted.class, claims.claim(request(), distantDeadline));
+        assertInstanceOf(ClaimOutcome.Granted.class, claimStore.claim(request(), distantDeadline));
     }
 
     @Test
