--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyDutyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyDutyTest.java
@@ -76,12 +76,12 @@
      */
     @Test
     void claimsOverTheLimitAreRefusedImmediately() {
-        CountDownLatch storeBlocked = new CountDownLatch(1);
+        CountDownLatch storeUnblocked = new CountDownLatch(1);
         interceptor.set(new StoreInterceptor() {
             @Override
             public Optional<StoreError> before(StoreCall call) {
                 try {
-                    storeBlocked.await();
+                    storeUnblocked.await();
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
@@ -94,7 +94,7 @@
         }
         ClaimOutcome excessOutcome = claim("one-more").getNow(null);
         assertEquals(new ClaimOutcome.Refused(new ClaimError.TooManyClaims(), Optional.empty()), excessOutcome);
-        storeBlocked.countDown();
+        storeUnblocked.countDown();
         for (CompletableFuture<ClaimOutcome> outcome : admitted) {
             if (outcome.join() instanceof ClaimOutcome.Granted(KeyClaim claim)) {
                 duty.settle(claim, new Settlement.Keep(new KeyState.Unknown()));
