--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
@@ -32,12 +32,12 @@
 
     @Property(seed = "20261", tries = 150)
     void slotsAreCountedExactlyInAnyOrderOfOperations(
-            @ForAll long seed, @ForAll @IntRange(min = 1, max = 16) int slots, @ForAll @IntRange(max = 20) int queue) {
+            @ForAll long seed, @ForAll @IntRange(min = 1, max = 16) int slots, @ForAll @IntRange(max = 20) int queueLimit) {
         // Requests arrive, end, are shed and are cancelled while time passes and limits change, in any order. There
         // must
         // never be more slots in use than declared, and after all requests have ended no slot may be in use.
         Random random = new Random(seed);
-        SlotLimiterFixture f = new SlotLimiterFixture(SlotLimits.ofAllClasses(slots, queue));
+        SlotLimiterFixture f = new SlotLimiterFixture(SlotLimits.ofAllClasses(slots, queueLimit));
         List<CompletableFuture<Admission>> pending = new ArrayList<>();
         List<Permit> held = new ArrayList<>();
         int declared = slots;
@@ -87,19 +87,19 @@
         Map<TrafficClass, Duration> timeBelowGuarantee = new EnumMap<>(TrafficClass.class);
         Duration step = Duration.ofMillis(1);
         for (int i = 0; i < 3_000; i++) {
-            boolean burst = i / 300 % 2 == 0;
-            TrafficClass c = CLASSES[burst ? random.nextInt(4) : i / 600 % 4];
+            boolean allClasses = i / 300 % 2 == 0;
+            TrafficClass c = CLASSES[allClasses ? random.nextInt(4) : i / 600 % 4];
             if (random.nextInt(3) > 0) {
                 waiting.computeIfAbsent(c, x -> new ArrayList<>()).add(f.acquire(c, Duration.ofHours(1)));
             }
             f.scheduler.advance(step);
-            long now = f.time.nanoTime();
+            long nowNanos = f.time.nanoTime();
             List<Running> finished =
-                    running.stream().filter(r -> r.endsAtNanos <= now).toList();
+                    running.stream().filter(r -> r.endsAtNanos <= nowNanos).toList();
             running.removeAll(finished);
             finished.forEach(r -> r.permit.close());
             waiting.forEach((k, list) -> list.removeIf(a -> {
-                SlotLimiterFixture.permit(a).ifPresent(p -> running.add(new Running(p, now + holdNanos(k, random))));
+                SlotLimiterFixture.permit(a).ifPresent(p -> running.add(new Running(p, nowNanos + holdNanos(k, random))));
                 return a.isDone();
             }));
             for (TrafficClass k : CLASSES) {
@@ -128,8 +128,8 @@
                 pickRandom(held, random).forEach(Permit::close);
             }
             f.scheduler.advance(Duration.ofMillis(random.nextInt(20)));
-            boolean idle = f.limiter.inUse() < 12;
-            assertTrue(!idle || f.limiter.waiting() == 0);
+            boolean slotIsFree = f.limiter.inUse() < 12;
+            assertTrue(!slotIsFree || f.limiter.waiting() == 0);
         }
     }
 
