--- a/org.berylwick.test/tst/org/berylwick/internal/retry/RetryBudgetTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/retry/RetryBudgetTest.java
@@ -28,16 +28,16 @@
         Deque<Long> retries = new ArrayDeque<>();
         for (int gapMillis : gapsMillis) {
             time.advance(Duration.ofMillis(gapMillis));
-            long now = time.nanoTime() / 1_000_000;
+            long nowMillis = time.nanoTime() / 1_000_000;
             budget.countRequest();
-            requests.add(now);
+            requests.add(nowMillis);
             // In an outage every request uses as many retries as the budget allows.
             while (budget.tryAcquireRetry()) {
-                retries.add(now);
+                retries.add(nowMillis);
             }
             // A retry granted at the start of this window was charged against the requests of the window before it.
-            removeUpTo(requests, now - 2 * WINDOW_MILLIS);
-            removeUpTo(retries, now - WINDOW_MILLIS + BUCKET_MILLIS);
+            removeUpTo(requests, nowMillis - 2 * WINDOW_MILLIS);
+            removeUpTo(retries, nowMillis - WINDOW_MILLIS + BUCKET_MILLIS);
             assertTrue(
                     retries.size() <= MIN_RETRIES + RETRY_RATIO * requests.size(),
                     retries.size() + " retries for " + requests.size() + " requests");
