--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
@@ -226,7 +226,8 @@
                 assertInstanceOf(ClaimOutcome.Refused.class, claimStore.claim(request(), distantDeadline));
         KeyClaim claimToRelease = refused.claimToRelease().orElseThrow();
         assertEquals(
-                new SettleOutcome.Settled(), claimStore.settle(claimToRelease, new Settlement.Release(), distantDeadline));
+                new SettleOutcome.Settled(),
+                claimStore.settle(claimToRelease, new Settlement.Release(), distantDeadline));
         StoreCall.Write delayedWrite = delayedWrites.getFirst().write().orElseThrow();
         assertInstanceOf(
                 Result.Err.class,
--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
@@ -32,7 +32,9 @@
 
     @Property(seed = "20261", tries = 150)
     void slotsAreCountedExactlyInAnyOrderOfOperations(
-            @ForAll long seed, @ForAll @IntRange(min = 1, max = 16) int slots, @ForAll @IntRange(max = 20) int queueLimit) {
+            @ForAll long seed,
+            @ForAll @IntRange(min = 1, max = 16) int slots,
+            @ForAll @IntRange(max = 20) int queueLimit) {
         // Requests arrive, end, are shed and are cancelled while time passes and limits change, in any order. There
         // must
         // never be more slots in use than declared, and after all requests have ended no slot may be in use.
@@ -99,7 +101,8 @@
             running.removeAll(finished);
             finished.forEach(r -> r.permit.close());
             waiting.forEach((k, list) -> list.removeIf(a -> {
-                SlotLimiterFixture.permit(a).ifPresent(p -> running.add(new Running(p, nowNanos + holdNanos(k, random))));
+                SlotLimiterFixture.permit(a)
+                        .ifPresent(p -> running.add(new Running(p, nowNanos + holdNanos(k, random))));
                 return a.isDone();
             }));
             for (TrafficClass k : CLASSES) {
--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -145,7 +145,12 @@
             long nowNanos = time.nanoTime();
             TrafficClassQueue queue = queuesByClass.get(trafficClass);
             request = new SlotRequest(
-                    trafficClass, deadline, nextArrivalNumber++, nowNanos, queue.meanHoldNanos(), this::removeCancelled);
+                    trafficClass,
+                    deadline,
+                    nextArrivalNumber++,
+                    nowNanos,
+                    queue.meanHoldNanos(),
+                    this::removeCancelled);
             raiseUsableSlots(decisions);
             if (deadline.isPast(time)) {
                 decisions.add(refuse(request, RefusalCause.EXPIRED));
@@ -291,8 +296,9 @@
         inUse++;
         queuesByClass.get(request.trafficClass()).acquireSlot();
         metrics.admitted(request.trafficClass());
-        int heldByClass =
-                queuesByClass.values().stream().mapToInt(TrafficClassQueue::inUse).sum();
+        int heldByClass = queuesByClass.values().stream()
+                .mapToInt(TrafficClassQueue::inUse)
+                .sum();
         int heldSlots = inUse;
         invariants.check(
                 Invariant.SLOTS_EXACT,
--- a/org.berylwick/src/org/berylwick/internal/retry/AttemptHistory.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/AttemptHistory.java
@@ -14,7 +14,11 @@
  * @param lastUnknownDetail detail of the last unknown outcome, empty if there was none
  */
 public record AttemptHistory(
-        int attempts, boolean mayHaveRun, RefusalReason lastRefusalReason, Optional<Long> retryAfterMillis, String lastUnknownDetail) {
+        int attempts,
+        boolean mayHaveRun,
+        RefusalReason lastRefusalReason,
+        Optional<Long> retryAfterMillis,
+        String lastUnknownDetail) {
     /** History of a request without attempts. */
     public static final AttemptHistory NONE =
             new AttemptHistory(0, false, RefusalReason.NO_MEMBER, Optional.empty(), "");
@@ -39,6 +43,8 @@
      * the caller would send a request again that is reported as not run.
      */
     public <A> Outcome<A> finalOutcome() {
-        return mayHaveRun ? new Outcome.Unknown<>(lastUnknownDetail) : new Outcome.RefusedNotRun<>(lastRefusalReason, retryAfterMillis);
+        return mayHaveRun
+                ? new Outcome.Unknown<>(lastUnknownDetail)
+                : new Outcome.RefusedNotRun<>(lastRefusalReason, retryAfterMillis);
     }
 }
--- a/org.berylwick/src/org/berylwick/internal/retry/RetryRule.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/RetryRule.java
@@ -61,6 +61,8 @@
     public long attemptTimeoutMillis(AttemptHistory history, TimeSource time) {
         long remainingMillis = Math.max(1, deadline.remainingMillis(time));
         boolean retryPossible = idempotent && replayable && history.attempts() + 1 < maxAttempts;
-        return retryPossible ? remainingMillis - Math.min(MAX_RESERVE_MILLIS, remainingMillis / RESERVE_DIVISOR) : remainingMillis;
+        return retryPossible
+                ? remainingMillis - Math.min(MAX_RESERVE_MILLIS, remainingMillis / RESERVE_DIVISOR)
+                : remainingMillis;
     }
 }
--- a/org.berylwick/src/org/berylwick/internal/routing/Tiers.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/Tiers.java
@@ -83,7 +83,8 @@
         if (capacity == 0) {
             return 1;
         }
-        double spillPressure = Math.clamp((nearTier.utilization() - SPILL_UTILIZATION_THRESHOLD) / (1 - SPILL_UTILIZATION_THRESHOLD), 0, 1);
+        double spillPressure = Math.clamp(
+                (nearTier.utilization() - SPILL_UTILIZATION_THRESHOLD) / (1 - SPILL_UTILIZATION_THRESHOLD), 0, 1);
         double gapFactor = Math.clamp((nearTier.utilization() - load / capacity) / FULL_SPILL_UTILIZATION_GAP, 0, 1);
         double fairShare = nearTier.capacity / (nearTier.capacity + capacity);
         return 1 - spillPressure * gapFactor * (1 - fairShare);
