--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
@@ -81,6 +81,7 @@
         }
     }
 
+    /** Handles a granted claim as {@code behavior} says; returns false if the claimant crashed. */
     private boolean runRequest(KeyClaimStore claimStore, KeyClaim claim, ClaimantBehavior behavior, Counts counts) {
         if (behavior != ClaimantBehavior.NOT_RUN) {
             counts.unreleasedClaims.incrementAndGet();
--- a/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/limit/SlotLimiterPropertyTest.java
@@ -36,8 +36,7 @@
             @ForAll @IntRange(min = 1, max = 16) int slots,
             @ForAll @IntRange(max = 20) int queueLimit) {
         // Requests arrive, end, are shed and are cancelled while time passes and limits change, in any order. There
-        // must
-        // never be more slots in use than declared, and after all requests have ended no slot may be in use.
+        // must never be more slots in use than declared, and after all requests have ended no slot may be in use.
         Random random = new Random(seed);
         SlotLimiterFixture f = new SlotLimiterFixture(SlotLimits.ofAllClasses(slots, queueLimit));
         List<CompletableFuture<Admission>> pending = new ArrayList<>();
--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -23,10 +23,11 @@
  * one.
  *
  * <p>Each traffic class that the configuration routes to the service has a guaranteed share of the slots and of the
- * queue. Idle slots are lent, but only to classes that are known to return them within
- * {@link TrafficClassQueue#MAX_HOLD_TIME_TO_BORROW}: a class below its guarantee waits for at most one such request. A
- * free slot goes first to the class that is furthest below its guarantee, then to the most urgent class; within a class
- * to the request that must start first. A request that can't be served in time is refused as soon as that is known.
+ * queue, its guarantee. A class that has used up its guarantee may borrow idle slots that are guaranteed to others, but
+ * only if it is known to return them within {@link TrafficClassQueue#MAX_HOLD_TIME_TO_BORROW}: a class below its
+ * guarantee waits for at most one such request. A free slot goes first to the class that is furthest below its
+ * guarantee, then to the most urgent class; within a class to the request that must start first. A request that can't
+ * be served in time is refused as soon as that is known.
  *
  * <p>Thread-safe. Futures complete outside the lock, on the thread whose call or task decided about the request.
  */
--- a/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
@@ -91,7 +91,7 @@
         return waitingRequests.pollFirst();
     }
 
-    /** Removes and returns the request with the latest start time. */
+    /** Removes and returns the request that can wait longest, the last one in the order of latest start times. */
     SlotRequest pollLast() {
         return waitingRequests.pollLast();
     }
@@ -116,7 +116,12 @@
         return (long) ((requestsAhead + 1) * meanHoldNanos / Math.max(1, Math.max(inUse, guaranteedSlots)));
     }
 
-    /** Removes every waiting request that is not expected to start in time. */
+    /**
+     * Removes every waiting request that is not expected to start in time.
+     *
+     * @param guaranteedSlots number of slots guaranteed to the class
+     * @param onRemoved called for each removed request
+     */
     void removeUnservable(long nowNanos, int guaranteedSlots, Consumer<SlotRequest> onRemoved) {
         int requestsAhead = 0;
         for (Iterator<SlotRequest> i = waitingRequests.iterator(); i.hasNext(); ) {
--- a/org.berylwick/src/org/berylwick/internal/membership/MemberMerge.java
+++ b/org.berylwick/src/org/berylwick/internal/membership/MemberMerge.java
@@ -13,6 +13,10 @@
  * and a version report must not clear a suspicion. The merge is commutative, associative and idempotent.
  */
 final class MemberMerge {
+    /**
+     * Orders records by version. The other components only decide between records of the same version, so that all
+     * daemons choose the same one.
+     */
     private static final Comparator<Member> BY_CONTENT = Comparator.comparingLong(Member::version)
             .thenComparingLong(Member::installedAtEpochMillis)
             .thenComparingInt(Member::slots)
--- a/org.berylwick/src/org/berylwick/internal/membership/ZoneDirectory.java
+++ b/org.berylwick/src/org/berylwick/internal/membership/ZoneDirectory.java
@@ -9,8 +9,8 @@
 import org.berylwick.lib.Place;
 
 /**
- * The addresses of the daemons of one availability zone. The zone's reader daemons write it to the store, so that a
- * newly started daemon finds peers.
+ * The addresses of the daemons of one availability zone. The daemons that read the store on behalf of the zone write it
+ * there, so that a newly started daemon finds peers.
  *
  * @param addresses the addresses at which the daemons accept calls from other daemons, sorted
  */
--- a/org.berylwick/src/org/berylwick/internal/retry/AttemptHistory.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/AttemptHistory.java
@@ -9,7 +9,7 @@
  *
  * @param attempts number of attempts that have ended
  * @param mayHaveRun whether any attempt may have run the request
- * @param lastRefusalReason reason of the last refused attempt
+ * @param lastRefusalReason reason of the last refused attempt, {@code NO_MEMBER} if there was none
  * @param retryAfterMillis retry delay that the last refusal suggested
  * @param lastUnknownDetail detail of the last unknown outcome, empty if there was none
  */
@@ -40,7 +40,7 @@
      * Returns the outcome reported to the caller when the request is not retried any more.
      *
      * <p>If an attempt may have run, the outcome of the whole request is unknown, even if later attempts were refused:
-     * the caller would send a request again that is reported as not run.
+     * a caller to whom a request is reported as not run would send it again.
      */
     public <A> Outcome<A> finalOutcome() {
         return mayHaveRun
--- a/org.berylwick/src/org/berylwick/internal/retry/RetryBudget.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/RetryBudget.java
@@ -50,6 +50,7 @@
         return true;
     }
 
+    /** Clears the buckets that have left the window and returns the index of the current bucket. */
     private int advanceToCurrentBucket() {
         long bucket = (time.nanoTime() - createdAtNanos) / bucketNanos;
         long expiredBuckets = Math.min(BUCKETS, bucket - newestBucket);
--- a/org.berylwick/src/org/berylwick/internal/retry/RetryRule.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/RetryRule.java
@@ -52,8 +52,8 @@
      * Returns the time limit of the next attempt until the head of its response.
      *
      * <p>An idempotent request with attempts left reserves a tenth of its remaining time, at most half a second, for
-     * another member in case this one never responds. The reserve is small because it shortens the time of a server
-     * that is slow but healthy, again at every level of a chain of calls. Any other attempt gets all the remaining
+     * another member in case this one never responds. The reserve is small because it reduces the time of a server that
+     * is slow but healthy; in a chain of calls every level reduces it again. Any other attempt gets all the remaining
      * time, since giving it up early gains nothing.
      *
      * @return milliseconds, at least 1
--- a/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
@@ -5,7 +5,7 @@
 import org.berylwick.lib.Deadline;
 
 /**
- * Outlier ejection state of one member: whether it receives no requests because earlier ones failed or were slow.
+ * Outlier ejection state of one member, which keeps requests away from it after earlier ones failed or were slow.
  *
  * <p>A member is ejected for a backoff that doubles with each ejection. It is then on probation, during which one
  * idempotent request at a time probes whether it has recovered. Not thread-safe.
--- a/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberChooser.java
@@ -26,9 +26,9 @@
  * Chooses the member that receives a request: nearest place first, and there the less loaded of two randomly drawn
  * members.
  *
- * <p>Members whose requests failed are excluded temporarily, but never more than half of a service. Suspect members,
- * which didn't answer the probes of the membership protocol, are used only if no other is available. Members that are
- * starting or leaving are never used. Thread-safe.
+ * <p>Members whose requests failed or were slow are excluded temporarily, but never more than half of a service.
+ * Suspect members, which didn't answer the probes of the membership protocol, are used only if no other is available.
+ * Members that are starting or leaving are never used. Thread-safe.
  */
 public final class MemberChooser {
     private final Place localPlace;
@@ -120,6 +120,7 @@
      * (rounded up) are excluded.
      */
     private Set<String> findExcluded(List<Member> up, long nowNanos) {
+        // Ejected members come before those on probation, so that the limits exclude them first.
         List<Member> failing = up.stream()
                 .filter(m -> loads.record(m).ejectionStatus(nowNanos) != Status.HEALTHY)
                 .sorted(Comparator.<Member, Status>comparing(
--- a/org.berylwick/src/org/berylwick/internal/routing/MemberLoadRecord.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberLoadRecord.java
@@ -14,7 +14,7 @@
     /** Age at which a reported load no longer counts. */
     static final Duration LOAD_REPORT_EXPIRY = Duration.ofSeconds(2);
 
-    /** Time over which the weight of a new member rises to the full weight. */
+    /** Time over which the slow-start factor of a new member rises to 1. */
     static final Duration SLOW_START_DURATION = Duration.ofSeconds(10);
 
     /**
@@ -94,7 +94,7 @@
         return inFlight + loadFromOthers * Math.max(0, 1 - ageRatio);
     }
 
-    /** Factor applied to the slots of a new member when requests are distributed; rises linearly to 1. */
+    /** Factor by which the slots of a new member are multiplied when requests are distributed; rises linearly to 1. */
     double slowStartFactor(long nowNanos) {
         if (appearedAtNanos.isEmpty()) {
             return 1;
--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -204,6 +204,7 @@
         return recordsByInstance.size();
     }
 
+    /** Ejects a member whose mean latency is an outlier among the members of its service in its region. */
     private void ejectIfSlow(MemberLoadRecord candidate) {
         Member m = candidate.member();
         List<Double> otherMeans = recordsByInstance.values().stream()
--- a/org.berylwick/src/org/berylwick/internal/routing/Tiers.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/Tiers.java
@@ -16,8 +16,8 @@
     static final double SPILL_UTILIZATION_THRESHOLD = 0.6;
 
     /**
-     * Difference in utilization from which spillover is not reduced. With smaller differences it is reduced in
-     * proportion, as tiers of similar utilization would only exchange requests.
+     * Difference in utilization at or above which the full spillover applies. Smaller differences reduce it in
+     * proportion, because tiers of similar utilization would only exchange requests.
      */
     private static final double FULL_SPILL_UTILIZATION_GAP = 0.25;
 
@@ -72,7 +72,12 @@
         return new Tier(distance, members, load, capacity);
     }
 
-    /** Returns the share of requests kept in {@code nearTier}; the rest spills over to {@code fartherTiers}. */
+    /**
+     * Returns the share of requests kept in {@code nearTier}; the rest spills over to {@code fartherTiers}.
+     *
+     * <p>The spill pressure rises from 0 at the threshold to 1 when the near tier is full. Even then the near tier
+     * keeps at least its share of the total capacity.
+     */
     static double keptShare(Tier nearTier, List<Tier> fartherTiers) {
         double load = 0;
         double capacity = 0;
