--- a/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
+++ b/org.berylwick.test/tst/org/berylwick/internal/idempotency/KeyClaimStoreTest.java
@@ -32,7 +32,7 @@
     private static final StoredResponse RESPONSE = new StoredResponse(
             201, List.of(new StoredResponse.Header("location", "/placements/9")), new byte[] {1, 2, 3});
     private static final int CLAIMANTS = 3;
-    private static final int REQUESTS_EACH = 2;
+    private static final int REQUESTS_PER_CLAIMANT = 2;
     private static final int SETTLE_ATTEMPTS = 200;
 
     private final ManualTimeSource time = new ManualTimeSource();
@@ -58,12 +58,12 @@
         private final AtomicInteger unreleasedClaims = new AtomicInteger();
     }
 
-    private void runClaimant(KeyClaimStore claims, Random behaviors, Counts counts) {
-        for (int i = 0; i < REQUESTS_EACH; i++) {
-            switch (claims.claim(request(), distantDeadline)) {
+    private void runClaimant(KeyClaimStore claimStore, Random behaviors, Counts counts) {
+        for (int i = 0; i < REQUESTS_PER_CLAIMANT; i++) {
+            switch (claimStore.claim(request(), distantDeadline)) {
                 case ClaimOutcome.Granted(KeyClaim claim) -> {
                     if (!runRequest(
-                            claims,
+                            claimStore,
                             claim,
                             ClaimantBehavior.values()[behaviors.nextInt(ClaimantBehavior.values().length)],
                             counts)) {
@@ -76,12 +76,13 @@
                     }
                 }
                 case ClaimOutcome.Refused(var ignored, Optional<KeyClaim> claimToRelease) ->
-                    claimToRelease.ifPresent(claim -> settle(claims, claim, new Settlement.Release()));
+                    claimToRelease.ifPresent(claim -> settle(claimStore, claim, new Settlement.Release()));
             }
         }
     }
 
-    private boolean runRequest(KeyClaimStore claims, KeyClaim claim, ClaimantBehavior behavior, Counts counts) {
+    /** Handles a granted claim as {@code behavior} says; returns false if the claimant crashed. */
+    private boolean runRequest(KeyClaimStore claimStore, KeyClaim claim, ClaimantBehavior behavior, Counts counts) {
         if (behavior != ClaimantBehavior.NOT_RUN) {
             counts.unreleasedClaims.incrementAndGet();
         }
@@ -90,11 +91,11 @@
         }
         switch (behavior) {
             case ANSWERED -> {
-                settle(claims, claim, new Settlement.Keep(new KeyState.Answered(RESPONSE)));
+                settle(claimStore, claim, new Settlement.Keep(new KeyState.Answered(RESPONSE)));
                 counts.answered.incrementAndGet();
             }
-            case UNKNOWN -> settle(claims, claim, new Settlement.Keep(new KeyState.Unknown()));
-            case NOT_RUN -> settle(claims, claim, new Settlement.Release());
+            case UNKNOWN -> settle(claimStore, claim, new Settlement.Keep(new KeyState.Unknown()));
+            case NOT_RUN -> settle(claimStore, claim, new Settlement.Release());
             case CRASHED_BEFORE_SENDING, CRASHED_AFTER_SENDING -> {
                 return false;
             }
@@ -103,9 +104,9 @@
         return true;
     }
 
-    private void settle(KeyClaimStore claims, KeyClaim claim, Settlement settlement) {
+    private void settle(KeyClaimStore claimStore, KeyClaim claim, Settlement settlement) {
         for (int i = 0; i < SETTLE_ATTEMPTS; i++) {
-            switch (claims.settle(claim, settlement, distantDeadline)) {
+            switch (claimStore.settle(claim, settlement, distantDeadline)) {
                 case SettleOutcome.Settled() -> {
                     return;
                 }
@@ -130,11 +131,11 @@
         List<AssertionError> failures = new ArrayList<>();
         List<Runnable> claimants = new ArrayList<>();
         for (int i = 0; i < CLAIMANTS; i++) {
-            KeyClaimStore claims = new KeyClaimStore(interleaved.store(), "daemon-" + i, time);
+            KeyClaimStore claimStore = new KeyClaimStore(interleaved.store(), "daemon-" + i, time);
             Random behaviors = new Random(random.nextLong());
             claimants.add(() -> {
                 try {
-                    runClaimant(claims, behaviors, counts);
+                    runClaimant(claimStore, behaviors, counts);
                 } catch (AssertionError e) {
                     failures.add(e);
                 }
@@ -163,22 +164,22 @@
     @Test
     void keyIsFreeAndItsRecordRemovedAfterRetention() {
         MemoryStore store = new MemoryStore(time);
-        KeyClaimStore claims = new KeyClaimStore(store, "daemon", time);
-        assertInstanceOf(ClaimOutcome.Granted.class, claims.claim(request(), distantDeadline));
+        KeyClaimStore claimStore = new KeyClaimStore(store, "daemon", time);
+        assertInstanceOf(ClaimOutcome.Granted.class, claimStore.claim(request(), distantDeadline));
         time.advance(Duration.ofMillis(KeySlot.RETENTION_MILLIS));
-        assertInstanceOf(ClaimOutcome.Taken.class, claims.claim(request(), distantDeadline));
+        assertInstanceOf(ClaimOutcome.Taken.class, claimStore.claim(request(), distantDeadline));
         time.advance(Duration.ofMillis(1));
-        assertInstanceOf(ClaimOutcome.Granted.class, claims.claim(request(), distantDeadline));
-        assertEquals(1, slot(store).records().size());
+        assertInstanceOf(ClaimOutcome.Granted.class, claimStore.claim(request(), distantDeadline));
+        assertEquals(1, readSlot(store).records().size());
     }
 
-    private KeySlot slot(MemoryStore store) {
-        return value(KeySlot.decode(value(store.get(KEY.slotObjectKey(), distantDeadline))
+    private KeySlot readSlot(MemoryStore store) {
+        return okValue(KeySlot.decode(okValue(store.get(KEY.slotObjectKey(), distantDeadline))
                 .orElseThrow()
                 .value()));
     }
 
-    private static <T, E> T value(Result<T, E> result) {
+    private static <T, E> T okValue(Result<T, E> result) {
         return switch (result) {
             case Result.Ok<T, E>(T value) -> value;
             case Result.Err<T, E>(E error) -> throw new AssertionError(error);
@@ -193,7 +194,7 @@
             KeyRecord record = new KeyRecord("k" + i, "f", "c" + i, "d", i, new KeyState.Answered(response));
             slot = slot.withRecord(record, i);
         }
-        KeySlot reencoded = value(KeySlot.decode(slot.encode(3_400).orElseThrow()));
+        KeySlot reencoded = okValue(KeySlot.decode(slot.encode(3_400).orElseThrow()));
         assertEquals(new KeyState.Ran(200), reencoded.records().get(0).run());
         assertEquals(slot.records().subList(1, 3), reencoded.records().subList(1, 3));
         assertEquals(Optional.empty(), slot.encode(100));
@@ -221,17 +222,18 @@
                 return Optional.of(new StoreError.Unavailable("store unavailable"));
             }
         });
-        KeyClaimStore claims = new KeyClaimStore(store, "daemon", time);
+        KeyClaimStore claimStore = new KeyClaimStore(store, "daemon", time);
         ClaimOutcome.Refused refused =
-                assertInstanceOf(ClaimOutcome.Refused.class, claims.claim(request(), distantDeadline));
+                assertInstanceOf(ClaimOutcome.Refused.class, claimStore.claim(request(), distantDeadline));
         KeyClaim claimToRelease = refused.claimToRelease().orElseThrow();
         assertEquals(
-                new SettleOutcome.Settled(), claims.settle(claimToRelease, new Settlement.Release(), distantDeadline));
+                new SettleOutcome.Settled(),
+                claimStore.settle(claimToRelease, new Settlement.Release(), distantDeadline));
         StoreCall.Write delayedWrite = delayedWrites.getFirst().write().orElseThrow();
         assertInstanceOf(
                 Result.Err.class,
                 store.put(KEY.slotObjectKey(), delayedWrite.value(), delayedWrite.precondition(), distantDeadline));
-        assertInstanceOf(ClaimOutcome.Granted.class, claims.claim(request(), distantDeadline));
+        assertInstanceOf(ClaimOutcome.Granted.class, claimStore.claim(request(), distantDeadline));
     }
 
     @Test
@@ -244,7 +246,7 @@
         assertInstanceOf(ClaimError.Unreadable.class, refused.error());
         assertEquals(
                 1,
-                value(store.get(KEY.slotObjectKey(), distantDeadline))
+                okValue(store.get(KEY.slotObjectKey(), distantDeadline))
                         .orElseThrow()
                         .value()
                         .length);
--- a/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/SlotLimiter.java
@@ -23,10 +23,11 @@
  * one.
  *
  * <p>Each traffic class that the configuration routes to the service has a guaranteed share of the slots and of the
- * queue. Idle slots are lent, but only to classes that are known to return them within
- * {@link TrafficClassQueue#MAX_HOLD_TIME_TO_BORROW}: a class below its guarantee waits for at most one such request. A
- * free slot goes first to the class that is furthest below its guarantee, then to the most urgent class; within a class
- * to the request that must start first. A request that can't be served in time is refused as soon as that is known.
+ * queue, its guarantee. A class that has used up its guarantee may borrow idle slots that are guaranteed to others, but
+ * only if it is known to return them within {@link TrafficClassQueue#MAX_HOLD_TIME_TO_BORROW}: a class below its
+ * guarantee waits for at most one such request. A free slot goes first to the class that is furthest below its
+ * guarantee, then to the most urgent class; within a class to the request that must start first. A request that can't
+ * be served in time is refused as soon as that is known.
  *
  * <p>Thread-safe. Futures complete outside the lock, on the thread whose call or task decided about the request.
  */
@@ -39,14 +40,14 @@
     private final Scheduler scheduler;
     private final SlotMetrics metrics;
     private final Invariants invariants;
-    private final Map<TrafficClass, TrafficClassQueue> classes = new EnumMap<>(TrafficClass.class);
+    private final Map<TrafficClass, TrafficClassQueue> queuesByClass = new EnumMap<>(TrafficClass.class);
     private final UsableSlots usableSlots;
     private SlotLimits limits;
     private TrafficClassShares slotShares;
     private TrafficClassShares queueShares;
     private int inUse;
     private int waiting;
-    private long nextSequence;
+    private long nextArrivalNumber;
     private Optional<Deadline> scheduledWakeUp = Optional.empty();
 
     /** Result of a request for a slot. */
@@ -111,7 +112,7 @@
         usableSlots = new UsableSlots(limits.slots());
         for (TrafficClass c : TrafficClass.values()) {
             TrafficClassQueue queue = new TrafficClassQueue(c);
-            classes.put(c, queue);
+            queuesByClass.put(c, queue);
             metrics.gauge(SlotMetrics.IN_USE + c, queue::inUse);
             metrics.gauge(SlotMetrics.WAITING + c, queue::waiting);
         }
@@ -142,10 +143,15 @@
         List<Decision> decisions = new ArrayList<>(1);
         SlotRequest request;
         synchronized (this) {
-            long now = time.nanoTime();
-            TrafficClassQueue queue = classes.get(trafficClass);
+            long nowNanos = time.nanoTime();
+            TrafficClassQueue queue = queuesByClass.get(trafficClass);
             request = new SlotRequest(
-                    trafficClass, deadline, nextSequence++, now, queue.meanHoldNanos(), this::removeCancelled);
+                    trafficClass,
+                    deadline,
+                    nextArrivalNumber++,
+                    nowNanos,
+                    queue.meanHoldNanos(),
+                    this::removeCancelled);
             raiseUsableSlots(decisions);
             if (deadline.isPast(time)) {
                 decisions.add(refuse(request, RefusalCause.EXPIRED));
@@ -176,7 +182,7 @@
 
     /** Number of slots in use by one class. */
     public synchronized int inUse(TrafficClass trafficClass) {
-        return classes.get(trafficClass).inUse();
+        return queuesByClass.get(trafficClass).inUse();
     }
 
     /** Number of waiting requests. */
@@ -195,8 +201,8 @@
     }
 
     private void enqueue(TrafficClassQueue queue, SlotRequest request, List<Decision> decisions) {
-        long untilStart = request.startByNanos() - time.nanoTime();
-        if (untilStart
+        long nanosUntilLatestStart = request.latestStartAtNanos() - time.nanoTime();
+        if (nanosUntilLatestStart
                 < queue.estimateWaitNanos(queue.countAhead(request), slotShares.guarantee(request.trafficClass()))) {
             decisions.add(refuse(request, RefusalCause.TOO_SLOW));
             return;
@@ -221,7 +227,7 @@
         }
         Optional<TrafficClassQueue> mostBorrowed = Optional.empty();
         int maxBorrowed = 0;
-        for (TrafficClassQueue q : classes.values()) {
+        for (TrafficClassQueue q : queuesByClass.values()) {
             int borrowed = q.waiting() - queueShares.guarantee(q.trafficClass());
             if (borrowed > 0 && borrowed >= maxBorrowed) {
                 maxBorrowed = borrowed;
@@ -245,7 +251,7 @@
             return true;
         }
         int reserved = 0;
-        for (TrafficClassQueue q : classes.values()) {
+        for (TrafficClassQueue q : queuesByClass.values()) {
             reserved += q == queue ? q.inUse() : Math.max(q.inUse(), slotShares.guarantee(q.trafficClass()));
         }
         return reserved < usableSlots.usable();
@@ -253,7 +259,7 @@
 
     private Optional<TrafficClassQueue> nextClassToServe() {
         Optional<TrafficClassQueue> furthestBelowGuarantee = Optional.empty();
-        for (TrafficClassQueue q : classes.values()) {
+        for (TrafficClassQueue q : queuesByClass.values()) {
             if (q.waiting() > 0
                     && q.inUse() < slotShares.guarantee(q.trafficClass())
                     && (furthestBelowGuarantee.isEmpty()
@@ -264,7 +270,7 @@
         if (furthestBelowGuarantee.isPresent()) {
             return furthestBelowGuarantee.filter(this::mayAcquire);
         }
-        return classes.values().stream()
+        return queuesByClass.values().stream()
                 .filter(q -> q.waiting() > 0 && mayAcquire(q))
                 .findFirst();
     }
@@ -277,7 +283,7 @@
         for (Optional<TrafficClassQueue> q = nextClassToServe(); q.isPresent(); q = nextClassToServe()) {
             SlotRequest request = q.get().pollFirst();
             waiting--;
-            if (request.startByNanos() - time.nanoTime() <= 0) {
+            if (request.latestStartAtNanos() - time.nanoTime() <= 0) {
                 decisions.add(refuse(request, RefusalCause.EXPIRED));
                 continue;
             }
@@ -289,10 +295,11 @@
 
     private Decision admit(SlotRequest request) {
         inUse++;
-        classes.get(request.trafficClass()).acquireSlot();
+        queuesByClass.get(request.trafficClass()).acquireSlot();
         metrics.admitted(request.trafficClass());
-        int heldByClass =
-                classes.values().stream().mapToInt(TrafficClassQueue::inUse).sum();
+        int heldByClass = queuesByClass.values().stream()
+                .mapToInt(TrafficClassQueue::inUse)
+                .sum();
         int heldSlots = inUse;
         invariants.check(
                 Invariant.SLOTS_EXACT,
@@ -308,7 +315,7 @@
     }
 
     private long retryAfterMillis(TrafficClass trafficClass) {
-        TrafficClassQueue queue = classes.get(trafficClass);
+        TrafficClassQueue queue = queuesByClass.get(trafficClass);
         if (queue.meanHoldNanos() == 0) {
             return DEFAULT_RETRY_AFTER.toMillis();
         }
@@ -319,7 +326,7 @@
     private void release(TrafficClass trafficClass, Optional<Long> acquiredAtNanos) {
         List<Decision> decisions = new ArrayList<>(1);
         synchronized (this) {
-            TrafficClassQueue queue = classes.get(trafficClass);
+            TrafficClassQueue queue = queuesByClass.get(trafficClass);
             queue.releaseSlot();
             inUse--;
             acquiredAtNanos.ifPresent(acquiredAt -> queue.recordHoldTime(time.nanoTime() - acquiredAt));
@@ -360,17 +367,17 @@
     }
 
     private void refuseUnservable(List<Decision> decisions) {
-        for (TrafficClassQueue q : classes.values()) {
+        for (TrafficClassQueue q : queuesByClass.values()) {
             q.removeUnservable(time.nanoTime(), slotShares.guarantee(q.trafficClass()), request -> {
                 waiting--;
-                boolean expired = request.startByNanos() - time.nanoTime() <= 0;
+                boolean expired = request.latestStartAtNanos() - time.nanoTime() <= 0;
                 decisions.add(refuse(request, expired ? RefusalCause.EXPIRED : RefusalCause.TOO_SLOW));
             });
         }
     }
 
     private synchronized void removeCancelled(SlotRequest request) {
-        if (classes.get(request.trafficClass()).remove(request)) {
+        if (queuesByClass.get(request.trafficClass()).remove(request)) {
             waiting--;
             metrics.cancelled(request.trafficClass());
         }
@@ -385,10 +392,10 @@
             return;
         }
         Optional<Deadline> earliest = usableSlots.nextRaise();
-        for (TrafficClassQueue q : classes.values()) {
+        for (TrafficClassQueue q : queuesByClass.values()) {
             if (q.waiting() > 0) {
-                Deadline start = new Deadline(q.peekFirst().orElseThrow().startByNanos());
-                earliest = Optional.of(earliest.map(start::earlier).orElse(start));
+                Deadline latestStart = new Deadline(q.peekFirst().orElseThrow().latestStartAtNanos());
+                earliest = Optional.of(earliest.map(latestStart::earlier).orElse(latestStart));
             }
         }
         Deadline wakeUpAt = earliest.orElseThrow();
--- a/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
+++ b/org.berylwick/src/org/berylwick/internal/limit/TrafficClassQueue.java
@@ -17,9 +17,9 @@
     /** Longest mean hold time with which a class may borrow; with longer ones it returns slots too late. */
     static final Duration MAX_HOLD_TIME_TO_BORROW = Duration.ofSeconds(1);
 
-    private static final Comparator<SlotRequest> EARLIEST_START_FIRST = (a, b) -> {
-        int byStart = Long.signum(a.startByNanos() - b.startByNanos());
-        return byStart != 0 ? byStart : Long.signum(a.sequence() - b.sequence());
+    private static final Comparator<SlotRequest> BY_LATEST_START = (a, b) -> {
+        int byLatestStart = Long.signum(a.latestStartAtNanos() - b.latestStartAtNanos());
+        return byLatestStart != 0 ? byLatestStart : Long.signum(a.arrivalNumber() - b.arrivalNumber());
     };
 
     /**
@@ -29,7 +29,7 @@
     private static final double HOLD_TIME_SMOOTHING_FACTOR = 0.1;
 
     private final TrafficClass trafficClass;
-    private final TreeSet<SlotRequest> waitingRequests = new TreeSet<>(EARLIEST_START_FIRST);
+    private final TreeSet<SlotRequest> waitingRequests = new TreeSet<>(BY_LATEST_START);
     private int inUse;
     private double meanHoldNanos;
 
@@ -91,7 +91,7 @@
         return waitingRequests.pollFirst();
     }
 
-    /** Removes and returns the request with the latest start time. */
+    /** Removes and returns the request that can wait longest, the last one in the order of latest start times. */
     SlotRequest pollLast() {
         return waitingRequests.pollLast();
     }
@@ -108,22 +108,27 @@
     /**
      * Estimates how long a request waits for a slot, based on the mean hold time.
      *
-     * @param ahead number of waiting requests before it
-     * @param slots number of slots guaranteed to the class
+     * @param requestsAhead number of waiting requests before it
+     * @param guaranteedSlots number of slots guaranteed to the class
      * @return nanoseconds from now
      */
-    long estimateWaitNanos(int ahead, int slots) {
-        return (long) ((ahead + 1) * meanHoldNanos / Math.max(1, Math.max(inUse, slots)));
+    long estimateWaitNanos(int requestsAhead, int guaranteedSlots) {
+        return (long) ((requestsAhead + 1) * meanHoldNanos / Math.max(1, Math.max(inUse, guaranteedSlots)));
     }
 
-    /** Removes every waiting request that is not expected to start in time. */
-    void removeUnservable(long nowNanos, int slots, Consumer<SlotRequest> onRemoved) {
-        int ahead = 0;
+    /**
+     * Removes every waiting request that is not expected to start in time.
+     *
+     * @param guaranteedSlots number of slots guaranteed to the class
+     * @param onRemoved called for each removed request
+     */
+    void removeUnservable(long nowNanos, int guaranteedSlots, Consumer<SlotRequest> onRemoved) {
+        int requestsAhead = 0;
         for (Iterator<SlotRequest> i = waitingRequests.iterator(); i.hasNext(); ) {
             SlotRequest request = i.next();
-            if (request.startByNanos() - nowNanos > 0
-                    && request.startByNanos() - nowNanos >= estimateWaitNanos(ahead, slots)) {
-                ahead++;
+            if (request.latestStartAtNanos() - nowNanos > 0
+                    && request.latestStartAtNanos() - nowNanos >= estimateWaitNanos(requestsAhead, guaranteedSlots)) {
+                requestsAhead++;
                 continue;
             }
             i.remove();
--- a/org.berylwick/src/org/berylwick/internal/retry/AttemptHistory.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/AttemptHistory.java
@@ -9,12 +9,16 @@
  *
  * @param attempts number of attempts that have ended
  * @param mayHaveRun whether any attempt may have run the request
- * @param reason reason of the last refused attempt
+ * @param lastRefusalReason reason of the last refused attempt, {@code NO_MEMBER} if there was none
  * @param retryAfterMillis retry delay that the last refusal suggested
- * @param detail detail of the last unknown outcome, empty if there was none
+ * @param lastUnknownDetail detail of the last unknown outcome, empty if there was none
  */
 public record AttemptHistory(
-        int attempts, boolean mayHaveRun, RefusalReason reason, Optional<Long> retryAfterMillis, String detail) {
+        int attempts,
+        boolean mayHaveRun,
+        RefusalReason lastRefusalReason,
+        Optional<Long> retryAfterMillis,
+        String lastUnknownDetail) {
     /** History of a request without attempts. */
     public static final AttemptHistory NONE =
             new AttemptHistory(0, false, RefusalReason.NO_MEMBER, Optional.empty(), "");
@@ -26,9 +30,9 @@
                 throw new IllegalArgumentException(
                         "an answered attempt cannot be added: an answered request is not retried");
             case Outcome.RefusedNotRun<?>(RefusalReason refusalReason, Optional<Long> retryAfter) ->
-                new AttemptHistory(attempts + 1, mayHaveRun, refusalReason, retryAfter, detail);
+                new AttemptHistory(attempts + 1, mayHaveRun, refusalReason, retryAfter, lastUnknownDetail);
             case Outcome.Unknown<?>(String unknownDetail) ->
-                new AttemptHistory(attempts + 1, true, reason, retryAfterMillis, unknownDetail);
+                new AttemptHistory(attempts + 1, true, lastRefusalReason, retryAfterMillis, unknownDetail);
         };
     }
 
@@ -36,9 +40,11 @@
      * Returns the outcome reported to the caller when the request is not retried any more.
      *
      * <p>If an attempt may have run, the outcome of the whole request is unknown, even if later attempts were refused:
-     * the caller would send a request again that is reported as not run.
+     * a caller to whom a request is reported as not run would send it again.
      */
     public <A> Outcome<A> finalOutcome() {
-        return mayHaveRun ? new Outcome.Unknown<>(detail) : new Outcome.RefusedNotRun<>(reason, retryAfterMillis);
+        return mayHaveRun
+                ? new Outcome.Unknown<>(lastUnknownDetail)
+                : new Outcome.RefusedNotRun<>(lastRefusalReason, retryAfterMillis);
     }
 }
--- a/org.berylwick/src/org/berylwick/internal/retry/RetryBudget.java
+++ b/org.berylwick/src/org/berylwick/internal/retry/RetryBudget.java
@@ -15,7 +15,7 @@
     private final double retryRatio;
     private final int minRetries;
     private final long bucketNanos;
-    private final long originNanos;
+    private final long createdAtNanos;
     private final long[] requests = new long[BUCKETS];
     private final long[] retries = new long[BUCKETS];
     private long newestBucket;
@@ -32,17 +32,17 @@
         this.retryRatio = retryRatio;
         this.minRetries = minRetries;
         this.bucketNanos = Math.max(1, windowMillis * 1_000_000L / BUCKETS);
-        this.originNanos = time.nanoTime();
+        this.createdAtNanos = time.nanoTime();
     }
 
     /** Counts a request; to be called once per request, not per attempt. */
     public synchronized void countRequest() {
-        requests[currentBucketIndex()]++;
+        requests[advanceToCurrentBucket()]++;
     }
 
     /** Takes one retry from the budget; returns false if none is left. */
     public synchronized boolean tryAcquireRetry() {
-        int index = currentBucketIndex();
+        int index = advanceToCurrentBucket();
         if (sum(retries) + 1 > minRetries + retryRatio * sum(requests)) {
             return false;
         }
@@ -50,8 +50,9 @@
         return true;
     }
 
-    private int currentBucketIndex() {
-        long bucket = (time.nanoTime() - originNanos) / bucketNanos;
+    /** Clears the buckets that have left the window and returns the index of the current bucket. */
+    private int advanceToCurrentBucket() {
+        long bucket = (time.nanoTime() - createdAtNanos) / bucketNanos;
         long expiredBuckets = Math.min(BUCKETS, bucket - newestBucket);
         for (long i = 1; i <= expiredBuckets; i++) {
             int index = (int) ((newestBucket + i) % BUCKETS);
--- a/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/EjectionState.java
@@ -5,7 +5,7 @@
 import org.berylwick.lib.Deadline;
 
 /**
- * Outlier ejection state of one member: whether it receives no requests because earlier ones failed or were slow.
+ * Outlier ejection state of one member, which keeps requests away from it after earlier ones failed or were slow.
  *
  * <p>A member is ejected for a backoff that doubles with each ejection. It is then on probation, during which one
  * idempotent request at a time probes whether it has recovered. Not thread-safe.
@@ -15,7 +15,7 @@
     static final int FAILURES_TO_EJECT = 5;
 
     /** Consecutive successes that end a probation. */
-    static final int SUCCESSES_TO_RETURN = 3;
+    static final int SUCCESSES_TO_READMIT = 3;
 
     static final Duration INITIAL_BACKOFF = Duration.ofSeconds(1);
     static final Duration MAX_BACKOFF = Duration.ofSeconds(60);
@@ -64,7 +64,7 @@
             return false;
         }
         successesSinceEjection++;
-        if (successesSinceEjection < SUCCESSES_TO_RETURN) {
+        if (successesSinceEjection < SUCCESSES_TO_READMIT) {
             return false;
         }
         ejectedUntil = Optional.empty();
--- a/org.berylwick/src/org/berylwick/internal/routing/MemberLoadRecord.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/MemberLoadRecord.java
@@ -14,7 +14,7 @@
     /** Age at which a reported load no longer counts. */
     static final Duration LOAD_REPORT_EXPIRY = Duration.ofSeconds(2);
 
-    /** Time over which the weight of a new member rises to the full weight. */
+    /** Time over which the slow-start factor of a new member rises to 1. */
     static final Duration SLOW_START_DURATION = Duration.ofSeconds(10);
 
     /**
@@ -23,7 +23,7 @@
      */
     private static final long MIN_INCARNATION_GAP_BETWEEN_STARTS = 1_000;
 
-    private static final double INITIAL_WEIGHT = 0.1;
+    private static final double INITIAL_SLOW_START_FACTOR = 0.1;
     private static final double LATENCY_SMOOTHING_FACTOR = 0.1;
 
     private final Member member;
@@ -94,13 +94,13 @@
         return inFlight + loadFromOthers * Math.max(0, 1 - ageRatio);
     }
 
-    /** Factor applied to the slots of a new member when requests are distributed; rises linearly to 1. */
-    double weight(long nowNanos) {
+    /** Factor by which the slots of a new member are multiplied when requests are distributed; rises linearly to 1. */
+    double slowStartFactor(long nowNanos) {
         if (appearedAtNanos.isEmpty()) {
             return 1;
         }
         double ageRatio = (double) (nowNanos - appearedAtNanos.get()) / SLOW_START_DURATION.toNanos();
-        return Math.clamp(ageRatio, INITIAL_WEIGHT, 1);
+        return Math.clamp(ageRatio, INITIAL_SLOW_START_FACTOR, 1);
     }
 
     synchronized EjectionState.Status ejectionStatus(long nowNanos) {
--- a/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/PeerLoads.java
@@ -74,7 +74,7 @@
         this.currentView = currentView;
         this.time = time;
         ejections = metrics.counter(ChoiceMetrics.EJECTIONS);
-        readmissions = metrics.counter(ChoiceMetrics.RETURNS);
+        readmissions = metrics.counter(ChoiceMetrics.READMISSIONS);
     }
 
     /** Records that a request is sent to a member; the returned attempt records its outcome. */
@@ -178,7 +178,7 @@
      * <p>Members that existed when this process first saw their service get full weight at once: this process may be
      * new, but they are not.
      */
-    void updateMembers() {
+    void updateRecords() {
         if (currentView.get() != appliedView) {
             applyCurrentView();
         }
@@ -200,10 +200,11 @@
     }
 
     /** Number of members that have a record. */
-    int size() {
+    int recordCount() {
         return recordsByInstance.size();
     }
 
+    /** Ejects a member whose mean latency is an outlier among the members of its service in its region. */
     private void ejectIfSlow(MemberLoadRecord candidate) {
         Member m = candidate.member();
         List<Double> otherMeans = recordsByInstance.values().stream()
--- a/org.berylwick/src/org/berylwick/internal/routing/Tiers.java
+++ b/org.berylwick/src/org/berylwick/internal/routing/Tiers.java
@@ -13,11 +13,11 @@
  */
 final class Tiers {
     /** Utilization above which a tier spills requests over. */
-    static final double SPILL_THRESHOLD = 0.6;
+    static final double SPILL_UTILIZATION_THRESHOLD = 0.6;
 
     /**
-     * Difference in utilization from which spillover is not reduced. With smaller differences it is reduced in
-     * proportion, as tiers of similar utilization would only exchange requests.
+     * Difference in utilization at or above which the full spillover applies. Smaller differences reduce it in
+     * proportion, because tiers of similar utilization would only exchange requests.
      */
     private static final double FULL_SPILL_UTILIZATION_GAP = 0.25;
 
@@ -67,12 +67,17 @@
         for (Member m : members) {
             MemberLoadRecord loadRecord = loads.record(m);
             load += loadRecord.load(nowNanos);
-            capacity += Math.max(1, m.slots()) * loadRecord.weight(nowNanos);
+            capacity += Math.max(1, m.slots()) * loadRecord.slowStartFactor(nowNanos);
         }
         return new Tier(distance, members, load, capacity);
     }
 
-    /** Returns the share of requests kept in {@code nearTier}; the rest spills over to {@code fartherTiers}. */
+    /**
+     * Returns the share of requests kept in {@code nearTier}; the rest spills over to {@code fartherTiers}.
+     *
+     * <p>The spill pressure rises from 0 at the threshold to 1 when the near tier is full. Even then the near tier
+     * keeps at least its share of the total capacity.
+     */
     static double keptShare(Tier nearTier, List<Tier> fartherTiers) {
         double load = 0;
         double capacity = 0;
@@ -83,9 +88,10 @@
         if (capacity == 0) {
             return 1;
         }
-        double pressure = Math.clamp((nearTier.utilization() - SPILL_THRESHOLD) / (1 - SPILL_THRESHOLD), 0, 1);
+        double spillPressure = Math.clamp(
+                (nearTier.utilization() - SPILL_UTILIZATION_THRESHOLD) / (1 - SPILL_UTILIZATION_THRESHOLD), 0, 1);
         double gapFactor = Math.clamp((nearTier.utilization() - load / capacity) / FULL_SPILL_UTILIZATION_GAP, 0, 1);
         double fairShare = nearTier.capacity / (nearTier.capacity + capacity);
-        return 1 - pressure * gapFactor * (1 - fairShare);
+        return 1 - spillPressure * gapFactor * (1 - fairShare);
     }
 }
