--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Exchange.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Exchange.java
@@ -22,7 +22,7 @@
  */
 record Exchange(HttpResponse response, ClientRequestContext context) {
     /** What is said of an attempt whose answer did not come in its time. */
-    static final String NO_ANSWER_IN_TIME = "no answer in time";
+    static final String RESPONSE_TIMEOUT_DETAIL = "no answer in time";
 
     /**
      * Sends a request.
@@ -59,7 +59,7 @@
     /** What is said of an attempt that failed so. */
     static String describe(Throwable failure) {
         return failure instanceof ResponseTimeoutException
-                ? NO_ANSWER_IN_TIME
+                ? RESPONSE_TIMEOUT_DETAIL
                 : failure.getClass().getSimpleName();
     }
 
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarding.java
@@ -176,7 +176,7 @@
                         call.match().service().name(),
                         detail);
                 // The owner's clock may find the deadline passed some milliseconds before the one here does.
-                boolean late = detail.equals(Exchange.NO_ANSWER_IN_TIME)
+                boolean late = detail.equals(Exchange.RESPONSE_TIMEOUT_DETAIL)
                         || call.deadline().remainingMillis(forwarder.time()) <= 0;
                 result.complete(Problem.unknown(
                         call.requestId(), late, call.match().policy().idempotent(), detail));
