--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Exchange.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Exchange.java
@@ -69,7 +69,7 @@
     }
 
     /** Gives the response this much longer, from now. */
-    void extend(long millis) {
+    void extendResponseTimeout(long millis) {
         context.setResponseTimeout(TimeoutMode.SET_FROM_NOW, Duration.ofMillis(Math.max(1, millis)));
     }
 
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Pace.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Pace.java
@@ -40,7 +40,7 @@
     StreamMessage<HttpData> headSeen(StreamMessage<HttpData> body) {
         return switch (limit) {
             case TransferLimit.Whole(Deadline by) -> {
-                exchange.extend(by.remainingMillis(time));
+                exchange.extendResponseTimeout(by.remainingMillis(time));
                 yield body;
             }
             case TransferLimit.Progress p -> {
@@ -60,6 +60,6 @@
         }
         nextRenewalNanos = now + p.stallMillis() * NANOS_PER_MILLI / RENEWALS_PER_LIMIT;
         long callerMillis = p.callerBy().map(by -> by.remainingMillis(time)).orElse(Long.MAX_VALUE);
-        exchange.extend(Math.min(p.stallMillis(), callerMillis));
+        exchange.extendResponseTimeout(Math.min(p.stallMillis(), callerMillis));
     }
 }
