--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/FramingCheck.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/FramingCheck.java
@@ -20,7 +20,7 @@
  * while its connection is open and passes.
  */
 final class FramingCheck extends ChannelInboundHandlerAdapter {
-    private boolean framed = true;
+    private boolean selfDelimited = true;
 
     /** Puts the check behind the codec of a client's pipeline, once there is one. */
     static final class Installer extends ChannelDuplexHandler {
@@ -38,10 +38,10 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         if (message instanceof HttpResponse head) {
-            framed =
+            selfDelimited =
                     HttpUtil.isTransferEncodingChunked(head) || head.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
         }
-        if (message instanceof LastHttpContent end && !framed && !ctx.channel().isActive()) {
+        if (message instanceof LastHttpContent end && !selfDelimited && !ctx.channel().isActive()) {
             DefaultLastHttpContent failed = new DefaultLastHttpContent(end.content());
             failed.setDecoderResult(DecoderResult.failure(new IllegalStateException("the body has no announced end")));
             ctx.fireChannelRead(failed);
