--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/LengthCheck.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ContentLengthCheck.java
@@ -16,11 +16,11 @@
  * if it were whole, three times in 304 runs on a busy machine. It stands next to the connection, so that such a body is
  * cut there, and can be asked for again, before its answer begins at the caller.
  */
-final class LengthCheck extends FilteredStreamMessage<HttpData, HttpData> {
+final class ContentLengthCheck extends FilteredStreamMessage<HttpData, HttpData> {
     private final long expected;
     private long passed;
 
-    private LengthCheck(StreamMessage<HttpData> body, long expected) {
+    private ContentLengthCheck(StreamMessage<HttpData> body, long expected) {
         super(body, true);
         this.expected = expected;
     }
@@ -28,7 +28,7 @@
     /** The body with its length checked, if its head announced one. */
     static StreamMessage<HttpData> of(HttpMethod method, ResponseHeaders head, StreamMessage<HttpData> body) {
         OptionalLong length = length(method, head);
-        return length.isPresent() ? new LengthCheck(body, length.getAsLong()) : body;
+        return length.isPresent() ? new ContentLengthCheck(body, length.getAsLong()) : body;
     }
 
     /** The bytes that follow a head, if it says how many. */
