--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ContentLengthCheck.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ContentLengthCheck.java
@@ -17,12 +17,12 @@
  * cut there, and can be asked for again, before its answer begins at the caller.
  */
 final class ContentLengthCheck extends FilteredStreamMessage<HttpData, HttpData> {
-    private final long expected;
+    private final long expectedBytes;
     private long passed;
 
     private ContentLengthCheck(StreamMessage<HttpData> body, long expected) {
         super(body, true);
-        this.expected = expected;
+        this.expectedBytes = expected;
     }
 
     /** The body with its length checked, if its head announced one. */
@@ -46,8 +46,8 @@
 
     @Override
     protected void beforeComplete(Subscriber<? super HttpData> subscriber) {
-        if (passed != expected) {
-            throw new IllegalStateException("the body has " + passed + " bytes, announced " + expected);
+        if (passed != expectedBytes) {
+            throw new IllegalStateException("the body has " + passed + " bytes, announced " + expectedBytes);
         }
     }
 }
