--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ContentLengthCheck.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ContentLengthCheck.java
@@ -18,7 +18,7 @@
  */
 final class ContentLengthCheck extends FilteredStreamMessage<HttpData, HttpData> {
     private final long expectedBytes;
-    private long passed;
+    private long receivedBytes;
 
     private ContentLengthCheck(StreamMessage<HttpData> body, long expected) {
         super(body, true);
@@ -40,14 +40,14 @@
 
     @Override
     protected HttpData filter(HttpData data) {
-        passed += data.length();
+        receivedBytes += data.length();
         return data;
     }
 
     @Override
     protected void beforeComplete(Subscriber<? super HttpData> subscriber) {
-        if (passed != expectedBytes) {
-            throw new IllegalStateException("the body has " + passed + " bytes, announced " + expectedBytes);
+        if (receivedBytes != expectedBytes) {
+            throw new IllegalStateException("the body has " + receivedBytes + " bytes, announced " + expectedBytes);
         }
     }
 }
