--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ContentLengthCheck.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ContentLengthCheck.java
@@ -26,7 +26,7 @@
     }
 
     /** The body with its length checked, if its head announced one. */
-    static StreamMessage<HttpData> of(HttpMethod method, ResponseHeaders head, StreamMessage<HttpData> body) {
+    static StreamMessage<HttpData> wrap(HttpMethod method, ResponseHeaders head, StreamMessage<HttpData> body) {
         OptionalLong length = length(method, head);
         return length.isPresent() ? new ContentLengthCheck(body, length.getAsLong()) : body;
     }
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
@@ -145,7 +145,7 @@
         headers.set(CallHeaders.REQUEST_ID, owned.requestId());
         outcome.complete(new Outcome.Answered<>(new Answer(
                 headers.build(),
-                pace.headSeen(ContentLengthCheck.of(owned.request().method(), received, split.body())),
+                pace.headSeen(ContentLengthCheck.wrap(owned.request().method(), received, split.body())),
                 split.trailers())));
     }
 
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/PeerSender.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/PeerSender.java
@@ -90,7 +90,7 @@
                 CallHeaders.removeInternal(headers);
                 return new Outcome.Answered<>(new Answer(
                         headers.build(),
-                        pace.headSeen(ContentLengthCheck.of(call.headers().method(), received, split.body())),
+                        pace.headSeen(ContentLengthCheck.wrap(call.headers().method(), received, split.body())),
                         split.trailers()));
             }
             case CallHeaders.OUTCOME_NOT_RUN -> {
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/LengthCheckTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/LengthCheckTest.java
@@ -18,7 +18,7 @@
     private static StreamMessage<HttpData> body(HttpMethod method, HttpStatus status, long announced) {
         ResponseHeaders head =
                 ResponseHeaders.builder(status).contentLength(announced).build();
-        return ContentLengthCheck.of(method, head, StreamMessage.of(BYTES));
+        return ContentLengthCheck.wrap(method, head, StreamMessage.of(BYTES));
     }
 
     private static int parts(StreamMessage<HttpData> body) {
@@ -41,7 +41,7 @@
         assertEquals(1, parts(body(HttpMethod.HEAD, HttpStatus.OK, 89)));
         assertEquals(1, parts(body(HttpMethod.GET, HttpStatus.NOT_MODIFIED, 89)));
         StreamMessage<HttpData> unannounced =
-                ContentLengthCheck.of(HttpMethod.GET, ResponseHeaders.of(HttpStatus.OK), StreamMessage.of(BYTES));
+                ContentLengthCheck.wrap(HttpMethod.GET, ResponseHeaders.of(HttpStatus.OK), StreamMessage.of(BYTES));
         assertEquals(1, parts(unannounced));
     }
 }
