--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/AnswerDelivery.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/AnswerDelivery.java
@@ -31,7 +31,7 @@
         builder.set(CallHeaders.REQUEST_ID, call.requestId());
         ResponseHeaders headers = builder.build();
         Answer whole = ResumableAnswer.of(forwarder, call, answer, from);
-        OptionalLong length = ContentLengthCheck.length(call.headers().method(), headers);
+        OptionalLong length = ContentLengthCheck.expectedLength(call.headers().method(), headers);
         AnswerGuard body = new AnswerGuard(call.requestId(), whole.body(), length, forwarder.invariants(), this::ended);
         return whole.withHeaders(headers).withBody(body).toResponse();
     }
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ContentLengthCheck.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ContentLengthCheck.java
@@ -27,12 +27,12 @@
 
     /** The body with its length checked, if its head announced one. */
     static StreamMessage<HttpData> wrap(HttpMethod method, ResponseHeaders head, StreamMessage<HttpData> body) {
-        OptionalLong length = length(method, head);
+        OptionalLong length = expectedLength(method, head);
         return length.isPresent() ? new ContentLengthCheck(body, length.getAsLong()) : body;
     }
 
     /** The bytes that follow a head, if it says how many. */
-    static OptionalLong length(HttpMethod method, ResponseHeaders head) {
+    static OptionalLong expectedLength(HttpMethod method, ResponseHeaders head) {
         boolean bodiless =
                 method == HttpMethod.HEAD || head.status().equals(HttpStatus.NOT_MODIFIED) || head.contentLength() < 0;
         return bodiless ? OptionalLong.empty() : OptionalLong.of(head.contentLength());
