--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Owner.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Owner.java
@@ -48,7 +48,7 @@
     }
 
     /** Has a request run. */
-    Attempt run(OwnedRequest request) {
+    Attempt run(OwnerRequest request) {
         OwnerRun run = new OwnerRun(this, request);
         run.begin();
         return new Attempt(run.outcome(), run::cancel);
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnedRequest.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRequest.java
@@ -13,5 +13,5 @@
  * @param limit what bounds the rest of the answer
  * @param request with the headers that go to the backend server
  */
-record OwnedRequest(
+record OwnerRequest(
         String requestId, TrafficClass trafficClass, Deadline deadline, TransferLimit limit, HttpRequest request) {}
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
@@ -22,14 +22,14 @@
     private static final long RETRY_AFTER_MILLIS = 1_000;
 
     private final Owner owner;
-    private final OwnedRequest owned;
+    private final OwnerRequest owned;
     private final Pace pace;
     private final CompletableFuture<Outcome<Answer>> outcome = new CompletableFuture<>();
     private volatile boolean cancelled;
     private volatile Exchange exchange;
     private volatile CompletableFuture<Admission> asked;
 
-    OwnerRun(Owner owner, OwnedRequest owned) {
+    OwnerRun(Owner owner, OwnerRequest owned) {
         this.owner = owner;
         this.owned = owned;
         this.pace = new Pace(owned.limit(), owner.time());
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerService.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerService.java
@@ -58,7 +58,7 @@
         return response;
     }
 
-    private OwnedRequest decode(String requestId, HttpRequest request) {
+    private OwnerRequest decode(String requestId, HttpRequest request) {
         RequestHeaders headers = request.headers();
         TrafficClass trafficClass = switch (headers.get(CallHeaders.TRAFFIC_CLASS, "")) {
             case "CONFIRMATION" -> TrafficClass.CONFIRMATION;
@@ -74,7 +74,7 @@
         TransferLimit limit = stallMillis < 0
                 ? new TransferLimit.Whole(wholeBy.orElse(headBy))
                 : new TransferLimit.Progress(stallMillis, wholeBy);
-        return new OwnedRequest(requestId, trafficClass, headBy, limit, request);
+        return new OwnerRequest(requestId, trafficClass, headBy, limit, request);
     }
 
     private HttpResponse encode(String requestId, Outcome<Answer> outcome) {
