--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
@@ -41,12 +41,12 @@
 
     /** Asks for a slot and sends the request once it is held. */
     void begin() {
-        Optional<RefusalReason> refusal = owner.refusal(owned.deadline());
+        Optional<RefusalReason> refusal = owner.refusal(owned.headDeadline());
         if (refusal.isPresent()) {
             refuse(refusal.get());
             return;
         }
-        asked = owner.limiter().acquire(owned.trafficClass(), owned.deadline());
+        asked = owner.limiter().acquire(owned.trafficClass(), owned.headDeadline());
         asked.whenComplete((admission, failure) -> {
             if (failure != null) {
                 refuse(RefusalReason.DEADLINE);
@@ -77,7 +77,7 @@
     private void admitted(SlotLimiter.Permit permit) {
         // Time has passed in the queue: the caller may be gone, the deadline past or the backend server leaving.
         Optional<RefusalReason> refusal =
-                cancelled ? Optional.of(RefusalReason.DEADLINE) : owner.refusal(owned.deadline());
+                cancelled ? Optional.of(RefusalReason.DEADLINE) : owner.refusal(owned.headDeadline());
         if (refusal.isPresent()) {
             permit.closeUnused();
             refuse(refusal.get());
@@ -86,7 +86,7 @@
         owner.checkMayWork(owned.requestId());
         owner.metrics().begin();
         Exchange begun =
-                owner.server().execute(pace.watch(toSend()), owned.deadline().remainingMillis(owner.time()));
+                owner.server().execute(pace.watch(toSend()), owned.headDeadline().remainingMillis(owner.time()));
         pace.begin(begun);
         begun.response().whenComplete().whenComplete((done, failure) -> {
             // On the connection's own thread, after the client library has put the connection back among the idle
@@ -112,7 +112,7 @@
         RequestHeadersBuilder headers = owned.request().headers().toBuilder();
         CallHeaders.removeInternal(headers);
         Optional<Deadline> by = switch (owned.limit()) {
-            case TransferLimit.Whole(Deadline wholeBy) -> Optional.of(wholeBy.earlier(owned.deadline()));
+            case TransferLimit.Whole(Deadline wholeBy) -> Optional.of(wholeBy.earlier(owned.headDeadline()));
             case TransferLimit.Progress(long stallMillis, Optional<Deadline> callerBy) -> callerBy;
         };
         headers.remove(CallHeaders.TIMEOUT_MILLIS);
@@ -155,7 +155,7 @@
         boolean sent = exchange.isHeadSent();
         if (Exchange.isUnprocessed(failure) && !sent) {
             owner.checkNotSent(owned.requestId(), exchange.isHeadSent());
-            boolean late = owned.deadline().isPast(owner.time());
+            boolean late = owned.headDeadline().isPast(owner.time());
             refuse(late ? RefusalReason.DEADLINE : RefusalReason.SERVER_UNREACHABLE);
             return;
         }
