--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRequest.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRequest.java
@@ -10,8 +10,8 @@
  * @param requestId names it on every hop
  * @param trafficClass decides its place in the queue for a slot
  * @param headDeadline by when the head of the answer must be there
- * @param limit what bounds the rest of the answer
+ * @param transferLimit what bounds the rest of the answer
  * @param request with the headers that go to the backend server
  */
 record OwnerRequest(
-        String requestId, TrafficClass trafficClass, Deadline headDeadline, TransferLimit limit, HttpRequest request) {}
+        String requestId, TrafficClass trafficClass, Deadline headDeadline, TransferLimit transferLimit, HttpRequest request) {}
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
@@ -32,7 +32,7 @@
     OwnerRun(Owner owner, OwnerRequest owned) {
         this.owner = owner;
         this.owned = owned;
-        this.pace = new Pace(owned.limit(), owner.time());
+        this.pace = new Pace(owned.transferLimit(), owner.time());
     }
 
     CompletableFuture<Outcome<Answer>> outcome() {
@@ -111,7 +111,7 @@
     private HttpRequest toSend() {
         RequestHeadersBuilder headers = owned.request().headers().toBuilder();
         CallHeaders.removeInternal(headers);
-        Optional<Deadline> by = switch (owned.limit()) {
+        Optional<Deadline> by = switch (owned.transferLimit()) {
             case TransferLimit.Whole(Deadline wholeBy) -> Optional.of(wholeBy.earlier(owned.headDeadline()));
             case TransferLimit.Progress(long stallMillis, Optional<Deadline> callerBy) -> callerBy;
         };
