--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Owner.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Owner.java
@@ -20,7 +20,7 @@
     private static final long LEAVE_GRACE_MILLIS = 2_000;
 
     private final SlotLimiter limiter;
-    private final BackendServerClient server;
+    private final BackendServerClient backendClient;
     private final Supplier<Member.State> state;
     private final CallMetrics metrics;
     private final Invariants invariants;
@@ -40,7 +40,7 @@
             Invariants invariants,
             TimeSource time) {
         this.limiter = limiter;
-        this.server = server;
+        this.backendClient = server;
         this.state = state;
         this.metrics = metrics;
         this.invariants = invariants;
@@ -99,7 +99,7 @@
     }
 
     BackendServerClient server() {
-        return server;
+        return backendClient;
     }
 
     CallMetrics metrics() {
