--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Owner.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Owner.java
@@ -98,7 +98,7 @@
         return limiter;
     }
 
-    BackendServerClient server() {
+    BackendServerClient backendClient() {
         return backendClient;
     }
 
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
@@ -86,7 +86,7 @@
         owner.checkMayWork(owned.requestId());
         owner.metrics().begin();
         Exchange begun =
-                owner.server().execute(pace.watch(toSend()), owned.headDeadline().remainingMillis(owner.time()));
+                owner.backendClient().execute(pace.watch(toSend()), owned.headDeadline().remainingMillis(owner.time()));
         pace.begin(begun);
         begun.response().whenComplete().whenComplete((done, failure) -> {
             // On the connection's own thread, after the client library has put the connection back among the idle
