--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Owner.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Owner.java
@@ -21,7 +21,7 @@
 
     private final SlotLimiter limiter;
     private final BackendServerClient backendClient;
-    private final Supplier<Member.State> state;
+    private final Supplier<Member.State> memberState;
     private final CallMetrics metrics;
     private final Invariants invariants;
     private final TimeSource time;
@@ -41,7 +41,7 @@
             TimeSource time) {
         this.limiter = limiter;
         this.backendClient = server;
-        this.state = state;
+        this.memberState = state;
         this.metrics = metrics;
         this.invariants = invariants;
         this.time = time;
@@ -61,7 +61,7 @@
 
     /** Why no request may be sent now, if so. */
     Optional<RefusalReason> refusal(Deadline deadline) {
-        Member.State now = state.get();
+        Member.State now = memberState.get();
         if (now == Member.State.STARTING) {
             return Optional.of(RefusalReason.STARTING);
         }
@@ -74,7 +74,7 @@
 
     /** Checks, as a request goes out, that the backend server did not leave some time ago. */
     void checkMayWork(String requestId) {
-        Member.State now = state.get();
+        Member.State now = memberState.get();
         boolean leaving = now == Member.State.LEAVING || now == Member.State.GONE;
         if (!leaving) {
             noWorkFrom = null;
