--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Owner.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Owner.java
@@ -25,7 +25,7 @@
     private final CallMetrics metrics;
     private final Invariants invariants;
     private final TimeSource time;
-    private volatile Deadline noWorkFrom;
+    private volatile Deadline leaveGraceEnd;
 
     /**
      * The owner of one backend server.
@@ -77,11 +77,11 @@
         Member.State now = memberState.get();
         boolean leaving = now == Member.State.LEAVING || now == Member.State.GONE;
         if (!leaving) {
-            noWorkFrom = null;
-        } else if (noWorkFrom == null) {
-            noWorkFrom = Deadline.afterMillis(time, LEAVE_GRACE_MILLIS);
+            leaveGraceEnd = null;
+        } else if (leaveGraceEnd == null) {
+            leaveGraceEnd = Deadline.afterMillis(time, LEAVE_GRACE_MILLIS);
         }
-        Deadline from = noWorkFrom;
+        Deadline from = leaveGraceEnd;
         invariants.check(
                 Invariant.NO_WORK_AFTER_LEAVE,
                 from == null || !from.isPast(time),
