--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Forwarder.java
@@ -88,7 +88,7 @@
 
     private Attempt runHere(Call call, PeerLoads.Attempt load, long attemptMillis) {
         Deadline by = Deadline.afterMillis(time, attemptMillis);
-        Attempt begun = owner.run(new OwnerRequest(
+        Attempt begun = owner.start(new OwnerRequest(
                 call.requestId(),
                 call.match().policy().trafficClass(),
                 by,
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Owner.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Owner.java
@@ -48,7 +48,7 @@
     }
 
     /** Has a request run. */
-    Attempt run(OwnerRequest request) {
+    Attempt start(OwnerRequest request) {
         OwnerRun run = new OwnerRun(this, request);
         run.begin();
         return new Attempt(run.outcome(), run::cancel);
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerService.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerService.java
@@ -48,7 +48,7 @@
             return encode(requestId, new Outcome.RefusedNotRun<>(RefusalReason.NO_MEMBER, Optional.empty()));
         }
         Attempt attempt =
-                owner.run(decode(requestId, request.subscribeOn(ctx.eventLoop().withoutContext())));
+                owner.start(decode(requestId, request.subscribeOn(ctx.eventLoop().withoutContext())));
         HttpResponse response = HttpResponse.of(attempt.outcome().thenApply(o -> encode(requestId, o)));
         response.whenComplete().whenComplete((done, failure) -> {
             if (failure != null) {
