--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Owner.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Owner.java
@@ -60,7 +60,7 @@
     }
 
     /** Why no request may be sent now, if so. */
-    Optional<RefusalReason> refusal(Deadline deadline) {
+    Optional<RefusalReason> refusalReason(Deadline deadline) {
         Member.State now = memberState.get();
         if (now == Member.State.STARTING) {
             return Optional.of(RefusalReason.STARTING);
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
@@ -41,7 +41,7 @@
 
     /** Asks for a slot and sends the request once it is held. */
     void begin() {
-        Optional<RefusalReason> refusal = owner.refusal(owned.headDeadline());
+        Optional<RefusalReason> refusal = owner.refusalReason(owned.headDeadline());
         if (refusal.isPresent()) {
             refuse(refusal.get());
             return;
@@ -77,7 +77,7 @@
     private void admitted(SlotLimiter.Permit permit) {
         // Time has passed in the queue: the caller may be gone, the deadline past or the backend server leaving.
         Optional<RefusalReason> refusal =
-                cancelled ? Optional.of(RefusalReason.DEADLINE) : owner.refusal(owned.headDeadline());
+                cancelled ? Optional.of(RefusalReason.DEADLINE) : owner.refusalReason(owned.headDeadline());
         if (refusal.isPresent()) {
             permit.closeUnused();
             refuse(refusal.get());
