--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Owner.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Owner.java
@@ -73,7 +73,7 @@
     }
 
     /** Checks, as a request goes out, that the backend server did not leave some time ago. */
-    void checkMayWork(String requestId) {
+    void checkSendAllowed(String requestId) {
         Member.State now = memberState.get();
         boolean leaving = now == Member.State.LEAVING || now == Member.State.GONE;
         if (!leaving) {
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
@@ -83,7 +83,7 @@
             refuse(refusal.get());
             return;
         }
-        owner.checkMayWork(owned.requestId());
+        owner.checkSendAllowed(owned.requestId());
         owner.metrics().begin();
         Exchange begun =
                 owner.backendClient().execute(pace.watch(toSend()), owned.headDeadline().remainingMillis(owner.time()));
