--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
@@ -22,7 +22,7 @@
     private static final long RETRY_AFTER_MILLIS = 1_000;
 
     private final Owner owner;
-    private final OwnerRequest owned;
+    private final OwnerRequest request;
     private final Pace pace;
     private final CompletableFuture<Outcome<Answer>> outcome = new CompletableFuture<>();
     private volatile boolean cancelled;
@@ -31,7 +31,7 @@
 
     OwnerRun(Owner owner, OwnerRequest owned) {
         this.owner = owner;
-        this.owned = owned;
+        this.request = owned;
         this.pace = new Pace(owned.transferLimit(), owner.time());
     }
 
@@ -41,12 +41,12 @@
 
     /** Asks for a slot and sends the request once it is held. */
     void begin() {
-        Optional<RefusalReason> refusal = owner.refusalReason(owned.headDeadline());
+        Optional<RefusalReason> refusal = owner.refusalReason(request.headDeadline());
         if (refusal.isPresent()) {
             refuse(refusal.get());
             return;
         }
-        asked = owner.limiter().acquire(owned.trafficClass(), owned.headDeadline());
+        asked = owner.limiter().acquire(request.trafficClass(), request.headDeadline());
         asked.whenComplete((admission, failure) -> {
             if (failure != null) {
                 refuse(RefusalReason.DEADLINE);
@@ -77,16 +77,16 @@
     private void admitted(SlotLimiter.Permit permit) {
         // Time has passed in the queue: the caller may be gone, the deadline past or the backend server leaving.
         Optional<RefusalReason> refusal =
-                cancelled ? Optional.of(RefusalReason.DEADLINE) : owner.refusalReason(owned.headDeadline());
+                cancelled ? Optional.of(RefusalReason.DEADLINE) : owner.refusalReason(request.headDeadline());
         if (refusal.isPresent()) {
             permit.closeUnused();
             refuse(refusal.get());
             return;
         }
-        owner.checkSendAllowed(owned.requestId());
+        owner.checkSendAllowed(request.requestId());
         owner.metrics().begin();
         Exchange begun =
-                owner.backendClient().execute(pace.watch(toSend()), owned.headDeadline().remainingMillis(owner.time()));
+                owner.backendClient().execute(pace.watch(toSend()), request.headDeadline().remainingMillis(owner.time()));
         pace.begin(begun);
         begun.response().whenComplete().whenComplete((done, failure) -> {
             // On the connection's own thread, after the client library has put the connection back among the idle
@@ -109,22 +109,22 @@
     }
 
     private HttpRequest toSend() {
-        RequestHeadersBuilder headers = owned.request().headers().toBuilder();
+        RequestHeadersBuilder headers = request.request().headers().toBuilder();
         CallHeaders.removeInternal(headers);
-        Optional<Deadline> by = switch (owned.transferLimit()) {
-            case TransferLimit.Whole(Deadline wholeBy) -> Optional.of(wholeBy.earlier(owned.headDeadline()));
+        Optional<Deadline> by = switch (request.transferLimit()) {
+            case TransferLimit.Whole(Deadline wholeBy) -> Optional.of(wholeBy.earlier(request.headDeadline()));
             case TransferLimit.Progress(long stallMillis, Optional<Deadline> callerBy) -> callerBy;
         };
         headers.remove(CallHeaders.TIMEOUT_MILLIS);
         by.ifPresent(d -> headers.setLong(CallHeaders.TIMEOUT_MILLIS, d.remainingMillis(owner.time())));
-        return owned.request().withHeaders(headers);
+        return request.request().withHeaders(headers);
     }
 
     private void headSeen(ResponseHeaders received, SplitHttpResponse split, SlotLimiter.Permit permit) {
-        String echoed = received.get(CallHeaders.REQUEST_ID, owned.requestId());
-        if (!echoed.equals(owned.requestId())) {
+        String echoed = received.get(CallHeaders.REQUEST_ID, request.requestId());
+        if (!echoed.equals(request.requestId())) {
             // The connection is one answer behind or ahead; every later answer on it would reach a wrong caller too.
-            EVENTS.log(CallEvent.CROSSED_ANSWER, owned.requestId(), echoed);
+            EVENTS.log(CallEvent.CROSSED_ANSWER, request.requestId(), echoed);
             owner.metrics().countCrossed();
             split.body().abort();
             exchange.closeConnection();
@@ -142,10 +142,10 @@
         CallHeaders.removeHopByHop(headers);
         CallHeaders.removeInternal(headers);
         headers.remove(CallHeaders.SHED);
-        headers.set(CallHeaders.REQUEST_ID, owned.requestId());
+        headers.set(CallHeaders.REQUEST_ID, request.requestId());
         outcome.complete(new Outcome.Answered<>(new Answer(
                 headers.build(),
-                pace.headSeen(ContentLengthCheck.wrap(owned.request().method(), received, split.body())),
+                pace.headSeen(ContentLengthCheck.wrap(request.request().method(), received, split.body())),
                 split.trailers())));
     }
 
@@ -154,8 +154,8 @@
         // never handed to the connection. With HTTP/1.1 a head that was handed over may have been run.
         boolean sent = exchange.isHeadSent();
         if (Exchange.isUnprocessed(failure) && !sent) {
-            owner.checkNotSent(owned.requestId(), exchange.isHeadSent());
-            boolean late = owned.headDeadline().isPast(owner.time());
+            owner.checkNotSent(request.requestId(), exchange.isHeadSent());
+            boolean late = request.headDeadline().isPast(owner.time());
             refuse(late ? RefusalReason.DEADLINE : RefusalReason.SERVER_UNREACHABLE);
             return;
         }
