--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
@@ -23,7 +23,7 @@
 
     private final Owner owner;
     private final OwnerRequest request;
-    private final Pace pace;
+    private final Pace exchangeTimeout;
     private final CompletableFuture<Outcome<Answer>> outcome = new CompletableFuture<>();
     private volatile boolean cancelled;
     private volatile Exchange exchange;
@@ -32,7 +32,7 @@
     OwnerRun(Owner owner, OwnerRequest owned) {
         this.owner = owner;
         this.request = owned;
-        this.pace = new Pace(owned.transferLimit(), owner.time());
+        this.exchangeTimeout = new Pace(owned.transferLimit(), owner.time());
     }
 
     CompletableFuture<Outcome<Answer>> outcome() {
@@ -86,8 +86,8 @@
         owner.checkSendAllowed(request.requestId());
         owner.metrics().begin();
         Exchange begun =
-                owner.backendClient().execute(pace.watch(toSend()), request.headDeadline().remainingMillis(owner.time()));
-        pace.begin(begun);
+                owner.backendClient().execute(exchangeTimeout.watch(toSend()), request.headDeadline().remainingMillis(owner.time()));
+        exchangeTimeout.begin(begun);
         begun.response().whenComplete().whenComplete((done, failure) -> {
             // On the connection's own thread, after the client library has put the connection back among the idle
             // ones. Freed any earlier, the slot's next request would find none idle and open one more.
@@ -145,7 +145,7 @@
         headers.set(CallHeaders.REQUEST_ID, request.requestId());
         outcome.complete(new Outcome.Answered<>(new Answer(
                 headers.build(),
-                pace.headSeen(ContentLengthCheck.wrap(request.request().method(), received, split.body())),
+                exchangeTimeout.headSeen(ContentLengthCheck.wrap(request.request().method(), received, split.body())),
                 split.trailers())));
     }
 
