--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
@@ -27,7 +27,7 @@
     private final CompletableFuture<Outcome<Answer>> outcome = new CompletableFuture<>();
     private volatile boolean cancelled;
     private volatile Exchange exchange;
-    private volatile CompletableFuture<Admission> asked;
+    private volatile CompletableFuture<Admission> pendingAdmission;
 
     OwnerRun(Owner owner, OwnerRequest owned) {
         this.owner = owner;
@@ -46,8 +46,8 @@
             refuse(refusal.get());
             return;
         }
-        asked = owner.limiter().acquire(request.trafficClass(), request.headDeadline());
-        asked.whenComplete((admission, failure) -> {
+        pendingAdmission = owner.limiter().acquire(request.trafficClass(), request.headDeadline());
+        pendingAdmission.whenComplete((admission, failure) -> {
             if (failure != null) {
                 refuse(RefusalReason.DEADLINE);
                 return;
@@ -62,7 +62,7 @@
     /** Gives the request up: nobody waits for its answer any more. */
     void cancel() {
         cancelled = true;
-        CompletableFuture<Admission> waiting = asked;
+        CompletableFuture<Admission> waiting = pendingAdmission;
         if (waiting != null) {
             // Without this the request keeps its place in the queue and later takes a slot for an answer that
             // nobody reads.
