--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Owner.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Owner.java
@@ -50,7 +50,7 @@
     /** Has a request run. */
     Attempt start(OwnerRequest request) {
         OwnerRun run = new OwnerRun(this, request);
-        run.begin();
+        run.start();
         return new Attempt(run.outcome(), run::cancel);
     }
 
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
@@ -40,7 +40,7 @@
     }
 
     /** Asks for a slot and sends the request once it is held. */
-    void begin() {
+    void start() {
         Optional<RefusalReason> refusal = owner.refusalReason(request.headDeadline());
         if (refusal.isPresent()) {
             refuse(refusal.get());
