--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
@@ -54,7 +54,7 @@
             }
             switch (admission) {
                 case Admission.Refused(RefusalReason reason, long retryAfterMillis) -> refuse(reason, retryAfterMillis);
-                case Admission.Admitted(SlotLimiter.Permit permit) -> admitted(permit);
+                case Admission.Admitted(SlotLimiter.Permit permit) -> onAdmitted(permit);
             }
         });
     }
@@ -74,7 +74,7 @@
         }
     }
 
-    private void admitted(SlotLimiter.Permit permit) {
+    private void onAdmitted(SlotLimiter.Permit permit) {
         // Time has passed in the queue: the caller may be gone, the deadline past or the backend server leaving.
         Optional<RefusalReason> refusal =
                 cancelled ? Optional.of(RefusalReason.DEADLINE) : owner.refusalReason(request.headDeadline());
