--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
@@ -101,7 +101,7 @@
         }
         split.headers().whenComplete((headers, failure) -> {
             if (failure == null) {
-                headSeen(headers, split, permit);
+                onResponseHead(headers, split, permit);
             } else {
                 failed(failure);
             }
@@ -120,7 +120,7 @@
         return request.request().withHeaders(headers);
     }
 
-    private void headSeen(ResponseHeaders received, SplitHttpResponse split, SlotLimiter.Permit permit) {
+    private void onResponseHead(ResponseHeaders received, SplitHttpResponse split, SlotLimiter.Permit permit) {
         String echoed = received.get(CallHeaders.REQUEST_ID, request.requestId());
         if (!echoed.equals(request.requestId())) {
             // The connection is one answer behind or ahead; every later answer on it would reach a wrong caller too.
