--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
@@ -103,7 +103,7 @@
             if (failure == null) {
                 onResponseHead(headers, split, permit);
             } else {
-                failed(failure);
+                onFailure(failure);
             }
         });
     }
@@ -149,7 +149,7 @@
                 split.trailers())));
     }
 
-    private void failed(Throwable failure) {
+    private void onFailure(Throwable failure) {
         // Both must agree: the library's word that the peer cannot have seen the request, and that its head was
         // never handed to the connection. With HTTP/1.1 a head that was handed over may have been run.
         boolean sent = exchange.isHeadSent();
