--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerService.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerService.java
@@ -48,7 +48,7 @@
             return encode(requestId, new Outcome.RefusedNotRun<>(RefusalReason.NO_MEMBER, Optional.empty()));
         }
         Attempt attempt =
-                owner.start(decode(requestId, request.subscribeOn(ctx.eventLoop().withoutContext())));
+                owner.start(toOwnerRequest(requestId, request.subscribeOn(ctx.eventLoop().withoutContext())));
         HttpResponse response = HttpResponse.of(attempt.outcome().thenApply(o -> encode(requestId, o)));
         response.whenComplete().whenComplete((done, failure) -> {
             if (failure != null) {
@@ -58,7 +58,7 @@
         return response;
     }
 
-    private OwnerRequest decode(String requestId, HttpRequest request) {
+    private OwnerRequest toOwnerRequest(String requestId, HttpRequest request) {
         RequestHeaders headers = request.headers();
         TrafficClass trafficClass = switch (headers.get(CallHeaders.TRAFFIC_CLASS, "")) {
             case "CONFIRMATION" -> TrafficClass.CONFIRMATION;
