--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerService.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerService.java
@@ -45,11 +45,11 @@
         String requestId = headers.get(CallHeaders.REQUEST_ID, "");
         // An address is reused when a VM is replaced; the request is meant for the instance that had it before.
         if (!instance.equals(headers.get(CallHeaders.INSTANCE)) || requestId.isEmpty()) {
-            return encode(requestId, new Outcome.RefusedNotRun<>(RefusalReason.NO_MEMBER, Optional.empty()));
+            return toHttpResponse(requestId, new Outcome.RefusedNotRun<>(RefusalReason.NO_MEMBER, Optional.empty()));
         }
         Attempt attempt =
                 owner.start(toOwnerRequest(requestId, request.subscribeOn(ctx.eventLoop().withoutContext())));
-        HttpResponse response = HttpResponse.of(attempt.outcome().thenApply(o -> encode(requestId, o)));
+        HttpResponse response = HttpResponse.of(attempt.outcome().thenApply(o -> toHttpResponse(requestId, o)));
         response.whenComplete().whenComplete((done, failure) -> {
             if (failure != null) {
                 attempt.cancel().run();
@@ -77,7 +77,7 @@
         return new OwnerRequest(requestId, trafficClass, headBy, limit, request);
     }
 
-    private HttpResponse encode(String requestId, Outcome<Answer> outcome) {
+    private HttpResponse toHttpResponse(String requestId, Outcome<Answer> outcome) {
         return switch (outcome) {
             case Outcome.Answered<Answer>(Answer answer) -> {
                 ResponseHeadersBuilder headers = answer.headers().toBuilder();
