--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerService.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerService.java
@@ -87,18 +87,18 @@
             }
             case Outcome.RefusedNotRun<Answer>(RefusalReason reason, Optional<Long> retryAfter) -> {
                 ResponseHeadersBuilder headers =
-                        head(HttpStatus.SERVICE_UNAVAILABLE, CallHeaders.OUTCOME_NOT_RUN, requestId, reason.word());
+                        responseHead(HttpStatus.SERVICE_UNAVAILABLE, CallHeaders.OUTCOME_NOT_RUN, requestId, reason.word());
                 retryAfter.ifPresent(ms ->
                         headers.setLong(HttpHeaderNames.RETRY_AFTER, (ms + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND));
                 yield HttpResponse.of(headers.build());
             }
             case Outcome.Unknown<Answer>(String detail) ->
-                HttpResponse.of(head(HttpStatus.BAD_GATEWAY, CallHeaders.OUTCOME_UNKNOWN, requestId, detail)
+                HttpResponse.of(responseHead(HttpStatus.BAD_GATEWAY, CallHeaders.OUTCOME_UNKNOWN, requestId, detail)
                         .build());
         };
     }
 
-    private ResponseHeadersBuilder head(HttpStatus status, String outcome, String requestId, String reason) {
+    private ResponseHeadersBuilder responseHead(HttpStatus status, String outcome, String requestId, String reason) {
         return ResponseHeaders.builder(status)
                 .set(CallHeaders.OUTCOME, outcome)
                 .set(CallHeaders.REASON, reason)
