--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Pace.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ExchangeTimeout.java
@@ -11,7 +11,7 @@
  *
  * <p>A bulk transfer's limit is moved on whenever some of its body moves, in either direction.
  */
-final class Pace {
+final class ExchangeTimeout {
     private static final int RENEWALS_PER_LIMIT = 8;
     private static final long NANOS_PER_MILLI = 1_000_000;
 
@@ -20,7 +20,7 @@
     private volatile Exchange exchange;
     private long nextRenewalNanos;
 
-    Pace(TransferLimit limit, TimeSource time) {
+    ExchangeTimeout(TransferLimit limit, TimeSource time) {
         this.limit = limit;
         this.time = time;
     }
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
@@ -23,7 +23,7 @@
 
     private final Owner owner;
     private final OwnerRequest request;
-    private final Pace exchangeTimeout;
+    private final ExchangeTimeout exchangeTimeout;
     private final CompletableFuture<Outcome<Answer>> outcome = new CompletableFuture<>();
     private volatile boolean cancelled;
     private volatile Exchange exchange;
@@ -32,7 +32,7 @@
     OwnerRun(Owner owner, OwnerRequest owned) {
         this.owner = owner;
         this.request = owned;
-        this.exchangeTimeout = new Pace(owned.transferLimit(), owner.time());
+        this.exchangeTimeout = new ExchangeTimeout(owned.transferLimit(), owner.time());
     }
 
     CompletableFuture<Outcome<Answer>> outcome() {
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/PeerSender.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/PeerSender.java
@@ -53,7 +53,7 @@
                 callerBy.ifPresent(by -> headers.setLong(CallHeaders.TIMEOUT_MILLIS, by.remainingMillis(time)));
             }
         }
-        Pace pace = new Pace(call.limit(), time);
+        ExchangeTimeout pace = new ExchangeTimeout(call.limit(), time);
         Exchange exchange =
                 peers.execute(member.address(), pace.watch(call.newRequest(headers.build())), attemptMillis);
         pace.begin(exchange);
@@ -75,7 +75,7 @@
             ResponseHeaders received,
             SplitHttpResponse split,
             Exchange exchange,
-            Pace pace) {
+            ExchangeTimeout pace) {
         load.reportLoad(received.getInt(CallHeaders.LOAD, 0));
         String answered = received.get(CallHeaders.REQUEST_ID, "");
         if (!answered.equals(call.requestId()) && received.contains(CallHeaders.OUTCOME)) {
