--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ExchangeTimeout.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ExchangeTimeout.java
@@ -12,7 +12,7 @@
  * <p>A bulk transfer's limit is moved on whenever some of its body moves, in either direction.
  */
 final class ExchangeTimeout {
-    private static final int RENEWALS_PER_LIMIT = 8;
+    private static final int EXTENSIONS_PER_STALL_TIMEOUT = 8;
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final TransferLimit limit;
@@ -58,7 +58,7 @@
         if (now - nextRenewalNanos < 0) {
             return;
         }
-        nextRenewalNanos = now + p.stallMillis() * NANOS_PER_MILLI / RENEWALS_PER_LIMIT;
+        nextRenewalNanos = now + p.stallMillis() * NANOS_PER_MILLI / EXTENSIONS_PER_STALL_TIMEOUT;
         long callerMillis = p.callerBy().map(by -> by.remainingMillis(time)).orElse(Long.MAX_VALUE);
         exchange.extendResponseTimeout(Math.min(p.stallMillis(), callerMillis));
     }
