--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ExchangeTimeout.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ExchangeTimeout.java
@@ -15,19 +15,19 @@
     private static final int EXTENSIONS_PER_STALL_TIMEOUT = 8;
     private static final long NANOS_PER_MILLI = 1_000_000;
 
-    private final TransferLimit limit;
+    private final TransferLimit transferLimit;
     private final TimeSource time;
     private volatile Exchange exchange;
     private long nextRenewalNanos;
 
     ExchangeTimeout(TransferLimit limit, TimeSource time) {
-        this.limit = limit;
+        this.transferLimit = limit;
         this.time = time;
     }
 
     /** The request with its body watched, if that matters. */
     HttpRequest watch(HttpRequest request) {
-        return limit instanceof TransferLimit.Progress ? request.peekData(d -> moved()) : request;
+        return transferLimit instanceof TransferLimit.Progress ? request.peekData(d -> moved()) : request;
     }
 
     /** The exchange whose limit is kept. */
@@ -38,7 +38,7 @@
 
     /** The head is there; returns the body to pass on. */
     StreamMessage<HttpData> headSeen(StreamMessage<HttpData> body) {
-        return switch (limit) {
+        return switch (transferLimit) {
             case TransferLimit.Whole(Deadline by) -> {
                 exchange.extendResponseTimeout(by.remainingMillis(time));
                 yield body;
@@ -51,7 +51,7 @@
     }
 
     private void moved() {
-        if (exchange == null || !(limit instanceof TransferLimit.Progress p)) {
+        if (exchange == null || !(transferLimit instanceof TransferLimit.Progress p)) {
             return;
         }
         long now = time.nanoTime();
