--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ExchangeTimeout.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ExchangeTimeout.java
@@ -18,7 +18,7 @@
     private final TransferLimit transferLimit;
     private final TimeSource time;
     private volatile Exchange exchange;
-    private long nextRenewalNanos;
+    private long nextExtensionNanos;
 
     ExchangeTimeout(TransferLimit limit, TimeSource time) {
         this.transferLimit = limit;
@@ -33,7 +33,7 @@
     /** The exchange whose limit is kept. */
     void begin(Exchange begun) {
         exchange = begun;
-        nextRenewalNanos = time.nanoTime();
+        nextExtensionNanos = time.nanoTime();
     }
 
     /** The head is there; returns the body to pass on. */
@@ -55,10 +55,10 @@
             return;
         }
         long now = time.nanoTime();
-        if (now - nextRenewalNanos < 0) {
+        if (now - nextExtensionNanos < 0) {
             return;
         }
-        nextRenewalNanos = now + p.stallMillis() * NANOS_PER_MILLI / EXTENSIONS_PER_STALL_TIMEOUT;
+        nextExtensionNanos = now + p.stallMillis() * NANOS_PER_MILLI / EXTENSIONS_PER_STALL_TIMEOUT;
         long callerMillis = p.callerBy().map(by -> by.remainingMillis(time)).orElse(Long.MAX_VALUE);
         exchange.extendResponseTimeout(Math.min(p.stallMillis(), callerMillis));
     }
