--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ExchangeTimeout.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ExchangeTimeout.java
@@ -26,7 +26,7 @@
     }
 
     /** The request with its body watched, if that matters. */
-    HttpRequest watch(HttpRequest request) {
+    HttpRequest trackProgress(HttpRequest request) {
         return transferLimit instanceof TransferLimit.Progress ? request.peekData(d -> moved()) : request;
     }
 
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
@@ -86,7 +86,7 @@
         owner.checkSendAllowed(request.requestId());
         owner.metrics().begin();
         Exchange begun =
-                owner.backendClient().execute(exchangeTimeout.watch(newBackendRequest()), request.headDeadline().remainingMillis(owner.time()));
+                owner.backendClient().execute(exchangeTimeout.trackProgress(newBackendRequest()), request.headDeadline().remainingMillis(owner.time()));
         exchangeTimeout.begin(begun);
         begun.response().whenComplete().whenComplete((done, failure) -> {
             // On the connection's own thread, after the client library has put the connection back among the idle
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/PeerSender.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/PeerSender.java
@@ -55,7 +55,7 @@
         }
         ExchangeTimeout pace = new ExchangeTimeout(call.limit(), time);
         Exchange exchange =
-                peers.execute(member.address(), pace.watch(call.newRequest(headers.build())), attemptMillis);
+                peers.execute(member.address(), pace.trackProgress(call.newRequest(headers.build())), attemptMillis);
         pace.begin(exchange);
         exchange.response().whenComplete().whenComplete((done, failure) -> load.close());
         SplitHttpResponse split = exchange.response().split();
