--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ExchangeTimeout.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ExchangeTimeout.java
@@ -31,7 +31,7 @@
     }
 
     /** The exchange whose limit is kept. */
-    void begin(Exchange begun) {
+    void start(Exchange begun) {
         exchange = begun;
         nextExtensionNanos = time.nanoTime();
     }
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
@@ -87,7 +87,7 @@
         owner.metrics().begin();
         Exchange begun =
                 owner.backendClient().execute(exchangeTimeout.trackProgress(newBackendRequest()), request.headDeadline().remainingMillis(owner.time()));
-        exchangeTimeout.begin(begun);
+        exchangeTimeout.start(begun);
         begun.response().whenComplete().whenComplete((done, failure) -> {
             // On the connection's own thread, after the client library has put the connection back among the idle
             // ones. Freed any earlier, the slot's next request would find none idle and open one more.
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/PeerSender.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/PeerSender.java
@@ -56,7 +56,7 @@
         ExchangeTimeout pace = new ExchangeTimeout(call.limit(), time);
         Exchange exchange =
                 peers.execute(member.address(), pace.trackProgress(call.newRequest(headers.build())), attemptMillis);
-        pace.begin(exchange);
+        pace.start(exchange);
         exchange.response().whenComplete().whenComplete((done, failure) -> load.close());
         SplitHttpResponse split = exchange.response().split();
         CompletableFuture<Outcome<Answer>> outcome = split.headers()
