--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ExchangeTimeout.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ExchangeTimeout.java
@@ -37,7 +37,7 @@
     }
 
     /** The head is there; returns the body to pass on. */
-    StreamMessage<HttpData> headSeen(StreamMessage<HttpData> body) {
+    StreamMessage<HttpData> onResponseHead(StreamMessage<HttpData> body) {
         return switch (transferLimit) {
             case TransferLimit.Whole(Deadline by) -> {
                 exchange.extendResponseTimeout(by.remainingMillis(time));
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
@@ -145,7 +145,7 @@
         headers.set(CallHeaders.REQUEST_ID, request.requestId());
         outcome.complete(new Outcome.Answered<>(new Answer(
                 headers.build(),
-                exchangeTimeout.headSeen(ContentLengthCheck.wrap(request.request().method(), received, split.body())),
+                exchangeTimeout.onResponseHead(ContentLengthCheck.wrap(request.request().method(), received, split.body())),
                 split.trailers())));
     }
 
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/PeerSender.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/PeerSender.java
@@ -90,7 +90,7 @@
                 CallHeaders.removeInternal(headers);
                 return new Outcome.Answered<>(new Answer(
                         headers.build(),
-                        pace.headSeen(ContentLengthCheck.wrap(call.headers().method(), received, split.body())),
+                        pace.onResponseHead(ContentLengthCheck.wrap(call.headers().method(), received, split.body())),
                         split.trailers()));
             }
             case CallHeaders.OUTCOME_NOT_RUN -> {
