--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ExchangeTimeout.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ExchangeTimeout.java
@@ -27,7 +27,7 @@
 
     /** The request with its body watched, if that matters. */
     HttpRequest trackProgress(HttpRequest request) {
-        return transferLimit instanceof TransferLimit.Progress ? request.peekData(d -> moved()) : request;
+        return transferLimit instanceof TransferLimit.Progress ? request.peekData(d -> onProgress()) : request;
     }
 
     /** The exchange whose limit is kept. */
@@ -44,13 +44,13 @@
                 yield body;
             }
             case TransferLimit.Progress p -> {
-                moved();
-                yield body.peek(d -> moved());
+                onProgress();
+                yield body.peek(d -> onProgress());
             }
         };
     }
 
-    private void moved() {
+    private void onProgress() {
         if (exchange == null || !(transferLimit instanceof TransferLimit.Progress p)) {
             return;
         }
