--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/PeerSender.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/PeerSender.java
@@ -22,7 +22,7 @@
     /** How much earlier the owner gives up than the entry, so that its true refusal still arrives. */
     private static final long MAX_HOP_MARGIN_MILLIS = 5;
 
-    private static final int HOP_SHARE = 10;
+    private static final int HOP_MARGIN_DIVISOR = 10;
 
     private final PeerClients peers;
     private final TimeSource time;
@@ -43,7 +43,7 @@
         headers.set(CallHeaders.INSTANCE, member.instance());
         headers.set(
                 CallHeaders.TRAFFIC_CLASS, call.match().policy().trafficClass().name());
-        headers.setLong(CallHeaders.HEAD_MILLIS, attemptMillis - Math.min(MAX_HOP_MARGIN_MILLIS, attemptMillis / HOP_SHARE));
+        headers.setLong(CallHeaders.HEAD_MILLIS, attemptMillis - Math.min(MAX_HOP_MARGIN_MILLIS, attemptMillis / HOP_MARGIN_DIVISOR));
         headers.remove(CallHeaders.TIMEOUT_MILLIS);
         switch (call.limit()) {
             case TransferLimit.Whole(Deadline by) ->
