--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/PeerSender.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/PeerSender.java
@@ -24,11 +24,11 @@
 
     private static final int HOP_MARGIN_DIVISOR = 10;
 
-    private final PeerClients peers;
+    private final PeerClients peerClients;
     private final TimeSource time;
 
     PeerSender(PeerClients peers, TimeSource time) {
-        this.peers = peers;
+        this.peerClients = peers;
         this.time = time;
     }
 
@@ -55,7 +55,7 @@
         }
         ExchangeTimeout pace = new ExchangeTimeout(call.limit(), time);
         Exchange exchange =
-                peers.execute(member.address(), pace.trackProgress(call.newRequest(headers.build())), attemptMillis);
+                peerClients.execute(member.address(), pace.trackProgress(call.newRequest(headers.build())), attemptMillis);
         pace.start(exchange);
         exchange.response().whenComplete().whenComplete((done, failure) -> load.close());
         SplitHttpResponse split = exchange.response().split();
