--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/SilenceDetector.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/SilenceDetector.java
@@ -20,7 +20,7 @@
  */
 final class SilenceDetector extends ChannelDuplexHandler {
     private static final EventLog EVENTS = new EventLog(SilenceDetector.class);
-    private static final long CHECK_MILLIS = 250;
+    private static final long CHECK_INTERVAL_MILLIS = 250;
     private static final long BUSY_PING_NANOS = TimeUnit.SECONDS.toNanos(1);
     private static final long IDLE_PING_NANOS = TimeUnit.SECONDS.toNanos(3);
     private static final long ANSWER_NANOS = TimeUnit.SECONDS.toNanos(2);
@@ -35,7 +35,7 @@
     public void channelActive(ChannelHandlerContext ctx) {
         lastReadNanos = System.nanoTime();
         check = ctx.executor()
-                .scheduleWithFixedDelay(() -> check(ctx), CHECK_MILLIS, CHECK_MILLIS, TimeUnit.MILLISECONDS);
+                .scheduleWithFixedDelay(() -> check(ctx), CHECK_INTERVAL_MILLIS, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         ctx.fireChannelActive();
     }
 
