--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/SilenceDetector.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/SilenceDetector.java
@@ -22,7 +22,7 @@
     private static final EventLog EVENTS = new EventLog(SilenceDetector.class);
     private static final long CHECK_INTERVAL_MILLIS = 250;
     private static final long BUSY_PING_DELAY_NANOS = TimeUnit.SECONDS.toNanos(1);
-    private static final long IDLE_PING_NANOS = TimeUnit.SECONDS.toNanos(3);
+    private static final long IDLE_PING_DELAY_NANOS = TimeUnit.SECONDS.toNanos(3);
     private static final long ANSWER_NANOS = TimeUnit.SECONDS.toNanos(2);
 
     private long lastReadNanos;
@@ -71,7 +71,7 @@
             }
             return;
         }
-        if (now - lastReadNanos >= (writtenSinceRead ? BUSY_PING_DELAY_NANOS : IDLE_PING_NANOS)) {
+        if (now - lastReadNanos >= (writtenSinceRead ? BUSY_PING_DELAY_NANOS : IDLE_PING_DELAY_NANOS)) {
             ping(ctx, now);
         }
     }
