--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/SilenceDetector.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/SilenceDetector.java
@@ -23,7 +23,7 @@
     private static final long CHECK_INTERVAL_MILLIS = 250;
     private static final long BUSY_PING_DELAY_NANOS = TimeUnit.SECONDS.toNanos(1);
     private static final long IDLE_PING_DELAY_NANOS = TimeUnit.SECONDS.toNanos(3);
-    private static final long ANSWER_NANOS = TimeUnit.SECONDS.toNanos(2);
+    private static final long PING_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(2);
 
     private long lastReadNanos;
     private boolean writtenSinceRead;
@@ -65,7 +65,7 @@
         }
         long now = System.nanoTime();
         if (pingPending) {
-            if (now - pingNanos >= ANSWER_NANOS) {
+            if (now - pingNanos >= PING_TIMEOUT_NANOS) {
                 EVENTS.log(CallEvent.SILENT_CONNECTION, ctx.channel().remoteAddress());
                 ctx.close();
             }
