--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/SilenceDetector.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/SilenceDetector.java
@@ -28,7 +28,7 @@
     private long lastReadNanos;
     private boolean writtenSinceRead;
     private boolean pingPending;
-    private long pingNanos;
+    private long pingSentNanos;
     private ScheduledFuture<?> check;
 
     @Override
@@ -65,7 +65,7 @@
         }
         long now = System.nanoTime();
         if (pingPending) {
-            if (now - pingNanos >= PING_TIMEOUT_NANOS) {
+            if (now - pingSentNanos >= PING_TIMEOUT_NANOS) {
                 EVENTS.log(CallEvent.SILENT_CONNECTION, ctx.channel().remoteAddress());
                 ctx.close();
             }
@@ -82,7 +82,7 @@
             return;
         }
         pingPending = true;
-        pingNanos = now;
+        pingSentNanos = now;
         ChannelHandlerContext handler = ctx.pipeline().context(http2);
         http2.encoder().writePing(handler, false, now, handler.newPromise());
         handler.flush();
