--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/SilenceDetector.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/SilenceDetector.java
@@ -29,12 +29,12 @@
     private boolean writtenSinceRead;
     private boolean pingPending;
     private long pingSentNanos;
-    private ScheduledFuture<?> check;
+    private ScheduledFuture<?> checkTask;
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         lastReadNanos = System.nanoTime();
-        check = ctx.executor()
+        checkTask = ctx.executor()
                 .scheduleWithFixedDelay(() -> check(ctx), CHECK_INTERVAL_MILLIS, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         ctx.fireChannelActive();
     }
@@ -90,8 +90,8 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        if (check != null) {
-            check.cancel(false);
+        if (checkTask != null) {
+            checkTask.cancel(false);
         }
         ctx.fireChannelInactive();
     }
