--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/SilenceDetector.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/SilenceDetector.java
@@ -35,7 +35,7 @@
     public void channelActive(ChannelHandlerContext ctx) {
         lastReadNanos = System.nanoTime();
         checkTask = ctx.executor()
-                .scheduleWithFixedDelay(() -> check(ctx), CHECK_INTERVAL_MILLIS, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+                .scheduleWithFixedDelay(() -> checkConnection(ctx), CHECK_INTERVAL_MILLIS, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         ctx.fireChannelActive();
     }
 
@@ -57,7 +57,7 @@
         pingPending = false;
     }
 
-    private void check(ChannelHandlerContext ctx) {
+    private void checkConnection(ChannelHandlerContext ctx) {
         // Reading stops while a slow caller holds back the stream; that silence is our own.
         if (!ctx.channel().config().isAutoRead()) {
             noteRead();
