--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/SilenceDetector.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/SilenceDetector.java
@@ -41,7 +41,7 @@
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-        noteRead();
+        recordRead();
         ctx.fireChannelRead(message);
     }
 
@@ -51,7 +51,7 @@
         ctx.write(message, promise);
     }
 
-    private void noteRead() {
+    private void recordRead() {
         lastReadNanos = System.nanoTime();
         writtenSinceRead = false;
         pingPending = false;
@@ -60,7 +60,7 @@
     private void checkConnection(ChannelHandlerContext ctx) {
         // Reading stops while a slow caller holds back the stream; that silence is our own.
         if (!ctx.channel().config().isAutoRead()) {
-            noteRead();
+            recordRead();
             return;
         }
         long now = System.nanoTime();
