--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/EntryService.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/EntryService.java
@@ -101,7 +101,7 @@
         Deadline deadline = callerBy.map(policyBy::earlier).orElse(policyBy);
         TransferLimit limit = match.policy().trafficClass() == TrafficClass.BULK
                 ? new TransferLimit.Progress(policyMillis, callerBy)
-                : new TransferLimit.Whole(deadline);
+                : new TransferLimit.CompletionDeadline(deadline);
         RequestHeaders headers = forwarded(request.headers(), requestId, match);
         Call call = new Call(
                 requestId,
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ExchangeTimeout.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ExchangeTimeout.java
@@ -39,7 +39,7 @@
     /** The head is there; returns the body to pass on. */
     StreamMessage<HttpData> onResponseHead(StreamMessage<HttpData> body) {
         return switch (transferLimit) {
-            case TransferLimit.Whole(Deadline by) -> {
+            case TransferLimit.CompletionDeadline(Deadline by) -> {
                 exchange.extendResponseTimeout(by.remainingMillis(time));
                 yield body;
             }
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
@@ -112,7 +112,7 @@
         RequestHeadersBuilder headers = request.request().headers().toBuilder();
         CallHeaders.removeInternal(headers);
         Optional<Deadline> by = switch (request.transferLimit()) {
-            case TransferLimit.Whole(Deadline wholeBy) -> Optional.of(wholeBy.earlier(request.headDeadline()));
+            case TransferLimit.CompletionDeadline(Deadline wholeBy) -> Optional.of(wholeBy.earlier(request.headDeadline()));
             case TransferLimit.Progress(long stallMillis, Optional<Deadline> callerBy) -> callerBy;
         };
         headers.remove(CallHeaders.TIMEOUT_MILLIS);
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerService.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerService.java
@@ -72,7 +72,7 @@
         Optional<Deadline> wholeBy =
                 wholeMillis < 0 ? Optional.empty() : Optional.of(Deadline.afterMillis(time, wholeMillis));
         TransferLimit limit = stallMillis < 0
-                ? new TransferLimit.Whole(wholeBy.orElse(headBy))
+                ? new TransferLimit.CompletionDeadline(wholeBy.orElse(headBy))
                 : new TransferLimit.Progress(stallMillis, wholeBy);
         return new OwnerRequest(requestId, trafficClass, headBy, limit, request);
     }
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/PeerSender.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/PeerSender.java
@@ -46,7 +46,7 @@
         headers.setLong(CallHeaders.HEAD_MILLIS, attemptMillis - Math.min(MAX_HOP_MARGIN_MILLIS, attemptMillis / HOP_MARGIN_DIVISOR));
         headers.remove(CallHeaders.TIMEOUT_MILLIS);
         switch (call.limit()) {
-            case TransferLimit.Whole(Deadline by) ->
+            case TransferLimit.CompletionDeadline(Deadline by) ->
                 headers.setLong(CallHeaders.TIMEOUT_MILLIS, by.remainingMillis(time));
             case TransferLimit.Progress(long stallMillis, Optional<Deadline> callerBy) -> {
                 headers.setLong(CallHeaders.STALL_MILLIS, stallMillis);
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
@@ -139,7 +139,7 @@
 
     private Deadline headBy() {
         return switch (call.limit()) {
-            case TransferLimit.Whole(Deadline by) -> by;
+            case TransferLimit.CompletionDeadline(Deadline by) -> by;
             case TransferLimit.Progress(long stallMillis, Optional<Deadline> callerBy) -> {
                 Deadline stall = Deadline.afterMillis(forwarder.time(), stallMillis);
                 yield callerBy.map(stall::earlier).orElse(stall);
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/TransferLimit.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/TransferLimit.java
@@ -10,7 +10,7 @@
      *
      * @param by when
      */
-    record Whole(Deadline by) implements TransferLimit {}
+    record CompletionDeadline(Deadline by) implements TransferLimit {}
 
     /**
      * Some of the body must have moved.
