--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/TransferLimit.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/TransferLimit.java
@@ -8,9 +8,9 @@
     /**
      * The whole answer must be there.
      *
-     * @param by when
+     * @param deadline when
      */
-    record CompletionDeadline(Deadline by) implements TransferLimit {}
+    record CompletionDeadline(Deadline deadline) implements TransferLimit {}
 
     /**
      * Some of the body must have moved.
