--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/EntryService.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/EntryService.java
@@ -100,7 +100,7 @@
         Deadline policyBy = Deadline.afterMillis(time, policyMillis);
         Deadline deadline = callerBy.map(policyBy::earlier).orElse(policyBy);
         TransferLimit limit = match.policy().trafficClass() == TrafficClass.BULK
-                ? new TransferLimit.Progress(policyMillis, callerBy)
+                ? new TransferLimit.StallTimeout(policyMillis, callerBy)
                 : new TransferLimit.CompletionDeadline(deadline);
         RequestHeaders headers = forwarded(request.headers(), requestId, match);
         Call call = new Call(
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ExchangeTimeout.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ExchangeTimeout.java
@@ -27,7 +27,7 @@
 
     /** The request with its body watched, if that matters. */
     HttpRequest trackProgress(HttpRequest request) {
-        return transferLimit instanceof TransferLimit.Progress ? request.peekData(d -> onProgress()) : request;
+        return transferLimit instanceof TransferLimit.StallTimeout ? request.peekData(d -> onProgress()) : request;
     }
 
     /** The exchange whose limit is kept. */
@@ -43,7 +43,7 @@
                 exchange.extendResponseTimeout(by.remainingMillis(time));
                 yield body;
             }
-            case TransferLimit.Progress p -> {
+            case TransferLimit.StallTimeout p -> {
                 onProgress();
                 yield body.peek(d -> onProgress());
             }
@@ -51,7 +51,7 @@
     }
 
     private void onProgress() {
-        if (exchange == null || !(transferLimit instanceof TransferLimit.Progress p)) {
+        if (exchange == null || !(transferLimit instanceof TransferLimit.StallTimeout p)) {
             return;
         }
         long now = time.nanoTime();
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
@@ -113,7 +113,7 @@
         CallHeaders.removeInternal(headers);
         Optional<Deadline> by = switch (request.transferLimit()) {
             case TransferLimit.CompletionDeadline(Deadline wholeBy) -> Optional.of(wholeBy.earlier(request.headDeadline()));
-            case TransferLimit.Progress(long stallMillis, Optional<Deadline> callerBy) -> callerBy;
+            case TransferLimit.StallTimeout(long stallMillis, Optional<Deadline> callerBy) -> callerBy;
         };
         headers.remove(CallHeaders.TIMEOUT_MILLIS);
         by.ifPresent(d -> headers.setLong(CallHeaders.TIMEOUT_MILLIS, d.remainingMillis(owner.time())));
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerService.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerService.java
@@ -73,7 +73,7 @@
                 wholeMillis < 0 ? Optional.empty() : Optional.of(Deadline.afterMillis(time, wholeMillis));
         TransferLimit limit = stallMillis < 0
                 ? new TransferLimit.CompletionDeadline(wholeBy.orElse(headBy))
-                : new TransferLimit.Progress(stallMillis, wholeBy);
+                : new TransferLimit.StallTimeout(stallMillis, wholeBy);
         return new OwnerRequest(requestId, trafficClass, headBy, limit, request);
     }
 
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/PeerSender.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/PeerSender.java
@@ -48,7 +48,7 @@
         switch (call.limit()) {
             case TransferLimit.CompletionDeadline(Deadline by) ->
                 headers.setLong(CallHeaders.TIMEOUT_MILLIS, by.remainingMillis(time));
-            case TransferLimit.Progress(long stallMillis, Optional<Deadline> callerBy) -> {
+            case TransferLimit.StallTimeout(long stallMillis, Optional<Deadline> callerBy) -> {
                 headers.setLong(CallHeaders.STALL_MILLIS, stallMillis);
                 callerBy.ifPresent(by -> headers.setLong(CallHeaders.TIMEOUT_MILLIS, by.remainingMillis(time)));
             }
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ResumableAnswer.java
@@ -140,7 +140,7 @@
     private Deadline headBy() {
         return switch (call.limit()) {
             case TransferLimit.CompletionDeadline(Deadline by) -> by;
-            case TransferLimit.Progress(long stallMillis, Optional<Deadline> callerBy) -> {
+            case TransferLimit.StallTimeout(long stallMillis, Optional<Deadline> callerBy) -> {
                 Deadline stall = Deadline.afterMillis(forwarder.time(), stallMillis);
                 yield callerBy.map(stall::earlier).orElse(stall);
             }
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/TransferLimit.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/TransferLimit.java
@@ -20,5 +20,5 @@
      * @param stallMillis longest time in which nothing moves
      * @param callerBy when the caller itself stops waiting, if it said so
      */
-    record Progress(long stallMillis, Optional<Deadline> callerBy) implements TransferLimit {}
+    record StallTimeout(long stallMillis, Optional<Deadline> callerBy) implements TransferLimit {}
 }
