--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ExchangeTimeout.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ExchangeTimeout.java
@@ -59,7 +59,7 @@
             return;
         }
         nextExtensionNanos = now + p.stallMillis() * NANOS_PER_MILLI / EXTENSIONS_PER_STALL_TIMEOUT;
-        long callerMillis = p.callerBy().map(by -> by.remainingMillis(time)).orElse(Long.MAX_VALUE);
+        long callerMillis = p.callerDeadline().map(by -> by.remainingMillis(time)).orElse(Long.MAX_VALUE);
         exchange.extendResponseTimeout(Math.min(p.stallMillis(), callerMillis));
     }
 }
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/TransferLimit.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/TransferLimit.java
@@ -18,7 +18,7 @@
      * <p>For bulk transfers: however long one takes, it is cut only when it stands still.
      *
      * @param stallMillis longest time in which nothing moves
-     * @param callerBy when the caller itself stops waiting, if it said so
+     * @param callerDeadline when the caller itself stops waiting, if it said so
      */
-    record StallTimeout(long stallMillis, Optional<Deadline> callerBy) implements TransferLimit {}
+    record StallTimeout(long stallMillis, Optional<Deadline> callerDeadline) implements TransferLimit {}
 }
