--- a/org.berylwick.test/tst/org/berylwick/daemon/call/AnswerTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/AnswerTest.java
@@ -17,7 +17,7 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
-import org.berylwick.daemon.call.CallRig.RigDaemon;
+import org.berylwick.daemon.call.CallPathCluster.RigDaemon;
 import org.berylwick.testing.Await;
 import org.berylwick.testing.RawServer;
 import org.berylwick.testing.TcpRelay;
@@ -29,7 +29,7 @@
     private static final String WHOLE = "0123456789".repeat(20_000);
     private static final String HALF = WHOLE.substring(0, WHOLE.length() / 2);
 
-    private final CallRig rig = new CallRig(Declarations.TEXT);
+    private final CallPathCluster rig = new CallPathCluster(Declarations.TEXT);
     private final RawServer server = new RawServer((c, r) -> c.answer(r, r.id()));
     private final RigDaemon entry = rig.add("entry", "none", server.address());
     private final RigDaemon owner = rig.addMember("a", "web", server.address());
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/CallRig.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/CallPathCluster.java
@@ -36,7 +36,7 @@
  *
  * <p>So a relay can stand between any two daemons, and between a daemon and its backend server.
  */
-final class CallRig implements AutoCloseable {
+final class CallPathCluster implements AutoCloseable {
     private static final TimeSource TIME = TimeSource.SYSTEM;
     private static final Place PLACE = new Place("ncr", "makati");
     private static final long APPLY_MILLIS = 10_000;
@@ -116,7 +116,7 @@
     }
 
     /** A rig whose daemons have the declared configuration in force. */
-    CallRig(String declarations) {
+    CallPathCluster(String declarations) {
         VersionRepository repository = new VersionRepository(new MemoryStore(TIME));
         Deadline by = Deadline.afterMillis(TIME, APPLY_MILLIS);
         ApplyResult applied = new ApplyCommand(repository, TIME)
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/DeadlineTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/DeadlineTest.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicReference;
-import org.berylwick.daemon.call.CallRig.RigDaemon;
+import org.berylwick.daemon.call.CallPathCluster.RigDaemon;
 import org.berylwick.lib.HostPort;
 import org.berylwick.testing.Await;
 import org.berylwick.testing.RawServer;
@@ -30,7 +30,7 @@
 class DeadlineTest {
     private static final int DEPTH = 10;
 
-    private final CallRig rig = new CallRig(Declarations.TEXT);
+    private final CallPathCluster rig = new CallPathCluster(Declarations.TEXT);
     private final List<Server> servers = new ArrayList<>();
 
     @AfterEach
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/HeaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/HeaderTest.java
@@ -11,7 +11,7 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import org.berylwick.daemon.call.CallRig.RigDaemon;
+import org.berylwick.daemon.call.CallPathCluster.RigDaemon;
 import org.berylwick.lib.HostPort;
 import org.berylwick.testing.RawServer;
 import org.junit.jupiter.api.AfterEach;
@@ -19,7 +19,7 @@
 
 /** What of a caller's and a backend server's headers travels on, and which requests are refused for theirs. */
 class HeaderTest {
-    private final CallRig rig = new CallRig(Declarations.TEXT);
+    private final CallPathCluster rig = new CallPathCluster(Declarations.TEXT);
     private final RawServer server = new RawServer();
     private final RigDaemon entry = rig.add("entry", "none", server.address());
     private final RigDaemon owner = rig.addMember("a", "web", server.address());
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
@@ -11,7 +11,7 @@
 import com.linecorp.armeria.common.RequestHeadersBuilder;
 import java.io.IOException;
 import java.util.List;
-import org.berylwick.daemon.call.CallRig.RigDaemon;
+import org.berylwick.daemon.call.CallPathCluster.RigDaemon;
 import org.berylwick.lib.HostPort;
 import org.berylwick.lib.Member;
 import org.berylwick.testing.RawServer;
@@ -23,7 +23,7 @@
 class OutcomeTest {
     private static final String BODY = "amount=10";
 
-    private final CallRig rig = new CallRig(Declarations.TEXT);
+    private final CallPathCluster rig = new CallPathCluster(Declarations.TEXT);
     private final RawServer first = new RawServer();
     private final RawServer second = new RawServer();
 
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OverloadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OverloadTest.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.berylwick.daemon.call.CallRig.RigDaemon;
+import org.berylwick.daemon.call.CallPathCluster.RigDaemon;
 import org.berylwick.testing.Await;
 import org.berylwick.testing.RawServer;
 import org.junit.jupiter.api.AfterEach;
@@ -27,7 +27,7 @@
     private static final int SLOTS = 12;
     private static final long HOLD_MILLIS = 5;
 
-    private final CallRig rig = new CallRig(Declarations.TEXT);
+    private final CallPathCluster rig = new CallPathCluster(Declarations.TEXT);
     private final CountDownLatch release = new CountDownLatch(1);
     private final AtomicInteger running = new AtomicInteger();
     private final AtomicInteger peak = new AtomicInteger();
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/SilenceTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/SilenceTest.java
@@ -10,7 +10,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
-import org.berylwick.daemon.call.CallRig.RigDaemon;
+import org.berylwick.daemon.call.CallPathCluster.RigDaemon;
 import org.berylwick.testing.Await;
 import org.berylwick.testing.RawServer;
 import org.berylwick.testing.TcpRelay;
@@ -21,7 +21,7 @@
 class SilenceTest {
     private static final String BODY = "amount=10";
 
-    private final CallRig rig = new CallRig(Declarations.TEXT);
+    private final CallPathCluster rig = new CallPathCluster(Declarations.TEXT);
     private final RawServer server = new RawServer();
 
     @AfterEach
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.locks.LockSupport;
-import org.berylwick.daemon.call.CallRig.RigDaemon;
+import org.berylwick.daemon.call.CallPathCluster.RigDaemon;
 import org.berylwick.testing.Await;
 import org.berylwick.testing.RawServer;
 import org.junit.jupiter.api.AfterEach;
@@ -29,7 +29,7 @@
     /** What sockets and flow control windows of two hops may hold; a gathered body would be four times as much. */
     private static final long HELD = 32 * MEBIBYTE;
 
-    private final CallRig rig = new CallRig(Declarations.TEXT);
+    private final CallPathCluster rig = new CallPathCluster(Declarations.TEXT);
     private final AtomicLong moved = new AtomicLong();
     private final RawServer server = new RawServer();
     private final RigDaemon entry = rig.add("entry", "none", server.address());
