--- a/org.berylwick.test/tst/org/berylwick/daemon/call/AnswerTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/AnswerTest.java
@@ -17,7 +17,7 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
-import org.berylwick.daemon.call.CallPathCluster.RigDaemon;
+import org.berylwick.daemon.call.CallPathCluster.TestDaemon;
 import org.berylwick.testing.Await;
 import org.berylwick.testing.RawServer;
 import org.berylwick.testing.TcpRelay;
@@ -31,8 +31,8 @@
 
     private final CallPathCluster rig = new CallPathCluster(Declarations.TEXT);
     private final RawServer server = new RawServer((c, r) -> c.answer(r, r.id()));
-    private final RigDaemon entry = rig.add("entry", "none", server.address());
-    private final RigDaemon owner = rig.addMember("a", "web", server.address());
+    private final TestDaemon entry = rig.add("entry", "none", server.address());
+    private final TestDaemon owner = rig.addMember("a", "web", server.address());
 
     @AfterEach
     void close() {
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/CallPathCluster.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/CallPathCluster.java
@@ -41,11 +41,11 @@
     private static final Place PLACE = new Place("ncr", "makati");
     private static final long APPLY_MILLIS = 10_000;
 
-    private final Map<String, RigDaemon> daemons = new LinkedHashMap<>();
+    private final Map<String, TestDaemon> daemons = new LinkedHashMap<>();
     private final VersionContent version;
 
     /** One daemon of the rig. */
-    static final class RigDaemon {
+    static final class TestDaemon {
         final MetricRegistry metrics = new MetricRegistry();
         final Invariants invariants = new Invariants(metrics);
         final MembershipTable membership = new MembershipTable();
@@ -55,7 +55,7 @@
         final Server peers;
         volatile Member.State state = Member.State.UP;
 
-        private RigDaemon(String instance, String service, HostPort backend, VersionContent version) {
+        private TestDaemon(String instance, String service, HostPort backend, VersionContent version) {
             HostPort any = new HostPort("127.0.0.1", 0);
             DaemonSettings settings = new DaemonSettings(
                     instance,
@@ -134,8 +134,8 @@
     }
 
     /** Adds a daemon beside a backend server; nobody knows it as a member yet. */
-    RigDaemon add(String instance, String service, HostPort backend) {
-        RigDaemon daemon = new RigDaemon(instance, service, backend, version);
+    TestDaemon add(String instance, String service, HostPort backend) {
+        TestDaemon daemon = new TestDaemon(instance, service, backend, version);
         daemons.put(instance, daemon);
         return daemon;
     }
@@ -167,8 +167,8 @@
     }
 
     /** Adds a daemon and makes it known. */
-    RigDaemon addMember(String instance, String service, HostPort backend) {
-        RigDaemon daemon = add(instance, service, backend);
+    TestDaemon addMember(String instance, String service, HostPort backend) {
+        TestDaemon daemon = add(instance, service, backend);
         daemons.forEach((name, d) -> d.membership.view().all().forEach(m -> daemon.membership.merge(m)));
         announce(instance, service, daemon.peersAddress());
         return daemon;
@@ -189,6 +189,6 @@
 
     @Override
     public void close() {
-        daemons.values().forEach(RigDaemon::close);
+        daemons.values().forEach(TestDaemon::close);
     }
 }
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/DeadlineTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/DeadlineTest.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicReference;
-import org.berylwick.daemon.call.CallPathCluster.RigDaemon;
+import org.berylwick.daemon.call.CallPathCluster.TestDaemon;
 import org.berylwick.lib.HostPort;
 import org.berylwick.testing.Await;
 import org.berylwick.testing.RawServer;
@@ -54,7 +54,7 @@
     void callersTimeoutOnlyShortensThePolicys() {
         // The server is told the smaller of what the policy allows (5 s) and what the caller says.
         RawServer server = new RawServer();
-        RigDaemon entry = rig.add("entry", "none", server.address());
+        TestDaemon entry = rig.add("entry", "none", server.address());
         rig.addMember("a", "web", server.address());
         WebClient client = WebClient.of("http://" + entry.callersAddress());
         for (long asked : new long[] {-1, 1_000, 60_000}) {
@@ -71,7 +71,7 @@
         // The caller closes its connection while the server works: the server's connection is closed at once, and
         // the order is not sent again.
         RawServer server = new RawServer((c, r) -> c.awaitClosedByPeer());
-        RigDaemon entry = rig.add("entry", "none", server.address());
+        TestDaemon entry = rig.add("entry", "none", server.address());
         rig.addMember("a", "web", server.address());
         try (RawCaller caller = new RawCaller(entry.callersAddress())) {
             caller.get("/orders/1", "x-request-id: gone\r\n");
@@ -88,7 +88,7 @@
         // never answers: the attempt there is given up and cancelled while there is time for the one that came up.
         RawServer silent = new RawServer((c, r) -> c.awaitClosedByPeer());
         RawServer healthy = new RawServer();
-        RigDaemon entry = rig.add("entry", "none", silent.address());
+        TestDaemon entry = rig.add("entry", "none", silent.address());
         rig.addMember("a", "web", silent.address());
         CompletableFuture<AggregatedHttpResponse> answer = WebClient.builder("http://" + entry.callersAddress())
                 .responseTimeoutMillis(60_000)
@@ -140,11 +140,11 @@
         return response;
     }
 
-    private RigDaemon chain(List<Long> told, CompletableFuture<Void> last) {
-        RigDaemon entry = rig.add("entry", "none", new HostPort("127.0.0.1", 1));
+    private TestDaemon chain(List<Long> told, CompletableFuture<Void> last) {
+        TestDaemon entry = rig.add("entry", "none", new HostPort("127.0.0.1", 1));
         for (String name : List.of("a", "b")) {
             AtomicReference<HostPort> own = new AtomicReference<>();
-            RigDaemon daemon = rig.addMember(name, "web", chained(own, told, last));
+            TestDaemon daemon = rig.addMember(name, "web", chained(own, told, last));
             own.set(daemon.callersAddress());
         }
         return entry;
@@ -156,7 +156,7 @@
         // before, and as it never answers the caller hears of it by its deadline.
         List<Long> told = new CopyOnWriteArrayList<>();
         CompletableFuture<Void> last = new CompletableFuture<>();
-        RigDaemon entry = chain(told, last);
+        TestDaemon entry = chain(told, last);
         AggregatedHttpResponse answer = WebClient.of("http://" + entry.callersAddress())
                 .execute(headers("/tiles/" + DEPTH, "deep-1", 3_000))
                 .aggregate()
@@ -175,7 +175,7 @@
         // The caller goes away while the tenth server works: the tenth server's request is cancelled.
         List<Long> told = new CopyOnWriteArrayList<>();
         CompletableFuture<Void> last = new CompletableFuture<>();
-        RigDaemon entry = chain(told, last);
+        TestDaemon entry = chain(told, last);
         try (RawCaller caller = new RawCaller(entry.callersAddress())) {
             caller.get("/tiles/" + DEPTH, "x-request-id: deep-2\r\n");
             Await.until("the tenth server works", () -> told.size() == DEPTH, told::toString);
@@ -189,7 +189,7 @@
         // Every server resets every read: 100 callers cause no more runs than 100 and the share of retries, and each
         // is told at once.
         RawServer broken = new RawServer((c, r) -> c.reset());
-        RigDaemon entry = rig.add("entry", "none", broken.address());
+        TestDaemon entry = rig.add("entry", "none", broken.address());
         rig.addMember("a", "web", broken.address());
         rig.addMember("b", "web", broken.address());
         WebClient client = WebClient.of("http://" + entry.callersAddress());
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/HeaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/HeaderTest.java
@@ -11,7 +11,7 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import org.berylwick.daemon.call.CallPathCluster.RigDaemon;
+import org.berylwick.daemon.call.CallPathCluster.TestDaemon;
 import org.berylwick.lib.HostPort;
 import org.berylwick.testing.RawServer;
 import org.junit.jupiter.api.AfterEach;
@@ -21,8 +21,8 @@
 class HeaderTest {
     private final CallPathCluster rig = new CallPathCluster(Declarations.TEXT);
     private final RawServer server = new RawServer();
-    private final RigDaemon entry = rig.add("entry", "none", server.address());
-    private final RigDaemon owner = rig.addMember("a", "web", server.address());
+    private final TestDaemon entry = rig.add("entry", "none", server.address());
+    private final TestDaemon owner = rig.addMember("a", "web", server.address());
 
     @AfterEach
     void close() {
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
@@ -11,7 +11,7 @@
 import com.linecorp.armeria.common.RequestHeadersBuilder;
 import java.io.IOException;
 import java.util.List;
-import org.berylwick.daemon.call.CallPathCluster.RigDaemon;
+import org.berylwick.daemon.call.CallPathCluster.TestDaemon;
 import org.berylwick.lib.HostPort;
 import org.berylwick.lib.Member;
 import org.berylwick.testing.RawServer;
@@ -35,7 +35,7 @@
         second.close();
     }
 
-    private static AggregatedHttpResponse send(RigDaemon entry, HttpMethod method, String path, String id) {
+    private static AggregatedHttpResponse send(TestDaemon entry, HttpMethod method, String path, String id) {
         RequestHeadersBuilder headers =
                 RequestHeaders.builder(method, path).set("host", "one.example").set("x-request-id", id);
         WebClient client = WebClient.of("http://" + entry.callersAddress());
@@ -49,8 +49,8 @@
     }
 
     /** An entry whose only members are the two backend servers beside other daemons. */
-    private RigDaemon entryBeforeBoth() {
-        RigDaemon entry = rig.add("entry", "none", first.address());
+    private TestDaemon entryBeforeBoth() {
+        TestDaemon entry = rig.add("entry", "none", first.address());
         rig.addMember("a", "web", first.address());
         rig.addMember("b", "web", second.address());
         return entry;
@@ -65,7 +65,7 @@
     void orderWhoseServerResetsAfterTheHeadRunsOnceAndIsUnknown() {
         // The caller gets 502 outcome-unknown without Retry-After: the server has read the head of the order and
         // resets before the body; it may have begun, so neither owner nor entry may send it again.
-        RigDaemon entry = entryBeforeBoth();
+        TestDaemon entry = entryBeforeBoth();
         bothDo((c, r) -> c.reset());
         AggregatedHttpResponse answer = send(entry, HttpMethod.POST, "/orders", "o-1");
         assertEquals(502, answer.status().code());
@@ -77,7 +77,7 @@
     @Test
     void orderWhoseServerResetsAfterTheBodyRunsOnceAndIsUnknown() {
         // The caller gets 502 outcome-unknown: the server has the whole order and resets before it answers.
-        RigDaemon entry = entryBeforeBoth();
+        TestDaemon entry = entryBeforeBoth();
         bothDo((c, r) -> {
             c.read(BODY.length());
             c.reset();
@@ -90,7 +90,7 @@
     @Test
     void orderWhoseServerClosesWithinTheAnswersHeadRunsOnceAndIsUnknown() {
         // The caller gets 502 outcome-unknown: half a status line came back, which says nothing.
-        RigDaemon entry = entryBeforeBoth();
+        TestDaemon entry = entryBeforeBoth();
         bothDo((c, r) -> {
             c.read(BODY.length());
             c.write("HTTP/1.1 200 O");
@@ -105,7 +105,7 @@
     void readIsSentToAnotherServerAfterAnUnknownOutcome() {
         // The caller gets its tile: the first server resets after the head, and as the route is idempotent the entry
         // asks the other one.
-        RigDaemon entry = entryBeforeBoth();
+        TestDaemon entry = entryBeforeBoth();
         RawServer.Script once = (c, r) -> {
             if (runs(r.id()) == 1) {
                 c.reset();
@@ -123,7 +123,7 @@
     void orderIsSentOnWhenItsServerCannotBeConnectedTo() {
         // The caller gets its answer: nothing listens beside the first owner, whose refusal is proven not run.
         first.close();
-        RigDaemon entry = entryBeforeBoth();
+        TestDaemon entry = entryBeforeBoth();
         for (int i = 0; i < 8; i++) {
             assertEquals(
                     200,
@@ -135,7 +135,7 @@
     @Test
     void orderIsSentOnWhenADaemonCannotBeConnectedTo() {
         // The caller gets its answer: one member's daemon is gone but still announced.
-        RigDaemon entry = rig.add("entry", "none", first.address());
+        TestDaemon entry = rig.add("entry", "none", first.address());
         rig.addMember("b", "web", second.address());
         rig.announce("gone", "web", new HostPort("127.0.0.1", 1));
         for (int i = 0; i < 8; i++) {
@@ -151,8 +151,8 @@
         // The caller gets its answer: the announced address was taken over by the daemon of another service, which
         // refuses the instance that it is not; its backend server must not see the order.
         RawServer other = new RawServer();
-        RigDaemon entry = rig.add("entry", "none", first.address());
-        RigDaemon taken = rig.add("taken", "none", other.address());
+        TestDaemon entry = rig.add("entry", "none", first.address());
+        TestDaemon taken = rig.add("taken", "none", other.address());
         rig.addMember("b", "web", second.address());
         rig.announce("old", "web", taken.peersAddress());
         for (int i = 0; i < 8; i++) {
@@ -167,7 +167,7 @@
     @Test
     void orderIsSentOnWhenAServerSheds() {
         // The caller gets its answer: the first server sheds the order with x-shed and did not run it.
-        RigDaemon entry = entryBeforeBoth();
+        TestDaemon entry = entryBeforeBoth();
         RawServer.Script shedFirst = (c, r) -> {
             c.read(BODY.length());
             if (runs(r.id()) == 1) {
@@ -184,8 +184,8 @@
     void orderCutBetweenTheDaemonsRunsOnceAndIsUnknown() throws IOException {
         // The caller gets 502 outcome-unknown: the connection between entry and owner is cut while the order runs.
         // The owner cannot say any more whether it did, so the entry must not send it to the other member.
-        RigDaemon entry = rig.add("entry", "none", first.address());
-        RigDaemon owner = rig.add("a", "web", first.address());
+        TestDaemon entry = rig.add("entry", "none", first.address());
+        TestDaemon owner = rig.add("a", "web", first.address());
         try (TcpRelay relay = new TcpRelay(owner.peersAddress())) {
             rig.announce("a", "web", relay.address());
             first.setScript((c, r) -> {
@@ -203,7 +203,7 @@
     void readRefusedAfterAnUnknownOutcomeIsNotCalledNotRun() {
         // The caller gets 502 outcome-unknown: the only server ran the read and reset, and then nothing could be
         // connected to any more. Saying "not run" for the last attempt would be untrue of the first.
-        RigDaemon entry = rig.add("entry", "none", first.address());
+        TestDaemon entry = rig.add("entry", "none", first.address());
         rig.addMember("a", "web", first.address());
         first.setScript((c, r) -> {
             first.close();
@@ -218,7 +218,7 @@
     @Test
     void deadlineThatPassedIsRefusedWithoutRunning() {
         // The caller, which said it waits 0 ms, gets 503 not-run: its server never hears of the order.
-        RigDaemon entry = entryBeforeBoth();
+        TestDaemon entry = entryBeforeBoth();
         WebClient client = WebClient.of("http://" + entry.callersAddress());
         AggregatedHttpResponse answer = client.execute(
                         RequestHeaders.builder(HttpMethod.POST, "/orders")
@@ -238,8 +238,8 @@
     void leavingServerIsRefusedForAtItsOwnerAndRememberedAtOnce() {
         // Every caller gets its answer: one server is leaving but still announced as up; its owner refuses, and the
         // entry does not ask it again.
-        RigDaemon entry = rig.add("entry", "none", first.address());
-        RigDaemon leaving = rig.addMember("a", "web", first.address());
+        TestDaemon entry = rig.add("entry", "none", first.address());
+        TestDaemon leaving = rig.addMember("a", "web", first.address());
         rig.addMember("b", "web", second.address());
         leaving.state = Member.State.LEAVING;
         for (int i = 0; i < 20; i++) {
@@ -257,7 +257,7 @@
     @Test
     void entryThatIsTheOwnerAnswersWithoutANetworkHop() {
         // The caller gets its answer although nobody can connect to the daemon's own address: it is its own owner.
-        RigDaemon entry = rig.add("a", "web", first.address());
+        TestDaemon entry = rig.add("a", "web", first.address());
         rig.announce("a", "web", new HostPort("127.0.0.1", 1));
         assertEquals("ok", send(entry, HttpMethod.POST, "/orders", "p-1").contentUtf8());
         first.setScript((c, r) -> c.reset());
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OverloadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OverloadTest.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.berylwick.daemon.call.CallPathCluster.RigDaemon;
+import org.berylwick.daemon.call.CallPathCluster.TestDaemon;
 import org.berylwick.testing.Await;
 import org.berylwick.testing.RawServer;
 import org.junit.jupiter.api.AfterEach;
@@ -32,8 +32,8 @@
     private final AtomicInteger running = new AtomicInteger();
     private final AtomicInteger peak = new AtomicInteger();
     private final RawServer server = new RawServer(this::run);
-    private final RigDaemon entry = rig.add("entry", "none", server.address());
-    private final RigDaemon owner = rig.addMember("a", "web", server.address());
+    private final TestDaemon entry = rig.add("entry", "none", server.address());
+    private final TestDaemon owner = rig.addMember("a", "web", server.address());
     private final WebClient client = WebClient.builder("h2c://" + entry.callersAddress())
             .responseTimeoutMillis(60_000)
             .build();
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/SilenceTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/SilenceTest.java
@@ -10,7 +10,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
-import org.berylwick.daemon.call.CallPathCluster.RigDaemon;
+import org.berylwick.daemon.call.CallPathCluster.TestDaemon;
 import org.berylwick.testing.Await;
 import org.berylwick.testing.RawServer;
 import org.berylwick.testing.TcpRelay;
@@ -31,7 +31,7 @@
         server.close();
     }
 
-    private static CompletableFuture<AggregatedHttpResponse> order(RigDaemon entry, String id) {
+    private static CompletableFuture<AggregatedHttpResponse> order(TestDaemon entry, String id) {
         return WebClient.builder("http://" + entry.callersAddress())
                 .responseTimeoutMillis(60_000)
                 .build()
@@ -49,8 +49,8 @@
         // The callers' orders go over connections that the network has lost track of. Each is told within its
         // deadline that the outcome is unknown, no order runs twice, and soon orders are answered again over new
         // connections, although orders with bodies keep being written to the silent ones.
-        RigDaemon entry = rig.add("entry", "none", server.address());
-        RigDaemon owner = rig.add("a", "web", server.address());
+        TestDaemon entry = rig.add("entry", "none", server.address());
+        TestDaemon owner = rig.add("a", "web", server.address());
         try (TcpRelay relay = new TcpRelay(owner.peersAddress())) {
             rig.announce("a", "web", relay.address());
             for (int i = 0; i < 40; i++) {
@@ -81,8 +81,8 @@
     void readOverASilentConnectionIsAnsweredByAnotherAttempt() {
         // The caller gets its tile within its 10 s: the silent connection is closed, the attempt ends as unknown, and
         // as the read is idempotent another attempt goes over a new connection.
-        RigDaemon entry = rig.add("entry", "none", server.address());
-        RigDaemon owner = rig.add("a", "web", server.address());
+        TestDaemon entry = rig.add("entry", "none", server.address());
+        TestDaemon owner = rig.add("a", "web", server.address());
         try (TcpRelay relay = new TcpRelay(owner.peersAddress())) {
             rig.announce("a", "web", relay.address());
             WebClient client = WebClient.builder("http://" + entry.callersAddress())
@@ -104,7 +104,7 @@
         // The caller whose order meets the silent connection is told unknown by its deadline, and the order is not
         // doubled; the connection is closed, and the next order is answered over a new one.
         try (TcpRelay relay = new TcpRelay(server.address())) {
-            RigDaemon entry = rig.addMember("a", "web", relay.address());
+            TestDaemon entry = rig.addMember("a", "web", relay.address());
             assertEquals(200, order(entry, "first").join().status().code());
             relay.freezeOpen();
             int unknown = 0;
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.locks.LockSupport;
-import org.berylwick.daemon.call.CallPathCluster.RigDaemon;
+import org.berylwick.daemon.call.CallPathCluster.TestDaemon;
 import org.berylwick.testing.Await;
 import org.berylwick.testing.RawServer;
 import org.junit.jupiter.api.AfterEach;
@@ -32,8 +32,8 @@
     private final CallPathCluster rig = new CallPathCluster(Declarations.TEXT);
     private final AtomicLong moved = new AtomicLong();
     private final RawServer server = new RawServer();
-    private final RigDaemon entry = rig.add("entry", "none", server.address());
-    private final RigDaemon owner = rig.addMember("a", "web", server.address());
+    private final TestDaemon entry = rig.add("entry", "none", server.address());
+    private final TestDaemon owner = rig.addMember("a", "web", server.address());
 
     @AfterEach
     void close() {
