--- a/org.berylwick.test/tst/org/berylwick/daemon/call/CallPathCluster.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/CallPathCluster.java
@@ -39,7 +39,7 @@
 final class CallPathCluster implements AutoCloseable {
     private static final TimeSource TIME = TimeSource.SYSTEM;
     private static final Place PLACE = new Place("ncr", "makati");
-    private static final long APPLY_MILLIS = 10_000;
+    private static final long APPLY_TIMEOUT_MILLIS = 10_000;
 
     private final Map<String, TestDaemon> daemons = new LinkedHashMap<>();
     private final VersionContent version;
@@ -118,7 +118,7 @@
     /** A rig whose daemons have the declared configuration in force. */
     CallPathCluster(String declarations) {
         VersionRepository repository = new VersionRepository(new MemoryStore(TIME));
-        Deadline by = Deadline.afterMillis(TIME, APPLY_MILLIS);
+        Deadline by = Deadline.afterMillis(TIME, APPLY_TIMEOUT_MILLIS);
         ApplyResult applied = new ApplyCommand(repository, TIME)
                 .addDocument("test.toml", declarations)
                 .setDeadline(by)
