--- a/org.berylwick.test/tst/org/berylwick/daemon/call/CallPathCluster.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/CallPathCluster.java
@@ -50,7 +50,7 @@
         final Invariants invariants = new Invariants(metrics);
         final MembershipTable membership = new MembershipTable();
         final InstalledVersion installed = new InstalledVersion(TIME);
-        final CallPath calls;
+        final CallPath callPath;
         final Server callers;
         final Server peers;
         volatile Member.State state = Member.State.UP;
@@ -66,10 +66,10 @@
                     new DaemonSettings.Spread(DaemonSettings.SpreadMode.WATCH, SpreadTuning.DEFAULT, 0, List.of()),
                     new DaemonSettings.Admin(Optional.empty(), 1));
             KeyDuty keys = new KeyDuty(new MemoryStore(TIME), instance, invariants, metrics, TIME);
-            calls = new CallPath(settings, installed, membership, keys, () -> state, metrics, invariants, TIME);
+            callPath = new CallPath(settings, installed, membership, keys, () -> state, metrics, invariants, TIME);
             installed.install(version);
-            callers = serve(calls.entry());
-            peers = serve(calls.owner());
+            callers = serve(callPath.entry());
+            peers = serve(callPath.owner());
         }
 
         private static Server serve(HttpService service) {
@@ -111,7 +111,7 @@
         private void close() {
             callers.stop();
             peers.stop();
-            calls.close();
+            callPath.close();
         }
     }
 
