--- a/org.berylwick.test/tst/org/berylwick/daemon/call/CallPathCluster.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/CallPathCluster.java
@@ -51,7 +51,7 @@
         final MembershipTable membership = new MembershipTable();
         final InstalledVersion installed = new InstalledVersion(TIME);
         final CallPath callPath;
-        final Server callers;
+        final Server callerServer;
         final Server peers;
         volatile Member.State state = Member.State.UP;
 
@@ -68,7 +68,7 @@
             KeyDuty keys = new KeyDuty(new MemoryStore(TIME), instance, invariants, metrics, TIME);
             callPath = new CallPath(settings, installed, membership, keys, () -> state, metrics, invariants, TIME);
             installed.install(version);
-            callers = serve(callPath.entry());
+            callerServer = serve(callPath.entry());
             peers = serve(callPath.owner());
         }
 
@@ -85,7 +85,7 @@
 
         /** Where callers are served. */
         HostPort callersAddress() {
-            return address(callers);
+            return address(callerServer);
         }
 
         /** Where peers are served. */
@@ -109,7 +109,7 @@
 
         /** Not waited for: the server library holds its threads for some seconds after the sockets are closed. */
         private void close() {
-            callers.stop();
+            callerServer.stop();
             peers.stop();
             callPath.close();
         }
