--- a/org.berylwick.test/tst/org/berylwick/daemon/call/CallPathCluster.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/CallPathCluster.java
@@ -52,7 +52,7 @@
         final InstalledVersion installed = new InstalledVersion(TIME);
         final CallPath callPath;
         final Server callerServer;
-        final Server peers;
+        final Server peerServer;
         volatile Member.State state = Member.State.UP;
 
         private TestDaemon(String instance, String service, HostPort backend, VersionContent version) {
@@ -69,7 +69,7 @@
             callPath = new CallPath(settings, installed, membership, keys, () -> state, metrics, invariants, TIME);
             installed.install(version);
             callerServer = serve(callPath.entry());
-            peers = serve(callPath.owner());
+            peerServer = serve(callPath.owner());
         }
 
         private static Server serve(HttpService service) {
@@ -90,7 +90,7 @@
 
         /** Where peers are served. */
         HostPort peersAddress() {
-            return address(peers);
+            return address(peerServer);
         }
 
         private static HostPort address(Server server) {
@@ -110,7 +110,7 @@
         /** Not waited for: the server library holds its threads for some seconds after the sockets are closed. */
         private void close() {
             callerServer.stop();
-            peers.stop();
+            peerServer.stop();
             callPath.close();
         }
     }
