--- a/org.berylwick.test/tst/org/berylwick/daemon/call/AnswerTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/AnswerTest.java
@@ -201,7 +201,7 @@
     void answerCutBetweenTheDaemonsEndsAsClosedConnection() throws IOException {
         // The caller sees its connection end midway: the connection from entry to owner is cut while half of the
         // answer is through.
-        try (TcpRelay relay = new TcpRelay(owner.peersAddress());
+        try (TcpRelay relay = new TcpRelay(owner.peerAddress());
                 RawCaller caller = new RawCaller(entry.callerAddress())) {
             rig.announceAgain("a", relay.address());
             server.setScript((c, r) -> {
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/CallPathCluster.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/CallPathCluster.java
@@ -89,7 +89,7 @@
         }
 
         /** Where peers are served. */
-        HostPort peersAddress() {
+        HostPort peerAddress() {
             return address(peerServer);
         }
 
@@ -170,7 +170,7 @@
     TestDaemon addMember(String instance, String service, HostPort backend) {
         TestDaemon daemon = add(instance, service, backend);
         daemons.forEach((name, d) -> d.membership.view().all().forEach(m -> daemon.membership.merge(m)));
-        announce(instance, service, daemon.peersAddress());
+        announce(instance, service, daemon.peerAddress());
         return daemon;
     }
 
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/HeaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/HeaderTest.java
@@ -115,10 +115,10 @@
     @Test
     void peersThatAreNoDaemonsAreRefusedAtTheOwner() throws IOException {
         // Somebody connects to the owner's port without naming the instance or a request id: refused, not run.
-        assertEquals("503", statusOf(owner.peersAddress(), "/orders/1", "x-request-id: q\r\n"));
-        assertEquals("503", statusOf(owner.peersAddress(), "/orders/1", "berylwick-instance: a\r\n"));
+        assertEquals("503", statusOf(owner.peerAddress(), "/orders/1", "x-request-id: q\r\n"));
+        assertEquals("503", statusOf(owner.peerAddress(), "/orders/1", "berylwick-instance: a\r\n"));
         assertEquals(
-                "503", statusOf(owner.peersAddress(), "/orders/1", "berylwick-instance: a\r\nx-request-id: q\r\n"));
+                "503", statusOf(owner.peerAddress(), "/orders/1", "berylwick-instance: a\r\nx-request-id: q\r\n"));
         assertEquals(List.of(), server.requests());
     }
 }
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
@@ -154,7 +154,7 @@
         TestDaemon entry = rig.add("entry", "none", first.address());
         TestDaemon taken = rig.add("taken", "none", other.address());
         rig.addMember("b", "web", second.address());
-        rig.announce("old", "web", taken.peersAddress());
+        rig.announce("old", "web", taken.peerAddress());
         for (int i = 0; i < 8; i++) {
             assertEquals(
                     200,
@@ -186,7 +186,7 @@
         // The owner cannot say any more whether it did, so the entry must not send it to the other member.
         TestDaemon entry = rig.add("entry", "none", first.address());
         TestDaemon owner = rig.add("a", "web", first.address());
-        try (TcpRelay relay = new TcpRelay(owner.peersAddress())) {
+        try (TcpRelay relay = new TcpRelay(owner.peerAddress())) {
             rig.announce("a", "web", relay.address());
             first.setScript((c, r) -> {
                 relay.cutOpen();
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/SilenceTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/SilenceTest.java
@@ -51,7 +51,7 @@
         // connections, although orders with bodies keep being written to the silent ones.
         TestDaemon entry = rig.add("entry", "none", server.address());
         TestDaemon owner = rig.add("a", "web", server.address());
-        try (TcpRelay relay = new TcpRelay(owner.peersAddress())) {
+        try (TcpRelay relay = new TcpRelay(owner.peerAddress())) {
             rig.announce("a", "web", relay.address());
             for (int i = 0; i < 40; i++) {
                 assertEquals(200, order(entry, "before-" + i).join().status().code());
@@ -83,7 +83,7 @@
         // as the read is idempotent another attempt goes over a new connection.
         TestDaemon entry = rig.add("entry", "none", server.address());
         TestDaemon owner = rig.add("a", "web", server.address());
-        try (TcpRelay relay = new TcpRelay(owner.peersAddress())) {
+        try (TcpRelay relay = new TcpRelay(owner.peerAddress())) {
             rig.announce("a", "web", relay.address());
             WebClient client = WebClient.builder("http://" + entry.callerAddress())
                     .responseTimeoutMillis(60_000)
