--- a/org.berylwick.test/tst/org/berylwick/daemon/call/AnswerTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/AnswerTest.java
@@ -95,7 +95,7 @@
         assertEquals(502, answer.status().code());
         assertFalse(answer.contentUtf8().contains("secret"));
         Await.until("the server's connection closed", () -> server.closedByPeer() > 0, server::closedByPeer);
-        assertEquals(1, owner.count(CallMetrics.CROSSED));
+        assertEquals(1, owner.counterValue(CallMetrics.CROSSED));
         assertEquals("next", get("http", "/orders/1", "next").join().contentUtf8());
     }
 
@@ -146,7 +146,7 @@
             assertTrue(got.contains("content-length: " + WHOLE.length()));
             assertTrue(got.length() < WHOLE.length());
         }
-        Await.until("the cut is counted", () -> entry.count(CallMetrics.CUT) == 1, () -> entry.count(CallMetrics.CUT));
+        Await.until("the cut is counted", () -> entry.counterValue(CallMetrics.CUT) == 1, () -> entry.counterValue(CallMetrics.CUT));
     }
 
     @Test
@@ -234,7 +234,7 @@
         });
         assertEquals(WHOLE, get("http", "/archives/1", "arc-1").join().contentUtf8());
         assertEquals(2, server.runs("arc-1"));
-        assertEquals(1, entry.count(CallMetrics.RESUMED));
+        assertEquals(1, entry.counterValue(CallMetrics.RESUMED));
     }
 
     @Test
@@ -253,7 +253,7 @@
         assertThrows(
                 CompletionException.class,
                 () -> get("http", "/archives/1", "arc-2").join());
-        assertEquals(0, entry.count(CallMetrics.RESUMED));
+        assertEquals(0, entry.counterValue(CallMetrics.RESUMED));
     }
 
     @Test
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/CallPathCluster.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/CallPathCluster.java
@@ -98,7 +98,7 @@
         }
 
         /** A counter of this daemon. */
-        long count(String metric) {
+        long counterValue(String metric) {
             return metrics.counter(metric).getCount();
         }
 
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/DeadlineTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/DeadlineTest.java
@@ -202,7 +202,7 @@
         }
         int runs = broken.requests().size();
         assertTrue(runs >= 100 && runs <= 100 + 10 + 20, "runs " + runs);
-        assertTrue(entry.count(CallMetrics.VERDICT + "OVER_BUDGET") > 0);
+        assertTrue(entry.counterValue(CallMetrics.VERDICT + "OVER_BUDGET") > 0);
         broken.close();
     }
 }
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
@@ -251,7 +251,7 @@
         assertEquals(
                 Member.State.LEAVING,
                 entry.membership.view().find("a").orElseThrow().state());
-        assertTrue(entry.count(CallMetrics.VERDICT + "RETRY") <= 1);
+        assertTrue(entry.counterValue(CallMetrics.VERDICT + "RETRY") <= 1);
     }
 
     @Test
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OverloadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OverloadTest.java
@@ -144,7 +144,7 @@
         Await.until("it waits", () -> owner.gauge("limit.queue.waiting.READ") == 1, running::get);
         waiting.abort();
         Await.until("it left", () -> owner.gauge("limit.queue.waiting.READ") == 0, running::get);
-        assertEquals(1, owner.count("limit.cancelled.READ"));
+        assertEquals(1, owner.counterValue("limit.cancelled.READ"));
         release.countDown();
         assertEquals(
                 200,
