--- a/org.berylwick.test/tst/org/berylwick/daemon/call/CallPathCluster.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/CallPathCluster.java
@@ -103,7 +103,7 @@
         }
 
         /** A gauge of this daemon that has a whole number. */
-        int gauge(String metric) {
+        int gaugeValue(String metric) {
             return (Integer) metrics.getGauges().get(metric).getValue();
         }
 
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OverloadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OverloadTest.java
@@ -141,9 +141,9 @@
         Await.until("all slots taken", () -> running.get() == SLOTS, running::get);
         HttpResponse waiting = send(HttpMethod.GET, "/tiles/1", "gone");
         waiting.subscribe();
-        Await.until("it waits", () -> owner.gauge("limit.queue.waiting.READ") == 1, running::get);
+        Await.until("it waits", () -> owner.gaugeValue("limit.queue.waiting.READ") == 1, running::get);
         waiting.abort();
-        Await.until("it left", () -> owner.gauge("limit.queue.waiting.READ") == 0, running::get);
+        Await.until("it left", () -> owner.gaugeValue("limit.queue.waiting.READ") == 0, running::get);
         assertEquals(1, owner.counterValue("limit.cancelled.READ"));
         release.countDown();
         assertEquals(
