--- a/org.berylwick.test/tst/org/berylwick/daemon/call/AnswerTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/AnswerTest.java
@@ -31,7 +31,7 @@
 
     private final CallPathCluster rig = new CallPathCluster(Declarations.TEXT);
     private final RawServer server = new RawServer((c, r) -> c.answer(r, r.id()));
-    private final TestDaemon entry = rig.add("entry", "none", server.address());
+    private final TestDaemon entry = rig.addDaemon("entry", "none", server.address());
     private final TestDaemon owner = rig.addMember("a", "web", server.address());
 
     @AfterEach
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/CallPathCluster.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/CallPathCluster.java
@@ -134,7 +134,7 @@
     }
 
     /** Adds a daemon beside a backend server; nobody knows it as a member yet. */
-    TestDaemon add(String instance, String service, HostPort backend) {
+    TestDaemon addDaemon(String instance, String service, HostPort backend) {
         TestDaemon daemon = new TestDaemon(instance, service, backend, version);
         daemons.put(instance, daemon);
         return daemon;
@@ -168,7 +168,7 @@
 
     /** Adds a daemon and makes it known. */
     TestDaemon addMember(String instance, String service, HostPort backend) {
-        TestDaemon daemon = add(instance, service, backend);
+        TestDaemon daemon = addDaemon(instance, service, backend);
         daemons.forEach((name, d) -> d.membership.view().all().forEach(m -> daemon.membership.merge(m)));
         announce(instance, service, daemon.peerAddress());
         return daemon;
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/DeadlineTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/DeadlineTest.java
@@ -54,7 +54,7 @@
     void callersTimeoutOnlyShortensThePolicys() {
         // The server is told the smaller of what the policy allows (5 s) and what the caller says.
         RawServer server = new RawServer();
-        TestDaemon entry = rig.add("entry", "none", server.address());
+        TestDaemon entry = rig.addDaemon("entry", "none", server.address());
         rig.addMember("a", "web", server.address());
         WebClient client = WebClient.of("http://" + entry.callerAddress());
         for (long asked : new long[] {-1, 1_000, 60_000}) {
@@ -71,7 +71,7 @@
         // The caller closes its connection while the server works: the server's connection is closed at once, and
         // the order is not sent again.
         RawServer server = new RawServer((c, r) -> c.awaitClosedByPeer());
-        TestDaemon entry = rig.add("entry", "none", server.address());
+        TestDaemon entry = rig.addDaemon("entry", "none", server.address());
         rig.addMember("a", "web", server.address());
         try (RawCaller caller = new RawCaller(entry.callerAddress())) {
             caller.get("/orders/1", "x-request-id: gone\r\n");
@@ -88,7 +88,7 @@
         // never answers: the attempt there is given up and cancelled while there is time for the one that came up.
         RawServer silent = new RawServer((c, r) -> c.awaitClosedByPeer());
         RawServer healthy = new RawServer();
-        TestDaemon entry = rig.add("entry", "none", silent.address());
+        TestDaemon entry = rig.addDaemon("entry", "none", silent.address());
         rig.addMember("a", "web", silent.address());
         CompletableFuture<AggregatedHttpResponse> answer = WebClient.builder("http://" + entry.callerAddress())
                 .responseTimeoutMillis(60_000)
@@ -141,7 +141,7 @@
     }
 
     private TestDaemon chain(List<Long> told, CompletableFuture<Void> last) {
-        TestDaemon entry = rig.add("entry", "none", new HostPort("127.0.0.1", 1));
+        TestDaemon entry = rig.addDaemon("entry", "none", new HostPort("127.0.0.1", 1));
         for (String name : List.of("a", "b")) {
             AtomicReference<HostPort> own = new AtomicReference<>();
             TestDaemon daemon = rig.addMember(name, "web", chained(own, told, last));
@@ -189,7 +189,7 @@
         // Every server resets every read: 100 callers cause no more runs than 100 and the share of retries, and each
         // is told at once.
         RawServer broken = new RawServer((c, r) -> c.reset());
-        TestDaemon entry = rig.add("entry", "none", broken.address());
+        TestDaemon entry = rig.addDaemon("entry", "none", broken.address());
         rig.addMember("a", "web", broken.address());
         rig.addMember("b", "web", broken.address());
         WebClient client = WebClient.of("http://" + entry.callerAddress());
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/HeaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/HeaderTest.java
@@ -21,7 +21,7 @@
 class HeaderTest {
     private final CallPathCluster rig = new CallPathCluster(Declarations.TEXT);
     private final RawServer server = new RawServer();
-    private final TestDaemon entry = rig.add("entry", "none", server.address());
+    private final TestDaemon entry = rig.addDaemon("entry", "none", server.address());
     private final TestDaemon owner = rig.addMember("a", "web", server.address());
 
     @AfterEach
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
@@ -50,7 +50,7 @@
 
     /** An entry whose only members are the two backend servers beside other daemons. */
     private TestDaemon entryBeforeBoth() {
-        TestDaemon entry = rig.add("entry", "none", first.address());
+        TestDaemon entry = rig.addDaemon("entry", "none", first.address());
         rig.addMember("a", "web", first.address());
         rig.addMember("b", "web", second.address());
         return entry;
@@ -135,7 +135,7 @@
     @Test
     void orderIsSentOnWhenADaemonCannotBeConnectedTo() {
         // The caller gets its answer: one member's daemon is gone but still announced.
-        TestDaemon entry = rig.add("entry", "none", first.address());
+        TestDaemon entry = rig.addDaemon("entry", "none", first.address());
         rig.addMember("b", "web", second.address());
         rig.announce("gone", "web", new HostPort("127.0.0.1", 1));
         for (int i = 0; i < 8; i++) {
@@ -151,8 +151,8 @@
         // The caller gets its answer: the announced address was taken over by the daemon of another service, which
         // refuses the instance that it is not; its backend server must not see the order.
         RawServer other = new RawServer();
-        TestDaemon entry = rig.add("entry", "none", first.address());
-        TestDaemon taken = rig.add("taken", "none", other.address());
+        TestDaemon entry = rig.addDaemon("entry", "none", first.address());
+        TestDaemon taken = rig.addDaemon("taken", "none", other.address());
         rig.addMember("b", "web", second.address());
         rig.announce("old", "web", taken.peerAddress());
         for (int i = 0; i < 8; i++) {
@@ -184,8 +184,8 @@
     void orderCutBetweenTheDaemonsRunsOnceAndIsUnknown() throws IOException {
         // The caller gets 502 outcome-unknown: the connection between entry and owner is cut while the order runs.
         // The owner cannot say any more whether it did, so the entry must not send it to the other member.
-        TestDaemon entry = rig.add("entry", "none", first.address());
-        TestDaemon owner = rig.add("a", "web", first.address());
+        TestDaemon entry = rig.addDaemon("entry", "none", first.address());
+        TestDaemon owner = rig.addDaemon("a", "web", first.address());
         try (TcpRelay relay = new TcpRelay(owner.peerAddress())) {
             rig.announce("a", "web", relay.address());
             first.setScript((c, r) -> {
@@ -203,7 +203,7 @@
     void readRefusedAfterAnUnknownOutcomeIsNotCalledNotRun() {
         // The caller gets 502 outcome-unknown: the only server ran the read and reset, and then nothing could be
         // connected to any more. Saying "not run" for the last attempt would be untrue of the first.
-        TestDaemon entry = rig.add("entry", "none", first.address());
+        TestDaemon entry = rig.addDaemon("entry", "none", first.address());
         rig.addMember("a", "web", first.address());
         first.setScript((c, r) -> {
             first.close();
@@ -238,7 +238,7 @@
     void leavingServerIsRefusedForAtItsOwnerAndRememberedAtOnce() {
         // Every caller gets its answer: one server is leaving but still announced as up; its owner refuses, and the
         // entry does not ask it again.
-        TestDaemon entry = rig.add("entry", "none", first.address());
+        TestDaemon entry = rig.addDaemon("entry", "none", first.address());
         TestDaemon leaving = rig.addMember("a", "web", first.address());
         rig.addMember("b", "web", second.address());
         leaving.state = Member.State.LEAVING;
@@ -257,7 +257,7 @@
     @Test
     void entryThatIsTheOwnerAnswersWithoutANetworkHop() {
         // The caller gets its answer although nobody can connect to the daemon's own address: it is its own owner.
-        TestDaemon entry = rig.add("a", "web", first.address());
+        TestDaemon entry = rig.addDaemon("a", "web", first.address());
         rig.announce("a", "web", new HostPort("127.0.0.1", 1));
         assertEquals("ok", send(entry, HttpMethod.POST, "/orders", "p-1").contentUtf8());
         first.setScript((c, r) -> c.reset());
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OverloadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OverloadTest.java
@@ -32,7 +32,7 @@
     private final AtomicInteger running = new AtomicInteger();
     private final AtomicInteger peak = new AtomicInteger();
     private final RawServer server = new RawServer(this::run);
-    private final TestDaemon entry = rig.add("entry", "none", server.address());
+    private final TestDaemon entry = rig.addDaemon("entry", "none", server.address());
     private final TestDaemon owner = rig.addMember("a", "web", server.address());
     private final WebClient client = WebClient.builder("h2c://" + entry.callerAddress())
             .responseTimeoutMillis(60_000)
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/SilenceTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/SilenceTest.java
@@ -49,8 +49,8 @@
         // The callers' orders go over connections that the network has lost track of. Each is told within its
         // deadline that the outcome is unknown, no order runs twice, and soon orders are answered again over new
         // connections, although orders with bodies keep being written to the silent ones.
-        TestDaemon entry = rig.add("entry", "none", server.address());
-        TestDaemon owner = rig.add("a", "web", server.address());
+        TestDaemon entry = rig.addDaemon("entry", "none", server.address());
+        TestDaemon owner = rig.addDaemon("a", "web", server.address());
         try (TcpRelay relay = new TcpRelay(owner.peerAddress())) {
             rig.announce("a", "web", relay.address());
             for (int i = 0; i < 40; i++) {
@@ -81,8 +81,8 @@
     void readOverASilentConnectionIsAnsweredByAnotherAttempt() {
         // The caller gets its tile within its 10 s: the silent connection is closed, the attempt ends as unknown, and
         // as the read is idempotent another attempt goes over a new connection.
-        TestDaemon entry = rig.add("entry", "none", server.address());
-        TestDaemon owner = rig.add("a", "web", server.address());
+        TestDaemon entry = rig.addDaemon("entry", "none", server.address());
+        TestDaemon owner = rig.addDaemon("a", "web", server.address());
         try (TcpRelay relay = new TcpRelay(owner.peerAddress())) {
             rig.announce("a", "web", relay.address());
             WebClient client = WebClient.builder("http://" + entry.callerAddress())
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
@@ -32,7 +32,7 @@
     private final CallPathCluster rig = new CallPathCluster(Declarations.TEXT);
     private final AtomicLong moved = new AtomicLong();
     private final RawServer server = new RawServer();
-    private final TestDaemon entry = rig.add("entry", "none", server.address());
+    private final TestDaemon entry = rig.addDaemon("entry", "none", server.address());
     private final TestDaemon owner = rig.addMember("a", "web", server.address());
 
     @AfterEach
