--- a/org.berylwick.test/tst/org/berylwick/daemon/call/AnswerTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/AnswerTest.java
@@ -203,7 +203,7 @@
         // answer is through.
         try (TcpRelay relay = new TcpRelay(owner.peerAddress());
                 RawCaller caller = new RawCaller(entry.callerAddress())) {
-            rig.announceAgain("a", relay.address());
+            rig.announceNewAddress("a", relay.address());
             server.setScript((c, r) -> {
                 partOf(c, r, "");
                 c.awaitClosedByPeer();
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/CallPathCluster.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/CallPathCluster.java
@@ -141,7 +141,7 @@
     }
 
     /** Moves a known daemon to another address, as its next incarnation. */
-    void announceAgain(String instance, HostPort address) {
+    void announceNewAddress(String instance, HostPort address) {
         daemons.values()
                 .forEach(d -> d.membership
                         .view()
