--- a/org.berylwick.test/tst/org/berylwick/daemon/call/AnswerTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/AnswerTest.java
@@ -36,7 +36,7 @@
 
     @AfterEach
     void close() {
-        assertEquals(List.of(), rig.breaches());
+        assertEquals(List.of(), rig.breachedInvariants());
         rig.close();
         server.close();
     }
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/CallPathCluster.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/CallPathCluster.java
@@ -175,7 +175,7 @@
     }
 
     /** Breaches of any invariant in any daemon. */
-    List<String> breaches() {
+    List<String> breachedInvariants() {
         List<String> found = new ArrayList<>();
         daemons.forEach((name, d) -> {
             for (Invariant i : Invariant.values()) {
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/DeadlineTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/DeadlineTest.java
@@ -35,7 +35,7 @@
 
     @AfterEach
     void close() {
-        assertEquals(List.of(), rig.breaches());
+        assertEquals(List.of(), rig.breachedInvariants());
         rig.close();
         servers.forEach(Server::stop);
     }
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/HeaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/HeaderTest.java
@@ -26,7 +26,7 @@
 
     @AfterEach
     void close() {
-        assertEquals(List.of(), rig.breaches());
+        assertEquals(List.of(), rig.breachedInvariants());
         rig.close();
         server.close();
     }
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
@@ -29,7 +29,7 @@
 
     @AfterEach
     void close() {
-        assertEquals(List.of(), rig.breaches());
+        assertEquals(List.of(), rig.breachedInvariants());
         rig.close();
         first.close();
         second.close();
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OverloadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OverloadTest.java
@@ -41,7 +41,7 @@
     @AfterEach
     void close() {
         release.countDown();
-        assertEquals(List.of(), rig.breaches());
+        assertEquals(List.of(), rig.breachedInvariants());
         rig.close();
         server.close();
     }
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
@@ -37,7 +37,7 @@
 
     @AfterEach
     void close() {
-        assertEquals(List.of(), rig.breaches());
+        assertEquals(List.of(), rig.breachedInvariants());
         rig.close();
         server.close();
     }
