--- a/org.berylwick.test/tst/org/berylwick/daemon/call/Declarations.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/TestConfiguration.java
@@ -1,7 +1,7 @@
 package org.berylwick.daemon.call;
 
 /** The configuration that the tests of this package share. */
-final class Declarations {
+final class TestConfiguration {
     /** One brand with a route for each kind of traffic, all to the service "web". */
     static final String TEXT = """
             [[brand]]
@@ -64,5 +64,5 @@
             idempotent = true
             """;
 
-    private Declarations() {}
+    private TestConfiguration() {}
 }
