--- a/org.berylwick.test/tst/org/berylwick/daemon/call/AnswerTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/AnswerTest.java
@@ -29,7 +29,7 @@
     private static final String WHOLE = "0123456789".repeat(20_000);
     private static final String HALF = WHOLE.substring(0, WHOLE.length() / 2);
 
-    private final CallPathCluster rig = new CallPathCluster(TestConfiguration.TEXT);
+    private final CallPathCluster rig = new CallPathCluster(TestConfiguration.TOML);
     private final RawServer server = new RawServer((c, r) -> c.answer(r, r.id()));
     private final TestDaemon entry = rig.addDaemon("entry", "none", server.address());
     private final TestDaemon owner = rig.addMember("a", "web", server.address());
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/DeadlineTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/DeadlineTest.java
@@ -30,7 +30,7 @@
 class DeadlineTest {
     private static final int DEPTH = 10;
 
-    private final CallPathCluster rig = new CallPathCluster(TestConfiguration.TEXT);
+    private final CallPathCluster rig = new CallPathCluster(TestConfiguration.TOML);
     private final List<Server> servers = new ArrayList<>();
 
     @AfterEach
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/HeaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/HeaderTest.java
@@ -19,7 +19,7 @@
 
 /** What of a caller's and a backend server's headers travels on, and which requests are refused for theirs. */
 class HeaderTest {
-    private final CallPathCluster rig = new CallPathCluster(TestConfiguration.TEXT);
+    private final CallPathCluster rig = new CallPathCluster(TestConfiguration.TOML);
     private final RawServer server = new RawServer();
     private final TestDaemon entry = rig.addDaemon("entry", "none", server.address());
     private final TestDaemon owner = rig.addMember("a", "web", server.address());
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
@@ -23,7 +23,7 @@
 class OutcomeTest {
     private static final String BODY = "amount=10";
 
-    private final CallPathCluster rig = new CallPathCluster(TestConfiguration.TEXT);
+    private final CallPathCluster rig = new CallPathCluster(TestConfiguration.TOML);
     private final RawServer first = new RawServer();
     private final RawServer second = new RawServer();
 
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OverloadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OverloadTest.java
@@ -27,7 +27,7 @@
     private static final int SLOTS = 12;
     private static final long HOLD_MILLIS = 5;
 
-    private final CallPathCluster rig = new CallPathCluster(TestConfiguration.TEXT);
+    private final CallPathCluster rig = new CallPathCluster(TestConfiguration.TOML);
     private final CountDownLatch release = new CountDownLatch(1);
     private final AtomicInteger running = new AtomicInteger();
     private final AtomicInteger peak = new AtomicInteger();
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/SilenceTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/SilenceTest.java
@@ -21,7 +21,7 @@
 class SilenceTest {
     private static final String BODY = "amount=10";
 
-    private final CallPathCluster rig = new CallPathCluster(TestConfiguration.TEXT);
+    private final CallPathCluster rig = new CallPathCluster(TestConfiguration.TOML);
     private final RawServer server = new RawServer();
 
     @AfterEach
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
@@ -29,7 +29,7 @@
     /** What sockets and flow control windows of two hops may hold; a gathered body would be four times as much. */
     private static final long HELD = 32 * MEBIBYTE;
 
-    private final CallPathCluster rig = new CallPathCluster(TestConfiguration.TEXT);
+    private final CallPathCluster rig = new CallPathCluster(TestConfiguration.TOML);
     private final AtomicLong moved = new AtomicLong();
     private final RawServer server = new RawServer();
     private final TestDaemon entry = rig.addDaemon("entry", "none", server.address());
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/TestConfiguration.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/TestConfiguration.java
@@ -3,7 +3,7 @@
 /** The configuration that the tests of this package share. */
 final class TestConfiguration {
     /** One brand with a route for each kind of traffic, all to the service "web". */
-    static final String TEXT = """
+    static final String TOML = """
             [[brand]]
             name = "one"
             hosts = ["one.example"]
