--- a/org.berylwick.test/tst/org/berylwick/daemon/call/LengthCheckTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/ContentLengthCheckTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A body that ends with another length than its head announced ends in an error, next to its connection. */
-class LengthCheckTest {
+class ContentLengthCheckTest {
     private static final HttpData BYTES = HttpData.ofUtf8("abcde");
 
     private static StreamMessage<HttpData> body(HttpMethod method, HttpStatus status, long announced) {
