--- a/org.berylwick.test/tst/org/berylwick/daemon/call/ContentLengthCheckTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/ContentLengthCheckTest.java
@@ -13,12 +13,12 @@
 
 /** A body that ends with another length than its head announced ends in an error, next to its connection. */
 class ContentLengthCheckTest {
-    private static final HttpData BYTES = HttpData.ofUtf8("abcde");
+    private static final HttpData BODY = HttpData.ofUtf8("abcde");
 
     private static StreamMessage<HttpData> body(HttpMethod method, HttpStatus status, long announced) {
         ResponseHeaders head =
                 ResponseHeaders.builder(status).contentLength(announced).build();
-        return ContentLengthCheck.wrap(method, head, StreamMessage.of(BYTES));
+        return ContentLengthCheck.wrap(method, head, StreamMessage.of(BODY));
     }
 
     private static int parts(StreamMessage<HttpData> body) {
@@ -41,7 +41,7 @@
         assertEquals(1, parts(body(HttpMethod.HEAD, HttpStatus.OK, 89)));
         assertEquals(1, parts(body(HttpMethod.GET, HttpStatus.NOT_MODIFIED, 89)));
         StreamMessage<HttpData> unannounced =
-                ContentLengthCheck.wrap(HttpMethod.GET, ResponseHeaders.of(HttpStatus.OK), StreamMessage.of(BYTES));
+                ContentLengthCheck.wrap(HttpMethod.GET, ResponseHeaders.of(HttpStatus.OK), StreamMessage.of(BODY));
         assertEquals(1, parts(unannounced));
     }
 }
