--- a/org.berylwick.test/tst/org/berylwick/daemon/call/ContentLengthCheckTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/ContentLengthCheckTest.java
@@ -15,7 +15,7 @@
 class ContentLengthCheckTest {
     private static final HttpData BODY = HttpData.ofUtf8("abcde");
 
-    private static StreamMessage<HttpData> body(HttpMethod method, HttpStatus status, long announced) {
+    private static StreamMessage<HttpData> checkedBody(HttpMethod method, HttpStatus status, long announced) {
         ResponseHeaders head =
                 ResponseHeaders.builder(status).contentLength(announced).build();
         return ContentLengthCheck.wrap(method, head, StreamMessage.of(BODY));
@@ -27,19 +27,19 @@
 
     @Test
     void wholeBodyPasses() {
-        assertEquals(1, parts(body(HttpMethod.GET, HttpStatus.OK, 5)));
+        assertEquals(1, parts(checkedBody(HttpMethod.GET, HttpStatus.OK, 5)));
     }
 
     @Test
     void shortAndLongBodiesEndInError() {
-        assertThrows(CompletionException.class, () -> parts(body(HttpMethod.GET, HttpStatus.GATEWAY_TIMEOUT, 89)));
-        assertThrows(CompletionException.class, () -> parts(body(HttpMethod.GET, HttpStatus.OK, 4)));
+        assertThrows(CompletionException.class, () -> parts(checkedBody(HttpMethod.GET, HttpStatus.GATEWAY_TIMEOUT, 89)));
+        assertThrows(CompletionException.class, () -> parts(checkedBody(HttpMethod.GET, HttpStatus.OK, 4)));
     }
 
     @Test
     void lengthThatAnnouncesNoBodyIsNotChecked() {
-        assertEquals(1, parts(body(HttpMethod.HEAD, HttpStatus.OK, 89)));
-        assertEquals(1, parts(body(HttpMethod.GET, HttpStatus.NOT_MODIFIED, 89)));
+        assertEquals(1, parts(checkedBody(HttpMethod.HEAD, HttpStatus.OK, 89)));
+        assertEquals(1, parts(checkedBody(HttpMethod.GET, HttpStatus.NOT_MODIFIED, 89)));
         StreamMessage<HttpData> unannounced =
                 ContentLengthCheck.wrap(HttpMethod.GET, ResponseHeaders.of(HttpStatus.OK), StreamMessage.of(BODY));
         assertEquals(1, parts(unannounced));
