--- a/org.berylwick.test/tst/org/berylwick/daemon/call/ContentLengthCheckTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/ContentLengthCheckTest.java
@@ -21,27 +21,27 @@
         return ContentLengthCheck.wrap(method, head, StreamMessage.of(BODY));
     }
 
-    private static int parts(StreamMessage<HttpData> body) {
+    private static int countParts(StreamMessage<HttpData> body) {
         return body.collect().join().size();
     }
 
     @Test
     void wholeBodyPasses() {
-        assertEquals(1, parts(checkedBody(HttpMethod.GET, HttpStatus.OK, 5)));
+        assertEquals(1, countParts(checkedBody(HttpMethod.GET, HttpStatus.OK, 5)));
     }
 
     @Test
     void shortAndLongBodiesEndInError() {
-        assertThrows(CompletionException.class, () -> parts(checkedBody(HttpMethod.GET, HttpStatus.GATEWAY_TIMEOUT, 89)));
-        assertThrows(CompletionException.class, () -> parts(checkedBody(HttpMethod.GET, HttpStatus.OK, 4)));
+        assertThrows(CompletionException.class, () -> countParts(checkedBody(HttpMethod.GET, HttpStatus.GATEWAY_TIMEOUT, 89)));
+        assertThrows(CompletionException.class, () -> countParts(checkedBody(HttpMethod.GET, HttpStatus.OK, 4)));
     }
 
     @Test
     void lengthThatAnnouncesNoBodyIsNotChecked() {
-        assertEquals(1, parts(checkedBody(HttpMethod.HEAD, HttpStatus.OK, 89)));
-        assertEquals(1, parts(checkedBody(HttpMethod.GET, HttpStatus.NOT_MODIFIED, 89)));
+        assertEquals(1, countParts(checkedBody(HttpMethod.HEAD, HttpStatus.OK, 89)));
+        assertEquals(1, countParts(checkedBody(HttpMethod.GET, HttpStatus.NOT_MODIFIED, 89)));
         StreamMessage<HttpData> unannounced =
                 ContentLengthCheck.wrap(HttpMethod.GET, ResponseHeaders.of(HttpStatus.OK), StreamMessage.of(BODY));
-        assertEquals(1, parts(unannounced));
+        assertEquals(1, countParts(unannounced));
     }
 }
