--- a/org.berylwick.test/tst/org/berylwick/daemon/call/ContentLengthCheckTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/ContentLengthCheckTest.java
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void wholeBodyPasses() {
+    void completeBodyPasses() {
         assertEquals(1, countParts(checkedBody(HttpMethod.GET, HttpStatus.OK, 5)));
     }
 
