--- a/org.berylwick.test/tst/org/berylwick/daemon/call/ContentLengthCheckTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/ContentLengthCheckTest.java
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void shortAndLongBodiesEndInError() {
+    void bodyOfWrongLengthFails() {
         assertThrows(CompletionException.class, () -> countParts(checkedBody(HttpMethod.GET, HttpStatus.GATEWAY_TIMEOUT, 89)));
         assertThrows(CompletionException.class, () -> countParts(checkedBody(HttpMethod.GET, HttpStatus.OK, 4)));
     }
