--- a/org.berylwick.test/tst/org/berylwick/daemon/call/ContentLengthCheckTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/ContentLengthCheckTest.java
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void lengthThatAnnouncesNoBodyIsNotChecked() {
+    void contentLengthOfBodilessResponseIsNotChecked() {
         assertEquals(1, countParts(checkedBody(HttpMethod.HEAD, HttpStatus.OK, 89)));
         assertEquals(1, countParts(checkedBody(HttpMethod.GET, HttpStatus.NOT_MODIFIED, 89)));
         StreamMessage<HttpData> unannounced =
