--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
@@ -23,14 +23,14 @@
 class OutcomeTest {
     private static final String BODY = "amount=10";
 
-    private final CallPathCluster rig = new CallPathCluster(TestConfiguration.TOML);
+    private final CallPathCluster cluster = new CallPathCluster(TestConfiguration.TOML);
     private final RawServer first = new RawServer();
     private final RawServer second = new RawServer();
 
     @AfterEach
     void close() {
-        assertEquals(List.of(), rig.breachedInvariants());
-        rig.close();
+        assertEquals(List.of(), cluster.breachedInvariants());
+        cluster.close();
         first.close();
         second.close();
     }
@@ -50,9 +50,9 @@
 
     /** An entry whose only members are the two backend servers beside other daemons. */
     private TestDaemon entryBeforeBoth() {
-        TestDaemon entry = rig.addDaemon("entry", "none", first.address());
-        rig.addMember("a", "web", first.address());
-        rig.addMember("b", "web", second.address());
+        TestDaemon entry = cluster.addDaemon("entry", "none", first.address());
+        cluster.addMember("a", "web", first.address());
+        cluster.addMember("b", "web", second.address());
         return entry;
     }
 
@@ -135,9 +135,9 @@
     @Test
     void orderIsSentOnWhenADaemonCannotBeConnectedTo() {
         // The caller gets its answer: one member's daemon is gone but still announced.
-        TestDaemon entry = rig.addDaemon("entry", "none", first.address());
-        rig.addMember("b", "web", second.address());
-        rig.announce("gone", "web", new HostPort("127.0.0.1", 1));
+        TestDaemon entry = cluster.addDaemon("entry", "none", first.address());
+        cluster.addMember("b", "web", second.address());
+        cluster.announce("gone", "web", new HostPort("127.0.0.1", 1));
         for (int i = 0; i < 8; i++) {
             assertEquals(
                     200,
@@ -151,10 +151,10 @@
         // The caller gets its answer: the announced address was taken over by the daemon of another service, which
         // refuses the instance that it is not; its backend server must not see the order.
         RawServer other = new RawServer();
-        TestDaemon entry = rig.addDaemon("entry", "none", first.address());
-        TestDaemon taken = rig.addDaemon("taken", "none", other.address());
-        rig.addMember("b", "web", second.address());
-        rig.announce("old", "web", taken.peerAddress());
+        TestDaemon entry = cluster.addDaemon("entry", "none", first.address());
+        TestDaemon taken = cluster.addDaemon("taken", "none", other.address());
+        cluster.addMember("b", "web", second.address());
+        cluster.announce("old", "web", taken.peerAddress());
         for (int i = 0; i < 8; i++) {
             assertEquals(
                     200,
@@ -184,10 +184,10 @@
     void orderCutBetweenTheDaemonsRunsOnceAndIsUnknown() throws IOException {
         // The caller gets 502 outcome-unknown: the connection between entry and owner is cut while the order runs.
         // The owner cannot say any more whether it did, so the entry must not send it to the other member.
-        TestDaemon entry = rig.addDaemon("entry", "none", first.address());
-        TestDaemon owner = rig.addDaemon("a", "web", first.address());
+        TestDaemon entry = cluster.addDaemon("entry", "none", first.address());
+        TestDaemon owner = cluster.addDaemon("a", "web", first.address());
         try (TcpRelay relay = new TcpRelay(owner.peerAddress())) {
-            rig.announce("a", "web", relay.address());
+            cluster.announce("a", "web", relay.address());
             first.setScript((c, r) -> {
                 relay.cutOpen();
                 c.awaitClosedByPeer();
@@ -203,8 +203,8 @@
     void readRefusedAfterAnUnknownOutcomeIsNotCalledNotRun() {
         // The caller gets 502 outcome-unknown: the only server ran the read and reset, and then nothing could be
         // connected to any more. Saying "not run" for the last attempt would be untrue of the first.
-        TestDaemon entry = rig.addDaemon("entry", "none", first.address());
-        rig.addMember("a", "web", first.address());
+        TestDaemon entry = cluster.addDaemon("entry", "none", first.address());
+        cluster.addMember("a", "web", first.address());
         first.setScript((c, r) -> {
             first.close();
             c.reset();
@@ -238,9 +238,9 @@
     void leavingServerIsRefusedForAtItsOwnerAndRememberedAtOnce() {
         // Every caller gets its answer: one server is leaving but still announced as up; its owner refuses, and the
         // entry does not ask it again.
-        TestDaemon entry = rig.addDaemon("entry", "none", first.address());
-        TestDaemon leaving = rig.addMember("a", "web", first.address());
-        rig.addMember("b", "web", second.address());
+        TestDaemon entry = cluster.addDaemon("entry", "none", first.address());
+        TestDaemon leaving = cluster.addMember("a", "web", first.address());
+        cluster.addMember("b", "web", second.address());
         leaving.state = Member.State.LEAVING;
         for (int i = 0; i < 20; i++) {
             assertEquals(
@@ -257,8 +257,8 @@
     @Test
     void entryThatIsTheOwnerAnswersWithoutANetworkHop() {
         // The caller gets its answer although nobody can connect to the daemon's own address: it is its own owner.
-        TestDaemon entry = rig.addDaemon("a", "web", first.address());
-        rig.announce("a", "web", new HostPort("127.0.0.1", 1));
+        TestDaemon entry = cluster.addDaemon("a", "web", first.address());
+        cluster.announce("a", "web", new HostPort("127.0.0.1", 1));
         assertEquals("ok", send(entry, HttpMethod.POST, "/orders", "p-1").contentUtf8());
         first.setScript((c, r) -> c.reset());
         assertEquals(
