--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
@@ -24,14 +24,14 @@
     private static final String BODY = "amount=10";
 
     private final CallPathCluster cluster = new CallPathCluster(TestConfiguration.TOML);
-    private final RawServer first = new RawServer();
+    private final RawServer firstServer = new RawServer();
     private final RawServer second = new RawServer();
 
     @AfterEach
     void close() {
         assertEquals(List.of(), cluster.breachedInvariants());
         cluster.close();
-        first.close();
+        firstServer.close();
         second.close();
     }
 
@@ -45,19 +45,19 @@
     }
 
     private int runs(String id) {
-        return first.runs(id) + second.runs(id);
+        return firstServer.runs(id) + second.runs(id);
     }
 
     /** An entry whose only members are the two backend servers beside other daemons. */
     private TestDaemon entryBeforeBoth() {
-        TestDaemon entry = cluster.addDaemon("entry", "none", first.address());
-        cluster.addMember("a", "web", first.address());
+        TestDaemon entry = cluster.addDaemon("entry", "none", firstServer.address());
+        cluster.addMember("a", "web", firstServer.address());
         cluster.addMember("b", "web", second.address());
         return entry;
     }
 
     private void bothDo(RawServer.Script script) {
-        first.setScript(script);
+        firstServer.setScript(script);
         second.setScript(script);
     }
 
@@ -122,7 +122,7 @@
     @Test
     void orderIsSentOnWhenItsServerCannotBeConnectedTo() {
         // The caller gets its answer: nothing listens beside the first owner, whose refusal is proven not run.
-        first.close();
+        firstServer.close();
         TestDaemon entry = entryBeforeBoth();
         for (int i = 0; i < 8; i++) {
             assertEquals(
@@ -135,7 +135,7 @@
     @Test
     void orderIsSentOnWhenADaemonCannotBeConnectedTo() {
         // The caller gets its answer: one member's daemon is gone but still announced.
-        TestDaemon entry = cluster.addDaemon("entry", "none", first.address());
+        TestDaemon entry = cluster.addDaemon("entry", "none", firstServer.address());
         cluster.addMember("b", "web", second.address());
         cluster.announce("gone", "web", new HostPort("127.0.0.1", 1));
         for (int i = 0; i < 8; i++) {
@@ -151,7 +151,7 @@
         // The caller gets its answer: the announced address was taken over by the daemon of another service, which
         // refuses the instance that it is not; its backend server must not see the order.
         RawServer other = new RawServer();
-        TestDaemon entry = cluster.addDaemon("entry", "none", first.address());
+        TestDaemon entry = cluster.addDaemon("entry", "none", firstServer.address());
         TestDaemon taken = cluster.addDaemon("taken", "none", other.address());
         cluster.addMember("b", "web", second.address());
         cluster.announce("old", "web", taken.peerAddress());
@@ -184,11 +184,11 @@
     void orderCutBetweenTheDaemonsRunsOnceAndIsUnknown() throws IOException {
         // The caller gets 502 outcome-unknown: the connection between entry and owner is cut while the order runs.
         // The owner cannot say any more whether it did, so the entry must not send it to the other member.
-        TestDaemon entry = cluster.addDaemon("entry", "none", first.address());
-        TestDaemon owner = cluster.addDaemon("a", "web", first.address());
+        TestDaemon entry = cluster.addDaemon("entry", "none", firstServer.address());
+        TestDaemon owner = cluster.addDaemon("a", "web", firstServer.address());
         try (TcpRelay relay = new TcpRelay(owner.peerAddress())) {
             cluster.announce("a", "web", relay.address());
-            first.setScript((c, r) -> {
+            firstServer.setScript((c, r) -> {
                 relay.cutOpen();
                 c.awaitClosedByPeer();
             });
@@ -203,10 +203,10 @@
     void readRefusedAfterAnUnknownOutcomeIsNotCalledNotRun() {
         // The caller gets 502 outcome-unknown: the only server ran the read and reset, and then nothing could be
         // connected to any more. Saying "not run" for the last attempt would be untrue of the first.
-        TestDaemon entry = cluster.addDaemon("entry", "none", first.address());
-        cluster.addMember("a", "web", first.address());
-        first.setScript((c, r) -> {
-            first.close();
+        TestDaemon entry = cluster.addDaemon("entry", "none", firstServer.address());
+        cluster.addMember("a", "web", firstServer.address());
+        firstServer.setScript((c, r) -> {
+            firstServer.close();
             c.reset();
         });
         AggregatedHttpResponse answer = send(entry, HttpMethod.GET, "/tiles/2", "r-1");
@@ -238,8 +238,8 @@
     void leavingServerIsRefusedForAtItsOwnerAndRememberedAtOnce() {
         // Every caller gets its answer: one server is leaving but still announced as up; its owner refuses, and the
         // entry does not ask it again.
-        TestDaemon entry = cluster.addDaemon("entry", "none", first.address());
-        TestDaemon leaving = cluster.addMember("a", "web", first.address());
+        TestDaemon entry = cluster.addDaemon("entry", "none", firstServer.address());
+        TestDaemon leaving = cluster.addMember("a", "web", firstServer.address());
         cluster.addMember("b", "web", second.address());
         leaving.state = Member.State.LEAVING;
         for (int i = 0; i < 20; i++) {
@@ -247,7 +247,7 @@
                     200,
                     send(entry, HttpMethod.POST, "/orders", "l-" + i).status().code());
         }
-        assertEquals(List.of(), first.requests());
+        assertEquals(List.of(), firstServer.requests());
         assertEquals(
                 Member.State.LEAVING,
                 entry.membership.view().find("a").orElseThrow().state());
@@ -257,10 +257,10 @@
     @Test
     void entryThatIsTheOwnerAnswersWithoutANetworkHop() {
         // The caller gets its answer although nobody can connect to the daemon's own address: it is its own owner.
-        TestDaemon entry = cluster.addDaemon("a", "web", first.address());
+        TestDaemon entry = cluster.addDaemon("a", "web", firstServer.address());
         cluster.announce("a", "web", new HostPort("127.0.0.1", 1));
         assertEquals("ok", send(entry, HttpMethod.POST, "/orders", "p-1").contentUtf8());
-        first.setScript((c, r) -> c.reset());
+        firstServer.setScript((c, r) -> c.reset());
         assertEquals(
                 502, send(entry, HttpMethod.POST, "/orders", "p-2").status().code());
         assertEquals(1, runs("p-2"));
