--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
@@ -25,14 +25,14 @@
 
     private final CallPathCluster cluster = new CallPathCluster(TestConfiguration.TOML);
     private final RawServer firstServer = new RawServer();
-    private final RawServer second = new RawServer();
+    private final RawServer secondServer = new RawServer();
 
     @AfterEach
     void close() {
         assertEquals(List.of(), cluster.breachedInvariants());
         cluster.close();
         firstServer.close();
-        second.close();
+        secondServer.close();
     }
 
     private static AggregatedHttpResponse send(TestDaemon entry, HttpMethod method, String path, String id) {
@@ -45,20 +45,20 @@
     }
 
     private int runs(String id) {
-        return firstServer.runs(id) + second.runs(id);
+        return firstServer.runs(id) + secondServer.runs(id);
     }
 
     /** An entry whose only members are the two backend servers beside other daemons. */
     private TestDaemon entryBeforeBoth() {
         TestDaemon entry = cluster.addDaemon("entry", "none", firstServer.address());
         cluster.addMember("a", "web", firstServer.address());
-        cluster.addMember("b", "web", second.address());
+        cluster.addMember("b", "web", secondServer.address());
         return entry;
     }
 
     private void bothDo(RawServer.Script script) {
         firstServer.setScript(script);
-        second.setScript(script);
+        secondServer.setScript(script);
     }
 
     @Test
@@ -136,7 +136,7 @@
     void orderIsSentOnWhenADaemonCannotBeConnectedTo() {
         // The caller gets its answer: one member's daemon is gone but still announced.
         TestDaemon entry = cluster.addDaemon("entry", "none", firstServer.address());
-        cluster.addMember("b", "web", second.address());
+        cluster.addMember("b", "web", secondServer.address());
         cluster.announce("gone", "web", new HostPort("127.0.0.1", 1));
         for (int i = 0; i < 8; i++) {
             assertEquals(
@@ -153,7 +153,7 @@
         RawServer other = new RawServer();
         TestDaemon entry = cluster.addDaemon("entry", "none", firstServer.address());
         TestDaemon taken = cluster.addDaemon("taken", "none", other.address());
-        cluster.addMember("b", "web", second.address());
+        cluster.addMember("b", "web", secondServer.address());
         cluster.announce("old", "web", taken.peerAddress());
         for (int i = 0; i < 8; i++) {
             assertEquals(
@@ -240,7 +240,7 @@
         // entry does not ask it again.
         TestDaemon entry = cluster.addDaemon("entry", "none", firstServer.address());
         TestDaemon leaving = cluster.addMember("a", "web", firstServer.address());
-        cluster.addMember("b", "web", second.address());
+        cluster.addMember("b", "web", secondServer.address());
         leaving.state = Member.State.LEAVING;
         for (int i = 0; i < 20; i++) {
             assertEquals(
