--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
@@ -44,7 +44,7 @@
                 : client.execute(headers.build()).aggregate().join();
     }
 
-    private int runs(String id) {
+    private int runCount(String id) {
         return firstServer.runs(id) + secondServer.runs(id);
     }
 
@@ -71,7 +71,7 @@
         assertEquals(502, answer.status().code());
         assertTrue(answer.contentUtf8().contains("outcome-unknown"), answer.contentUtf8());
         assertFalse(answer.headers().contains("retry-after"));
-        assertEquals(1, runs("o-1"));
+        assertEquals(1, runCount("o-1"));
     }
 
     @Test
@@ -84,7 +84,7 @@
         });
         assertEquals(
                 502, send(entry, HttpMethod.POST, "/orders", "o-2").status().code());
-        assertEquals(1, runs("o-2"));
+        assertEquals(1, runCount("o-2"));
     }
 
     @Test
@@ -98,7 +98,7 @@
         });
         assertEquals(
                 502, send(entry, HttpMethod.POST, "/orders", "o-3").status().code());
-        assertEquals(1, runs("o-3"));
+        assertEquals(1, runCount("o-3"));
     }
 
     @Test
@@ -107,7 +107,7 @@
         // asks the other one.
         TestDaemon entry = entryBeforeBoth();
         RawServer.Script once = (c, r) -> {
-            if (runs(r.id()) == 1) {
+            if (runCount(r.id()) == 1) {
                 c.reset();
             } else {
                 c.answer(r, "tile");
@@ -116,7 +116,7 @@
         bothDo(once);
         AggregatedHttpResponse answer = send(entry, HttpMethod.GET, "/tiles/1", "t-1");
         assertEquals("tile", answer.contentUtf8());
-        assertEquals(2, runs("t-1"));
+        assertEquals(2, runCount("t-1"));
     }
 
     @Test
@@ -128,7 +128,7 @@
             assertEquals(
                     200,
                     send(entry, HttpMethod.POST, "/orders", "c-" + i).status().code());
-            assertEquals(1, runs("c-" + i));
+            assertEquals(1, runCount("c-" + i));
         }
     }
 
@@ -142,7 +142,7 @@
             assertEquals(
                     200,
                     send(entry, HttpMethod.POST, "/orders", "d-" + i).status().code());
-            assertEquals(1, runs("d-" + i));
+            assertEquals(1, runCount("d-" + i));
         }
     }
 
@@ -170,7 +170,7 @@
         TestDaemon entry = entryBeforeBoth();
         RawServer.Script shedFirst = (c, r) -> {
             c.read(BODY.length());
-            if (runs(r.id()) == 1) {
+            if (runCount(r.id()) == 1) {
                 c.write("HTTP/1.1 503 Busy\r\nx-shed: true\r\ncontent-length: 4\r\n\r\nbusy");
             } else {
                 c.answer(r, "booked");
@@ -195,7 +195,7 @@
             AggregatedHttpResponse answer = send(entry, HttpMethod.POST, "/orders", "x-1");
             assertEquals(502, answer.status().code());
             assertTrue(answer.contentUtf8().contains("outcome-unknown"));
-            assertEquals(1, runs("x-1"));
+            assertEquals(1, runCount("x-1"));
         }
     }
 
@@ -212,7 +212,7 @@
         AggregatedHttpResponse answer = send(entry, HttpMethod.GET, "/tiles/2", "r-1");
         assertTrue(answer.contentUtf8().contains("outcome-unknown"), answer.contentUtf8());
         assertEquals("1", answer.headers().get("retry-after"));
-        assertEquals(1, runs("r-1"));
+        assertEquals(1, runCount("r-1"));
     }
 
     @Test
@@ -231,7 +231,7 @@
                 .join();
         assertEquals(503, answer.status().code());
         assertTrue(answer.contentUtf8().contains("deadline"), answer.contentUtf8());
-        assertEquals(0, runs("z-1"));
+        assertEquals(0, runCount("z-1"));
     }
 
     @Test
@@ -263,6 +263,6 @@
         firstServer.setScript((c, r) -> c.reset());
         assertEquals(
                 502, send(entry, HttpMethod.POST, "/orders", "p-2").status().code());
-        assertEquals(1, runs("p-2"));
+        assertEquals(1, runCount("p-2"));
     }
 }
