--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
@@ -49,7 +49,7 @@
     }
 
     /** An entry whose only members are the two backend servers beside other daemons. */
-    private TestDaemon entryBeforeBoth() {
+    private TestDaemon addEntryAndTwoMembers() {
         TestDaemon entry = cluster.addDaemon("entry", "none", firstServer.address());
         cluster.addMember("a", "web", firstServer.address());
         cluster.addMember("b", "web", secondServer.address());
@@ -65,7 +65,7 @@
     void orderWhoseServerResetsAfterTheHeadRunsOnceAndIsUnknown() {
         // The caller gets 502 outcome-unknown without Retry-After: the server has read the head of the order and
         // resets before the body; it may have begun, so neither owner nor entry may send it again.
-        TestDaemon entry = entryBeforeBoth();
+        TestDaemon entry = addEntryAndTwoMembers();
         bothDo((c, r) -> c.reset());
         AggregatedHttpResponse answer = send(entry, HttpMethod.POST, "/orders", "o-1");
         assertEquals(502, answer.status().code());
@@ -77,7 +77,7 @@
     @Test
     void orderWhoseServerResetsAfterTheBodyRunsOnceAndIsUnknown() {
         // The caller gets 502 outcome-unknown: the server has the whole order and resets before it answers.
-        TestDaemon entry = entryBeforeBoth();
+        TestDaemon entry = addEntryAndTwoMembers();
         bothDo((c, r) -> {
             c.read(BODY.length());
             c.reset();
@@ -90,7 +90,7 @@
     @Test
     void orderWhoseServerClosesWithinTheAnswersHeadRunsOnceAndIsUnknown() {
         // The caller gets 502 outcome-unknown: half a status line came back, which says nothing.
-        TestDaemon entry = entryBeforeBoth();
+        TestDaemon entry = addEntryAndTwoMembers();
         bothDo((c, r) -> {
             c.read(BODY.length());
             c.write("HTTP/1.1 200 O");
@@ -105,7 +105,7 @@
     void readIsSentToAnotherServerAfterAnUnknownOutcome() {
         // The caller gets its tile: the first server resets after the head, and as the route is idempotent the entry
         // asks the other one.
-        TestDaemon entry = entryBeforeBoth();
+        TestDaemon entry = addEntryAndTwoMembers();
         RawServer.Script once = (c, r) -> {
             if (runCount(r.id()) == 1) {
                 c.reset();
@@ -123,7 +123,7 @@
     void orderIsSentOnWhenItsServerCannotBeConnectedTo() {
         // The caller gets its answer: nothing listens beside the first owner, whose refusal is proven not run.
         firstServer.close();
-        TestDaemon entry = entryBeforeBoth();
+        TestDaemon entry = addEntryAndTwoMembers();
         for (int i = 0; i < 8; i++) {
             assertEquals(
                     200,
@@ -167,7 +167,7 @@
     @Test
     void orderIsSentOnWhenAServerSheds() {
         // The caller gets its answer: the first server sheds the order with x-shed and did not run it.
-        TestDaemon entry = entryBeforeBoth();
+        TestDaemon entry = addEntryAndTwoMembers();
         RawServer.Script shedFirst = (c, r) -> {
             c.read(BODY.length());
             if (runCount(r.id()) == 1) {
@@ -218,7 +218,7 @@
     @Test
     void deadlineThatPassedIsRefusedWithoutRunning() {
         // The caller, which said it waits 0 ms, gets 503 not-run: its server never hears of the order.
-        TestDaemon entry = entryBeforeBoth();
+        TestDaemon entry = addEntryAndTwoMembers();
         WebClient client = WebClient.of("http://" + entry.callerAddress());
         AggregatedHttpResponse answer = client.execute(
                         RequestHeaders.builder(HttpMethod.POST, "/orders")
