--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
@@ -56,7 +56,7 @@
         return entry;
     }
 
-    private void bothDo(RawServer.Script script) {
+    private void setBothScripts(RawServer.Script script) {
         firstServer.setScript(script);
         secondServer.setScript(script);
     }
@@ -66,7 +66,7 @@
         // The caller gets 502 outcome-unknown without Retry-After: the server has read the head of the order and
         // resets before the body; it may have begun, so neither owner nor entry may send it again.
         TestDaemon entry = addEntryAndTwoMembers();
-        bothDo((c, r) -> c.reset());
+        setBothScripts((c, r) -> c.reset());
         AggregatedHttpResponse answer = send(entry, HttpMethod.POST, "/orders", "o-1");
         assertEquals(502, answer.status().code());
         assertTrue(answer.contentUtf8().contains("outcome-unknown"), answer.contentUtf8());
@@ -78,7 +78,7 @@
     void orderWhoseServerResetsAfterTheBodyRunsOnceAndIsUnknown() {
         // The caller gets 502 outcome-unknown: the server has the whole order and resets before it answers.
         TestDaemon entry = addEntryAndTwoMembers();
-        bothDo((c, r) -> {
+        setBothScripts((c, r) -> {
             c.read(BODY.length());
             c.reset();
         });
@@ -91,7 +91,7 @@
     void orderWhoseServerClosesWithinTheAnswersHeadRunsOnceAndIsUnknown() {
         // The caller gets 502 outcome-unknown: half a status line came back, which says nothing.
         TestDaemon entry = addEntryAndTwoMembers();
-        bothDo((c, r) -> {
+        setBothScripts((c, r) -> {
             c.read(BODY.length());
             c.write("HTTP/1.1 200 O");
             c.reset();
@@ -113,7 +113,7 @@
                 c.answer(r, "tile");
             }
         };
-        bothDo(once);
+        setBothScripts(once);
         AggregatedHttpResponse answer = send(entry, HttpMethod.GET, "/tiles/1", "t-1");
         assertEquals("tile", answer.contentUtf8());
         assertEquals(2, runCount("t-1"));
@@ -176,7 +176,7 @@
                 c.answer(r, "booked");
             }
         };
-        bothDo(shedFirst);
+        setBothScripts(shedFirst);
         assertEquals("booked", send(entry, HttpMethod.POST, "/orders", "s-1").contentUtf8());
     }
 
