--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void orderWhoseServerResetsAfterTheHeadRunsOnceAndIsUnknown() {
+    void serverResetAfterRequestHeadIsUnknownAndNotRetried() {
         // The caller gets 502 outcome-unknown without Retry-After: the server has read the head of the order and
         // resets before the body; it may have begun, so neither owner nor entry may send it again.
         TestDaemon entry = addEntryAndTwoMembers();
