--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void orderWhoseServerResetsAfterTheBodyRunsOnceAndIsUnknown() {
+    void serverResetAfterRequestBodyIsUnknownAndNotRetried() {
         // The caller gets 502 outcome-unknown: the server has the whole order and resets before it answers.
         TestDaemon entry = addEntryAndTwoMembers();
         setBothScripts((c, r) -> {
