--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void orderWhoseServerClosesWithinTheAnswersHeadRunsOnceAndIsUnknown() {
+    void truncatedResponseHeadIsUnknownAndNotRetried() {
         // The caller gets 502 outcome-unknown: half a status line came back, which says nothing.
         TestDaemon entry = addEntryAndTwoMembers();
         setBothScripts((c, r) -> {
