--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void readIsSentToAnotherServerAfterAnUnknownOutcome() {
+    void idempotentRequestIsRetriedAfterUnknownOutcome() {
         // The caller gets its tile: the first server resets after the head, and as the route is idempotent the entry
         // asks the other one.
         TestDaemon entry = addEntryAndTwoMembers();
