--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void orderIsSentOnWhenItsServerCannotBeConnectedTo() {
+    void nonIdempotentRequestIsRetriedWhenServerIsUnreachable() {
         // The caller gets its answer: nothing listens beside the first owner, whose refusal is proven not run.
         firstServer.close();
         TestDaemon entry = addEntryAndTwoMembers();
