--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void orderIsSentOnWhenADaemonCannotBeConnectedTo() {
+    void nonIdempotentRequestIsRetriedWhenDaemonIsUnreachable() {
         // The caller gets its answer: one member's daemon is gone but still announced.
         TestDaemon entry = cluster.addDaemon("entry", "none", firstServer.address());
         cluster.addMember("b", "web", secondServer.address());
