--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
@@ -147,7 +147,7 @@
     }
 
     @Test
-    void orderIsSentOnWhenAnAddressNowBelongsToAnotherInstance() {
+    void nonIdempotentRequestIsRetriedWhenAddressBelongsToAnotherInstance() {
         // The caller gets its answer: the announced address was taken over by the daemon of another service, which
         // refuses the instance that it is not; its backend server must not see the order.
         RawServer other = new RawServer();
