--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
@@ -165,7 +165,7 @@
     }
 
     @Test
-    void orderIsSentOnWhenAServerSheds() {
+    void nonIdempotentRequestIsRetriedWhenServerShedsIt() {
         // The caller gets its answer: the first server sheds the order with x-shed and did not run it.
         TestDaemon entry = addEntryAndTwoMembers();
         RawServer.Script shedFirst = (c, r) -> {
