--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
@@ -181,7 +181,7 @@
     }
 
     @Test
-    void orderCutBetweenTheDaemonsRunsOnceAndIsUnknown() throws IOException {
+    void connectionLossBetweenDaemonsIsUnknownAndNotRetried() throws IOException {
         // The caller gets 502 outcome-unknown: the connection between entry and owner is cut while the order runs.
         // The owner cannot say any more whether it did, so the entry must not send it to the other member.
         TestDaemon entry = cluster.addDaemon("entry", "none", firstServer.address());
