--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
@@ -200,7 +200,7 @@
     }
 
     @Test
-    void readRefusedAfterAnUnknownOutcomeIsNotCalledNotRun() {
+    void refusalAfterUnknownOutcomeIsNotReportedAsNotRun() {
         // The caller gets 502 outcome-unknown: the only server ran the read and reset, and then nothing could be
         // connected to any more. Saying "not run" for the last attempt would be untrue of the first.
         TestDaemon entry = cluster.addDaemon("entry", "none", firstServer.address());
