--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
@@ -216,7 +216,7 @@
     }
 
     @Test
-    void deadlineThatPassedIsRefusedWithoutRunning() {
+    void expiredDeadlineIsRefusedWithoutRunning() {
         // The caller, which said it waits 0 ms, gets 503 not-run: its server never hears of the order.
         TestDaemon entry = addEntryAndTwoMembers();
         WebClient client = WebClient.of("http://" + entry.callerAddress());
