--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
@@ -235,7 +235,7 @@
     }
 
     @Test
-    void leavingServerIsRefusedForAtItsOwnerAndRememberedAtOnce() {
+    void leavingMemberRefusesAndIsNotChosenAgain() {
         // Every caller gets its answer: one server is leaving but still announced as up; its owner refuses, and the
         // entry does not ask it again.
         TestDaemon entry = cluster.addDaemon("entry", "none", firstServer.address());
