--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
@@ -255,7 +255,7 @@
     }
 
     @Test
-    void entryThatIsTheOwnerAnswersWithoutANetworkHop() {
+    void entryThatIsTheOwnerNeedsNoNetworkHop() {
         // The caller gets its answer although nobody can connect to the daemon's own address: it is its own owner.
         TestDaemon entry = cluster.addDaemon("a", "web", firstServer.address());
         cluster.announce("a", "web", new HostPort("127.0.0.1", 1));
