--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OverloadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OverloadTest.java
@@ -25,7 +25,7 @@
 /** What callers get, and what the backend server sees, when more comes in than it has slots for. */
 class OverloadTest {
     private static final int SLOTS = 12;
-    private static final long HOLD_MILLIS = 5;
+    private static final long RUN_MILLIS_AFTER_RELEASE = 5;
 
     private final CallPathCluster rig = new CallPathCluster(TestConfiguration.TOML);
     private final CountDownLatch release = new CountDownLatch(1);
@@ -52,7 +52,7 @@
         try {
             if (!request.path().startsWith("/orders")) {
                 release.await();
-                Thread.sleep(HOLD_MILLIS);
+                Thread.sleep(RUN_MILLIS_AFTER_RELEASE);
             }
         } catch (InterruptedException e) {
             throw new IOException(e);
