--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OverloadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OverloadTest.java
@@ -27,13 +27,13 @@
     private static final int SLOTS = 12;
     private static final long RUN_MILLIS_AFTER_RELEASE = 5;
 
-    private final CallPathCluster rig = new CallPathCluster(TestConfiguration.TOML);
+    private final CallPathCluster cluster = new CallPathCluster(TestConfiguration.TOML);
     private final CountDownLatch release = new CountDownLatch(1);
     private final AtomicInteger running = new AtomicInteger();
     private final AtomicInteger peak = new AtomicInteger();
     private final RawServer server = new RawServer(this::run);
-    private final TestDaemon entry = rig.addDaemon("entry", "none", server.address());
-    private final TestDaemon owner = rig.addMember("a", "web", server.address());
+    private final TestDaemon entry = cluster.addDaemon("entry", "none", server.address());
+    private final TestDaemon owner = cluster.addMember("a", "web", server.address());
     private final WebClient client = WebClient.builder("h2c://" + entry.callerAddress())
             .responseTimeoutMillis(60_000)
             .build();
@@ -41,8 +41,8 @@
     @AfterEach
     void close() {
         release.countDown();
-        assertEquals(List.of(), rig.breachedInvariants());
-        rig.close();
+        assertEquals(List.of(), cluster.breachedInvariants());
+        cluster.close();
         server.close();
     }
 
