--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OverloadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OverloadTest.java
@@ -28,7 +28,7 @@
     private static final long RUN_MILLIS_AFTER_RELEASE = 5;
 
     private final CallPathCluster cluster = new CallPathCluster(TestConfiguration.TOML);
-    private final CountDownLatch release = new CountDownLatch(1);
+    private final CountDownLatch releaseLatch = new CountDownLatch(1);
     private final AtomicInteger running = new AtomicInteger();
     private final AtomicInteger peak = new AtomicInteger();
     private final RawServer server = new RawServer(this::run);
@@ -40,7 +40,7 @@
 
     @AfterEach
     void close() {
-        release.countDown();
+        releaseLatch.countDown();
         assertEquals(List.of(), cluster.breachedInvariants());
         cluster.close();
         server.close();
@@ -51,7 +51,7 @@
         peak.accumulateAndGet(running.incrementAndGet(), Math::max);
         try {
             if (!request.path().startsWith("/orders")) {
-                release.await();
+                releaseLatch.await();
                 Thread.sleep(RUN_MILLIS_AFTER_RELEASE);
             }
         } catch (InterruptedException e) {
@@ -85,7 +85,7 @@
         List<CompletableFuture<AggregatedHttpResponse>> answers = flood("/tiles/1", "t-", 200);
         Await.until("all slots taken", () -> running.get() == SLOTS, running::get);
         Await.until("somebody refused", () -> answers.stream().anyMatch(CompletableFuture::isDone), running::get);
-        release.countDown();
+        releaseLatch.countDown();
         int refused = 0;
         for (int i = 0; i < answers.size(); i++) {
             AggregatedHttpResponse answer = answers.get(i).join();
@@ -106,7 +106,7 @@
         // Callers come in waves, so that all the time some request ends and the next one gets its slot. The backend
         // server accepts few connections and each costs it time; it must not see a new one for a slot that changes
         // hands while the old connection is on its way back to the idle ones.
-        release.countDown();
+        releaseLatch.countDown();
         for (int wave = 0; wave < 20; wave++) {
             flood("/tiles/1", "w" + wave + "-", 48).forEach(CompletableFuture::join);
         }
@@ -145,7 +145,7 @@
         waiting.abort();
         Await.until("it left", () -> owner.gaugeValue("limit.queue.waiting.READ") == 0, running::get);
         assertEquals(1, owner.counterValue("limit.cancelled.READ"));
-        release.countDown();
+        releaseLatch.countDown();
         assertEquals(
                 200,
                 send(HttpMethod.GET, "/tiles/1", "next")
