--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OverloadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OverloadTest.java
@@ -30,7 +30,7 @@
     private final CallPathCluster cluster = new CallPathCluster(TestConfiguration.TOML);
     private final CountDownLatch releaseLatch = new CountDownLatch(1);
     private final AtomicInteger running = new AtomicInteger();
-    private final AtomicInteger peak = new AtomicInteger();
+    private final AtomicInteger peakRunning = new AtomicInteger();
     private final RawServer server = new RawServer(this::run);
     private final TestDaemon entry = cluster.addDaemon("entry", "none", server.address());
     private final TestDaemon owner = cluster.addMember("a", "web", server.address());
@@ -48,7 +48,7 @@
 
     /** Archives and tiles run until they are released, all else is answered at once. */
     private void run(RawServer.Connection connection, RawServer.Request request) throws IOException {
-        peak.accumulateAndGet(running.incrementAndGet(), Math::max);
+        peakRunning.accumulateAndGet(running.incrementAndGet(), Math::max);
         try {
             if (!request.path().startsWith("/orders")) {
                 releaseLatch.await();
@@ -98,7 +98,7 @@
             }
         }
         assertTrue(refused > 0 && refused < answers.size(), "refused " + refused);
-        assertEquals(SLOTS, peak.get());
+        assertEquals(SLOTS, peakRunning.get());
     }
 
     @Test
@@ -110,7 +110,7 @@
         for (int wave = 0; wave < 20; wave++) {
             flood("/tiles/1", "w" + wave + "-", 48).forEach(CompletableFuture::join);
         }
-        assertTrue(peak.get() <= SLOTS, "peak " + peak.get());
+        assertTrue(peakRunning.get() <= SLOTS, "peak " + peakRunning.get());
         assertTrue(server.connections() <= SLOTS, "connections " + server.connections());
     }
 
@@ -129,7 +129,7 @@
                             .status()
                             .code());
         }
-        assertTrue(peak.get() < SLOTS, "peak " + peak.get());
+        assertTrue(peakRunning.get() < SLOTS, "peak " + peakRunning.get());
         assertFalse(transfers.stream().allMatch(CompletableFuture::isDone));
     }
 
