--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OverloadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OverloadTest.java
@@ -31,7 +31,7 @@
     private final CountDownLatch releaseLatch = new CountDownLatch(1);
     private final AtomicInteger running = new AtomicInteger();
     private final AtomicInteger peakRunning = new AtomicInteger();
-    private final RawServer server = new RawServer(this::run);
+    private final RawServer server = new RawServer(this::serveRequest);
     private final TestDaemon entry = cluster.addDaemon("entry", "none", server.address());
     private final TestDaemon owner = cluster.addMember("a", "web", server.address());
     private final WebClient client = WebClient.builder("h2c://" + entry.callerAddress())
@@ -47,7 +47,7 @@
     }
 
     /** Archives and tiles run until they are released, all else is answered at once. */
-    private void run(RawServer.Connection connection, RawServer.Request request) throws IOException {
+    private void serveRequest(RawServer.Connection connection, RawServer.Request request) throws IOException {
         peakRunning.accumulateAndGet(running.incrementAndGet(), Math::max);
         try {
             if (!request.path().startsWith("/orders")) {
