--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OverloadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OverloadTest.java
@@ -69,7 +69,7 @@
                 .build()));
     }
 
-    private List<CompletableFuture<AggregatedHttpResponse>> flood(String path, String prefix, int count) {
+    private List<CompletableFuture<AggregatedHttpResponse>> sendConcurrently(String path, String prefix, int count) {
         List<CompletableFuture<AggregatedHttpResponse>> answers = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             answers.add(send(HttpMethod.GET, path, prefix + i).aggregate());
@@ -82,7 +82,7 @@
         // Two hundred callers come at once to one backend server of 12 slots. It never runs or connects more than 12,
         // some callers wait their turn, and each of the others is told that its request was not run, which is so, and
         // when to come back.
-        List<CompletableFuture<AggregatedHttpResponse>> answers = flood("/tiles/1", "t-", 200);
+        List<CompletableFuture<AggregatedHttpResponse>> answers = sendConcurrently("/tiles/1", "t-", 200);
         Await.until("all slots taken", () -> running.get() == SLOTS, running::get);
         Await.until("somebody refused", () -> answers.stream().anyMatch(CompletableFuture::isDone), running::get);
         releaseLatch.countDown();
@@ -108,7 +108,7 @@
         // hands while the old connection is on its way back to the idle ones.
         releaseLatch.countDown();
         for (int wave = 0; wave < 20; wave++) {
-            flood("/tiles/1", "w" + wave + "-", 48).forEach(CompletableFuture::join);
+            sendConcurrently("/tiles/1", "w" + wave + "-", 48).forEach(CompletableFuture::join);
         }
         assertTrue(peakRunning.get() <= SLOTS, "peak " + peakRunning.get());
         assertTrue(server.connections() <= SLOTS, "connections " + server.connections());
@@ -118,7 +118,7 @@
     void ordersRunWhileTransfersHoldWhatTheyMay() {
         // Clinics start forty archive transfers, which last. An order that comes then is run at once, in a slot that
         // no transfer may hold.
-        List<CompletableFuture<AggregatedHttpResponse>> transfers = flood("/archives/1", "arc-", 40);
+        List<CompletableFuture<AggregatedHttpResponse>> transfers = sendConcurrently("/archives/1", "arc-", 40);
         Await.until("transfers run", () -> running.get() > 0, running::get);
         for (int i = 0; i < 20; i++) {
             assertEquals(
@@ -137,7 +137,7 @@
     void callerWhoGoesAwayGivesUpItsPlaceAndIsNeverRun() {
         // All slots are taken and one more caller waits for one. It goes away; its request must leave the queue then,
         // and not be run later for nobody.
-        flood("/tiles/1", "t-", SLOTS);
+        sendConcurrently("/tiles/1", "t-", SLOTS);
         Await.until("all slots taken", () -> running.get() == SLOTS, running::get);
         HttpResponse waiting = send(HttpMethod.GET, "/tiles/1", "gone");
         waiting.subscribe();
