--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OverloadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OverloadTest.java
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void floodRunsNoMoreThanTheSlotsAndEveryRefusalIsTrue() {
+    void requestsBeyondTheSlotsAreQueuedOrRefusedWithoutRunning() {
         // Two hundred callers come at once to one backend server of 12 slots. It never runs or connects more than 12,
         // some callers wait their turn, and each of the others is told that its request was not run, which is so, and
         // when to come back.
