--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OverloadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OverloadTest.java
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void requestsInTurnUseTheSameFewConnections() {
+    void connectionsAreReusedWhenSlotsChangeHands() {
         // Callers come in waves, so that all the time some request ends and the next one gets its slot. The backend
         // server accepts few connections and each costs it time; it must not see a new one for a slot that changes
         // hands while the old connection is on its way back to the idle ones.
