--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OverloadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OverloadTest.java
@@ -115,7 +115,7 @@
     }
 
     @Test
-    void ordersRunWhileTransfersHoldWhatTheyMay() {
+    void confirmationsRunWhileBulkTransfersHoldTheirMaximumSlots() {
         // Clinics start forty archive transfers, which last. An order that comes then is run at once, in a slot that
         // no transfer may hold.
         List<CompletableFuture<AggregatedHttpResponse>> transfers = sendConcurrently("/archives/1", "arc-", 40);
