--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OverloadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OverloadTest.java
@@ -134,7 +134,7 @@
     }
 
     @Test
-    void callerWhoGoesAwayGivesUpItsPlaceAndIsNeverRun() {
+    void cancelledRequestLeavesTheQueueAndIsNotRun() {
         // All slots are taken and one more caller waits for one. It goes away; its request must leave the queue then,
         // and not be run later for nobody.
         sendConcurrently("/tiles/1", "t-", SLOTS);
