--- a/org.berylwick.test/tst/org/berylwick/daemon/call/AnswerTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/AnswerTest.java
@@ -209,7 +209,7 @@
                 c.awaitClosedByPeer();
             });
             caller.get("/orders/1", "x-request-id: cut-3\r\n");
-            byte[] begun = caller.in().readNBytes(HALF.length() / 2);
+            byte[] begun = caller.inputStream().readNBytes(HALF.length() / 2);
             relay.cutOpen();
             assertTrue(begun.length + caller.readToEnd().length() < WHOLE.length());
         }
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/HeaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/HeaderTest.java
@@ -34,7 +34,7 @@
     private static String statusOf(HostPort address, String path, String lines) throws IOException {
         try (RawCaller caller = new RawCaller(address)) {
             caller.get(path, lines);
-            String got = new String(caller.in().readNBytes("HTTP/1.1 200".length()), StandardCharsets.ISO_8859_1);
+            String got = new String(caller.inputStream().readNBytes("HTTP/1.1 200".length()), StandardCharsets.ISO_8859_1);
             return got.substring("HTTP/1.1 ".length());
         }
     }
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/RawCaller.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/RawCaller.java
@@ -32,7 +32,7 @@
         write("GET " + path + " HTTP/1.1\r\nhost: one.example\r\n" + lines + "\r\n");
     }
 
-    InputStream in() throws IOException {
+    InputStream inputStream() throws IOException {
         return socket.getInputStream();
     }
 
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
@@ -73,7 +73,7 @@
             caller.get("/backups/1", "connection: close\r\n");
             untilNothingMoves();
             assertTrue(moved.get() <= HELD, "moved " + moved);
-            InputStream in = caller.in();
+            InputStream in = caller.inputStream();
             byte[] buffer = new byte[1 << 16];
             long read = 0;
             while (read < TRANSFER) {
@@ -103,7 +103,7 @@
             untilNothingMoves();
             assertTrue(moved.get() <= HELD, "moved " + moved);
             mayRead.countDown();
-            String answer = new String(caller.in().readNBytes(12), StandardCharsets.ISO_8859_1);
+            String answer = new String(caller.inputStream().readNBytes(12), StandardCharsets.ISO_8859_1);
             assertEquals("HTTP/1.1 200", answer);
             assertEquals(TRANSFER, received.get());
             Await.until("the writer is done", () -> !writer.isAlive(), moved::get);
@@ -128,7 +128,7 @@
                 caller.write("PUT /backups/" + i + " HTTP/1.1\r\nhost: one.example\r\ncontent-length: " + TRANSFER
                         + "\r\n\r\n");
                 Thread writer = Thread.ofPlatform().start(() -> write(caller));
-                String answer = new String(caller.in().readNBytes(12), StandardCharsets.ISO_8859_1);
+                String answer = new String(caller.inputStream().readNBytes(12), StandardCharsets.ISO_8859_1);
                 assertEquals("HTTP/1.1 200", answer, "upload " + i);
                 Await.until("the writer is done", () -> !writer.isAlive(), moved::get);
             }
@@ -149,7 +149,7 @@
             try (RawCaller caller = new RawCaller(entry.callerAddress())) {
                 caller.get("/backups/" + i, "");
                 for (long n = 0; n < TRANSFER; n += MEBIBYTE) {
-                    assertEquals(MEBIBYTE, caller.in().readNBytes((int) MEBIBYTE).length, "download " + i);
+                    assertEquals(MEBIBYTE, caller.inputStream().readNBytes((int) MEBIBYTE).length, "download " + i);
                     pauseNowAndThen(n);
                 }
             }
