--- a/org.berylwick.test/tst/org/berylwick/daemon/call/RawCaller.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/RawCaller.java
@@ -36,7 +36,7 @@
         return socket.getInputStream();
     }
 
-    OutputStream out() throws IOException {
+    OutputStream outputStream() throws IOException {
         return socket.getOutputStream();
     }
 
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
@@ -165,7 +165,7 @@
     private void write(RawCaller caller) {
         byte[] block = new byte[1 << 16];
         try {
-            OutputStream out = caller.out();
+            OutputStream out = caller.outputStream();
             for (long sent = 0; sent < TRANSFER; sent += block.length) {
                 out.write(block);
                 moved.addAndGet(block.length);
