--- a/org.berylwick.test/tst/org/berylwick/daemon/call/SilenceTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/SilenceTest.java
@@ -21,13 +21,13 @@
 class SilenceTest {
     private static final String BODY = "amount=10";
 
-    private final CallPathCluster rig = new CallPathCluster(TestConfiguration.TOML);
+    private final CallPathCluster cluster = new CallPathCluster(TestConfiguration.TOML);
     private final RawServer server = new RawServer();
 
     @AfterEach
     void close() {
-        assertEquals(List.of(), rig.breachedInvariants());
-        rig.close();
+        assertEquals(List.of(), cluster.breachedInvariants());
+        cluster.close();
         server.close();
     }
 
@@ -49,10 +49,10 @@
         // The callers' orders go over connections that the network has lost track of. Each is told within its
         // deadline that the outcome is unknown, no order runs twice, and soon orders are answered again over new
         // connections, although orders with bodies keep being written to the silent ones.
-        TestDaemon entry = rig.addDaemon("entry", "none", server.address());
-        TestDaemon owner = rig.addDaemon("a", "web", server.address());
+        TestDaemon entry = cluster.addDaemon("entry", "none", server.address());
+        TestDaemon owner = cluster.addDaemon("a", "web", server.address());
         try (TcpRelay relay = new TcpRelay(owner.peerAddress())) {
-            rig.announce("a", "web", relay.address());
+            cluster.announce("a", "web", relay.address());
             for (int i = 0; i < 40; i++) {
                 assertEquals(200, order(entry, "before-" + i).join().status().code());
             }
@@ -81,10 +81,10 @@
     void readOverASilentConnectionIsAnsweredByAnotherAttempt() {
         // The caller gets its tile within its 10 s: the silent connection is closed, the attempt ends as unknown, and
         // as the read is idempotent another attempt goes over a new connection.
-        TestDaemon entry = rig.addDaemon("entry", "none", server.address());
-        TestDaemon owner = rig.addDaemon("a", "web", server.address());
+        TestDaemon entry = cluster.addDaemon("entry", "none", server.address());
+        TestDaemon owner = cluster.addDaemon("a", "web", server.address());
         try (TcpRelay relay = new TcpRelay(owner.peerAddress())) {
-            rig.announce("a", "web", relay.address());
+            cluster.announce("a", "web", relay.address());
             WebClient client = WebClient.builder("http://" + entry.callerAddress())
                     .responseTimeoutMillis(60_000)
                     .build();
@@ -104,7 +104,7 @@
         // The caller whose order meets the silent connection is told unknown by its deadline, and the order is not
         // doubled; the connection is closed, and the next order is answered over a new one.
         try (TcpRelay relay = new TcpRelay(server.address())) {
-            TestDaemon entry = rig.addMember("a", "web", relay.address());
+            TestDaemon entry = cluster.addMember("a", "web", relay.address());
             assertEquals(200, order(entry, "first").join().status().code());
             relay.freezeOpen();
             int unknown = 0;
