--- a/org.berylwick.test/tst/org/berylwick/daemon/call/SilenceTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/SilenceTest.java
@@ -31,7 +31,7 @@
         server.close();
     }
 
-    private static CompletableFuture<AggregatedHttpResponse> order(TestDaemon entry, String id) {
+    private static CompletableFuture<AggregatedHttpResponse> sendOrder(TestDaemon entry, String id) {
         return WebClient.builder("http://" + entry.callerAddress())
                 .responseTimeoutMillis(60_000)
                 .build()
@@ -54,7 +54,7 @@
         try (TcpRelay relay = new TcpRelay(owner.peerAddress())) {
             cluster.announce("a", "web", relay.address());
             for (int i = 0; i < 40; i++) {
-                assertEquals(200, order(entry, "before-" + i).join().status().code());
+                assertEquals(200, sendOrder(entry, "before-" + i).join().status().code());
             }
             relay.freezeOpen();
             int before = relay.accepted();
@@ -63,7 +63,7 @@
                     "orders are answered again",
                     () -> {
                         // Faster than any ping interval, as under load.
-                        pending.add(order(entry, "during-" + pending.size()));
+                        pending.add(sendOrder(entry, "during-" + pending.size()));
                         return pending.stream()
                                 .anyMatch(p -> p.isDone() && p.join().status().code() == 200);
                     },
@@ -105,12 +105,12 @@
         // doubled; the connection is closed, and the next order is answered over a new one.
         try (TcpRelay relay = new TcpRelay(server.address())) {
             TestDaemon entry = cluster.addMember("a", "web", relay.address());
-            assertEquals(200, order(entry, "first").join().status().code());
+            assertEquals(200, sendOrder(entry, "first").join().status().code());
             relay.freezeOpen();
             int unknown = 0;
             int status = 0;
             for (int i = 0; i < 4 && status != 200; i++) {
-                status = order(entry, "next-" + i).join().status().code();
+                status = sendOrder(entry, "next-" + i).join().status().code();
                 unknown += status == 504 ? 1 : 0;
                 assertTrue(server.runs("next-" + i) <= 1);
             }
