--- a/org.berylwick.test/tst/org/berylwick/daemon/call/SilenceTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/SilenceTest.java
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void silentConnectionBetweenDaemonsIsReplacedAlsoUnderOrdersWithBodies() {
+    void silentPeerConnectionIsReplacedWhileRequestBodiesAreWritten() {
         // The callers' orders go over connections that the network has lost track of. Each is told within its
         // deadline that the outcome is unknown, no order runs twice, and soon orders are answered again over new
         // connections, although orders with bodies keep being written to the silent ones.
