--- a/org.berylwick.test/tst/org/berylwick/daemon/call/SilenceTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/SilenceTest.java
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void readOverASilentConnectionIsAnsweredByAnotherAttempt() {
+    void idempotentRequestIsRetriedAfterSilentPeerConnection() {
         // The caller gets its tile within its 10 s: the silent connection is closed, the attempt ends as unknown, and
         // as the read is idempotent another attempt goes over a new connection.
         TestDaemon entry = cluster.addDaemon("entry", "none", server.address());
