--- a/org.berylwick.test/tst/org/berylwick/daemon/call/SilenceTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/SilenceTest.java
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void silentConnectionToTheServerEndsWithTheDeadlineAndIsNotUsedAgain() {
+    void silentServerConnectionIsClosedAtTheDeadlineAndNotReused() {
         // The caller whose order meets the silent connection is told unknown by its deadline, and the order is not
         // doubled; the connection is closed, and the next order is answered over a new one.
         try (TcpRelay relay = new TcpRelay(server.address())) {
