--- a/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
@@ -22,7 +22,7 @@
     private static final long MEBIBYTE = 1 << 20;
     private static final long TRANSFER_BYTES = 128 * MEBIBYTE;
 
-    private static final int TRANSFERS = 20;
+    private static final int TRANSFER_COUNT = 20;
     private static final long PAUSE_EVERY = 8 * MEBIBYTE;
     private static final long PAUSE_NANOS = 40_000_000;
 
@@ -123,7 +123,7 @@
             }
             c.answer(r, "stored");
         });
-        for (int i = 0; i < TRANSFERS; i++) {
+        for (int i = 0; i < TRANSFER_COUNT; i++) {
             try (RawCaller caller = new RawCaller(entry.callerAddress())) {
                 caller.write("PUT /backups/" + i + " HTTP/1.1\r\nhost: one.example\r\ncontent-length: " + TRANSFER_BYTES
                         + "\r\n\r\n");
@@ -145,7 +145,7 @@
                 c.write(block);
             }
         });
-        for (int i = 0; i < TRANSFERS; i++) {
+        for (int i = 0; i < TRANSFER_COUNT; i++) {
             try (RawCaller caller = new RawCaller(entry.callerAddress())) {
                 caller.get("/backups/" + i, "");
                 for (long n = 0; n < TRANSFER_BYTES; n += MEBIBYTE) {
