--- a/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
@@ -23,7 +23,7 @@
     private static final long TRANSFER_BYTES = 128 * MEBIBYTE;
 
     private static final int TRANSFER_COUNT = 20;
-    private static final long PAUSE_EVERY = 8 * MEBIBYTE;
+    private static final long PAUSE_INTERVAL_BYTES = 8 * MEBIBYTE;
     private static final long PAUSE_NANOS = 40_000_000;
 
     /** What sockets and flow control windows of two hops may hold; a gathered body would be four times as much. */
@@ -157,7 +157,7 @@
     }
 
     private static void pauseNowAndThen(long moved) {
-        if (moved % PAUSE_EVERY == 0) {
+        if (moved % PAUSE_INTERVAL_BYTES == 0) {
             LockSupport.parkNanos(PAUSE_NANOS);
         }
     }
