--- a/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
@@ -27,7 +27,7 @@
     private static final long PAUSE_NANOS = 40_000_000;
 
     /** What sockets and flow control windows of two hops may hold; a gathered body would be four times as much. */
-    private static final long HELD = 32 * MEBIBYTE;
+    private static final long MAX_BUFFERED_BYTES = 32 * MEBIBYTE;
 
     private final CallPathCluster rig = new CallPathCluster(TestConfiguration.TOML);
     private final AtomicLong moved = new AtomicLong();
@@ -72,7 +72,7 @@
         try (RawCaller caller = new RawCaller(entry.callerAddress())) {
             caller.get("/backups/1", "connection: close\r\n");
             untilNothingMoves();
-            assertTrue(moved.get() <= HELD, "moved " + moved);
+            assertTrue(moved.get() <= MAX_BUFFERED_BYTES, "moved " + moved);
             InputStream in = caller.inputStream();
             byte[] buffer = new byte[1 << 16];
             long read = 0;
@@ -101,7 +101,7 @@
             caller.write("PUT /backups/2 HTTP/1.1\r\nhost: one.example\r\ncontent-length: " + TRANSFER_BYTES + "\r\n\r\n");
             Thread writer = Thread.ofPlatform().start(() -> write(caller));
             untilNothingMoves();
-            assertTrue(moved.get() <= HELD, "moved " + moved);
+            assertTrue(moved.get() <= MAX_BUFFERED_BYTES, "moved " + moved);
             mayRead.countDown();
             String answer = new String(caller.inputStream().readNBytes(12), StandardCharsets.ISO_8859_1);
             assertEquals("HTTP/1.1 200", answer);
