--- a/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
@@ -29,16 +29,16 @@
     /** What sockets and flow control windows of two hops may hold; a gathered body would be four times as much. */
     private static final long MAX_BUFFERED_BYTES = 32 * MEBIBYTE;
 
-    private final CallPathCluster rig = new CallPathCluster(TestConfiguration.TOML);
+    private final CallPathCluster cluster = new CallPathCluster(TestConfiguration.TOML);
     private final AtomicLong moved = new AtomicLong();
     private final RawServer server = new RawServer();
-    private final TestDaemon entry = rig.addDaemon("entry", "none", server.address());
-    private final TestDaemon owner = rig.addMember("a", "web", server.address());
+    private final TestDaemon entry = cluster.addDaemon("entry", "none", server.address());
+    private final TestDaemon owner = cluster.addMember("a", "web", server.address());
 
     @AfterEach
     void close() {
-        assertEquals(List.of(), rig.breachedInvariants());
-        rig.close();
+        assertEquals(List.of(), cluster.breachedInvariants());
+        cluster.close();
         server.close();
     }
 
