--- a/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
@@ -30,7 +30,7 @@
     private static final long MAX_BUFFERED_BYTES = 32 * MEBIBYTE;
 
     private final CallPathCluster cluster = new CallPathCluster(TestConfiguration.TOML);
-    private final AtomicLong moved = new AtomicLong();
+    private final AtomicLong transferredBytes = new AtomicLong();
     private final RawServer server = new RawServer();
     private final TestDaemon entry = cluster.addDaemon("entry", "none", server.address());
     private final TestDaemon owner = cluster.addMember("a", "web", server.address());
@@ -48,13 +48,13 @@
         Await.until(
                 "the transfer stands still",
                 () -> {
-                    long now = moved.get();
+                    long now = transferredBytes.get();
                     if (now != last.getAndSet(now)) {
                         sinceNanos.set(System.nanoTime());
                     }
                     return now > 0 && System.nanoTime() - sinceNanos.get() > 500_000_000L;
                 },
-                moved::get);
+                transferredBytes::get);
     }
 
     @Test
@@ -66,13 +66,13 @@
             String block = "x".repeat((int) MEBIBYTE);
             for (long sent = 0; sent < TRANSFER_BYTES; sent += MEBIBYTE) {
                 c.write(block);
-                moved.addAndGet(MEBIBYTE);
+                transferredBytes.addAndGet(MEBIBYTE);
             }
         });
         try (RawCaller caller = new RawCaller(entry.callerAddress())) {
             caller.get("/backups/1", "connection: close\r\n");
             untilNothingMoves();
-            assertTrue(moved.get() <= MAX_BUFFERED_BYTES, "moved " + moved);
+            assertTrue(transferredBytes.get() <= MAX_BUFFERED_BYTES, "moved " + transferredBytes);
             InputStream in = caller.inputStream();
             byte[] buffer = new byte[1 << 16];
             long read = 0;
@@ -101,12 +101,12 @@
             caller.write("PUT /backups/2 HTTP/1.1\r\nhost: one.example\r\ncontent-length: " + TRANSFER_BYTES + "\r\n\r\n");
             Thread writer = Thread.ofPlatform().start(() -> write(caller));
             untilNothingMoves();
-            assertTrue(moved.get() <= MAX_BUFFERED_BYTES, "moved " + moved);
+            assertTrue(transferredBytes.get() <= MAX_BUFFERED_BYTES, "moved " + transferredBytes);
             mayRead.countDown();
             String answer = new String(caller.inputStream().readNBytes(12), StandardCharsets.ISO_8859_1);
             assertEquals("HTTP/1.1 200", answer);
             assertEquals(TRANSFER_BYTES, received.get());
-            Await.until("the writer is done", () -> !writer.isAlive(), moved::get);
+            Await.until("the writer is done", () -> !writer.isAlive(), transferredBytes::get);
         }
     }
 
@@ -130,7 +130,7 @@
                 Thread writer = Thread.ofPlatform().start(() -> write(caller));
                 String answer = new String(caller.inputStream().readNBytes(12), StandardCharsets.ISO_8859_1);
                 assertEquals("HTTP/1.1 200", answer, "upload " + i);
-                Await.until("the writer is done", () -> !writer.isAlive(), moved::get);
+                Await.until("the writer is done", () -> !writer.isAlive(), transferredBytes::get);
             }
         }
     }
@@ -168,7 +168,7 @@
             OutputStream out = caller.outputStream();
             for (long sent = 0; sent < TRANSFER_BYTES; sent += block.length) {
                 out.write(block);
-                moved.addAndGet(block.length);
+                transferredBytes.addAndGet(block.length);
             }
             out.flush();
         } catch (IOException e) {
