--- a/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
@@ -42,7 +42,7 @@
         server.close();
     }
 
-    private void untilNothingMoves() {
+    private void awaitStall() {
         AtomicLong last = new AtomicLong(-1);
         AtomicLong sinceNanos = new AtomicLong(System.nanoTime());
         Await.until(
@@ -71,7 +71,7 @@
         });
         try (RawCaller caller = new RawCaller(entry.callerAddress())) {
             caller.get("/backups/1", "connection: close\r\n");
-            untilNothingMoves();
+            awaitStall();
             assertTrue(transferredBytes.get() <= MAX_BUFFERED_BYTES, "moved " + transferredBytes);
             InputStream in = caller.inputStream();
             byte[] buffer = new byte[1 << 16];
@@ -100,7 +100,7 @@
         try (RawCaller caller = new RawCaller(entry.callerAddress())) {
             caller.write("PUT /backups/2 HTTP/1.1\r\nhost: one.example\r\ncontent-length: " + TRANSFER_BYTES + "\r\n\r\n");
             Thread writer = Thread.ofPlatform().start(() -> write(caller));
-            untilNothingMoves();
+            awaitStall();
             assertTrue(transferredBytes.get() <= MAX_BUFFERED_BYTES, "moved " + transferredBytes);
             mayRead.countDown();
             String answer = new String(caller.inputStream().readNBytes(12), StandardCharsets.ISO_8859_1);
