--- a/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
@@ -119,7 +119,7 @@
         server.setScript((c, r) -> {
             for (long n = 0; n < TRANSFER_BYTES; n += MEBIBYTE) {
                 c.read((int) MEBIBYTE);
-                pauseNowAndThen(n);
+                pauseAtInterval(n);
             }
             c.answer(r, "stored");
         });
@@ -150,13 +150,13 @@
                 caller.get("/backups/" + i, "");
                 for (long n = 0; n < TRANSFER_BYTES; n += MEBIBYTE) {
                     assertEquals(MEBIBYTE, caller.inputStream().readNBytes((int) MEBIBYTE).length, "download " + i);
-                    pauseNowAndThen(n);
+                    pauseAtInterval(n);
                 }
             }
         }
     }
 
-    private static void pauseNowAndThen(long moved) {
+    private static void pauseAtInterval(long moved) {
         if (moved % PAUSE_INTERVAL_BYTES == 0) {
             LockSupport.parkNanos(PAUSE_NANOS);
         }
