--- a/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
@@ -99,7 +99,7 @@
         });
         try (RawCaller caller = new RawCaller(entry.callerAddress())) {
             caller.write("PUT /backups/2 HTTP/1.1\r\nhost: one.example\r\ncontent-length: " + TRANSFER_BYTES + "\r\n\r\n");
-            Thread writer = Thread.ofPlatform().start(() -> write(caller));
+            Thread writer = Thread.ofPlatform().start(() -> writeBody(caller));
             awaitStall();
             assertTrue(transferredBytes.get() <= MAX_BUFFERED_BYTES, "moved " + transferredBytes);
             mayRead.countDown();
@@ -127,7 +127,7 @@
             try (RawCaller caller = new RawCaller(entry.callerAddress())) {
                 caller.write("PUT /backups/" + i + " HTTP/1.1\r\nhost: one.example\r\ncontent-length: " + TRANSFER_BYTES
                         + "\r\n\r\n");
-                Thread writer = Thread.ofPlatform().start(() -> write(caller));
+                Thread writer = Thread.ofPlatform().start(() -> writeBody(caller));
                 String answer = new String(caller.inputStream().readNBytes(12), StandardCharsets.ISO_8859_1);
                 assertEquals("HTTP/1.1 200", answer, "upload " + i);
                 Await.until("the writer is done", () -> !writer.isAlive(), transferredBytes::get);
@@ -162,7 +162,7 @@
         }
     }
 
-    private void write(RawCaller caller) {
+    private void writeBody(RawCaller caller) {
         byte[] block = new byte[1 << 16];
         try {
             OutputStream out = caller.outputStream();
