--- a/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
@@ -91,7 +91,7 @@
         AtomicLong received = new AtomicLong();
         CountDownLatch mayRead = new CountDownLatch(1);
         server.setScript((c, r) -> {
-            awaitQuietly(mayRead);
+            awaitLatch(mayRead);
             for (long n = 0; n < TRANSFER_BYTES; n += MEBIBYTE) {
                 received.addAndGet(c.read((int) MEBIBYTE).length);
             }
@@ -208,7 +208,7 @@
         }
     }
 
-    private static void awaitQuietly(CountDownLatch latch) {
+    private static void awaitLatch(CountDownLatch latch) {
         try {
             latch.await();
         } catch (InterruptedException e) {
