--- a/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void downloadWaitsForASlowCaller() throws IOException {
+    void downloadIsLimitedToTheRateOfASlowCaller() throws IOException {
         // The caller stops reading a 128 MiB archive after its head: the server can write only what the sockets and
         // windows between them hold. Then the caller goes on and gets it whole.
         server.setScript((c, r) -> {
