--- a/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void uploadWaitsForASlowServer() throws IOException {
+    void uploadIsLimitedToTheRateOfASlowServer() throws IOException {
         // The caller sends 128 MiB and the server does not read: the caller can write only what the sockets and
         // windows between them hold, and once the server reads it gets all.
         AtomicLong received = new AtomicLong();
