--- a/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
@@ -115,7 +115,7 @@
      * its caller, and the word to go on came from another thread while the last bytes did.
      */
     @Test
-    void everyUploadToAServerThatPausesReachesItsEnd() throws IOException {
+    void uploadsToPausingServerComplete() throws IOException {
         server.setScript((c, r) -> {
             for (long n = 0; n < TRANSFER_BYTES; n += MEBIBYTE) {
                 c.read((int) MEBIBYTE);
