--- a/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
@@ -177,7 +177,7 @@
     }
 
     @Test
-    void bulkTransferThatStandsStillIsCut() throws IOException {
+    void stalledBulkTransferIsCut() throws IOException {
         // The caller sees its download end: the server sent half and then nothing for longer than the 4 s that the
         // policy allows without progress.
         server.setScript((c, r) -> {
