--- a/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/StreamingTest.java
@@ -192,7 +192,7 @@
     }
 
     @Test
-    void bulkTransferMayTakeLongerThanItsProgressLimit() throws IOException {
+    void progressingBulkTransferMayExceedTheStallTimeout() throws IOException {
         // The caller gets the whole archive though it takes 6 s, longer than the 4 s within which something must
         // move: something moves every second.
         server.setScript((c, r) -> {
