--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/FramingCheck.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/FramingCheck.java
@@ -41,10 +41,10 @@
             selfDelimited =
                     HttpUtil.isTransferEncodingChunked(head) || head.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
         }
-        if (message instanceof LastHttpContent end && !selfDelimited && !ctx.channel().isActive()) {
-            DefaultLastHttpContent failed = new DefaultLastHttpContent(end.content());
-            failed.setDecoderResult(DecoderResult.failure(new IllegalStateException("the body has no announced end")));
-            ctx.fireChannelRead(failed);
+        if (message instanceof LastHttpContent lastContent && !selfDelimited && !ctx.channel().isActive()) {
+            DefaultLastHttpContent failedContent = new DefaultLastHttpContent(lastContent.content());
+            failedContent.setDecoderResult(DecoderResult.failure(new IllegalStateException("the body has no announced end")));
+            ctx.fireChannelRead(failedContent);
             return;
         }
         ctx.fireChannelRead(message);
