--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ContentLengthCheck.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ContentLengthCheck.java
@@ -20,22 +20,22 @@
     private final long expectedBytes;
     private long receivedBytes;
 
-    private ContentLengthCheck(StreamMessage<HttpData> body, long expected) {
+    private ContentLengthCheck(StreamMessage<HttpData> body, long expectedBytes) {
         super(body, true);
-        this.expectedBytes = expected;
+        this.expectedBytes = expectedBytes;
     }
 
     /** The body with its length checked, if its head announced one. */
     static StreamMessage<HttpData> wrap(HttpMethod method, ResponseHeaders head, StreamMessage<HttpData> body) {
-        OptionalLong length = expectedLength(method, head);
-        return length.isPresent() ? new ContentLengthCheck(body, length.getAsLong()) : body;
+        OptionalLong expectedLength = expectedLength(method, head);
+        return expectedLength.isPresent() ? new ContentLengthCheck(body, expectedLength.getAsLong()) : body;
     }
 
     /** The bytes that follow a head, if it says how many. */
     static OptionalLong expectedLength(HttpMethod method, ResponseHeaders head) {
-        boolean bodiless =
+        boolean lengthNotApplicable =
                 method == HttpMethod.HEAD || head.status().equals(HttpStatus.NOT_MODIFIED) || head.contentLength() < 0;
-        return bodiless ? OptionalLong.empty() : OptionalLong.of(head.contentLength());
+        return lengthNotApplicable ? OptionalLong.empty() : OptionalLong.of(head.contentLength());
     }
 
     @Override
