--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Owner.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Owner.java
@@ -30,18 +30,18 @@
     /**
      * The owner of one backend server.
      *
-     * @param state whether the backend server takes requests
+     * @param memberState whether the backend server takes requests
      */
     Owner(
             SlotLimiter limiter,
-            BackendServerClient server,
-            Supplier<Member.State> state,
+            BackendServerClient backendClient,
+            Supplier<Member.State> memberState,
             CallMetrics metrics,
             Invariants invariants,
             TimeSource time) {
         this.limiter = limiter;
-        this.backendClient = server;
-        this.memberState = state;
+        this.backendClient = backendClient;
+        this.memberState = memberState;
         this.metrics = metrics;
         this.invariants = invariants;
         this.time = time;
@@ -61,11 +61,11 @@
 
     /** Why no request may be sent now, if so. */
     Optional<RefusalReason> refusalReason(Deadline deadline) {
-        Member.State now = memberState.get();
-        if (now == Member.State.STARTING) {
+        Member.State currentState = memberState.get();
+        if (currentState == Member.State.STARTING) {
             return Optional.of(RefusalReason.STARTING);
         }
-        if (now == Member.State.LEAVING || now == Member.State.GONE) {
+        if (currentState == Member.State.LEAVING || currentState == Member.State.GONE) {
             return Optional.of(RefusalReason.LEAVING);
         }
         // A millisecond is the least that the wire can say; with less left the answer would come too late.
@@ -74,17 +74,17 @@
 
     /** Checks, as a request goes out, that the backend server did not leave some time ago. */
     void checkSendAllowed(String requestId) {
-        Member.State now = memberState.get();
-        boolean leaving = now == Member.State.LEAVING || now == Member.State.GONE;
+        Member.State currentState = memberState.get();
+        boolean leaving = currentState == Member.State.LEAVING || currentState == Member.State.GONE;
         if (!leaving) {
             leaveGraceEnd = null;
         } else if (leaveGraceEnd == null) {
             leaveGraceEnd = Deadline.afterMillis(time, LEAVE_GRACE_MILLIS);
         }
-        Deadline from = leaveGraceEnd;
+        Deadline graceEnd = leaveGraceEnd;
         invariants.check(
                 Invariant.NO_WORK_AFTER_LEAVE,
-                from == null || !from.isPast(time),
+                graceEnd == null || !graceEnd.isPast(time),
                 () -> "request " + requestId + " was sent to a backend server that is leaving");
     }
 
