--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
@@ -29,10 +29,10 @@
     private volatile Exchange exchange;
     private volatile CompletableFuture<Admission> pendingAdmission;
 
-    OwnerRun(Owner owner, OwnerRequest owned) {
+    OwnerRun(Owner owner, OwnerRequest request) {
         this.owner = owner;
-        this.request = owned;
-        this.exchangeTimeout = new ExchangeTimeout(owned.transferLimit(), owner.time());
+        this.request = request;
+        this.exchangeTimeout = new ExchangeTimeout(request.transferLimit(), owner.time());
     }
 
     CompletableFuture<Outcome<Answer>> outcome() {
@@ -41,9 +41,9 @@
 
     /** Asks for a slot and sends the request once it is held. */
     void start() {
-        Optional<RefusalReason> refusal = owner.refusalReason(request.headDeadline());
-        if (refusal.isPresent()) {
-            refuse(refusal.get());
+        Optional<RefusalReason> refusalReason = owner.refusalReason(request.headDeadline());
+        if (refusalReason.isPresent()) {
+            refuse(refusalReason.get());
             return;
         }
         pendingAdmission = owner.limiter().acquire(request.trafficClass(), request.headDeadline());
@@ -62,42 +62,42 @@
     /** Gives the request up: nobody waits for its answer any more. */
     void cancel() {
         cancelled = true;
-        CompletableFuture<Admission> waiting = pendingAdmission;
-        if (waiting != null) {
+        CompletableFuture<Admission> currentAdmission = pendingAdmission;
+        if (currentAdmission != null) {
             // Without this the request keeps its place in the queue and later takes a slot for an answer that
             // nobody reads.
-            waiting.cancel(false);
+            currentAdmission.cancel(false);
         }
-        Exchange begun = exchange;
-        if (begun != null && !outcome.isDone()) {
-            begun.response().abort();
+        Exchange currentExchange = exchange;
+        if (currentExchange != null && !outcome.isDone()) {
+            currentExchange.response().abort();
         }
     }
 
     private void onAdmitted(SlotLimiter.Permit permit) {
         // Time has passed in the queue: the caller may be gone, the deadline past or the backend server leaving.
-        Optional<RefusalReason> refusal =
+        Optional<RefusalReason> refusalReason =
                 cancelled ? Optional.of(RefusalReason.DEADLINE) : owner.refusalReason(request.headDeadline());
-        if (refusal.isPresent()) {
+        if (refusalReason.isPresent()) {
             permit.closeUnused();
-            refuse(refusal.get());
+            refuse(refusalReason.get());
             return;
         }
         owner.checkSendAllowed(request.requestId());
         owner.metrics().begin();
-        Exchange begun =
+        Exchange newExchange =
                 owner.backendClient().execute(exchangeTimeout.trackProgress(newBackendRequest()), request.headDeadline().remainingMillis(owner.time()));
-        exchangeTimeout.start(begun);
-        begun.response().whenComplete().whenComplete((done, failure) -> {
+        exchangeTimeout.start(newExchange);
+        newExchange.response().whenComplete().whenComplete((done, failure) -> {
             // On the connection's own thread, after the client library has put the connection back among the idle
             // ones. Freed any earlier, the slot's next request would find none idle and open one more.
-            begun.context().eventLoop().execute(permit::close);
+            newExchange.context().eventLoop().execute(permit::close);
             owner.metrics().end();
         });
-        exchange = begun;
-        SplitHttpResponse split = begun.response().split();
+        exchange = newExchange;
+        SplitHttpResponse split = newExchange.response().split();
         if (cancelled) {
-            begun.response().abort();
+            newExchange.response().abort();
         }
         split.headers().whenComplete((headers, failure) -> {
             if (failure == null) {
@@ -111,52 +111,52 @@
     private HttpRequest newBackendRequest() {
         RequestHeadersBuilder headers = request.request().headers().toBuilder();
         CallHeaders.removeInternal(headers);
-        Optional<Deadline> by = switch (request.transferLimit()) {
-            case TransferLimit.CompletionDeadline(Deadline wholeBy) -> Optional.of(wholeBy.earlier(request.headDeadline()));
-            case TransferLimit.StallTimeout(long stallMillis, Optional<Deadline> callerBy) -> callerBy;
+        Optional<Deadline> callerDeadline = switch (request.transferLimit()) {
+            case TransferLimit.CompletionDeadline(Deadline wholeDeadline) -> Optional.of(wholeDeadline.earlier(request.headDeadline()));
+            case TransferLimit.StallTimeout(long stallMillis, Optional<Deadline> progressCallerDeadline) -> progressCallerDeadline;
         };
         headers.remove(CallHeaders.TIMEOUT_MILLIS);
-        by.ifPresent(d -> headers.setLong(CallHeaders.TIMEOUT_MILLIS, d.remainingMillis(owner.time())));
+        callerDeadline.ifPresent(deadline -> headers.setLong(CallHeaders.TIMEOUT_MILLIS, deadline.remainingMillis(owner.time())));
         return request.request().withHeaders(headers);
     }
 
-    private void onResponseHead(ResponseHeaders received, SplitHttpResponse split, SlotLimiter.Permit permit) {
-        String echoed = received.get(CallHeaders.REQUEST_ID, request.requestId());
-        if (!echoed.equals(request.requestId())) {
+    private void onResponseHead(ResponseHeaders responseHeaders, SplitHttpResponse split, SlotLimiter.Permit permit) {
+        String echoedRequestId = responseHeaders.get(CallHeaders.REQUEST_ID, request.requestId());
+        if (!echoedRequestId.equals(request.requestId())) {
             // The connection is one answer behind or ahead; every later answer on it would reach a wrong caller too.
-            EVENTS.log(CallEvent.CROSSED_ANSWER, request.requestId(), echoed);
+            EVENTS.log(CallEvent.CROSSED_ANSWER, request.requestId(), echoedRequestId);
             owner.metrics().countCrossed();
             split.body().abort();
             exchange.closeConnection();
             outcome.complete(new Outcome.Unknown<>("the answer was another request's"));
             return;
         }
-        if (received.status().equals(HttpStatus.SERVICE_UNAVAILABLE) && received.contains(CallHeaders.SHED)) {
+        if (responseHeaders.status().equals(HttpStatus.SERVICE_UNAVAILABLE) && responseHeaders.contains(CallHeaders.SHED)) {
             permit.closeAfterShed();
             // Read to its end, so that the connection can be used again.
             split.body().subscribe();
             refuse(RefusalReason.SHED);
             return;
         }
-        ResponseHeadersBuilder headers = received.toBuilder();
+        ResponseHeadersBuilder headers = responseHeaders.toBuilder();
         CallHeaders.removeHopByHop(headers);
         CallHeaders.removeInternal(headers);
         headers.remove(CallHeaders.SHED);
         headers.set(CallHeaders.REQUEST_ID, request.requestId());
         outcome.complete(new Outcome.Answered<>(new Answer(
                 headers.build(),
-                exchangeTimeout.onResponseHead(ContentLengthCheck.wrap(request.request().method(), received, split.body())),
+                exchangeTimeout.onResponseHead(ContentLengthCheck.wrap(request.request().method(), responseHeaders, split.body())),
                 split.trailers())));
     }
 
     private void onFailure(Throwable failure) {
         // Both must agree: the library's word that the peer cannot have seen the request, and that its head was
         // never handed to the connection. With HTTP/1.1 a head that was handed over may have been run.
-        boolean sent = exchange.isHeadSent();
-        if (Exchange.isUnprocessed(failure) && !sent) {
+        boolean headSent = exchange.isHeadSent();
+        if (Exchange.isUnprocessed(failure) && !headSent) {
             owner.checkNotSent(request.requestId(), exchange.isHeadSent());
-            boolean late = request.headDeadline().isPast(owner.time());
-            refuse(late ? RefusalReason.DEADLINE : RefusalReason.SERVER_UNREACHABLE);
+            boolean deadlinePassed = request.headDeadline().isPast(owner.time());
+            refuse(deadlinePassed ? RefusalReason.DEADLINE : RefusalReason.SERVER_UNREACHABLE);
             return;
         }
         outcome.complete(new Outcome.Unknown<>(Exchange.describe(failure)));
