--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerService.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerService.java
@@ -49,7 +49,7 @@
         }
         Attempt attempt =
                 owner.start(toOwnerRequest(requestId, request.subscribeOn(ctx.eventLoop().withoutContext())));
-        HttpResponse response = HttpResponse.of(attempt.outcome().thenApply(o -> toHttpResponse(requestId, o)));
+        HttpResponse response = HttpResponse.of(attempt.outcome().thenApply(outcome -> toHttpResponse(requestId, outcome)));
         response.whenComplete().whenComplete((done, failure) -> {
             if (failure != null) {
                 attempt.cancel().run();
@@ -66,15 +66,15 @@
             case "BULK" -> TrafficClass.BULK;
             default -> TrafficClass.READ;
         };
-        Deadline headBy = Deadline.afterMillis(time, headers.getLong(CallHeaders.HEAD_MILLIS, 0));
-        long wholeMillis = headers.getLong(CallHeaders.TIMEOUT_MILLIS, -1);
+        Deadline headDeadline = Deadline.afterMillis(time, headers.getLong(CallHeaders.HEAD_MILLIS, 0));
+        long timeoutMillis = headers.getLong(CallHeaders.TIMEOUT_MILLIS, -1);
         long stallMillis = headers.getLong(CallHeaders.STALL_MILLIS, -1);
-        Optional<Deadline> wholeBy =
-                wholeMillis < 0 ? Optional.empty() : Optional.of(Deadline.afterMillis(time, wholeMillis));
-        TransferLimit limit = stallMillis < 0
-                ? new TransferLimit.CompletionDeadline(wholeBy.orElse(headBy))
-                : new TransferLimit.StallTimeout(stallMillis, wholeBy);
-        return new OwnerRequest(requestId, trafficClass, headBy, limit, request);
+        Optional<Deadline> callerDeadline =
+                timeoutMillis < 0 ? Optional.empty() : Optional.of(Deadline.afterMillis(time, timeoutMillis));
+        TransferLimit transferLimit = stallMillis < 0
+                ? new TransferLimit.CompletionDeadline(callerDeadline.orElse(headDeadline))
+                : new TransferLimit.StallTimeout(stallMillis, callerDeadline);
+        return new OwnerRequest(requestId, trafficClass, headDeadline, transferLimit, request);
     }
 
     private HttpResponse toHttpResponse(String requestId, Outcome<Answer> outcome) {
@@ -88,8 +88,8 @@
             case Outcome.RefusedNotRun<Answer>(RefusalReason reason, Optional<Long> retryAfter) -> {
                 ResponseHeadersBuilder headers =
                         responseHead(HttpStatus.SERVICE_UNAVAILABLE, CallHeaders.OUTCOME_NOT_RUN, requestId, reason.word());
-                retryAfter.ifPresent(ms ->
-                        headers.setLong(HttpHeaderNames.RETRY_AFTER, (ms + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND));
+                retryAfter.ifPresent(millis ->
+                        headers.setLong(HttpHeaderNames.RETRY_AFTER, (millis + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND));
                 yield HttpResponse.of(headers.build());
             }
             case Outcome.Unknown<Answer>(String detail) ->
