--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ExchangeTimeout.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ExchangeTimeout.java
@@ -20,46 +20,46 @@
     private volatile Exchange exchange;
     private long nextExtensionNanos;
 
-    ExchangeTimeout(TransferLimit limit, TimeSource time) {
-        this.transferLimit = limit;
+    ExchangeTimeout(TransferLimit transferLimit, TimeSource time) {
+        this.transferLimit = transferLimit;
         this.time = time;
     }
 
     /** The request with its body watched, if that matters. */
     HttpRequest trackProgress(HttpRequest request) {
-        return transferLimit instanceof TransferLimit.StallTimeout ? request.peekData(d -> onProgress()) : request;
+        return transferLimit instanceof TransferLimit.StallTimeout ? request.peekData(data -> onProgress()) : request;
     }
 
     /** The exchange whose limit is kept. */
-    void start(Exchange begun) {
-        exchange = begun;
+    void start(Exchange startedExchange) {
+        exchange = startedExchange;
         nextExtensionNanos = time.nanoTime();
     }
 
     /** The head is there; returns the body to pass on. */
     StreamMessage<HttpData> onResponseHead(StreamMessage<HttpData> body) {
         return switch (transferLimit) {
-            case TransferLimit.CompletionDeadline(Deadline by) -> {
-                exchange.extendResponseTimeout(by.remainingMillis(time));
+            case TransferLimit.CompletionDeadline(Deadline deadline) -> {
+                exchange.extendResponseTimeout(deadline.remainingMillis(time));
                 yield body;
             }
-            case TransferLimit.StallTimeout p -> {
+            case TransferLimit.StallTimeout stall -> {
                 onProgress();
-                yield body.peek(d -> onProgress());
+                yield body.peek(data -> onProgress());
             }
         };
     }
 
     private void onProgress() {
-        if (exchange == null || !(transferLimit instanceof TransferLimit.StallTimeout p)) {
+        if (exchange == null || !(transferLimit instanceof TransferLimit.StallTimeout stall)) {
             return;
         }
         long now = time.nanoTime();
         if (now - nextExtensionNanos < 0) {
             return;
         }
-        nextExtensionNanos = now + p.stallMillis() * NANOS_PER_MILLI / EXTENSIONS_PER_STALL_TIMEOUT;
-        long callerMillis = p.callerDeadline().map(by -> by.remainingMillis(time)).orElse(Long.MAX_VALUE);
-        exchange.extendResponseTimeout(Math.min(p.stallMillis(), callerMillis));
+        nextExtensionNanos = now + stall.stallMillis() * NANOS_PER_MILLI / EXTENSIONS_PER_STALL_TIMEOUT;
+        long callerRemainingMillis = stall.callerDeadline().map(deadline -> deadline.remainingMillis(time)).orElse(Long.MAX_VALUE);
+        exchange.extendResponseTimeout(Math.min(stall.stallMillis(), callerRemainingMillis));
     }
 }
