--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/PeerSender.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/PeerSender.java
@@ -27,41 +27,41 @@
     private final PeerClients peerClients;
     private final TimeSource time;
 
-    PeerSender(PeerClients peers, TimeSource time) {
-        this.peerClients = peers;
+    PeerSender(PeerClients peerClients, TimeSource time) {
+        this.peerClients = peerClients;
         this.time = time;
     }
 
     /**
      * Sends one attempt.
      *
-     * @param load takes in what the reply reports, and the end of the response
-     * @param attemptMillis within which the head of the answer must be there
+     * @param loadTracker takes in what the reply reports, and the end of the response
+     * @param headTimeoutMillis within which the head of the answer must be there
      */
-    Attempt send(Call call, Member member, PeerLoads.Attempt load, long attemptMillis) {
+    Attempt send(Call call, Member member, PeerLoads.Attempt loadTracker, long headTimeoutMillis) {
         RequestHeadersBuilder headers = call.headers().toBuilder();
         headers.set(CallHeaders.INSTANCE, member.instance());
         headers.set(
                 CallHeaders.TRAFFIC_CLASS, call.match().policy().trafficClass().name());
-        headers.setLong(CallHeaders.HEAD_MILLIS, attemptMillis - Math.min(MAX_HOP_MARGIN_MILLIS, attemptMillis / HOP_MARGIN_DIVISOR));
+        headers.setLong(CallHeaders.HEAD_MILLIS, headTimeoutMillis - Math.min(MAX_HOP_MARGIN_MILLIS, headTimeoutMillis / HOP_MARGIN_DIVISOR));
         headers.remove(CallHeaders.TIMEOUT_MILLIS);
         switch (call.limit()) {
-            case TransferLimit.CompletionDeadline(Deadline by) ->
-                headers.setLong(CallHeaders.TIMEOUT_MILLIS, by.remainingMillis(time));
-            case TransferLimit.StallTimeout(long stallMillis, Optional<Deadline> callerBy) -> {
+            case TransferLimit.CompletionDeadline(Deadline deadline) ->
+                headers.setLong(CallHeaders.TIMEOUT_MILLIS, deadline.remainingMillis(time));
+            case TransferLimit.StallTimeout(long stallMillis, Optional<Deadline> callerDeadline) -> {
                 headers.setLong(CallHeaders.STALL_MILLIS, stallMillis);
-                callerBy.ifPresent(by -> headers.setLong(CallHeaders.TIMEOUT_MILLIS, by.remainingMillis(time)));
+                callerDeadline.ifPresent(deadline -> headers.setLong(CallHeaders.TIMEOUT_MILLIS, deadline.remainingMillis(time)));
             }
         }
-        ExchangeTimeout pace = new ExchangeTimeout(call.limit(), time);
+        ExchangeTimeout exchangeTimeout = new ExchangeTimeout(call.limit(), time);
         Exchange exchange =
-                peerClients.execute(member.address(), pace.trackProgress(call.newRequest(headers.build())), attemptMillis);
-        pace.start(exchange);
-        exchange.response().whenComplete().whenComplete((done, failure) -> load.close());
+                peerClients.execute(member.address(), exchangeTimeout.trackProgress(call.newRequest(headers.build())), headTimeoutMillis);
+        exchangeTimeout.start(exchange);
+        exchange.response().whenComplete().whenComplete((done, failure) -> loadTracker.close());
         SplitHttpResponse split = exchange.response().split();
         CompletableFuture<Outcome<Answer>> outcome = split.headers()
-                .handle((answer, failure) ->
-                        failure == null ? outcomeOf(call, load, answer, split, exchange, pace) : outcomeOf(failure));
+                .handle((responseHeaders, failure) ->
+                        failure == null ? outcomeOf(call, loadTracker, responseHeaders, split, exchange, exchangeTimeout) : outcomeOf(failure));
         return new Attempt(outcome, () -> {
             if (!outcome.isDone()) {
                 exchange.response().abort();
@@ -71,39 +71,39 @@
 
     private Outcome<Answer> outcomeOf(
             Call call,
-            PeerLoads.Attempt load,
-            ResponseHeaders received,
+            PeerLoads.Attempt loadTracker,
+            ResponseHeaders responseHeaders,
             SplitHttpResponse split,
             Exchange exchange,
-            ExchangeTimeout pace) {
-        load.reportLoad(received.getInt(CallHeaders.LOAD, 0));
-        String answered = received.get(CallHeaders.REQUEST_ID, "");
-        if (!answered.equals(call.requestId()) && received.contains(CallHeaders.OUTCOME)) {
+            ExchangeTimeout exchangeTimeout) {
+        loadTracker.reportLoad(responseHeaders.getInt(CallHeaders.LOAD, 0));
+        String answeredRequestId = responseHeaders.get(CallHeaders.REQUEST_ID, "");
+        if (!answeredRequestId.equals(call.requestId()) && responseHeaders.contains(CallHeaders.OUTCOME)) {
             split.body().abort();
             exchange.closeConnection();
             return new Outcome.Unknown<>("the answer was another request's");
         }
-        switch (received.get(CallHeaders.OUTCOME, "")) {
+        switch (responseHeaders.get(CallHeaders.OUTCOME, "")) {
             case CallHeaders.OUTCOME_ANSWERED -> {
-                ResponseHeadersBuilder headers = received.toBuilder();
+                ResponseHeadersBuilder headers = responseHeaders.toBuilder();
                 CallHeaders.removeHopByHop(headers);
                 CallHeaders.removeInternal(headers);
                 return new Outcome.Answered<>(new Answer(
                         headers.build(),
-                        pace.onResponseHead(ContentLengthCheck.wrap(call.headers().method(), received, split.body())),
+                        exchangeTimeout.onResponseHead(ContentLengthCheck.wrap(call.headers().method(), responseHeaders, split.body())),
                         split.trailers()));
             }
             case CallHeaders.OUTCOME_NOT_RUN -> {
                 split.body().abort();
-                RefusalReason reason = RefusalReason.fromWord(received.get(CallHeaders.REASON, ""))
+                RefusalReason reason = RefusalReason.fromWord(responseHeaders.get(CallHeaders.REASON, ""))
                         .orElse(RefusalReason.NO_MEMBER);
-                long seconds = received.getLong(HttpHeaderNames.RETRY_AFTER, 1);
-                return new Outcome.RefusedNotRun<>(reason, Optional.of(seconds * MILLIS_PER_SECOND));
+                long retryAfterSeconds = responseHeaders.getLong(HttpHeaderNames.RETRY_AFTER, 1);
+                return new Outcome.RefusedNotRun<>(reason, Optional.of(retryAfterSeconds * MILLIS_PER_SECOND));
             }
             default -> {
                 split.body().abort();
                 return new Outcome.Unknown<>(
-                        received.get(CallHeaders.REASON, received.status().toString()));
+                        responseHeaders.get(CallHeaders.REASON, responseHeaders.status().toString()));
             }
         }
     }
