--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/SilenceDetector.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/SilenceDetector.java
@@ -63,29 +63,29 @@
             recordRead();
             return;
         }
-        long now = System.nanoTime();
+        long nowNanos = System.nanoTime();
         if (pingPending) {
-            if (now - pingSentNanos >= PING_TIMEOUT_NANOS) {
+            if (nowNanos - pingSentNanos >= PING_TIMEOUT_NANOS) {
                 EVENTS.log(CallEvent.SILENT_CONNECTION, ctx.channel().remoteAddress());
                 ctx.close();
             }
             return;
         }
-        if (now - lastReadNanos >= (writtenSinceRead ? BUSY_PING_DELAY_NANOS : IDLE_PING_DELAY_NANOS)) {
-            ping(ctx, now);
+        if (nowNanos - lastReadNanos >= (writtenSinceRead ? BUSY_PING_DELAY_NANOS : IDLE_PING_DELAY_NANOS)) {
+            ping(ctx, nowNanos);
         }
     }
 
-    private void ping(ChannelHandlerContext ctx, long now) {
-        Http2ConnectionHandler http2 = ctx.pipeline().get(Http2ConnectionHandler.class);
-        if (http2 == null) {
+    private void ping(ChannelHandlerContext ctx, long nowNanos) {
+        Http2ConnectionHandler http2Handler = ctx.pipeline().get(Http2ConnectionHandler.class);
+        if (http2Handler == null) {
             return;
         }
         pingPending = true;
-        pingSentNanos = now;
-        ChannelHandlerContext handler = ctx.pipeline().context(http2);
-        http2.encoder().writePing(handler, false, now, handler.newPromise());
-        handler.flush();
+        pingSentNanos = nowNanos;
+        ChannelHandlerContext http2Context = ctx.pipeline().context(http2Handler);
+        http2Handler.encoder().writePing(http2Context, false, nowNanos, http2Context.newPromise());
+        http2Context.flush();
     }
 
     @Override
