--- a/org.berylwick.test/tst/org/berylwick/daemon/call/CallPathCluster.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/CallPathCluster.java
@@ -56,17 +56,17 @@
         volatile Member.State state = Member.State.UP;
 
         private TestDaemon(String instance, String service, HostPort backend, VersionContent version) {
-            HostPort any = new HostPort("127.0.0.1", 0);
+            HostPort ephemeralAddress = new HostPort("127.0.0.1", 0);
             DaemonSettings settings = new DaemonSettings(
                     instance,
                     PLACE,
-                    new DaemonSettings.Listen(any, any, any, Optional.empty()),
+                    new DaemonSettings.Listen(ephemeralAddress, ephemeralAddress, ephemeralAddress, Optional.empty()),
                     new DaemonSettings.BackendServer(service, backend, new Labels(Map.of())),
                     new DaemonSettings.Platform(URI.create("http://127.0.0.1:1")),
                     new DaemonSettings.Spread(DaemonSettings.SpreadMode.WATCH, SpreadTuning.DEFAULT, 0, List.of()),
                     new DaemonSettings.Admin(Optional.empty(), 1));
-            KeyDuty keys = new KeyDuty(new MemoryStore(TIME), instance, invariants, metrics, TIME);
-            callPath = new CallPath(settings, installed, membership, keys, () -> state, metrics, invariants, TIME);
+            KeyDuty keyDuty = new KeyDuty(new MemoryStore(TIME), instance, invariants, metrics, TIME);
+            callPath = new CallPath(settings, installed, membership, keyDuty, () -> state, metrics, invariants, TIME);
             installed.install(version);
             callerServer = serve(callPath.entry());
             peerServer = serve(callPath.owner());
@@ -118,15 +118,15 @@
     /** A rig whose daemons have the declared configuration in force. */
     CallPathCluster(String declarations) {
         VersionRepository repository = new VersionRepository(new MemoryStore(TIME));
-        Deadline by = Deadline.afterMillis(TIME, APPLY_TIMEOUT_MILLIS);
+        Deadline deadline = Deadline.afterMillis(TIME, APPLY_TIMEOUT_MILLIS);
         ApplyResult applied = new ApplyCommand(repository, TIME)
                 .addDocument("test.toml", declarations)
-                .setDeadline(by)
+                .setDeadline(deadline)
                 .call();
         if (!(applied instanceof ApplyResult.Accepted accepted)) {
             throw new IllegalArgumentException(applied.toString());
         }
-        if (!(repository.read(accepted.version(), Map.of(), by)
+        if (!(repository.read(accepted.version(), Map.of(), deadline)
                 instanceof Result.Ok<VersionContent, VersionError>(VersionContent content))) {
             throw new IllegalStateException("the version can't be read back");
         }
@@ -143,48 +143,48 @@
     /** Moves a known daemon to another address, as its next incarnation. */
     void announceNewAddress(String instance, HostPort address) {
         daemons.values()
-                .forEach(d -> d.membership
+                .forEach(daemon -> daemon.membership
                         .view()
                         .find(instance)
-                        .ifPresent(m -> d.membership.merge(new Member(
+                        .ifPresent(known -> daemon.membership.merge(new Member(
                                 instance,
-                                m.service(),
+                                known.service(),
                                 address,
-                                m.place(),
-                                m.labels(),
+                                known.place(),
+                                known.labels(),
                                 Member.State.UP,
-                                m.incarnation() + 1,
-                                m.slots(),
-                                m.version(),
-                                m.installedAtEpochMillis()))));
+                                known.incarnation() + 1,
+                                known.slots(),
+                                known.version(),
+                                known.installedAtEpochMillis()))));
     }
 
     /** Makes a daemon known to all daemons as a member that is up at {@code address}. */
     void announce(String instance, String service, HostPort address) {
         Member member =
                 new Member(instance, service, address, PLACE, new Labels(Map.of()), Member.State.UP, 1, 12, 1, 1);
-        daemons.values().forEach(d -> d.membership.merge(member));
+        daemons.values().forEach(daemon -> daemon.membership.merge(member));
     }
 
     /** Adds a daemon and makes it known. */
     TestDaemon addMember(String instance, String service, HostPort backend) {
         TestDaemon daemon = addDaemon(instance, service, backend);
-        daemons.forEach((name, d) -> d.membership.view().all().forEach(m -> daemon.membership.merge(m)));
+        daemons.forEach((name, existing) -> existing.membership.view().all().forEach(member -> daemon.membership.merge(member)));
         announce(instance, service, daemon.peerAddress());
         return daemon;
     }
 
     /** Breaches of any invariant in any daemon. */
     List<String> breachedInvariants() {
-        List<String> found = new ArrayList<>();
-        daemons.forEach((name, d) -> {
-            for (Invariant i : Invariant.values()) {
-                if (d.invariants.breaches(i) > 0) {
-                    found.add(name + " " + i);
+        List<String> breached = new ArrayList<>();
+        daemons.forEach((name, daemon) -> {
+            for (Invariant invariant : Invariant.values()) {
+                if (daemon.invariants.breaches(invariant) > 0) {
+                    breached.add(name + " " + invariant);
                 }
             }
         });
-        return found;
+        return breached;
     }
 
     @Override
