--- a/org.berylwick.test/tst/org/berylwick/daemon/call/ContentLengthCheckTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/ContentLengthCheckTest.java
@@ -15,9 +15,9 @@
 class ContentLengthCheckTest {
     private static final HttpData BODY = HttpData.ofUtf8("abcde");
 
-    private static StreamMessage<HttpData> checkedBody(HttpMethod method, HttpStatus status, long announced) {
+    private static StreamMessage<HttpData> checkedBody(HttpMethod method, HttpStatus status, long contentLength) {
         ResponseHeaders head =
-                ResponseHeaders.builder(status).contentLength(announced).build();
+                ResponseHeaders.builder(status).contentLength(contentLength).build();
         return ContentLengthCheck.wrap(method, head, StreamMessage.of(BODY));
     }
 
@@ -40,8 +40,8 @@
     void contentLengthOfBodilessResponseIsNotChecked() {
         assertEquals(1, countParts(checkedBody(HttpMethod.HEAD, HttpStatus.OK, 89)));
         assertEquals(1, countParts(checkedBody(HttpMethod.GET, HttpStatus.NOT_MODIFIED, 89)));
-        StreamMessage<HttpData> unannounced =
+        StreamMessage<HttpData> bodyWithoutContentLength =
                 ContentLengthCheck.wrap(HttpMethod.GET, ResponseHeaders.of(HttpStatus.OK), StreamMessage.of(BODY));
-        assertEquals(1, countParts(unannounced));
+        assertEquals(1, countParts(bodyWithoutContentLength));
     }
 }
