--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OutcomeTest.java
@@ -35,17 +35,17 @@
         secondServer.close();
     }
 
-    private static AggregatedHttpResponse send(TestDaemon entry, HttpMethod method, String path, String id) {
+    private static AggregatedHttpResponse send(TestDaemon entry, HttpMethod method, String path, String requestId) {
         RequestHeadersBuilder headers =
-                RequestHeaders.builder(method, path).set("host", "one.example").set("x-request-id", id);
+                RequestHeaders.builder(method, path).set("host", "one.example").set("x-request-id", requestId);
         WebClient client = WebClient.of("http://" + entry.callerAddress());
         return method == HttpMethod.POST
                 ? client.execute(headers.build(), BODY).aggregate().join()
                 : client.execute(headers.build()).aggregate().join();
     }
 
-    private int runCount(String id) {
-        return firstServer.runs(id) + secondServer.runs(id);
+    private int runCount(String requestId) {
+        return firstServer.runs(requestId) + secondServer.runs(requestId);
     }
 
     /** An entry whose only members are the two backend servers beside other daemons. */
@@ -66,11 +66,11 @@
         // The caller gets 502 outcome-unknown without Retry-After: the server has read the head of the order and
         // resets before the body; it may have begun, so neither owner nor entry may send it again.
         TestDaemon entry = addEntryAndTwoMembers();
-        setBothScripts((c, r) -> c.reset());
-        AggregatedHttpResponse answer = send(entry, HttpMethod.POST, "/orders", "o-1");
-        assertEquals(502, answer.status().code());
-        assertTrue(answer.contentUtf8().contains("outcome-unknown"), answer.contentUtf8());
-        assertFalse(answer.headers().contains("retry-after"));
+        setBothScripts((connection, request) -> connection.reset());
+        AggregatedHttpResponse response = send(entry, HttpMethod.POST, "/orders", "o-1");
+        assertEquals(502, response.status().code());
+        assertTrue(response.contentUtf8().contains("outcome-unknown"), response.contentUtf8());
+        assertFalse(response.headers().contains("retry-after"));
         assertEquals(1, runCount("o-1"));
     }
 
@@ -78,9 +78,9 @@
     void serverResetAfterRequestBodyIsUnknownAndNotRetried() {
         // The caller gets 502 outcome-unknown: the server has the whole order and resets before it answers.
         TestDaemon entry = addEntryAndTwoMembers();
-        setBothScripts((c, r) -> {
-            c.read(BODY.length());
-            c.reset();
+        setBothScripts((connection, request) -> {
+            connection.read(BODY.length());
+            connection.reset();
         });
         assertEquals(
                 502, send(entry, HttpMethod.POST, "/orders", "o-2").status().code());
@@ -91,10 +91,10 @@
     void truncatedResponseHeadIsUnknownAndNotRetried() {
         // The caller gets 502 outcome-unknown: half a status line came back, which says nothing.
         TestDaemon entry = addEntryAndTwoMembers();
-        setBothScripts((c, r) -> {
-            c.read(BODY.length());
-            c.write("HTTP/1.1 200 O");
-            c.reset();
+        setBothScripts((connection, request) -> {
+            connection.read(BODY.length());
+            connection.write("HTTP/1.1 200 O");
+            connection.reset();
         });
         assertEquals(
                 502, send(entry, HttpMethod.POST, "/orders", "o-3").status().code());
@@ -106,16 +106,16 @@
         // The caller gets its tile: the first server resets after the head, and as the route is idempotent the entry
         // asks the other one.
         TestDaemon entry = addEntryAndTwoMembers();
-        RawServer.Script once = (c, r) -> {
-            if (runCount(r.id()) == 1) {
-                c.reset();
+        RawServer.Script resetFirstRun = (connection, request) -> {
+            if (runCount(request.id()) == 1) {
+                connection.reset();
             } else {
-                c.answer(r, "tile");
+                connection.answer(request, "tile");
             }
         };
-        setBothScripts(once);
-        AggregatedHttpResponse answer = send(entry, HttpMethod.GET, "/tiles/1", "t-1");
-        assertEquals("tile", answer.contentUtf8());
+        setBothScripts(resetFirstRun);
+        AggregatedHttpResponse response = send(entry, HttpMethod.GET, "/tiles/1", "t-1");
+        assertEquals("tile", response.contentUtf8());
         assertEquals(2, runCount("t-1"));
     }
 
@@ -150,33 +150,33 @@
     void nonIdempotentRequestIsRetriedWhenAddressBelongsToAnotherInstance() {
         // The caller gets its answer: the announced address was taken over by the daemon of another service, which
         // refuses the instance that it is not; its backend server must not see the order.
-        RawServer other = new RawServer();
+        RawServer otherServer = new RawServer();
         TestDaemon entry = cluster.addDaemon("entry", "none", firstServer.address());
-        TestDaemon taken = cluster.addDaemon("taken", "none", other.address());
+        TestDaemon newHolder = cluster.addDaemon("taken", "none", otherServer.address());
         cluster.addMember("b", "web", secondServer.address());
-        cluster.announce("old", "web", taken.peerAddress());
+        cluster.announce("old", "web", newHolder.peerAddress());
         for (int i = 0; i < 8; i++) {
             assertEquals(
                     200,
                     send(entry, HttpMethod.POST, "/orders", "w-" + i).status().code());
         }
-        assertEquals(List.of(), other.requests());
-        other.close();
+        assertEquals(List.of(), otherServer.requests());
+        otherServer.close();
     }
 
     @Test
     void nonIdempotentRequestIsRetriedWhenServerShedsIt() {
         // The caller gets its answer: the first server sheds the order with x-shed and did not run it.
         TestDaemon entry = addEntryAndTwoMembers();
-        RawServer.Script shedFirst = (c, r) -> {
-            c.read(BODY.length());
-            if (runCount(r.id()) == 1) {
-                c.write("HTTP/1.1 503 Busy\r\nx-shed: true\r\ncontent-length: 4\r\n\r\nbusy");
+        RawServer.Script shedFirstRun = (connection, request) -> {
+            connection.read(BODY.length());
+            if (runCount(request.id()) == 1) {
+                connection.write("HTTP/1.1 503 Busy\r\nx-shed: true\r\ncontent-length: 4\r\n\r\nbusy");
             } else {
-                c.answer(r, "booked");
+                connection.answer(request, "booked");
             }
         };
-        setBothScripts(shedFirst);
+        setBothScripts(shedFirstRun);
         assertEquals("booked", send(entry, HttpMethod.POST, "/orders", "s-1").contentUtf8());
     }
 
@@ -188,13 +188,13 @@
         TestDaemon owner = cluster.addDaemon("a", "web", firstServer.address());
         try (TcpRelay relay = new TcpRelay(owner.peerAddress())) {
             cluster.announce("a", "web", relay.address());
-            firstServer.setScript((c, r) -> {
+            firstServer.setScript((connection, request) -> {
                 relay.cutOpen();
-                c.awaitClosedByPeer();
+                connection.awaitClosedByPeer();
             });
-            AggregatedHttpResponse answer = send(entry, HttpMethod.POST, "/orders", "x-1");
-            assertEquals(502, answer.status().code());
-            assertTrue(answer.contentUtf8().contains("outcome-unknown"));
+            AggregatedHttpResponse response = send(entry, HttpMethod.POST, "/orders", "x-1");
+            assertEquals(502, response.status().code());
+            assertTrue(response.contentUtf8().contains("outcome-unknown"));
             assertEquals(1, runCount("x-1"));
         }
     }
@@ -205,13 +205,13 @@
         // connected to any more. Saying "not run" for the last attempt would be untrue of the first.
         TestDaemon entry = cluster.addDaemon("entry", "none", firstServer.address());
         cluster.addMember("a", "web", firstServer.address());
-        firstServer.setScript((c, r) -> {
+        firstServer.setScript((connection, request) -> {
             firstServer.close();
-            c.reset();
+            connection.reset();
         });
-        AggregatedHttpResponse answer = send(entry, HttpMethod.GET, "/tiles/2", "r-1");
-        assertTrue(answer.contentUtf8().contains("outcome-unknown"), answer.contentUtf8());
-        assertEquals("1", answer.headers().get("retry-after"));
+        AggregatedHttpResponse response = send(entry, HttpMethod.GET, "/tiles/2", "r-1");
+        assertTrue(response.contentUtf8().contains("outcome-unknown"), response.contentUtf8());
+        assertEquals("1", response.headers().get("retry-after"));
         assertEquals(1, runCount("r-1"));
     }
 
@@ -220,7 +220,7 @@
         // The caller, which said it waits 0 ms, gets 503 not-run: its server never hears of the order.
         TestDaemon entry = addEntryAndTwoMembers();
         WebClient client = WebClient.of("http://" + entry.callerAddress());
-        AggregatedHttpResponse answer = client.execute(
+        AggregatedHttpResponse response = client.execute(
                         RequestHeaders.builder(HttpMethod.POST, "/orders")
                                 .set("host", "one.example")
                                 .set("x-request-id", "z-1")
@@ -229,8 +229,8 @@
                         BODY)
                 .aggregate()
                 .join();
-        assertEquals(503, answer.status().code());
-        assertTrue(answer.contentUtf8().contains("deadline"), answer.contentUtf8());
+        assertEquals(503, response.status().code());
+        assertTrue(response.contentUtf8().contains("deadline"), response.contentUtf8());
         assertEquals(0, runCount("z-1"));
     }
 
@@ -260,7 +260,7 @@
         TestDaemon entry = cluster.addDaemon("a", "web", firstServer.address());
         cluster.announce("a", "web", new HostPort("127.0.0.1", 1));
         assertEquals("ok", send(entry, HttpMethod.POST, "/orders", "p-1").contentUtf8());
-        firstServer.setScript((c, r) -> c.reset());
+        firstServer.setScript((connection, request) -> connection.reset());
         assertEquals(
                 502, send(entry, HttpMethod.POST, "/orders", "p-2").status().code());
         assertEquals(1, runCount("p-2"));
