--- a/org.berylwick.test/tst/org/berylwick/daemon/call/OverloadTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/OverloadTest.java
@@ -62,19 +62,19 @@
         connection.answer(request, request.id());
     }
 
-    private HttpResponse send(HttpMethod method, String path, String id) {
+    private HttpResponse send(HttpMethod method, String path, String requestId) {
         return client.execute(HttpRequest.of(RequestHeaders.builder(method, path)
                 .set("host", "one.example")
-                .set("x-request-id", id)
+                .set("x-request-id", requestId)
                 .build()));
     }
 
-    private List<CompletableFuture<AggregatedHttpResponse>> sendConcurrently(String path, String prefix, int count) {
-        List<CompletableFuture<AggregatedHttpResponse>> answers = new ArrayList<>();
+    private List<CompletableFuture<AggregatedHttpResponse>> sendConcurrently(String path, String requestIdPrefix, int count) {
+        List<CompletableFuture<AggregatedHttpResponse>> responses = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            answers.add(send(HttpMethod.GET, path, prefix + i).aggregate());
+            responses.add(send(HttpMethod.GET, path, requestIdPrefix + i).aggregate());
         }
-        return answers;
+        return responses;
     }
 
     @Test
@@ -82,22 +82,22 @@
         // Two hundred callers come at once to one backend server of 12 slots. It never runs or connects more than 12,
         // some callers wait their turn, and each of the others is told that its request was not run, which is so, and
         // when to come back.
-        List<CompletableFuture<AggregatedHttpResponse>> answers = sendConcurrently("/tiles/1", "t-", 200);
+        List<CompletableFuture<AggregatedHttpResponse>> responses = sendConcurrently("/tiles/1", "t-", 200);
         Await.until("all slots taken", () -> running.get() == SLOTS, running::get);
-        Await.until("somebody refused", () -> answers.stream().anyMatch(CompletableFuture::isDone), running::get);
+        Await.until("somebody refused", () -> responses.stream().anyMatch(CompletableFuture::isDone), running::get);
         releaseLatch.countDown();
-        int refused = 0;
-        for (int i = 0; i < answers.size(); i++) {
-            AggregatedHttpResponse answer = answers.get(i).join();
-            boolean ran = answer.status().code() == 200;
-            assertEquals(ran ? 1 : 0, server.runs("t-" + i), answer.status().toString());
-            if (!ran) {
-                refused++;
-                assertEquals(503, answer.status().code());
-                assertTrue(answer.headers().getLong("retry-after", 0) > 0);
+        int refusedCount = 0;
+        for (int i = 0; i < responses.size(); i++) {
+            AggregatedHttpResponse response = responses.get(i).join();
+            boolean wasRun = response.status().code() == 200;
+            assertEquals(wasRun ? 1 : 0, server.runs("t-" + i), response.status().toString());
+            if (!wasRun) {
+                refusedCount++;
+                assertEquals(503, response.status().code());
+                assertTrue(response.headers().getLong("retry-after", 0) > 0);
             }
         }
-        assertTrue(refused > 0 && refused < answers.size(), "refused " + refused);
+        assertTrue(refusedCount > 0 && refusedCount < responses.size(), "refused " + refusedCount);
         assertEquals(SLOTS, peakRunning.get());
     }
 
@@ -139,10 +139,10 @@
         // and not be run later for nobody.
         sendConcurrently("/tiles/1", "t-", SLOTS);
         Await.until("all slots taken", () -> running.get() == SLOTS, running::get);
-        HttpResponse waiting = send(HttpMethod.GET, "/tiles/1", "gone");
-        waiting.subscribe();
+        HttpResponse queued = send(HttpMethod.GET, "/tiles/1", "gone");
+        queued.subscribe();
         Await.until("it waits", () -> owner.gaugeValue("limit.queue.waiting.READ") == 1, running::get);
-        waiting.abort();
+        queued.abort();
         Await.until("it left", () -> owner.gaugeValue("limit.queue.waiting.READ") == 0, running::get);
         assertEquals(1, owner.counterValue("limit.cancelled.READ"));
         releaseLatch.countDown();
