--- a/org.berylwick.test/tst/org/berylwick/daemon/call/RawCaller.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/RawCaller.java
@@ -28,8 +28,8 @@
     }
 
     /** Sends a GET with more header lines, each ended by CR LF. */
-    void get(String path, String lines) throws IOException {
-        write("GET " + path + " HTTP/1.1\r\nhost: one.example\r\n" + lines + "\r\n");
+    void get(String path, String extraHeaderLines) throws IOException {
+        write("GET " + path + " HTTP/1.1\r\nhost: one.example\r\n" + extraHeaderLines + "\r\n");
     }
 
     InputStream inputStream() throws IOException {
@@ -46,18 +46,18 @@
      * @throws SocketTimeoutException if it does not end
      */
     String readToEnd() throws IOException {
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
+        ByteArrayOutputStream received = new ByteArrayOutputStream();
         byte[] buffer = new byte[BUFFER_BYTES];
         try {
-            for (int n = socket.getInputStream().read(buffer);
-                    n >= 0;
-                    n = socket.getInputStream().read(buffer)) {
-                all.write(buffer, 0, n);
+            for (int count = socket.getInputStream().read(buffer);
+                    count >= 0;
+                    count = socket.getInputStream().read(buffer)) {
+                received.write(buffer, 0, count);
             }
         } catch (SocketException e) {
             // A reset ends the connection as well.
         }
-        return all.toString(StandardCharsets.ISO_8859_1);
+        return received.toString(StandardCharsets.ISO_8859_1);
     }
 
     @Override
