--- a/org.berylwick.test/tst/org/berylwick/daemon/call/SilenceTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/SilenceTest.java
@@ -31,14 +31,14 @@
         server.close();
     }
 
-    private static CompletableFuture<AggregatedHttpResponse> sendOrder(TestDaemon entry, String id) {
+    private static CompletableFuture<AggregatedHttpResponse> sendOrder(TestDaemon entry, String requestId) {
         return WebClient.builder("http://" + entry.callerAddress())
                 .responseTimeoutMillis(60_000)
                 .build()
                 .execute(
                         RequestHeaders.builder(HttpMethod.POST, "/orders")
                                 .set("host", "one.example")
-                                .set("x-request-id", id)
+                                .set("x-request-id", requestId)
                                 .build(),
                         BODY)
                 .aggregate();
@@ -57,20 +57,20 @@
                 assertEquals(200, sendOrder(entry, "before-" + i).join().status().code());
             }
             relay.freezeOpen();
-            int before = relay.accepted();
-            List<CompletableFuture<AggregatedHttpResponse>> pending = new ArrayList<>();
+            int acceptedBeforeFreeze = relay.accepted();
+            List<CompletableFuture<AggregatedHttpResponse>> responses = new ArrayList<>();
             Await.until(
                     "orders are answered again",
                     () -> {
                         // Faster than any ping interval, as under load.
-                        pending.add(sendOrder(entry, "during-" + pending.size()));
-                        return pending.stream()
-                                .anyMatch(p -> p.isDone() && p.join().status().code() == 200);
+                        responses.add(sendOrder(entry, "during-" + responses.size()));
+                        return responses.stream()
+                                .anyMatch(response -> response.isDone() && response.join().status().code() == 200);
                     },
-                    pending::size);
-            assertTrue(relay.accepted() > before, "accepted " + relay.accepted());
-            for (int i = 0; i < pending.size(); i++) {
-                int status = pending.get(i).join().status().code();
+                    responses::size);
+            assertTrue(relay.accepted() > acceptedBeforeFreeze, "accepted " + relay.accepted());
+            for (int i = 0; i < responses.size(); i++) {
+                int status = responses.get(i).join().status().code();
                 int runs = server.runs("during-" + i);
                 assertTrue(status == 200 ? runs == 1 : runs <= 1, "during-" + i + " " + status + " runs " + runs);
             }
@@ -88,14 +88,14 @@
             WebClient client = WebClient.builder("http://" + entry.callerAddress())
                     .responseTimeoutMillis(60_000)
                     .build();
-            RequestHeaders tile = RequestHeaders.builder(HttpMethod.GET, "/tiles/1")
+            RequestHeaders readHeaders = RequestHeaders.builder(HttpMethod.GET, "/tiles/1")
                     .set("host", "one.example")
                     .build();
             for (int i = 0; i < 40; i++) {
-                client.execute(tile).aggregate().join();
+                client.execute(readHeaders).aggregate().join();
             }
             relay.freezeOpen();
-            assertEquals(200, client.execute(tile).aggregate().join().status().code());
+            assertEquals(200, client.execute(readHeaders).aggregate().join().status().code());
         }
     }
 
@@ -107,15 +107,15 @@
             TestDaemon entry = cluster.addMember("a", "web", relay.address());
             assertEquals(200, sendOrder(entry, "first").join().status().code());
             relay.freezeOpen();
-            int unknown = 0;
+            int unknownCount = 0;
             int status = 0;
             for (int i = 0; i < 4 && status != 200; i++) {
                 status = sendOrder(entry, "next-" + i).join().status().code();
-                unknown += status == 504 ? 1 : 0;
+                unknownCount += status == 504 ? 1 : 0;
                 assertTrue(server.runs("next-" + i) <= 1);
             }
             assertEquals(200, status);
-            assertTrue(unknown <= 1, "unknown " + unknown);
+            assertTrue(unknownCount <= 1, "unknown " + unknownCount);
         }
     }
 }
