--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRequest.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRequest.java
@@ -11,11 +11,11 @@
  * @param trafficClass decides its place in the queue for a slot
  * @param headDeadline by when the head of the answer must be there
  * @param transferLimit what bounds the rest of the answer
- * @param request with the headers that go to the backend server
+ * @param httpRequest with the headers that go to the backend server
  */
 record OwnerRequest(
         String requestId,
         TrafficClass trafficClass,
         Deadline headDeadline,
         TransferLimit transferLimit,
-        HttpRequest request) {}
+        HttpRequest httpRequest) {}
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
@@ -111,7 +111,7 @@
     }
 
     private HttpRequest newBackendRequest() {
-        RequestHeadersBuilder headers = request.request().headers().toBuilder();
+        RequestHeadersBuilder headers = request.httpRequest().headers().toBuilder();
         CallHeaders.removeInternal(headers);
         Optional<Deadline> callerDeadline = switch (request.transferLimit()) {
             case TransferLimit.CompletionDeadline(Deadline wholeDeadline) ->
@@ -122,7 +122,7 @@
         headers.remove(CallHeaders.TIMEOUT_MILLIS);
         callerDeadline.ifPresent(
                 deadline -> headers.setLong(CallHeaders.TIMEOUT_MILLIS, deadline.remainingMillis(owner.time())));
-        return request.request().withHeaders(headers);
+        return request.httpRequest().withHeaders(headers);
     }
 
     private void onResponseHead(ResponseHeaders responseHeaders, SplitHttpResponse split, SlotLimiter.Permit permit) {
@@ -152,7 +152,7 @@
         outcome.complete(new Outcome.Answered<>(new Answer(
                 headers.build(),
                 exchangeTimeout.onResponseHead(
-                        ContentLengthCheck.wrap(request.request().method(), responseHeaders, split.body())),
+                        ContentLengthCheck.wrap(request.httpRequest().method(), responseHeaders, split.body())),
                 split.trailers())));
     }
 
