--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
@@ -114,8 +114,8 @@
         RequestHeadersBuilder headers = request.httpRequest().headers().toBuilder();
         CallHeaders.removeInternal(headers);
         Optional<Deadline> callerDeadline = switch (request.transferLimit()) {
-            case TransferLimit.CompletionDeadline(Deadline wholeDeadline) ->
-                Optional.of(wholeDeadline.earlier(request.headDeadline()));
+            case TransferLimit.CompletionDeadline(Deadline completionDeadline) ->
+                Optional.of(completionDeadline.earlier(request.headDeadline()));
             case TransferLimit.StallTimeout(long stallMillis, Optional<Deadline> progressCallerDeadline) ->
                 progressCallerDeadline;
         };
