--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Attempt.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Attempt.java
@@ -4,9 +4,10 @@
 import org.berylwick.lib.Outcome;
 
 /**
- * One attempt that is under way.
+ * An attempt in progress to have a request answered by a backend server.
  *
- * @param outcome completes with the head of the answer or with why there is none; never exceptionally
- * @param cancel gives it up, as far as the backend server; without effect once the outcome is known
+ * @param outcome completes with the response, as soon as its head has arrived, or with the reason why there is none;
+ *     never completes exceptionally
+ * @param cancel cancels the attempt on every hop up to the backend server; has no effect once the outcome is known
  */
 record Attempt(CompletableFuture<Outcome<Answer>> outcome, Runnable cancel) {}
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Owner.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Owner.java
@@ -11,12 +11,17 @@
 import org.berylwick.lib.TimeSource;
 
 /**
- * Has the own backend server run requests: admits them to its slots and says truthfully what became of each.
+ * Runs requests on the backend server of this daemon: admits them to its slots, forwards them and reports the outcome
+ * of each. A request is reported as not run only if nothing of it was sent or if the backend server shed it.
  *
- * <p>Requests come from other daemons by {@link OwnerService} and from the own entry directly; the outcomes are the
- * same. Any thread may call it.
+ * <p>Requests from other daemons arrive through {@link OwnerService}, those of the local entry through direct calls;
+ * the outcomes are the same. Thread-safe.
  */
 final class Owner {
+    /**
+     * Time after the first request sent in state LEAVING or GONE during which sending is no invariant breach; the state
+     * may change between the check for refusal and the sending.
+     */
     private static final long LEAVE_GRACE_MILLIS = 2_000;
 
     private final SlotLimiter limiter;
@@ -28,9 +33,9 @@
     private volatile Deadline leaveGraceEnd;
 
     /**
-     * The owner of one backend server.
+     * Creates the owner of one backend server.
      *
-     * @param memberState whether the backend server takes requests
+     * @param memberState supplies the member state of this daemon, which determines whether requests are accepted
      */
     Owner(
             SlotLimiter limiter,
@@ -47,19 +52,19 @@
         this.time = time;
     }
 
-    /** Has a request run. */
+    /** Starts a request: waits for a slot and then sends it to the backend server. */
     Attempt start(OwnerRequest request) {
         OwnerRun run = new OwnerRun(this, request);
         run.start();
         return new Attempt(run.outcome(), run::cancel);
     }
 
-    /** How loaded the backend server is, see {@link SlotLimiter#load()}. */
+    /** Load of the backend server, see {@link SlotLimiter#load()}. */
     int load() {
         return limiter.load();
     }
 
-    /** Why no request may be sent now, if so. */
+    /** Returns the reason for which a request with this deadline must be refused now, if there is one. */
     Optional<RefusalReason> refusalReason(Deadline deadline) {
         Member.State currentState = memberState.get();
         if (currentState == Member.State.STARTING) {
@@ -68,11 +73,11 @@
         if (currentState == Member.State.LEAVING || currentState == Member.State.GONE) {
             return Optional.of(RefusalReason.LEAVING);
         }
-        // A millisecond is the least that the wire can say; with less left the answer would come too late.
+        // Deadlines are transmitted in whole milliseconds; with less than one left the response would be late.
         return deadline.remainingMillis(time) <= 0 ? Optional.of(RefusalReason.DEADLINE) : Optional.empty();
     }
 
-    /** Checks, as a request goes out, that the backend server did not leave some time ago. */
+    /** Checks the invariant that no request is sent once the leave grace period has passed. */
     void checkSendAllowed(String requestId) {
         Member.State currentState = memberState.get();
         boolean leaving = currentState == Member.State.LEAVING || currentState == Member.State.GONE;
@@ -85,13 +90,13 @@
         invariants.check(
                 Invariant.NO_WORK_AFTER_LEAVE,
                 graceEnd == null || !graceEnd.isPast(time),
-                () -> "request " + requestId + " was sent to a backend server that is leaving");
+                () -> "request " + requestId + " was sent to a leaving backend server after the grace period");
     }
 
-    /** Checks that nothing was sent of a request that is called not run. */
+    /** Checks the invariant that nothing was sent of a request that is reported as not run. */
     void checkNotSent(String requestId, boolean sent) {
         invariants.check(
-                Invariant.REFUSAL_TRUE, !sent, () -> "request " + requestId + " was sent and is called not run");
+                Invariant.REFUSAL_TRUE, !sent, () -> "request " + requestId + " was sent but is reported as not run");
     }
 
     SlotLimiter limiter() {
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRequest.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRequest.java
@@ -5,13 +5,13 @@
 import org.berylwick.lib.TrafficClass;
 
 /**
- * A request as it reaches the owner of a backend server, from another daemon or from its own entry.
+ * A request to the owner of a backend server, from another daemon or from the entry of the same daemon.
  *
- * @param requestId names it on every hop
- * @param trafficClass decides its place in the queue for a slot
- * @param headDeadline by when the head of the answer must be there
- * @param transferLimit what bounds the rest of the answer
- * @param httpRequest with the headers that go to the backend server
+ * @param requestId identifies the request on every hop
+ * @param trafficClass determines the priority of the request for a slot
+ * @param headDeadline deadline for the head of the response
+ * @param transferLimit time limit of the transfer after the head of the response
+ * @param httpRequest request with the headers to forward to the backend server
  */
 record OwnerRequest(
         String requestId,
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
@@ -16,7 +16,7 @@
 import org.berylwick.lib.Outcome;
 import org.berylwick.lib.RefusalReason;
 
-/** One request at the owner of its backend server. */
+/** Runs one request at the owner: waits for a slot, sends the request and determines its outcome. */
 final class OwnerRun {
     private static final EventLog EVENTS = new EventLog(OwnerRun.class);
     private static final long RETRY_AFTER_MILLIS = 1_000;
@@ -39,7 +39,7 @@
         return outcome;
     }
 
-    /** Asks for a slot and sends the request once it is held. */
+    /** Requests a slot and sends the request when the slot is granted. */
     void start() {
         Optional<RefusalReason> refusalReason = owner.refusalReason(request.headDeadline());
         if (refusalReason.isPresent()) {
@@ -59,13 +59,12 @@
         });
     }
 
-    /** Gives the request up: nobody waits for its answer any more. */
+    /** Cancels the request because its response is no longer needed. */
     void cancel() {
         cancelled = true;
         CompletableFuture<Admission> currentAdmission = pendingAdmission;
         if (currentAdmission != null) {
-            // Without this the request keeps its place in the queue and later takes a slot for an answer that
-            // nobody reads.
+            // Otherwise the request would stay in the queue and later use a slot for a response that nobody reads.
             currentAdmission.cancel(false);
         }
         Exchange currentExchange = exchange;
@@ -75,7 +74,7 @@
     }
 
     private void onAdmitted(SlotLimiter.Permit permit) {
-        // Time has passed in the queue: the caller may be gone, the deadline past or the backend server leaving.
+        // While queued, the request may have been cancelled, or its deadline passed, or the server started to leave.
         Optional<RefusalReason> refusalReason =
                 cancelled ? Optional.of(RefusalReason.DEADLINE) : owner.refusalReason(request.headDeadline());
         if (refusalReason.isPresent()) {
@@ -91,8 +90,8 @@
                         request.headDeadline().remainingMillis(owner.time()));
         exchangeTimeout.start(newExchange);
         newExchange.response().whenComplete().whenComplete((done, failure) -> {
-            // On the connection's own thread, after the client library has put the connection back among the idle
-            // ones. Freed any earlier, the slot's next request would find none idle and open one more.
+            // Runs on the event loop of the connection after the client library has returned the connection to its
+            // pool. If the slot were released earlier, its next request would find no idle connection and open another.
             newExchange.context().eventLoop().execute(permit::close);
             owner.metrics().end();
         });
@@ -128,7 +127,7 @@
     private void onResponseHead(ResponseHeaders responseHeaders, SplitHttpResponse split, SlotLimiter.Permit permit) {
         String echoedRequestId = responseHeaders.get(CallHeaders.REQUEST_ID, request.requestId());
         if (!echoedRequestId.equals(request.requestId())) {
-            // The connection is one answer behind or ahead; every later answer on it would reach a wrong caller too.
+            // Responses and requests of this connection no longer match; every later response would be wrong as well.
             EVENTS.log(CallEvent.CROSSED_ANSWER, request.requestId(), echoedRequestId);
             owner.metrics().countCrossed();
             split.body().abort();
@@ -139,7 +138,7 @@
         if (responseHeaders.status().equals(HttpStatus.SERVICE_UNAVAILABLE)
                 && responseHeaders.contains(CallHeaders.SHED)) {
             permit.closeAfterShed();
-            // Read to its end, so that the connection can be used again.
+            // The connection can be reused only after the body was read to its end.
             split.body().subscribe();
             refuse(RefusalReason.SHED);
             return;
@@ -157,8 +156,8 @@
     }
 
     private void onFailure(Throwable failure) {
-        // Both must agree: the library's word that the peer cannot have seen the request, and that its head was
-        // never handed to the connection. With HTTP/1.1 a head that was handed over may have been run.
+        // Both conditions are required: the client library reports the request as unprocessed, and its head was never
+        // passed to the connection. With HTTP/1.1 a request whose head was passed on may have been run.
         boolean headSent = exchange.isHeadSent();
         if (Exchange.isUnprocessed(failure) && !headSent) {
             owner.checkNotSent(request.requestId(), exchange.isHeadSent());
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerService.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerService.java
@@ -17,9 +17,9 @@
 import org.berylwick.lib.TrafficClass;
 
 /**
- * Takes calls for the own backend server from other daemons.
+ * HTTP service through which other daemons send requests to the backend server of this daemon.
  *
- * <p>Every response says in {@link CallHeaders#OUTCOME} what is known.
+ * <p>Every response states the outcome of the request in the header {@link CallHeaders#OUTCOME}.
  */
 public final class OwnerService implements HttpService {
     private static final long MILLIS_PER_SECOND = 1_000;
@@ -29,9 +29,9 @@
     private final TimeSource time;
 
     /**
-     * The service of one daemon.
+     * Creates the service.
      *
-     * @param instance the own instance name
+     * @param instance instance name of this daemon; requests for another instance are refused
      */
     OwnerService(String instance, Owner owner, TimeSource time) {
         this.instance = instance;
@@ -43,7 +43,7 @@
     public HttpResponse serve(ServiceRequestContext ctx, HttpRequest request) {
         RequestHeaders headers = request.headers();
         String requestId = headers.get(CallHeaders.REQUEST_ID, "");
-        // An address is reused when a VM is replaced; the request is meant for the instance that had it before.
+        // The address of a replaced VM may be reused; the request may be meant for the instance that had it before.
         if (!instance.equals(headers.get(CallHeaders.INSTANCE)) || requestId.isEmpty()) {
             return toHttpResponse(requestId, new Outcome.RefusedNotRun<>(RefusalReason.NO_MEMBER, Optional.empty()));
         }
