--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/BackendServerClient.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/BackendServerClient.java
@@ -8,10 +8,11 @@
 import org.berylwick.lib.HostPort;
 
 /**
- * The connections to the backend server in the same VM.
+ * HTTP/1.1 client for the backend server in the same VM.
  *
- * <p>HTTP/1.1 with one request a connection at a time: giving up a request closes its connection, so its late answer
- * can reach nobody else. The slot limiter bounds how many there are.
+ * <p>Each connection carries one request at a time, without pipelining. Aborting a request closes its connection, so
+ * its late response can't be taken for the response to another request. The slot limiter bounds the number of
+ * connections.
  */
 final class BackendServerClient implements AutoCloseable {
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
@@ -36,7 +37,7 @@
                 .build();
     }
 
-    /** Sends a request; whoever subscribes to the response streams it. */
+    /** Sends a request; its response body is streamed to the subscriber. */
     Exchange execute(HttpRequest request, long timeoutMillis) {
         return Exchange.start(client, request, timeoutMillis);
     }
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ContentLengthCheck.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ContentLengthCheck.java
@@ -10,11 +10,11 @@
 import org.reactivestreams.Subscriber;
 
 /**
- * Fails a body that ends with fewer or more bytes than its head announced.
+ * Fails a response body that ends with fewer or more bytes than its Content-Length.
  *
- * <p>With ten calls in a chain that all reached their deadline at once, a body of 89 bytes ended after none of them as
- * if it were whole, three times in 304 runs on a busy machine. It stands next to the connection, so that such a body is
- * cut there, and can be asked for again, before its answer begins at the caller.
+ * <p>In 3 of 304 runs on a busy machine, with ten chained calls that all reached their deadline at the same time, a
+ * body of 89 bytes ended after 0 bytes without an error. The check is applied directly at the connection, so that such
+ * a body fails there and can be requested again before the caller has received the start of its response.
  */
 final class ContentLengthCheck extends FilteredStreamMessage<HttpData, HttpData> {
     private final long expectedBytes;
@@ -25,13 +25,13 @@
         this.expectedBytes = expectedBytes;
     }
 
-    /** The body with its length checked, if its head announced one. */
+    /** Returns the body with its length checked, or unchanged if the expected length is not known. */
     static StreamMessage<HttpData> wrap(HttpMethod method, ResponseHeaders head, StreamMessage<HttpData> body) {
         OptionalLong expectedLength = expectedLength(method, head);
         return expectedLength.isPresent() ? new ContentLengthCheck(body, expectedLength.getAsLong()) : body;
     }
 
-    /** The bytes that follow a head, if it says how many. */
+    /** Returns the number of body bytes to expect; empty without Content-Length and for responses that have no body. */
     static OptionalLong expectedLength(HttpMethod method, ResponseHeaders head) {
         boolean lengthNotApplicable =
                 method == HttpMethod.HEAD || head.status().equals(HttpStatus.NOT_MODIFIED) || head.contentLength() < 0;
@@ -47,7 +47,8 @@
     @Override
     protected void beforeComplete(Subscriber<? super HttpData> subscriber) {
         if (receivedBytes != expectedBytes) {
-            throw new IllegalStateException("the body has " + receivedBytes + " bytes, announced " + expectedBytes);
+            throw new IllegalStateException(
+                    "response body has " + receivedBytes + " bytes, Content-Length is " + expectedBytes);
         }
     }
 }
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/Exchange.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/Exchange.java
@@ -15,23 +15,23 @@
 import java.time.Duration;
 
 /**
- * One request on the wire, with what its connection tells about it.
+ * One HTTP request that was passed to the client library, with its response and transport state.
  *
- * @param response streams once subscribed to
- * @param context of the request at the client
+ * @param response streaming response
+ * @param context client-side context of the request
  */
 record Exchange(HttpResponse response, ClientRequestContext context) {
-    /** What is said of an attempt whose answer did not come in its time. */
+    /** Detail of the unknown outcome of an attempt whose response timed out; also sent to other daemons. */
     static final String RESPONSE_TIMEOUT_DETAIL = "no answer in time";
 
     /**
      * Sends a request.
      *
-     * <p>Its answer is taken from its connection on that connection's own thread. A connection stops being read while
-     * much of a body waits to be taken, and is read on when that was taken; with the two on different threads "read on"
-     * could come before "stop", and the transfer stood still for good.
+     * <p>The response is consumed on the event loop of its connection. Reading from a connection is paused while too
+     * much of a body is buffered, and resumed when the buffer was consumed. If these ran on different threads, the
+     * resume could be processed before the pause and the transfer would stall permanently.
      *
-     * @param timeoutMillis from now until the whole response is there, waiting for a connection included
+     * @param timeoutMillis time until the response must be complete, including the wait for a connection
      */
     static Exchange start(WebClient client, HttpRequest request, long timeoutMillis) {
         RequestOptions options = RequestOptions.builder()
@@ -46,34 +46,34 @@
     }
 
     /**
-     * Tells whether the peer's code cannot have seen any of the request.
+     * Returns whether the peer's application code can't have received any part of the request.
      *
-     * <p>The client library calls a request unprocessed when no connection could be had, when the write of its head
-     * failed, when the peer refused its HTTP/2 stream, and when the peer's GOAWAY excluded the stream. A head that is
-     * not wholly written is no request to the peer.
+     * <p>The client library reports a request as unprocessed if no connection could be established, if writing its head
+     * failed, if the peer refused its HTTP/2 stream, or if the peer's GOAWAY frame excluded the stream. A peer does not
+     * process a request whose head was not written completely.
      */
     static boolean isUnprocessed(Throwable failure) {
         return failure instanceof UnprocessedRequestException;
     }
 
-    /** What is said of an attempt that failed so. */
+    /** Returns the detail of the unknown outcome of an attempt that failed with {@code failure}. */
     static String describe(Throwable failure) {
         return failure instanceof ResponseTimeoutException
                 ? RESPONSE_TIMEOUT_DETAIL
                 : failure.getClass().getSimpleName();
     }
 
-    /** Tells whether the head of the request was handed to the connection. */
+    /** Returns whether the head of the request was passed to the connection. */
     boolean isHeadSent() {
         return context.log().partial().requestFirstBytesTransferredTimeNanos() != null;
     }
 
-    /** Gives the response this much longer, from now. */
+    /** Sets the response timeout to {@code millis} from now, at least 1 ms. */
     void extendResponseTimeout(long millis) {
         context.setResponseTimeout(TimeoutMode.SET_FROM_NOW, Duration.ofMillis(Math.max(1, millis)));
     }
 
-    /** Closes the connection that the request went over, so that nothing more is read from it. */
+    /** Closes the connection of the request, so that nothing more is read from it. */
     void closeConnection() {
         Channel channel = context.log().partial().channel();
         if (channel != null) {
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/ExchangeTimeout.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/ExchangeTimeout.java
@@ -7,12 +7,16 @@
 import org.berylwick.lib.TimeSource;
 
 /**
- * Keeps the time limit of one exchange: first for the head of its answer, then for the rest.
+ * Adjusts the response timeout of one exchange: the initial timeout applies to the head of the response, then the
+ * transfer limit applies to the body.
  *
- * <p>A bulk transfer's limit is moved on whenever some of its body moves, in either direction.
+ * <p>With a stall timeout, used for bulk transfers, the timeout is extended whenever body data is transferred in either
+ * direction.
  */
 final class ExchangeTimeout {
+    /** Maximum number of extensions within one stall timeout, so that not every piece of data resets the timer. */
     private static final int EXTENSIONS_PER_STALL_TIMEOUT = 8;
+
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final TransferLimit transferLimit;
@@ -25,18 +29,18 @@
         this.time = time;
     }
 
-    /** The request with its body watched, if that matters. */
+    /** Returns the request; with a stall timeout, sending its body extends the timeout. */
     HttpRequest trackProgress(HttpRequest request) {
         return transferLimit instanceof TransferLimit.StallTimeout ? request.peekData(data -> onProgress()) : request;
     }
 
-    /** The exchange whose limit is kept. */
+    /** Sets the exchange whose timeout is adjusted. */
     void start(Exchange startedExchange) {
         exchange = startedExchange;
         nextExtensionNanos = time.nanoTime();
     }
 
-    /** The head is there; returns the body to pass on. */
+    /** Applies the transfer limit when the response head has arrived; returns the body to forward. */
     StreamMessage<HttpData> onResponseHead(StreamMessage<HttpData> body) {
         return switch (transferLimit) {
             case TransferLimit.CompletionDeadline(Deadline deadline) -> {
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/FramingCheck.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/FramingCheck.java
@@ -13,16 +13,16 @@
 import io.netty.handler.codec.http.LastHttpContent;
 
 /**
- * Fails an HTTP/1.1 answer whose body ends only with its connection.
+ * Fails an HTTP/1.1 response whose body is delimited only by the close of its connection.
  *
- * <p>Without a length or chunks the close of the connection is the end of the body, also when the server crashed
- * midway: the caller would take a cut answer for a whole one. It is treated as cut. An answer that has no body ends
- * while its connection is open and passes.
+ * <p>Without Content-Length or chunked encoding, the close of the connection ends the body even if the server crashed
+ * before it sent all of it, and the caller would take a truncated response for a complete one. Such a response is
+ * treated as truncated. A response without a body ends while its connection is open and passes.
  */
 final class FramingCheck extends ChannelInboundHandlerAdapter {
     private boolean selfDelimited = true;
 
-    /** Puts the check behind the codec of a client's pipeline, once there is one. */
+    /** Inserts the check after the HTTP codec of a client pipeline, at the first write after the codec was added. */
     static final class Installer extends ChannelDuplexHandler {
         @Override
         public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
@@ -45,8 +45,8 @@
                 && !selfDelimited
                 && !ctx.channel().isActive()) {
             DefaultLastHttpContent failedContent = new DefaultLastHttpContent(lastContent.content());
-            failedContent.setDecoderResult(
-                    DecoderResult.failure(new IllegalStateException("the body has no announced end")));
+            failedContent.setDecoderResult(DecoderResult.failure(
+                    new IllegalStateException("response body has neither Content-Length nor chunked encoding")));
             ctx.fireChannelRead(failedContent);
             return;
         }
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/TransferLimit.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/TransferLimit.java
@@ -3,22 +3,22 @@
 import java.util.Optional;
 import org.berylwick.lib.Deadline;
 
-/** What bounds the time that the answer takes after its head. */
+/** Time limit of a transfer after the head of the response has arrived. */
 sealed interface TransferLimit {
     /**
-     * The whole answer must be there.
+     * The response must be complete by a deadline.
      *
-     * @param deadline when
+     * @param deadline deadline for the end of the response
      */
     record CompletionDeadline(Deadline deadline) implements TransferLimit {}
 
     /**
-     * Some of the body must have moved.
+     * The transfer must make progress.
      *
-     * <p>For bulk transfers: however long one takes, it is cut only when it stands still.
+     * <p>Used for bulk transfers: their duration is not limited, they are aborted only when they stall.
      *
-     * @param stallMillis longest time in which nothing moves
-     * @param callerDeadline when the caller itself stops waiting, if it said so
+     * @param stallMillis maximum time without transferred body data
+     * @param callerDeadline deadline set by the caller, if any
      */
     record StallTimeout(long stallMillis, Optional<Deadline> callerDeadline) implements TransferLimit {}
 }
