--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/PeerClients.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/PeerClients.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import org.berylwick.lib.HostPort;
 
-/** HTTP/2 clients to other daemons, one an address. */
+/** HTTP/2 clients for other daemons, one per address. */
 final class PeerClients implements AutoCloseable {
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
 
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/PeerSender.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/PeerSender.java
@@ -14,12 +14,15 @@
 import org.berylwick.lib.RefusalReason;
 import org.berylwick.lib.TimeSource;
 
-/** Sends attempts to the daemons of other members and reads from their responses what is known. */
+/** Sends attempts to the daemons of other members and determines the outcome from their responses. */
 final class PeerSender {
     private static final long MILLIS_PER_SECOND = 1_000;
     private static final long DEFAULT_RETRY_AFTER_MILLIS = 1_000;
 
-    /** How much earlier the owner gives up than the entry, so that its true refusal still arrives. */
+    /**
+     * Maximum time by which the head deadline of the owner is earlier than that of the entry, so that a refusal by the
+     * owner still arrives in time. For short timeouts it is the timeout divided by {@link #HOP_MARGIN_DIVISOR}.
+     */
     private static final long MAX_HOP_MARGIN_MILLIS = 5;
 
     private static final int HOP_MARGIN_DIVISOR = 10;
@@ -35,8 +38,8 @@
     /**
      * Sends one attempt.
      *
-     * @param loadTracker takes in what the reply reports, and the end of the response
-     * @param headTimeoutMillis within which the head of the answer must be there
+     * @param loadTracker receives the load reported by the owner; closed when the response ends
+     * @param headTimeoutMillis time within which the head of the response must arrive
      */
     Attempt send(Call call, Member member, PeerLoads.Attempt loadTracker, long headTimeoutMillis) {
         RequestHeadersBuilder headers = call.headers().toBuilder();
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/SilenceDetector.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/SilenceDetector.java
@@ -10,13 +10,14 @@
 import org.berylwick.internal.event.EventLog;
 
 /**
- * Closes an HTTP/2 connection on which the other end has gone silent.
+ * Closes an HTTP/2 connection on which nothing is received any more.
  *
- * <p>A connection may go silent for good without being closed, and its requests would wait for their deadlines one
- * after another. The client library pings only a connection on which nothing is written, so requests with bodies would
- * hide the silence; here only what is read counts. A ping goes out a second after something was written that nothing
- * followed, and on an idle connection every three seconds; when nothing at all is read within two more, the connection
- * is closed: its requests end at once as unknown, and the next request opens another one.
+ * <p>A connection may stop delivering data permanently without being closed; each request on it would then wait until
+ * its deadline. The client library pings only connections on which nothing is written, so requests with bodies would
+ * hide the failure; this handler considers received data only. It sends a ping if nothing was received for one second
+ * and something was written since the last receipt, or if nothing was received for three seconds on an idle connection.
+ * If nothing is received within two seconds after the ping, it closes the connection: pending requests end immediately
+ * with unknown outcome, and the next request opens a new connection.
  */
 final class SilenceDetector extends ChannelDuplexHandler {
     private static final EventLog EVENTS = new EventLog(SilenceDetector.class);
@@ -62,7 +63,7 @@
     }
 
     private void checkConnection(ChannelHandlerContext ctx) {
-        // Reading stops while a slow caller holds back the stream; that silence is our own.
+        // Reading is paused by backpressure from a slow caller, so nothing can be received.
         if (!ctx.channel().config().isAutoRead()) {
             recordRead();
             return;
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/package-info.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/package-info.java
@@ -1,2 +1,2 @@
-/** The path of a request: entry daemon, owner daemon, backend server. */
+/** Forwarding of requests from the entry daemon through the owner daemon to the backend server. */
 package org.berylwick.daemon.call;
