--- a/org.berylwick.test/tst/org/berylwick/daemon/call/CallPathCluster.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/CallPathCluster.java
@@ -32,9 +32,10 @@
 import org.berylwick.transport.MemoryStore;
 
 /**
- * Call paths of several daemons without their control duties: the test itself says who is a member and where.
+ * Call paths of several daemons without membership protocol and configuration updates: the test defines the members and
+ * their addresses.
  *
- * <p>So a relay can stand between any two daemons, and between a daemon and its backend server.
+ * <p>This allows a test to put a relay between any two daemons, or between a daemon and its backend server.
  */
 final class CallPathCluster implements AutoCloseable {
     private static final TimeSource TIME = TimeSource.SYSTEM;
@@ -44,7 +45,7 @@
     private final Map<String, TestDaemon> daemons = new LinkedHashMap<>();
     private final VersionContent version;
 
-    /** One daemon of the rig. */
+    /** One daemon of the cluster. */
     static final class TestDaemon {
         final MetricRegistry metrics = new MetricRegistry();
         final Invariants invariants = new Invariants(metrics);
@@ -83,12 +84,12 @@
             return server;
         }
 
-        /** Where callers are served. */
+        /** Address for callers. */
         HostPort callerAddress() {
             return address(callerServer);
         }
 
-        /** Where peers are served. */
+        /** Address for other daemons. */
         HostPort peerAddress() {
             return address(peerServer);
         }
@@ -97,17 +98,17 @@
             return new HostPort("127.0.0.1", server.activeLocalPort());
         }
 
-        /** A counter of this daemon. */
+        /** Returns the value of a counter of this daemon. */
         long counterValue(String metric) {
             return metrics.counter(metric).getCount();
         }
 
-        /** A gauge of this daemon that has a whole number. */
+        /** Returns the value of an integer gauge of this daemon. */
         int gaugeValue(String metric) {
             return (Integer) metrics.getGauges().get(metric).getValue();
         }
 
-        /** Not waited for: the server library holds its threads for some seconds after the sockets are closed. */
+        /** Does not wait: the server library keeps its threads for some seconds after the sockets are closed. */
         private void close() {
             callerServer.stop();
             peerServer.stop();
@@ -115,7 +116,7 @@
         }
     }
 
-    /** A rig whose daemons have the declared configuration in force. */
+    /** Creates a cluster without daemons; daemons that are added have the declared configuration installed. */
     CallPathCluster(String declarations) {
         VersionRepository repository = new VersionRepository(new MemoryStore(TIME));
         Deadline deadline = Deadline.afterMillis(TIME, APPLY_TIMEOUT_MILLIS);
@@ -128,19 +129,19 @@
         }
         if (!(repository.read(accepted.version(), Map.of(), deadline)
                 instanceof Result.Ok<VersionContent, VersionError>(VersionContent content))) {
-            throw new IllegalStateException("the version can't be read back");
+            throw new IllegalStateException("applied configuration version can't be read");
         }
         version = content;
     }
 
-    /** Adds a daemon beside a backend server; nobody knows it as a member yet. */
+    /** Adds a daemon with its backend server; other daemons don't know it as a member yet. */
     TestDaemon addDaemon(String instance, String service, HostPort backend) {
         TestDaemon daemon = new TestDaemon(instance, service, backend, version);
         daemons.put(instance, daemon);
         return daemon;
     }
 
-    /** Moves a known daemon to another address, as its next incarnation. */
+    /** Announces a new address of a known member to all daemons, with the next incarnation number. */
     void announceNewAddress(String instance, HostPort address) {
         daemons.values()
                 .forEach(daemon -> daemon.membership
@@ -159,14 +160,14 @@
                                 known.installedAtEpochMillis()))));
     }
 
-    /** Makes a daemon known to all daemons as a member that is up at {@code address}. */
+    /** Announces a member to all daemons, in state UP at {@code address}. */
     void announce(String instance, String service, HostPort address) {
         Member member =
                 new Member(instance, service, address, PLACE, new Labels(Map.of()), Member.State.UP, 1, 12, 1, 1);
         daemons.values().forEach(daemon -> daemon.membership.merge(member));
     }
 
-    /** Adds a daemon and makes it known. */
+    /** Adds a daemon and announces it to all daemons as a member; it learns of all known members. */
     TestDaemon addMember(String instance, String service, HostPort backend) {
         TestDaemon daemon = addDaemon(instance, service, backend);
         daemons.forEach((name, existing) ->
@@ -175,7 +176,7 @@
         return daemon;
     }
 
-    /** Breaches of any invariant in any daemon. */
+    /** Returns the invariants that were breached, each preceded by the instance name of the daemon. */
     List<String> breachedInvariants() {
         List<String> breached = new ArrayList<>();
         daemons.forEach((name, daemon) -> {
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/ContentLengthCheckTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/ContentLengthCheckTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.CompletionException;
 import org.junit.jupiter.api.Test;
 
-/** A body that ends with another length than its head announced ends in an error, next to its connection. */
+/** Verifies that a body whose length differs from its Content-Length ends with an error. */
 class ContentLengthCheckTest {
     private static final HttpData BODY = HttpData.ofUtf8("abcde");
 
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/RawCaller.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/RawCaller.java
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import org.berylwick.lib.HostPort;
 
-/** A caller made of bytes, which sees exactly how an answer ends. */
+/** An HTTP/1.1 caller on a plain socket, which sees exactly how a response ends. */
 final class RawCaller implements AutoCloseable {
     private static final int READ_TIMEOUT_MILLIS = 30_000;
     private static final int BUFFER_BYTES = 64 << 10;
@@ -27,7 +27,7 @@
         socket.getOutputStream().flush();
     }
 
-    /** Sends a GET with more header lines, each ended by CR LF. */
+    /** Sends a GET request with extra header lines, each terminated by CR LF. */
     void get(String path, String extraHeaderLines) throws IOException {
         write("GET " + path + " HTTP/1.1\r\nhost: one.example\r\n" + extraHeaderLines + "\r\n");
     }
@@ -41,9 +41,9 @@
     }
 
     /**
-     * Everything until the connection ends.
+     * Reads until the connection ends.
      *
-     * @throws SocketTimeoutException if it does not end
+     * @throws SocketTimeoutException if nothing arrives within the read timeout and the connection does not end
      */
     String readToEnd() throws IOException {
         ByteArrayOutputStream received = new ByteArrayOutputStream();
@@ -55,7 +55,7 @@
                 received.write(buffer, 0, count);
             }
         } catch (SocketException e) {
-            // A reset ends the connection as well.
+            // A reset also ends the connection.
         }
         return received.toString(StandardCharsets.ISO_8859_1);
     }
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/TestConfiguration.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/TestConfiguration.java
@@ -1,8 +1,8 @@
 package org.berylwick.daemon.call;
 
-/** The configuration that the tests of this package share. */
+/** Configuration shared by the tests of this package. */
 final class TestConfiguration {
-    /** One brand with a route for each kind of traffic, all to the service "web". */
+    /** One brand with a route for each traffic class but lookup and one with a long timeout, all to service "web". */
     static final String TOML = """
             [[brand]]
             name = "one"
@@ -33,11 +33,11 @@
             name = "backups"
             path = "/backups"
             service = "web"
-            labels = { kind = "patient" }
+            labels = { kind = "long-timeout" }
 
             [[policy]]
-            name = "patient"
-            routes = "kind=patient"
+            name = "long-timeout"
+            routes = "kind=long-timeout"
             class = "bulk"
             timeout = "120s"
             idempotent = true
