--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -64,7 +64,7 @@
     private final Owner owner;
     private final VmLink link;
     private final Gossip gossip;
-    private final VersionUpdater versionKeeper;
+    private final VersionUpdater versionUpdater;
     private final NodeDiscovery directory;
     private final EntryServer entryServer;
     private final PeerServer peerServer;
@@ -109,7 +109,7 @@
         this.backendProbe = new BackendProbe(loop, settings, platform.headerNames(), owner, log);
         this.gossip = new Gossip(
                 loop, settings.ip(), settings.gossipPort(), members, this::localState, counters, log, this::onGossip);
-        this.versionKeeper = new VersionUpdater(
+        this.versionUpdater = new VersionUpdater(
                 loop,
                 platform.configurationSource(loop),
                 members,
@@ -125,13 +125,13 @@
         this.entryServer = CallPath.createEntryServer(
                 loop,
                 settings,
-                new CallPath.Callers(platform.headerNames(), versionKeeper::version, () -> service),
+                new CallPath.Callers(platform.headerNames(), versionUpdater::version, () -> service),
                 owner,
                 link,
                 createCandidates(),
                 budget,
                 new Instruments(counters, log));
-        this.peerServer = new PeerServer(loop, settings.peerAddress(), owner, link, versionKeeper::encodeDeltaFrom);
+        this.peerServer = new PeerServer(loop, settings.peerAddress(), owner, link, versionUpdater::encodeDeltaFrom);
         this.shutdown = new GracefulShutdown(
                 loop,
                 settings.bounds().graceNanos(),
@@ -202,7 +202,7 @@
         for (InetSocketAddress seed : settings.seeds()) {
             gossip.addPeerAddress(seed.getAddress().getHostAddress());
         }
-        versionKeeper.start();
+        versionUpdater.start();
         directory.start();
         loop.scheduleAtFixedRate(this::tick, TICK_INTERVAL_MILLIS, TICK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
@@ -218,7 +218,7 @@
         counters.registerGauge(NodeMetricNames.OWNER_MEAN_US, () -> owner.load().meanNanos() / 1_000);
         counters.registerGauge(
                 NodeMetricNames.VERSION_IN_FORCE,
-                () -> versionKeeper.version().map(v -> v.number()).orElse(0L));
+                () -> versionUpdater.version().map(v -> v.number()).orElse(0L));
         counters.registerGauge(
                 NodeMetricNames.MEMBERS_HEARD,
                 () -> members.countHeardWithin(gossip.silenceTimeoutNanos(), System.nanoTime()));
@@ -230,7 +230,7 @@
 
     private void tick() {
         owner.tick();
-        versionKeeper.tick();
+        versionUpdater.tick();
         logReadinessChange();
     }
 
@@ -243,7 +243,7 @@
                     "ready",
                     ready,
                     "version",
-                    versionKeeper.version().map(v -> v.number()).orElse(0L),
+                    versionUpdater.version().map(v -> v.number()).orElse(0L),
                     "members",
                     members.all().size(),
                     "leaving",
@@ -252,7 +252,7 @@
     }
 
     private boolean isReady() {
-        if (shuttingDown || versionKeeper.version().isEmpty()) {
+        if (shuttingDown || versionUpdater.version().isEmpty()) {
             return false;
         }
         return !members.all().isEmpty() || System.nanoTime() - startedAt > READY_WITHOUT_PEERS_AFTER_NANOS;
@@ -303,8 +303,8 @@
                 ++stateSequence,
                 settings.zone(),
                 linkMbps(),
-                versionKeeper.version().map(v -> v.number()).orElse(0L),
-                versionKeeper.isStoreReachable(),
+                versionUpdater.version().map(v -> v.number()).orElse(0L),
+                versionUpdater.isStoreReachable(),
                 leaving,
                 backend.map(Backend::service).orElse(service),
                 backend.map(Backend::incarnation).orElse(""),
@@ -326,12 +326,12 @@
             case FAR -> gossip.broadcastToZoneNow(settings.zone());
             case NEAR -> {}
         }
-        versionKeeper.version().ifPresent(backendProbe::startOnce);
+        versionUpdater.version().ifPresent(backendProbe::startOnce);
         logReadinessChange();
     }
 
     private void onGossip(Member member, MemberTable.UpdateResult hearing) {
-        versionKeeper.onMemberUpdated(member);
+        versionUpdater.onMemberUpdated(member);
         if (hearing == MemberTable.UpdateResult.SAME) {
             return;
         }
