--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -65,7 +65,7 @@
     private final VmLink link;
     private final Gossip gossip;
     private final VersionUpdater versionUpdater;
-    private final NodeDiscovery directory;
+    private final NodeDiscovery discovery;
     private final EntryServer entryServer;
     private final PeerServer peerServer;
     private final GracefulShutdown shutdown;
@@ -118,10 +118,10 @@
                 this::onInstalled,
                 counters,
                 log);
-        this.directory = new NodeDiscovery(
+        this.discovery = new NodeDiscovery(
                 loop, platform.directory(loop), gossip, counters, log, settings.vmName(), settings.ip());
         RetryBudget budget =
-                new RetryBudget(settings.bounds(), this::nodeCount, directory::isDirectoryRead, System.nanoTime());
+                new RetryBudget(settings.bounds(), this::nodeCount, discovery::isDirectoryRead, System.nanoTime());
         this.entryServer = CallPath.createEntryServer(
                 loop,
                 settings,
@@ -203,7 +203,7 @@
             gossip.addPeerAddress(seed.getAddress().getHostAddress());
         }
         versionUpdater.start();
-        directory.start();
+        discovery.start();
         loop.scheduleAtFixedRate(this::tick, TICK_INTERVAL_MILLIS, TICK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
