--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -128,7 +128,7 @@
                 new CallPath.Callers(platform.headerNames(), versionUpdater::version, () -> service),
                 owner,
                 link,
-                createCandidates(),
+                createCandidateSampler(),
                 budget,
                 new Instruments(counters, log));
         this.peerServer = new PeerServer(loop, settings.peerAddress(), owner, link, versionUpdater::encodeDeltaFrom);
@@ -145,7 +145,7 @@
                 shutdownComplete::countDown);
     }
 
-    private CandidateSampler createCandidates() {
+    private CandidateSampler createCandidateSampler() {
         return new CandidateSampler(
                 settings.zone(),
                 settings.region(),
