--- a/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
+++ b/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
@@ -54,7 +54,7 @@
     private final Runnable onComplete;
     private boolean started;
     private boolean callersDrained;
-    private boolean listening = true;
+    private boolean callerPortOpen = true;
     private int failedProbes;
     private long lastFailedProbeAt;
     private long endAt;
@@ -128,8 +128,8 @@
         if (now >= endAt - REFUSE_REQUESTS_MILLIS * 1_000_000) {
             entryServer.refuseNewRequests();
         }
-        if (listening && (owner.pendingCount() == 0 || graceExpired)) {
-            listening = false;
+        if (callerPortOpen && (owner.pendingCount() == 0 || graceExpired)) {
+            callerPortOpen = false;
             entryServer.stopListening();
         }
         idleChecks = isIdle() ? idleChecks + 1 : 0;
