--- a/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
+++ b/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
@@ -23,7 +23,7 @@
      */
     private static final long MIN_PROBE_SPACING_NANOS = 500_000_000L;
     /** Time after the last of these probes for requests that callers began before they were routed to other nodes. */
-    private static final long LAST_CALLER_REQUESTS_MILLIS = 100;
+    private static final long CALLER_REROUTE_DELAY_MILLIS = 100;
     /**
      * Time in which the platform makes that many probes. If it makes none, callers are assumed to have been routed to
      * other nodes after this time.
@@ -104,7 +104,7 @@
         lastFailedProbeAt = now;
         failedProbes++;
         if (failedProbes == FAILED_PROBES_UNTIL_DRAINED) {
-            loop.schedule(this::onCallersDrained, LAST_CALLER_REQUESTS_MILLIS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::onCallersDrained, CALLER_REROUTE_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
