--- a/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
+++ b/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
@@ -39,7 +39,7 @@
     /**
      * Requests that arrive within this time before the shutdown ends are refused, as they might outlast the process.
      */
-    private static final long REFUSE_REQUESTS_MILLIS = 1_500;
+    private static final long REFUSE_REQUESTS_BEFORE_END_MILLIS = 1_500;
 
     private static final long CHECK_INTERVAL_MILLIS = 50;
     /** Consecutive checks without pending requests until the shutdown ends, as a response may still be in transit. */
@@ -125,7 +125,7 @@
     private void checkProgress() {
         long now = System.nanoTime();
         boolean graceExpired = now >= endAt;
-        if (now >= endAt - REFUSE_REQUESTS_MILLIS * 1_000_000) {
+        if (now >= endAt - REFUSE_REQUESTS_BEFORE_END_MILLIS * 1_000_000) {
             entryServer.refuseNewRequests();
         }
         if (callerPortOpen && (owner.pendingCount() == 0 || graceExpired)) {
