--- a/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
+++ b/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
@@ -58,7 +58,7 @@
     private int failedProbes;
     private long lastFailedProbeAt;
     private long endAt;
-    private int idleChecks;
+    private int consecutiveIdleChecks;
 
     /**
      * Creates a shutdown that has not started.
@@ -132,8 +132,8 @@
             callerPortOpen = false;
             entryServer.stopListening();
         }
-        idleChecks = isIdle() ? idleChecks + 1 : 0;
-        if (idleChecks >= REQUIRED_IDLE_CHECKS || graceExpired) {
+        consecutiveIdleChecks = isIdle() ? consecutiveIdleChecks + 1 : 0;
+        if (consecutiveIdleChecks >= REQUIRED_IDLE_CHECKS || graceExpired) {
             onComplete.run();
             return;
         }
