--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -36,7 +36,7 @@
     private boolean reusable;
     private boolean closeDelimited;
     private boolean connectionFailed;
-    private ChannelFuture lastWrite;
+    private ChannelFuture requestEndWrite;
     private RequestBody pendingBody;
     private boolean bodyRequested;
     private final BodyWriter bodyWriter = new BodyWriter();
@@ -83,7 +83,7 @@
         discarding = false;
         reusable = true;
         closeDelimited = false;
-        lastWrite = null;
+        requestEndWrite = null;
         channel.write(request);
         pendingBody = requestBody;
         bodyRequested = !HttpUtil.is100ContinueExpected(request);
@@ -106,7 +106,7 @@
 
         @Override
         public void onRequestBodyComplete() {
-            lastWrite = channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
+            requestEndWrite = channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
             stopWritingBody();
         }
     }
@@ -120,7 +120,7 @@
 
     @Override
     public boolean isRequestFullySent() {
-        return lastWrite != null;
+        return requestEndWrite != null;
     }
 
     @Override
@@ -226,7 +226,7 @@
         responseComplete = true;
         servedRequests++;
         stopWritingBody();
-        reusable &= lastWrite != null && lastWrite.isSuccess();
+        reusable &= requestEndWrite != null && requestEndWrite.isSuccess();
         handler.onEnd();
     }
 
