--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -31,7 +31,7 @@
     private final Consumer<HttpConnection> onClosed;
     private HttpResponseHandler responseHandler;
     private HttpResponse responseHead;
-    private boolean discarding;
+    private boolean discardingResponse;
     private boolean responseComplete;
     private boolean reusable;
     private boolean closeDelimited;
@@ -80,7 +80,7 @@
     public void send(HttpRequest request, RequestBody requestBody, HttpResponseHandler handler) {
         responseHandler = handler;
         responseHead = null;
-        discarding = false;
+        discardingResponse = false;
         reusable = true;
         closeDelimited = false;
         requestEndWrite = null;
@@ -158,7 +158,7 @@
     private void handleHead(HttpResponse response) {
         int status = response.status().code();
         if (status >= 100 && status < 200) {
-            discarding = true;
+            discardingResponse = true;
             if (status == HttpResponseStatus.CONTINUE.code() && !bodyRequested) {
                 bodyRequested = true;
                 pendingBody.subscribe(bodyWriter);
@@ -167,11 +167,11 @@
         }
         if (!responseHandler.matches(response)) {
             // This is a second response to an earlier request; the response to the current request follows it.
-            discarding = true;
+            discardingResponse = true;
             reusable = false;
             return;
         }
-        discarding = false;
+        discardingResponse = false;
         responseHead = response;
         closeDelimited = !HttpUtil.isContentLengthSet(response) && !HttpUtil.isTransferEncodingChunked(response);
         reusable &= HttpUtil.isKeepAlive(response) && !closeDelimited;
@@ -200,9 +200,9 @@
 
     private void handleContent(HttpContent content) {
         boolean isLast = content instanceof LastHttpContent;
-        if (discarding) {
+        if (discardingResponse) {
             content.release();
-            discarding = !isLast;
+            discardingResponse = !isLast;
             return;
         }
         if (responseHead == null) {
