--- a/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
@@ -89,7 +89,7 @@
      * A node polls the store in case no watch or other node has announced a new version. Such a poll accepts a list
      * that is seconds old, which costs a tenth of a current one. */
     @Test
-    void recentReadAllowsAStaleList() throws Exception {
+    void staleListIsRequestedOnlyWhenAllowed() throws Exception {
         await(a -> configuration.read(Consistency.STALE_ALLOWED, a));
         await(a -> configuration.read(Consistency.LINEARIZABLE, a));
         assertEquals(List.of("/objects/config?serializable=1", "/objects/config"), requestedUris);
