--- a/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
@@ -27,14 +27,14 @@
     /** A connection that records the number of bytes written to it and the time of each write. */
     private final class RecordingSink implements OutgoingLink.Sink {
         private final List<Long> writeTimes = new ArrayList<>();
-        private int bytes;
+        private int writtenBytes;
         private boolean writable = true;
         private boolean reading = true;
         private boolean finished;
 
         @Override
         public void write(ByteBuf part) {
-            bytes += part.readableBytes();
+            writtenBytes += part.readableBytes();
             writeTimes.add(clock.now());
             part.release();
         }
@@ -83,8 +83,8 @@
             clock.runUntil(time);
             double maxTransmittedBytes = time * NARROW_MBPS / 8_000;
             assertTrue(
-                    large.bytes - maxTransmittedBytes <= 28_000,
-                    large.bytes + " bytes after " + time / NANOS_PER_MS + " ms");
+                    large.writtenBytes - maxTransmittedBytes <= 28_000,
+                    large.writtenBytes + " bytes after " + time / NANOS_PER_MS + " ms");
         }
     }
 
@@ -116,7 +116,7 @@
         assertTrue(!late.finished);
         clock.runUntil(400 * NANOS_PER_MS);
         assertTrue(late.finished);
-        assertEquals(LARGE_BYTES, late.bytes);
+        assertEquals(LARGE_BYTES, late.writtenBytes);
     }
 
     /** Guards against a late response that is never sent while responses that can be in time keep arriving. */
@@ -130,7 +130,7 @@
             send(new RecordingSink(), LARGE_BYTES, clock.now() + 1_000 * NANOS_PER_MS);
             clock.runUntil(clock.now() + 110 * NANOS_PER_MS);
         }
-        assertTrue(late.finished, late.bytes + " of " + LARGE_BYTES + " bytes have been sent");
+        assertTrue(late.finished, late.writtenBytes + " of " + LARGE_BYTES + " bytes have been sent");
         assertTrue(
                 late.writeTimes.getLast() < 1_500 * NANOS_PER_MS,
                 "sent after " + late.writeTimes.getLast() / NANOS_PER_MS + " ms");
@@ -146,7 +146,7 @@
         send(other, LARGE_BYTES, 1_000 * NANOS_PER_MS);
         clock.runUntil(150 * NANOS_PER_MS);
         assertTrue(other.finished);
-        assertEquals(0, blocked.bytes);
+        assertEquals(0, blocked.writtenBytes);
         blocked.writable = true;
         blockedFlow.onWritable();
         clock.runUntil(300 * NANOS_PER_MS);
@@ -217,7 +217,7 @@
         RecordingSink sink = new RecordingSink();
         OutgoingLink.Flow flow = wide.openFlow(sink, 100 * NANOS_PER_MS);
         flow.write(Unpooled.wrappedBuffer(new byte[1_000_000]));
-        assertEquals(1_000_000, sink.bytes);
+        assertEquals(1_000_000, sink.writtenBytes);
         assertEquals(0, wide.busyNanos());
         sink.writable = false;
         flow.write(Unpooled.wrappedBuffer(new byte[10]));
