--- a/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
@@ -29,7 +29,7 @@
         private final List<Long> writeTimes = new ArrayList<>();
         private int writtenBytes;
         private boolean writable = true;
-        private boolean reading = true;
+        private boolean sourceReading = true;
         private boolean finished;
 
         @Override
@@ -46,7 +46,7 @@
 
         @Override
         public void setSourceReading(boolean enabled) {
-            reading = enabled;
+            sourceReading = enabled;
         }
     }
 
@@ -161,9 +161,9 @@
         RecordingSink second = new RecordingSink();
         OutgoingLink.Flow flow = link.openFlow(second, 2_000 * NANOS_PER_MS);
         flow.write(Unpooled.wrappedBuffer(new byte[LARGE_BYTES]));
-        assertTrue(!second.reading);
+        assertTrue(!second.sourceReading);
         clock.runUntil(4_000 * NANOS_PER_MS);
-        assertTrue(second.reading);
+        assertTrue(second.sourceReading);
         flow.finish(() -> second.finished = true);
         assertTrue(second.finished);
     }
@@ -177,10 +177,10 @@
         RecordingSink second = new RecordingSink();
         OutgoingLink.Flow flow = link.openFlow(second, 500 * NANOS_PER_MS);
         flow.write(Unpooled.wrappedBuffer(new byte[LARGE_BYTES]));
-        assertTrue(!second.reading);
+        assertTrue(!second.sourceReading);
         blockedFlow.cancel();
         clock.runUntil(300 * NANOS_PER_MS);
-        assertTrue(second.reading);
+        assertTrue(second.sourceReading);
     }
 
     /** Guards against the most urgent response waiting for its paused source while less urgent ones fill the queue. */
@@ -190,9 +190,9 @@
         RecordingSink urgent = new RecordingSink();
         OutgoingLink.Flow flow = link.openFlow(urgent, 500 * NANOS_PER_MS);
         flow.write(Unpooled.wrappedBuffer(new byte[LARGE_BYTES]));
-        assertTrue(!urgent.reading);
+        assertTrue(!urgent.sourceReading);
         clock.runUntil(200 * NANOS_PER_MS);
-        assertTrue(urgent.reading);
+        assertTrue(urgent.sourceReading);
     }
 
     /** Guards against a source that stays paused after its connection was not writable for a moment. */
@@ -202,12 +202,12 @@
         sink.writable = false;
         OutgoingLink.Flow flow = link.openFlow(sink, 1_000 * NANOS_PER_MS);
         flow.write(Unpooled.wrappedBuffer(new byte[SMALL_BYTES]));
-        assertTrue(!sink.reading);
+        assertTrue(!sink.sourceReading);
         flow.write(Unpooled.wrappedBuffer(new byte[LARGE_BYTES]));
         sink.writable = true;
         flow.onWritable();
         clock.runUntil(300 * NANOS_PER_MS);
-        assertTrue(sink.reading);
+        assertTrue(sink.sourceReading);
     }
 
     /** On a wide link nothing is queued; a source is paused only while the receiver of its response does not read. */
@@ -221,10 +221,10 @@
         assertEquals(0, wide.busyNanos());
         sink.writable = false;
         flow.write(Unpooled.wrappedBuffer(new byte[10]));
-        assertTrue(!sink.reading);
+        assertTrue(!sink.sourceReading);
         sink.writable = true;
         flow.onWritable();
-        assertTrue(sink.reading);
+        assertTrue(sink.sourceReading);
     }
 
     /** Expected bytes count as busy time until they are withdrawn, queued bytes until they have been sent. */
