--- a/org.berylwick.node/src/org/berylwick/node/log/LineRateLimiter.java
+++ b/org.berylwick.node/src/org/berylwick/node/log/LineRateLimiter.java
@@ -6,7 +6,7 @@
 
     private final int maxLinesPerSecond;
     private long secondStart = Long.MIN_VALUE;
-    private int admitted;
+    private int admittedInSecond;
     private int suppressed;
 
     LineRateLimiter(int maxLinesPerSecond) {
@@ -22,13 +22,13 @@
     synchronized int admit(long now) {
         if (secondStart == Long.MIN_VALUE || now - secondStart >= SECOND_NANOS) {
             secondStart = now;
-            admitted = 0;
+            admittedInSecond = 0;
         }
-        if (admitted >= maxLinesPerSecond) {
+        if (admittedInSecond >= maxLinesPerSecond) {
             suppressed++;
             return -1;
         }
-        admitted++;
+        admittedInSecond++;
         int suppressedBefore = suppressed;
         suppressed = 0;
         return suppressedBefore;
