--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -268,14 +268,14 @@
 
     private boolean isStoreReader() {
         long now = System.nanoTime();
-        long silenceThreshold = gossip.silenceTimeoutNanos();
+        long silenceTimeoutNanos = gossip.silenceTimeoutNanos();
         int precedingReaders = 0;
         for (Member member : members.all()) {
             NodeState state = member.state();
             boolean eligible = state.zone().equals(settings.zone())
                     && state.storeReachable()
                     && !state.leaving()
-                    && now - member.lastHeardAt() < silenceThreshold;
+                    && now - member.lastHeardAt() < silenceTimeoutNanos;
             if (eligible && precedesAsReader(member)) {
                 precedingReaders++;
             }
@@ -330,9 +330,9 @@
         logReadinessChange();
     }
 
-    private void onGossip(Member member, MemberTable.UpdateResult hearing) {
+    private void onGossip(Member member, MemberTable.UpdateResult updateResult) {
         versionUpdater.onMemberUpdated(member);
-        if (hearing == MemberTable.UpdateResult.SAME) {
+        if (updateResult == MemberTable.UpdateResult.SAME) {
             return;
         }
         NodeState state = member.state();
@@ -341,7 +341,7 @@
                 "ip",
                 member.ip(),
                 "hearing",
-                hearing,
+                updateResult,
                 "boot",
                 state.bootId(),
                 "service",
