--- a/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
+++ b/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
@@ -124,16 +124,16 @@
 
     private void checkProgress() {
         long now = System.nanoTime();
-        boolean graceExpired = now >= endAt;
+        boolean endReached = now >= endAt;
         if (now >= endAt - REFUSE_REQUESTS_BEFORE_END_MILLIS * 1_000_000) {
             entryServer.refuseNewRequests();
         }
-        if (callerPortOpen && (owner.pendingCount() == 0 || graceExpired)) {
+        if (callerPortOpen && (owner.pendingCount() == 0 || endReached)) {
             callerPortOpen = false;
             entryServer.stopListening();
         }
         consecutiveIdleChecks = isIdle() ? consecutiveIdleChecks + 1 : 0;
-        if (consecutiveIdleChecks >= REQUIRED_IDLE_CHECKS || graceExpired) {
+        if (consecutiveIdleChecks >= REQUIRED_IDLE_CHECKS || endReached) {
             onComplete.run();
             return;
         }
