--- a/org.berylwick.node/src/org/berylwick/node/Signals.java
+++ b/org.berylwick.node/src/org/berylwick/node/Signals.java
@@ -27,8 +27,8 @@
                         }
                         return null;
                     });
-            Object signalInstance = signalType.getConstructor(String.class).newInstance(name);
-            signalType.getMethod("handle", signalType, handlerType).invoke(null, signalInstance, handlerProxy);
+            Object signal = signalType.getConstructor(String.class).newInstance(name);
+            signalType.getMethod("handle", signalType, handlerType).invoke(null, signal, handlerProxy);
             return true;
         } catch (ReflectiveOperationException | IllegalArgumentException e) {
             return false;
