--- a/org.berylwick.test/tst/org/berylwick/platform/InvalidPlatformInputTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/InvalidPlatformInputTest.java
@@ -100,9 +100,9 @@
 
     @Property(tries = 2_000)
     void arbitraryBytesAreDecodedOrRejectedAsAConfiguration(@ForAll byte[] body) {
-        ConfigurationSource.ReadResult answer = ConfigurationCodec.decode(body, 1);
-        assertTrue(answer instanceof ConfigurationSource.ReadResult.Invalid
-                || answer instanceof ConfigurationSource.ReadResult.Found);
+        ConfigurationSource.ReadResult result = ConfigurationCodec.decode(body, 1);
+        assertTrue(result instanceof ConfigurationSource.ReadResult.Invalid
+                || result instanceof ConfigurationSource.ReadResult.Found);
     }
 
     @Test
@@ -123,10 +123,10 @@
         EventLoop loop = (EventLoop) group.next();
         try (BufferedHttpServer server = BufferedHttpServer.open(loop, new InetSocketAddress("127.0.0.1", 0), request -> {
             requestedUris.add(request.uri());
-            Matcher after = Pattern.compile("after=(\\w+)").matcher(request.uri());
-            String page = !after.find()
+            Matcher afterParameter = Pattern.compile("after=(\\w+)").matcher(request.uri());
+            String page = !afterParameter.find()
                     ? entry("a", "\"10.0.0.1\"") + "," + entry("b", "7") + ",{\"spec\":{\"ip\":\"10.0.0.3\"}}"
-                    : after.group(1).equals("b") ? entry("c", "\"\"") + "," + entry("d", "\"10.0.0.4\"") : "";
+                    : afterParameter.group(1).equals("b") ? entry("c", "\"\"") + "," + entry("d", "\"10.0.0.4\"") : "";
             boolean more = !page.isEmpty();
             return BufferedHttpServer.Response.of(
                     "application/json",
@@ -134,9 +134,9 @@
         })) {
             StoredDirectory directory =
                     new StoredDirectory(new ObjectStore(loop, new InetSocketAddress("127.0.0.1", server.port())));
-            CompletableFuture<ListResult> answer = new CompletableFuture<>();
-            loop.execute(() -> directory.list(answer::complete));
-            ListResult.Listed listed = assertInstanceOf(ListResult.Listed.class, answer.get(10, TimeUnit.SECONDS));
+            CompletableFuture<ListResult> result = new CompletableFuture<>();
+            loop.execute(() -> directory.list(result::complete));
+            ListResult.Listed listed = assertInstanceOf(ListResult.Listed.class, result.get(10, TimeUnit.SECONDS));
             assertEquals(List.of("10.0.0.1", "10.0.0.3", "10.0.0.4"), listed.addresses());
             assertEquals(3, requestedUris.size());
         } finally {
