--- a/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
@@ -70,9 +70,9 @@
     }
 
     private ReadResult await(Consumer<Consumer<ReadResult>> call) throws Exception {
-        CompletableFuture<ReadResult> answer = new CompletableFuture<>();
-        loop.execute(() -> call.accept(answer::complete));
-        return answer.get(10, TimeUnit.SECONDS);
+        CompletableFuture<ReadResult> result = new CompletableFuture<>();
+        loop.execute(() -> call.accept(result::complete));
+        return result.get(10, TimeUnit.SECONDS);
     }
 
     @Test
