--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -215,7 +215,7 @@
         }
         HttpResponseHandler handler = responseHandler;
         if (content.content().isReadable()) {
-            handler.onBody(content.content());
+            handler.onBodyPart(content.content());
         } else {
             content.release();
         }
