--- a/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
@@ -251,13 +251,13 @@
         VirtualClock virtualClock = new VirtualClock();
         OutgoingLink randomLink = new OutgoingLink(1 + random.nextInt(39), virtualClock);
         int[] sizes = new int[count];
-        List<int[]> received = new ArrayList<>();
+        List<int[]> writtenBytes = new ArrayList<>();
         boolean[] cancelled = new boolean[count];
         boolean[] finished = new boolean[count];
         for (int i = 0; i < count; i++) {
             int index = i;
             int[] bytes = new int[1];
-            received.add(bytes);
+            writtenBytes.add(bytes);
             OutgoingLink.Flow flow = randomLink.openFlow(
                     new OutgoingLink.Sink() {
                         @Override
@@ -293,7 +293,7 @@
         assertEquals(0, randomLink.busyNanos());
         for (int i = 0; i < count; i++) {
             assertEquals(!cancelled[i], finished[i]);
-            assertTrue(cancelled[i] || sizes[i] == received.get(i)[0]);
+            assertTrue(cancelled[i] || sizes[i] == writtenBytes.get(i)[0]);
         }
     }
 }
