--- a/org.berylwick.test/tst/org/berylwick/platform/InvalidPlatformInputTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/InvalidPlatformInputTest.java
@@ -37,8 +37,9 @@
  * without any effect on valid input.
  */
 class InvalidPlatformInputTest {
-    private static final String HEARTBEAT = "{\"address\":\"10.0.0.1:5\",\"info\":{\"service\":\"s\",\"version\":\"v1\","
-            + "\"zone\":\"a\",\"slots\":12},\"status\":{\"state\":\"ready\",\"seq\":4,\"warmupLeftS\":1.5}}";
+    private static final String HEARTBEAT =
+            "{\"address\":\"10.0.0.1:5\",\"info\":{\"service\":\"s\",\"version\":\"v1\","
+                    + "\"zone\":\"a\",\"slots\":12},\"status\":{\"state\":\"ready\",\"seq\":4,\"warmupLeftS\":1.5}}";
 
     private static Announcement decodeHeartbeat(String body) {
         return new HeartbeatCodec().read("PUT", "/instances/i-1", body.getBytes(StandardCharsets.UTF_8));
@@ -115,23 +116,27 @@
 
     /**
      * The store returns the directory in three pages. The last entry of the first page has no name, and some entries
-     * have no valid address. */
+     * have no valid address.
+     */
     @Test
     void invalidDirectoryEntriesAreSkippedAndDoNotEndPaging() throws Exception {
         List<String> requestedUris = new ArrayList<>();
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = (EventLoop) group.next();
-        try (BufferedHttpServer server = BufferedHttpServer.open(loop, new InetSocketAddress("127.0.0.1", 0), request -> {
-            requestedUris.add(request.uri());
-            Matcher afterParameter = Pattern.compile("after=(\\w+)").matcher(request.uri());
-            String page = !afterParameter.find()
-                    ? entry("a", "\"10.0.0.1\"") + "," + entry("b", "7") + ",{\"spec\":{\"ip\":\"10.0.0.3\"}}"
-                    : afterParameter.group(1).equals("b") ? entry("c", "\"\"") + "," + entry("d", "\"10.0.0.4\"") : "";
-            boolean more = !page.isEmpty();
-            return BufferedHttpServer.Response.of(
-                    "application/json",
-                    ("{\"items\":[" + page + "],\"more\":" + more + "}").getBytes(StandardCharsets.UTF_8));
-        })) {
+        try (BufferedHttpServer server =
+                BufferedHttpServer.open(loop, new InetSocketAddress("127.0.0.1", 0), request -> {
+                    requestedUris.add(request.uri());
+                    Matcher afterParameter = Pattern.compile("after=(\\w+)").matcher(request.uri());
+                    String page = !afterParameter.find()
+                            ? entry("a", "\"10.0.0.1\"") + "," + entry("b", "7") + ",{\"spec\":{\"ip\":\"10.0.0.3\"}}"
+                            : afterParameter.group(1).equals("b")
+                                    ? entry("c", "\"\"") + "," + entry("d", "\"10.0.0.4\"")
+                                    : "";
+                    boolean more = !page.isEmpty();
+                    return BufferedHttpServer.Response.of(
+                            "application/json",
+                            ("{\"items\":[" + page + "],\"more\":" + more + "}").getBytes(StandardCharsets.UTF_8));
+                })) {
             StoredDirectory directory =
                     new StoredDirectory(new ObjectStore(loop, new InetSocketAddress("127.0.0.1", server.port())));
             CompletableFuture<ListResult> result = new CompletableFuture<>();
--- a/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
@@ -43,8 +43,7 @@
         if (watchStart < 0) {
             return jsonResponse("{\"items\":[" + OBJECT + "],\"more\":false,\"asOf\":" + LIST_REVISION + "}");
         }
-        int revision =
-                Integer.parseInt(
+        int revision = Integer.parseInt(
                 request.uri().substring(watchStart + 6, request.uri().indexOf('&')));
         if (revision < OLDEST_RETAINED_REVISION) {
             return BufferedHttpServer.Response.ofStatus(410);
@@ -87,7 +86,8 @@
 
     /**
      * A node polls the store in case no watch or other node has announced a new version. Such a poll accepts a list
-     * that is seconds old, which costs a tenth of a current one. */
+     * that is seconds old, which costs a tenth of a current one.
+     */
     @Test
     void staleListIsRequestedOnlyWhenAllowed() throws Exception {
         await(a -> configuration.read(Consistency.STALE_ALLOWED, a));
