--- a/org.berylwick.test/tst/org/berylwick/platform/CodecsTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/CodecsTest.java
@@ -13,7 +13,7 @@
 import org.berylwick.node.version.ConfigurationSource.ReadResult;
 import org.junit.jupiter.api.Test;
 
-/** Decoding of settings, configurations and heartbeats from the platform's formats, and rejection of invalid ones. */
+/** Tests the decoding of settings, configurations and heartbeats, and the rejection of invalid ones. */
 class CodecsTest {
     private static final String SETTINGS = """
             {"node": "vm-1", "ip": "10.0.0.1", "zone": "a", "region": "r", "zones": {"a": "r", "b": "r"},
--- a/org.berylwick.test/tst/org/berylwick/platform/InvalidPlatformInputTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/InvalidPlatformInputTest.java
@@ -82,6 +82,7 @@
                     for (int i = 0; i < offsets.size(); i++) {
                         bytes[offsets.get(i)] = replacements.get(i);
                     }
+                    // A third of the heartbeats are truncated, too.
                     return newLength % 3 == 0 ? java.util.Arrays.copyOf(bytes, newLength) : bytes;
                 });
     }
--- a/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
@@ -85,7 +85,7 @@
     }
 
     /**
-     * A node polls the store in case no watch or other node has announced a new version. Such a poll accepts a list
+     * A node polls the store in case neither a watch nor another node announced a new version. Such a poll accepts a list
      * that is seconds old, which costs a tenth of a current one.
      */
     @Test
