--- a/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
+++ b/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
@@ -22,11 +22,14 @@
      * does not show that callers have been routed to other nodes.
      */
     private static final long MIN_PROBE_SPACING_NANOS = 500_000_000L;
-    /** Time after the last of these probes for requests that callers began before they were routed to other nodes. */
+    /**
+     * Time from the last of these probes until callers are considered drained. It covers requests that callers began
+     * before they were routed to other nodes.
+     */
     private static final long CALLER_REROUTE_DELAY_MILLIS = 100;
     /**
-     * Time in which the platform makes that many probes. If it makes none, callers are assumed to have been routed to
-     * other nodes after this time.
+     * Time in which the platform makes {@link #FAILED_PROBES_UNTIL_DRAINED} probes. If it makes none, callers are assumed
+     * to have been routed to other nodes after this time.
      */
     private static final long CALLER_DRAIN_TIMEOUT_MILLIS = 2_600;
     /** Time in which other nodes learn by gossip that this node is leaving, and stop sending it requests to run. */
--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -266,6 +266,7 @@
         return BufferedHttpServer.Response.ofStatus(503);
     }
 
+    /** Returns whether fewer than {@link #READERS_PER_ZONE} eligible nodes of this zone precede this one as readers. */
     private boolean isStoreReader() {
         long now = System.nanoTime();
         long silenceTimeoutNanos = gossip.silenceTimeoutNanos();
@@ -284,8 +285,8 @@
     }
 
     /**
-     * Orders the candidates for store readers: by link bandwidth first, as a reader downloads every version completely
-     * and passes it on, then by address.
+     * Returns whether another node precedes this one as a store reader. The link bandwidth decides first, as a reader
+     * downloads every version completely and passes it on, then the address.
      */
     private boolean precedesAsReader(Member member) {
         int linkComparison = Integer.compare(member.state().linkMbps(), linkMbps());
@@ -321,6 +322,7 @@
     private void onInstalled(VersionUpdater.Origin origin) {
         // A node that read the version from the store announces it to all nodes. One that fetched it from another
         // availability zone announces it to its own zone, so that the nodes there need not fetch it from afar.
+        // One that fetched it within its zone makes no extra announcement.
         switch (origin) {
             case STORE -> gossip.broadcastNow();
             case FAR -> gossip.broadcastToZoneNow(settings.zone());
--- a/org.berylwick.node/src/org/berylwick/node/Signals.java
+++ b/org.berylwick.node/src/org/berylwick/node/Signals.java
@@ -15,9 +15,8 @@
      */
     static boolean handle(String name, Runnable task) {
         try {
-            // The only way to handle signals in the JVM is this internal class, which the compiler does not accept. So
-            // it is
-            // used by reflection.
+            // Signals can be handled only with this internal class of the JVM. The compiler does not accept references
+            // to it, so it is used by reflection.
             Class<?> signalType = Class.forName("sun.misc.Signal");
             Class<?> handlerType = Class.forName("sun.misc.SignalHandler");
             Object handlerProxy = Proxy.newProxyInstance(
--- a/org.berylwick.node/src/org/berylwick/node/log/EventLog.java
+++ b/org.berylwick.node/src/org/berylwick/node/log/EventLog.java
@@ -62,7 +62,10 @@
         }
     }
 
-    /** Returns how many lines were lost so far because the queue was full, plus the number of failed writes. */
+    /**
+     * Returns how many lines were lost so far because the queue was full, plus the number of failed writes, each of
+     * which may have lost several lines.
+     */
     public long droppedLines() {
         return droppedLines.sum();
     }
--- a/org.berylwick.node/src/org/berylwick/node/transport/ConnectionPool.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/ConnectionPool.java
@@ -91,7 +91,8 @@
     }
 
     /**
-     * Takes an idle connection out of the pool.
+     * Takes an idle connection out of the pool. Connections that have been idle for too long for any request are
+     * closed; those that have only exceeded the limit of this request stay in the pool.
      *
      * @param idleLimitNanos maximum idle time of the connection
      * @return the connection, or null if there is none
--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -20,7 +20,7 @@
 /**
  * An HTTP/1.1 connection to a server that carries one request at a time; confined to the event loop.
  *
- * <p>It returns to its pool only after the event loop has processed everything that was read together with the end of a
+ * <p>The connection returns to its pool only after the event loop has processed everything that was read together with the end of a
  * response. Bytes after a complete response belong to no request, and a connection that receives such bytes is closed.
  */
 public final class HttpConnection extends ChannelInboundHandlerAdapter implements ServerConnection {
@@ -269,7 +269,7 @@
         }
     }
 
-    /** Sets the Content-Length header. Only a GET request without a body goes without one. */
+    /** Sets the Content-Length header. Only a GET request without a body gets none. */
     public static void setContentLength(HttpRequest request, int bytes) {
         if (bytes > 0 || !"GET".equals(request.method().name())) {
             request.headers().set(HttpHeaderNames.CONTENT_LENGTH, bytes);
--- a/org.berylwick.node/src/org/berylwick/node/transport/IncomingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/IncomingLink.java
@@ -7,12 +7,14 @@
  * loop.
  *
  * <p>A backend server whose link is saturated with request bodies receives no requests to run and looks idle, so that
- * it would be sent even more requests. Therefore the time that the outstanding bytes need is reported with its load.
+ * it would be sent even more requests. Therefore the time that the link needs for the outstanding bytes is reported
+ * with the load of the backend server.
  */
 public final class IncomingLink {
     /** Used for bodies that have arrived already. */
     static final IncomingLink NONE = new IncomingLink(0);
 
+    /** Number of bytes from whose transfer time the bandwidth is computed. */
     private static final int SAMPLE_BYTES = 1_000;
 
     private final LinkLoad unloadedLink;
--- a/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/OutgoingLink.java
@@ -25,7 +25,7 @@
     /** Limit of the queued bytes, as transfer time over the link; above it, reading from backend servers is paused. */
     private static final long MAX_QUEUED_NANOS = 2_000_000_000L;
 
-    /** A response past its objective yields only to responses that are due less than this long after it. */
+    /** A response past its objective yields only to responses that are due less than this long after that objective. */
     private static final long LATE_PENALTY_NANOS = 500_000_000L;
 
     private static final int PART_BYTES = 8_192;
--- a/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/RequestBody.java
@@ -103,7 +103,10 @@
         return complete;
     }
 
-    /** Adds a part that has arrived. It is released with the body, or at once if the body does not accept it. */
+    /**
+     * Adds a part that has arrived. It is released with the body, or at once if the body has been released, is complete
+     * or would exceed its length.
+     */
     public void addPart(ByteBuf part) {
         if (released || complete || part.readableBytes() > missingBytes()) {
             part.release();
@@ -150,6 +153,7 @@
         }
         released = true;
         subscribers.clear();
+        // The missing bytes no longer count as outstanding.
         link.onBytesReceived(missingBytes());
         receivedBytes.release();
     }
