--- a/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
+++ b/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
@@ -28,8 +28,8 @@
      */
     private static final long CALLER_REROUTE_DELAY_MILLIS = 100;
     /**
-     * Time in which the platform makes {@link #FAILED_PROBES_UNTIL_DRAINED} probes. If it makes none, callers are assumed
-     * to have been routed to other nodes after this time.
+     * Time in which the platform makes {@link #FAILED_PROBES_UNTIL_DRAINED} probes. If it makes none, callers are
+     * assumed to have been routed to other nodes after this time.
      */
     private static final long CALLER_DRAIN_TIMEOUT_MILLIS = 2_600;
     /** Time in which other nodes learn by gossip that this node is leaving, and stop sending it requests to run. */
--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -20,8 +20,9 @@
 /**
  * An HTTP/1.1 connection to a server that carries one request at a time; confined to the event loop.
  *
- * <p>The connection returns to its pool only after the event loop has processed everything that was read together with the end of a
- * response. Bytes after a complete response belong to no request, and a connection that receives such bytes is closed.
+ * <p>The connection returns to its pool only after the event loop has processed everything that was read together with
+ * the end of a response. Bytes after a complete response belong to no request, and a connection that receives such
+ * bytes is closed.
  */
 public final class HttpConnection extends ChannelInboundHandlerAdapter implements ServerConnection {
     private static final String KEEP_ALIVE_TIMEOUT_PARAMETER = "timeout=";
