--- a/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedServer.java
+++ b/org.berylwick.bench/src/org/berylwick/bench/emulate/EmulatedServer.java
@@ -180,7 +180,7 @@
             while (waiter.isPresent() && reading && unwritten > 0) {
                 int part = Math.min(unwritten, EmulatedLink.PART_BYTES);
                 unwritten -= part;
-                waiter.get().onBodyPart(ZEROS.retainedSlice(0, part));
+                waiter.get().onBody(ZEROS.retainedSlice(0, part));
             }
             if (waiter.isPresent() && unwritten == 0) {
                 free();
--- a/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/OwnerRun.java
@@ -293,7 +293,7 @@
     }
 
     @Override
-    public void onBodyPart(ByteBuf part) {
+    public void onBody(ByteBuf part) {
         if (!headForwarded) {
             part.release();
             return;
--- a/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
+++ b/org.berylwick.node/src/org/berylwick/node/call/PeerAttempt.java
@@ -96,7 +96,7 @@
     }
 
     @Override
-    public void onBodyPart(ByteBuf part) {
+    public void onBody(ByteBuf part) {
         member.onResponseProgress(System.nanoTime());
         if (outcome.orElse(null) instanceof PeerCodec.Outcome.Answered) {
             listener.onBody(part);
--- a/org.berylwick.node/src/org/berylwick/node/transport/BufferedHttpCall.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/BufferedHttpCall.java
@@ -78,7 +78,7 @@
     }
 
     @Override
-    public void onBodyPart(ByteBuf part) {
+    public void onBody(ByteBuf part) {
         byte[] bytes = new byte[part.readableBytes()];
         part.readBytes(bytes);
         part.release();
--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -216,7 +216,7 @@
         }
         HttpResponseHandler handler = responseHandler;
         if (content.content().isReadable()) {
-            handler.onBodyPart(content.content());
+            handler.onBody(content.content());
         } else {
             content.release();
         }
--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpResponseHandler.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpResponseHandler.java
@@ -18,7 +18,7 @@
     void onHead(HttpResponse head);
 
     /** Called with each part of the body; the callee releases it. */
-    void onBodyPart(ByteBuf part);
+    void onBody(ByteBuf part);
 
     /** Called when the response is complete. */
     void onEnd();
