--- a/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
@@ -85,8 +85,8 @@
     }
 
     /**
-     * A node polls the store in case neither a watch nor another node announced a new version. Such a poll accepts a list
-     * that is seconds old, which costs a tenth of a current one.
+     * A node polls the store in case neither a watch nor another node announced a new version. Such a poll accepts a
+     * list that is seconds old, which costs a tenth of a current one.
      */
     @Test
     void staleListIsRequestedOnlyWhenAllowed() throws Exception {
