--- a/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
+++ b/org.berylwick.node/src/org/berylwick/node/GracefulShutdown.java
@@ -22,11 +22,14 @@
      * does not show that callers have been routed to other nodes.
      */
     private static final long MIN_PROBE_SPACING_NANOS = 500_000_000L;
-    /** Time after the last of these probes for requests that callers began before they were routed to other nodes. */
-    private static final long LAST_CALLER_REQUESTS_MILLIS = 100;
     /**
-     * Time in which the platform makes that many probes. If it makes none, callers are assumed to have been routed to
-     * other nodes after this time.
+     * Time from the last of these probes until callers are considered drained. It covers requests that callers began
+     * before they were routed to other nodes.
+     */
+    private static final long CALLER_REROUTE_DELAY_MILLIS = 100;
+    /**
+     * Time in which the platform makes {@link #FAILED_PROBES_UNTIL_DRAINED} probes. If it makes none, callers are
+     * assumed to have been routed to other nodes after this time.
      */
     private static final long CALLER_DRAIN_TIMEOUT_MILLIS = 2_600;
     /** Time in which other nodes learn by gossip that this node is leaving, and stop sending it requests to run. */
@@ -39,7 +42,7 @@
     /**
      * Requests that arrive within this time before the shutdown ends are refused, as they might outlast the process.
      */
-    private static final long REFUSE_REQUESTS_MILLIS = 1_500;
+    private static final long REFUSE_REQUESTS_BEFORE_END_MILLIS = 1_500;
 
     private static final long CHECK_INTERVAL_MILLIS = 50;
     /** Consecutive checks without pending requests until the shutdown ends, as a response may still be in transit. */
@@ -54,11 +57,11 @@
     private final Runnable onComplete;
     private boolean started;
     private boolean callersDrained;
-    private boolean listening = true;
+    private boolean callerPortOpen = true;
     private int failedProbes;
     private long lastFailedProbeAt;
     private long endAt;
-    private int idleChecks;
+    private int consecutiveIdleChecks;
 
     /**
      * Creates a shutdown that has not started.
@@ -104,7 +107,7 @@
         lastFailedProbeAt = now;
         failedProbes++;
         if (failedProbes == FAILED_PROBES_UNTIL_DRAINED) {
-            loop.schedule(this::onCallersDrained, LAST_CALLER_REQUESTS_MILLIS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::onCallersDrained, CALLER_REROUTE_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
@@ -124,16 +127,16 @@
 
     private void checkProgress() {
         long now = System.nanoTime();
-        boolean graceExpired = now >= endAt;
-        if (now >= endAt - REFUSE_REQUESTS_MILLIS * 1_000_000) {
+        boolean endReached = now >= endAt;
+        if (now >= endAt - REFUSE_REQUESTS_BEFORE_END_MILLIS * 1_000_000) {
             entryServer.refuseNewRequests();
         }
-        if (listening && (owner.pendingCount() == 0 || graceExpired)) {
-            listening = false;
+        if (callerPortOpen && (owner.pendingCount() == 0 || endReached)) {
+            callerPortOpen = false;
             entryServer.stopListening();
         }
-        idleChecks = isIdle() ? idleChecks + 1 : 0;
-        if (idleChecks >= REQUIRED_IDLE_CHECKS || graceExpired) {
+        consecutiveIdleChecks = isIdle() ? consecutiveIdleChecks + 1 : 0;
+        if (consecutiveIdleChecks >= REQUIRED_IDLE_CHECKS || endReached) {
             onComplete.run();
             return;
         }
--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -64,8 +64,8 @@
     private final Owner owner;
     private final VmLink link;
     private final Gossip gossip;
-    private final VersionUpdater versionKeeper;
-    private final NodeDiscovery directory;
+    private final VersionUpdater versionUpdater;
+    private final NodeDiscovery discovery;
     private final EntryServer entryServer;
     private final PeerServer peerServer;
     private final GracefulShutdown shutdown;
@@ -109,7 +109,7 @@
         this.backendProbe = new BackendProbe(loop, settings, platform.headerNames(), owner, log);
         this.gossip = new Gossip(
                 loop, settings.ip(), settings.gossipPort(), members, this::localState, counters, log, this::onGossip);
-        this.versionKeeper = new VersionUpdater(
+        this.versionUpdater = new VersionUpdater(
                 loop,
                 platform.configurationSource(loop),
                 members,
@@ -118,20 +118,20 @@
                 this::onInstalled,
                 counters,
                 log);
-        this.directory = new NodeDiscovery(
+        this.discovery = new NodeDiscovery(
                 loop, platform.directory(loop), gossip, counters, log, settings.vmName(), settings.ip());
         RetryBudget budget =
-                new RetryBudget(settings.bounds(), this::nodeCount, directory::isDirectoryRead, System.nanoTime());
+                new RetryBudget(settings.bounds(), this::nodeCount, discovery::isDirectoryRead, System.nanoTime());
         this.entryServer = CallPath.createEntryServer(
                 loop,
                 settings,
-                new CallPath.Callers(platform.headerNames(), versionKeeper::version, () -> service),
+                new CallPath.Callers(platform.headerNames(), versionUpdater::version, () -> service),
                 owner,
                 link,
-                createCandidates(),
+                createCandidateSampler(),
                 budget,
                 new Instruments(counters, log));
-        this.peerServer = new PeerServer(loop, settings.peerAddress(), owner, link, versionKeeper::encodeDeltaFrom);
+        this.peerServer = new PeerServer(loop, settings.peerAddress(), owner, link, versionUpdater::encodeDeltaFrom);
         this.shutdown = new GracefulShutdown(
                 loop,
                 settings.bounds().graceNanos(),
@@ -145,7 +145,7 @@
                 shutdownComplete::countDown);
     }
 
-    private CandidateSampler createCandidates() {
+    private CandidateSampler createCandidateSampler() {
         return new CandidateSampler(
                 settings.zone(),
                 settings.region(),
@@ -202,8 +202,8 @@
         for (InetSocketAddress seed : settings.seeds()) {
             gossip.addPeerAddress(seed.getAddress().getHostAddress());
         }
-        versionKeeper.start();
-        directory.start();
+        versionUpdater.start();
+        discovery.start();
         loop.scheduleAtFixedRate(this::tick, TICK_INTERVAL_MILLIS, TICK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
@@ -218,7 +218,7 @@
         counters.registerGauge(NodeMetricNames.OWNER_MEAN_US, () -> owner.load().meanNanos() / 1_000);
         counters.registerGauge(
                 NodeMetricNames.VERSION_IN_FORCE,
-                () -> versionKeeper.version().map(v -> v.number()).orElse(0L));
+                () -> versionUpdater.version().map(v -> v.number()).orElse(0L));
         counters.registerGauge(
                 NodeMetricNames.MEMBERS_HEARD,
                 () -> members.countReachableWithin(gossip.silenceTimeoutNanos(), System.nanoTime()));
@@ -230,7 +230,7 @@
 
     private void tick() {
         owner.tick();
-        versionKeeper.resumeIfReader();
+        versionUpdater.resumeIfReader();
         logReadinessChange();
     }
 
@@ -243,7 +243,7 @@
                     "ready",
                     ready,
                     "version",
-                    versionKeeper.version().map(v -> v.number()).orElse(0L),
+                    versionUpdater.version().map(v -> v.number()).orElse(0L),
                     "members",
                     members.all().size(),
                     "leaving",
@@ -252,7 +252,7 @@
     }
 
     private boolean isReady() {
-        if (shuttingDown || versionKeeper.version().isEmpty()) {
+        if (shuttingDown || versionUpdater.version().isEmpty()) {
             return false;
         }
         return !members.all().isEmpty() || System.nanoTime() - startedAt > READY_WITHOUT_PEERS_AFTER_NANOS;
@@ -266,16 +266,18 @@
         return BufferedHttpServer.Response.ofStatus(503);
     }
 
+    /** Returns whether fewer than {@link #READERS_PER_ZONE} eligible nodes of this zone precede this one as readers. */
+
     private boolean isStoreReader() {
         long now = System.nanoTime();
-        long silenceThreshold = gossip.silenceTimeoutNanos();
+        long silenceTimeoutNanos = gossip.silenceTimeoutNanos();
         int precedingReaders = 0;
         for (Member member : members.all()) {
             NodeState state = member.state();
             boolean eligible = state.zone().equals(settings.zone())
                     && state.storeReachable()
                     && !state.leaving()
-                    && now - member.lastDatagramAt() < silenceThreshold;
+                    && now - member.lastDatagramAt() < silenceTimeoutNanos;
             if (eligible && precedesAsReader(member)) {
                 precedingReaders++;
             }
@@ -284,8 +286,8 @@
     }
 
     /**
-     * Orders the candidates for store readers: by link bandwidth first, as a reader downloads every version completely
-     * and passes it on, then by address.
+     * Returns whether another node precedes this one as a store reader. The link bandwidth decides first, as a reader
+     * downloads every version completely and passes it on, then the address.
      */
     private boolean precedesAsReader(Member member) {
         int linkComparison = Integer.compare(member.state().linkMbps(), linkMbps());
@@ -303,8 +305,8 @@
                 ++stateSequence,
                 settings.zone(),
                 linkMbps(),
-                versionKeeper.version().map(v -> v.number()).orElse(0L),
-                versionKeeper.isStoreReachable(),
+                versionUpdater.version().map(v -> v.number()).orElse(0L),
+                versionUpdater.isStoreReachable(),
                 leaving,
                 backend.map(Backend::service).orElse(service),
                 backend.map(Backend::incarnation).orElse(""),
@@ -321,18 +323,19 @@
     private void onInstalled(VersionUpdater.Origin origin) {
         // A node that read the version from the store announces it to all nodes. One that fetched it from another
         // availability zone announces it to its own zone, so that the nodes there need not fetch it from afar.
+        // One that fetched it within its zone makes no extra announcement.
         switch (origin) {
             case STORE -> gossip.scheduleBroadcast();
             case FAR -> gossip.broadcastToZoneNow(settings.zone());
             case NEAR -> {}
         }
-        versionKeeper.version().ifPresent(backendProbe::startOnce);
+        versionUpdater.version().ifPresent(backendProbe::startOnce);
         logReadinessChange();
     }
 
-    private void onGossip(Member member, MemberTable.UpdateResult hearing) {
-        versionKeeper.onMemberUpdated(member);
-        if (hearing == MemberTable.UpdateResult.SAME) {
+    private void onGossip(Member member, MemberTable.UpdateResult updateResult) {
+        versionUpdater.onMemberUpdated(member);
+        if (updateResult == MemberTable.UpdateResult.SAME) {
             return;
         }
         NodeState state = member.state();
@@ -341,7 +344,7 @@
                 "ip",
                 member.ip(),
                 "hearing",
-                hearing,
+                updateResult,
                 "boot",
                 state.bootId(),
                 "service",
--- a/org.berylwick.node/src/org/berylwick/node/Signals.java
+++ b/org.berylwick.node/src/org/berylwick/node/Signals.java
@@ -15,9 +15,8 @@
      */
     static boolean handle(String name, Runnable task) {
         try {
-            // The only way to handle signals in the JVM is this internal class, which the compiler does not accept. So
-            // it is
-            // used by reflection.
+            // Signals can be handled only with this internal class of the JVM. The compiler does not accept references
+            // to it, so it is used by reflection.
             Class<?> signalType = Class.forName("sun.misc.Signal");
             Class<?> handlerType = Class.forName("sun.misc.SignalHandler");
             Object handlerProxy = Proxy.newProxyInstance(
@@ -27,8 +26,8 @@
                         }
                         return null;
                     });
-            Object signalInstance = signalType.getConstructor(String.class).newInstance(name);
-            signalType.getMethod("handle", signalType, handlerType).invoke(null, signalInstance, handlerProxy);
+            Object signal = signalType.getConstructor(String.class).newInstance(name);
+            signalType.getMethod("handle", signalType, handlerType).invoke(null, signal, handlerProxy);
             return true;
         } catch (ReflectiveOperationException | IllegalArgumentException e) {
             return false;
--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -20,8 +20,9 @@
 /**
  * An HTTP/1.1 connection to a server that carries one request at a time; confined to the event loop.
  *
- * <p>It returns to its pool only after the event loop has processed everything that was read together with the end of a
- * response. Bytes after a complete response belong to no request, and a connection that receives such bytes is closed.
+ * <p>The connection returns to its pool only after the event loop has processed everything that was read together with
+ * the end of a response. Bytes after a complete response belong to no request, and a connection that receives such
+ * bytes is closed.
  */
 public final class HttpConnection extends ChannelInboundHandlerAdapter implements ServerConnection {
     private static final String KEEP_ALIVE_TIMEOUT_PARAMETER = "timeout=";
@@ -31,12 +32,12 @@
     private final Consumer<HttpConnection> onClosed;
     private HttpResponseHandler responseHandler;
     private HttpResponse responseHead;
-    private boolean discarding;
+    private boolean discardingResponse;
     private boolean responseComplete;
     private boolean reusable;
     private boolean closeDelimited;
     private boolean connectionFailed;
-    private ChannelFuture lastWrite;
+    private ChannelFuture requestEndWrite;
     private RequestBody pendingBody;
     private boolean bodyRequested;
     private final BodyWriter bodyWriter = new BodyWriter();
@@ -80,10 +81,10 @@
     public void send(HttpRequest request, RequestBody requestBody, HttpResponseHandler handler) {
         responseHandler = handler;
         responseHead = null;
-        discarding = false;
+        discardingResponse = false;
         reusable = true;
         closeDelimited = false;
-        lastWrite = null;
+        requestEndWrite = null;
         channel.write(request);
         pendingBody = requestBody;
         bodyRequested = !HttpUtil.is100ContinueExpected(request);
@@ -106,7 +107,7 @@
 
         @Override
         public void onRequestBodyComplete() {
-            lastWrite = channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
+            requestEndWrite = channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
             stopWritingBody();
         }
     }
@@ -120,7 +121,7 @@
 
     @Override
     public boolean isRequestFullySent() {
-        return lastWrite != null;
+        return requestEndWrite != null;
     }
 
     @Override
@@ -158,7 +159,7 @@
     private void handleHead(HttpResponse response) {
         int status = response.status().code();
         if (status >= 100 && status < 200) {
-            discarding = true;
+            discardingResponse = true;
             if (status == HttpResponseStatus.CONTINUE.code() && !bodyRequested) {
                 bodyRequested = true;
                 pendingBody.subscribe(bodyWriter);
@@ -167,11 +168,11 @@
         }
         if (!responseHandler.matches(response)) {
             // This is a second response to an earlier request; the response to the current request follows it.
-            discarding = true;
+            discardingResponse = true;
             reusable = false;
             return;
         }
-        discarding = false;
+        discardingResponse = false;
         responseHead = response;
         closeDelimited = !HttpUtil.isContentLengthSet(response) && !HttpUtil.isTransferEncodingChunked(response);
         reusable &= HttpUtil.isKeepAlive(response) && !closeDelimited;
@@ -200,9 +201,9 @@
 
     private void handleContent(HttpContent content) {
         boolean isLast = content instanceof LastHttpContent;
-        if (discarding) {
+        if (discardingResponse) {
             content.release();
-            discarding = !isLast;
+            discardingResponse = !isLast;
             return;
         }
         if (responseHead == null) {
@@ -226,7 +227,7 @@
         responseComplete = true;
         servedRequests++;
         stopWritingBody();
-        reusable &= lastWrite != null && lastWrite.isSuccess();
+        reusable &= requestEndWrite != null && requestEndWrite.isSuccess();
         handler.onEnd();
     }
 
@@ -269,7 +270,7 @@
         }
     }
 
-    /** Sets the Content-Length header. Only a GET request without a body goes without one. */
+    /** Sets the Content-Length header. Only a GET request without a body gets none. */
     public static void setContentLength(HttpRequest request, int bytes) {
         if (bytes > 0 || !"GET".equals(request.method().name())) {
             request.headers().set(HttpHeaderNames.CONTENT_LENGTH, bytes);
--- a/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
+++ b/org.berylwick.test/tst/org/berylwick/node/transport/OutgoingLinkTest.java
@@ -27,14 +27,14 @@
     /** A connection that records the number of bytes written to it and the time of each write. */
     private final class RecordingSink implements OutgoingLink.Sink {
         private final List<Long> writeTimes = new ArrayList<>();
-        private int bytes;
+        private int writtenBytes;
         private boolean writable = true;
-        private boolean reading = true;
+        private boolean sourceReading = true;
         private boolean finished;
 
         @Override
         public void write(ByteBuf part) {
-            bytes += part.readableBytes();
+            writtenBytes += part.readableBytes();
             writeTimes.add(clock.now());
             part.release();
         }
@@ -46,7 +46,7 @@
 
         @Override
         public void setSourceReading(boolean enabled) {
-            reading = enabled;
+            sourceReading = enabled;
         }
     }
 
@@ -83,8 +83,8 @@
             clock.runUntil(time);
             double maxTransmittedBytes = time * NARROW_MBPS / 8_000;
             assertTrue(
-                    large.bytes - maxTransmittedBytes <= 28_000,
-                    large.bytes + " bytes after " + time / NANOS_PER_MS + " ms");
+                    large.writtenBytes - maxTransmittedBytes <= 28_000,
+                    large.writtenBytes + " bytes after " + time / NANOS_PER_MS + " ms");
         }
     }
 
@@ -116,7 +116,7 @@
         assertTrue(!late.finished);
         clock.runUntil(400 * NANOS_PER_MS);
         assertTrue(late.finished);
-        assertEquals(LARGE_BYTES, late.bytes);
+        assertEquals(LARGE_BYTES, late.writtenBytes);
     }
 
     /** Guards against a late response that is never sent while responses that can be in time keep arriving. */
@@ -130,7 +130,7 @@
             send(new RecordingSink(), LARGE_BYTES, clock.now() + 1_000 * NANOS_PER_MS);
             clock.runUntil(clock.now() + 110 * NANOS_PER_MS);
         }
-        assertTrue(late.finished, late.bytes + " of " + LARGE_BYTES + " bytes have been sent");
+        assertTrue(late.finished, late.writtenBytes + " of " + LARGE_BYTES + " bytes have been sent");
         assertTrue(
                 late.writeTimes.getLast() < 1_500 * NANOS_PER_MS,
                 "sent after " + late.writeTimes.getLast() / NANOS_PER_MS + " ms");
@@ -146,7 +146,7 @@
         send(other, LARGE_BYTES, 1_000 * NANOS_PER_MS);
         clock.runUntil(150 * NANOS_PER_MS);
         assertTrue(other.finished);
-        assertEquals(0, blocked.bytes);
+        assertEquals(0, blocked.writtenBytes);
         blocked.writable = true;
         blockedFlow.onWritable();
         clock.runUntil(300 * NANOS_PER_MS);
@@ -161,9 +161,9 @@
         RecordingSink second = new RecordingSink();
         OutgoingLink.Flow flow = link.openFlow(second, 2_000 * NANOS_PER_MS);
         flow.write(Unpooled.wrappedBuffer(new byte[LARGE_BYTES]));
-        assertTrue(!second.reading);
+        assertTrue(!second.sourceReading);
         clock.runUntil(4_000 * NANOS_PER_MS);
-        assertTrue(second.reading);
+        assertTrue(second.sourceReading);
         flow.finish(() -> second.finished = true);
         assertTrue(second.finished);
     }
@@ -177,10 +177,10 @@
         RecordingSink second = new RecordingSink();
         OutgoingLink.Flow flow = link.openFlow(second, 500 * NANOS_PER_MS);
         flow.write(Unpooled.wrappedBuffer(new byte[LARGE_BYTES]));
-        assertTrue(!second.reading);
+        assertTrue(!second.sourceReading);
         blockedFlow.cancel();
         clock.runUntil(300 * NANOS_PER_MS);
-        assertTrue(second.reading);
+        assertTrue(second.sourceReading);
     }
 
     /** Guards against the most urgent response waiting for its paused source while less urgent ones fill the queue. */
@@ -190,9 +190,9 @@
         RecordingSink urgent = new RecordingSink();
         OutgoingLink.Flow flow = link.openFlow(urgent, 500 * NANOS_PER_MS);
         flow.write(Unpooled.wrappedBuffer(new byte[LARGE_BYTES]));
-        assertTrue(!urgent.reading);
+        assertTrue(!urgent.sourceReading);
         clock.runUntil(200 * NANOS_PER_MS);
-        assertTrue(urgent.reading);
+        assertTrue(urgent.sourceReading);
     }
 
     /** Guards against a source that stays paused after its connection was not writable for a moment. */
@@ -202,12 +202,12 @@
         sink.writable = false;
         OutgoingLink.Flow flow = link.openFlow(sink, 1_000 * NANOS_PER_MS);
         flow.write(Unpooled.wrappedBuffer(new byte[SMALL_BYTES]));
-        assertTrue(!sink.reading);
+        assertTrue(!sink.sourceReading);
         flow.write(Unpooled.wrappedBuffer(new byte[LARGE_BYTES]));
         sink.writable = true;
         flow.onWritable();
         clock.runUntil(300 * NANOS_PER_MS);
-        assertTrue(sink.reading);
+        assertTrue(sink.sourceReading);
     }
 
     /** On a wide link nothing is queued; a source is paused only while the receiver of its response does not read. */
@@ -217,14 +217,14 @@
         RecordingSink sink = new RecordingSink();
         OutgoingLink.Flow flow = wide.openFlow(sink, 100 * NANOS_PER_MS);
         flow.write(Unpooled.wrappedBuffer(new byte[1_000_000]));
-        assertEquals(1_000_000, sink.bytes);
+        assertEquals(1_000_000, sink.writtenBytes);
         assertEquals(0, wide.busyNanos());
         sink.writable = false;
         flow.write(Unpooled.wrappedBuffer(new byte[10]));
-        assertTrue(!sink.reading);
+        assertTrue(!sink.sourceReading);
         sink.writable = true;
         flow.onWritable();
-        assertTrue(sink.reading);
+        assertTrue(sink.sourceReading);
     }
 
     /** Expected bytes count as busy time until they are withdrawn, queued bytes until they have been sent. */
@@ -251,13 +251,13 @@
         VirtualClock virtualClock = new VirtualClock();
         OutgoingLink randomLink = new OutgoingLink(1 + random.nextInt(39), virtualClock);
         int[] sizes = new int[count];
-        List<int[]> received = new ArrayList<>();
+        List<int[]> writtenBytes = new ArrayList<>();
         boolean[] cancelled = new boolean[count];
         boolean[] finished = new boolean[count];
         for (int i = 0; i < count; i++) {
             int index = i;
             int[] bytes = new int[1];
-            received.add(bytes);
+            writtenBytes.add(bytes);
             OutgoingLink.Flow flow = randomLink.openFlow(
                     new OutgoingLink.Sink() {
                         @Override
@@ -293,7 +293,7 @@
         assertEquals(0, randomLink.busyNanos());
         for (int i = 0; i < count; i++) {
             assertEquals(!cancelled[i], finished[i]);
-            assertTrue(cancelled[i] || sizes[i] == received.get(i)[0]);
+            assertTrue(cancelled[i] || sizes[i] == writtenBytes.get(i)[0]);
         }
     }
 }
--- a/org.berylwick.test/tst/org/berylwick/platform/InvalidPlatformInputTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/InvalidPlatformInputTest.java
@@ -37,8 +37,9 @@
  * without any effect on valid input.
  */
 class InvalidPlatformInputTest {
-    private static final String HEARTBEAT = "{\"address\":\"10.0.0.1:5\",\"info\":{\"service\":\"s\",\"version\":\"v1\","
-            + "\"zone\":\"a\",\"slots\":12},\"status\":{\"state\":\"ready\",\"seq\":4,\"warmupLeftS\":1.5}}";
+    private static final String HEARTBEAT =
+            "{\"address\":\"10.0.0.1:5\",\"info\":{\"service\":\"s\",\"version\":\"v1\","
+                    + "\"zone\":\"a\",\"slots\":12},\"status\":{\"state\":\"ready\",\"seq\":4,\"warmupLeftS\":1.5}}";
 
     private static DecodeResult decodeHeartbeat(String body) {
         return new HeartbeatCodec().decode("PUT", "/instances/i-1", body.getBytes(StandardCharsets.UTF_8));
@@ -81,6 +82,7 @@
                     for (int i = 0; i < offsets.size(); i++) {
                         bytes[offsets.get(i)] = replacements.get(i);
                     }
+                    // A third of the heartbeats are truncated, too.
                     return newLength % 3 == 0 ? java.util.Arrays.copyOf(bytes, newLength) : bytes;
                 });
     }
@@ -100,9 +102,9 @@
 
     @Property(tries = 2_000)
     void arbitraryBytesAreDecodedOrRejectedAsAConfiguration(@ForAll byte[] body) {
-        ConfigurationSource.ReadResult answer = ConfigurationCodec.decode(body, 1);
-        assertTrue(answer instanceof ConfigurationSource.ReadResult.Invalid
-                || answer instanceof ConfigurationSource.ReadResult.Found);
+        ConfigurationSource.ReadResult result = ConfigurationCodec.decode(body, 1);
+        assertTrue(result instanceof ConfigurationSource.ReadResult.Invalid
+                || result instanceof ConfigurationSource.ReadResult.Found);
     }
 
     @Test
@@ -115,28 +117,32 @@
 
     /**
      * The store returns the directory in three pages. The last entry of the first page has no name, and some entries
-     * have no valid address. */
+     * have no valid address.
+     */
     @Test
     void invalidDirectoryEntriesAreSkippedAndDoNotEndPaging() throws Exception {
         List<String> requestedUris = new ArrayList<>();
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = (EventLoop) group.next();
-        try (BufferedHttpServer server = BufferedHttpServer.open(loop, new InetSocketAddress("127.0.0.1", 0), request -> {
-            requestedUris.add(request.uri());
-            Matcher after = Pattern.compile("after=(\\w+)").matcher(request.uri());
-            String page = !after.find()
-                    ? entry("a", "\"10.0.0.1\"") + "," + entry("b", "7") + ",{\"spec\":{\"ip\":\"10.0.0.3\"}}"
-                    : after.group(1).equals("b") ? entry("c", "\"\"") + "," + entry("d", "\"10.0.0.4\"") : "";
-            boolean more = !page.isEmpty();
-            return BufferedHttpServer.Response.of(
-                    "application/json",
-                    ("{\"items\":[" + page + "],\"more\":" + more + "}").getBytes(StandardCharsets.UTF_8));
-        })) {
+        try (BufferedHttpServer server =
+                BufferedHttpServer.open(loop, new InetSocketAddress("127.0.0.1", 0), request -> {
+                    requestedUris.add(request.uri());
+                    Matcher afterParameter = Pattern.compile("after=(\\w+)").matcher(request.uri());
+                    String page = !afterParameter.find()
+                            ? entry("a", "\"10.0.0.1\"") + "," + entry("b", "7") + ",{\"spec\":{\"ip\":\"10.0.0.3\"}}"
+                            : afterParameter.group(1).equals("b")
+                                    ? entry("c", "\"\"") + "," + entry("d", "\"10.0.0.4\"")
+                                    : "";
+                    boolean more = !page.isEmpty();
+                    return BufferedHttpServer.Response.of(
+                            "application/json",
+                            ("{\"items\":[" + page + "],\"more\":" + more + "}").getBytes(StandardCharsets.UTF_8));
+                })) {
             StoredDirectory directory =
                     new StoredDirectory(new ObjectStore(loop, new InetSocketAddress("127.0.0.1", server.port())));
-            CompletableFuture<ListResult> answer = new CompletableFuture<>();
-            loop.execute(() -> directory.list(answer::complete));
-            ListResult.Listed listed = assertInstanceOf(ListResult.Listed.class, answer.get(10, TimeUnit.SECONDS));
+            CompletableFuture<ListResult> result = new CompletableFuture<>();
+            loop.execute(() -> directory.list(result::complete));
+            ListResult.Listed listed = assertInstanceOf(ListResult.Listed.class, result.get(10, TimeUnit.SECONDS));
             assertEquals(List.of("10.0.0.1", "10.0.0.3", "10.0.0.4"), listed.addresses());
             assertEquals(3, requestedUris.size());
         } finally {
--- a/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
+++ b/org.berylwick.test/tst/org/berylwick/platform/StoredConfigurationTest.java
@@ -43,8 +43,7 @@
         if (watchStart < 0) {
             return jsonResponse("{\"items\":[" + OBJECT + "],\"more\":false,\"asOf\":" + LIST_REVISION + "}");
         }
-        int revision =
-                Integer.parseInt(
+        int revision = Integer.parseInt(
                 request.uri().substring(watchStart + 6, request.uri().indexOf('&')));
         if (revision < OLDEST_RETAINED_REVISION) {
             return BufferedHttpServer.Response.ofStatus(410);
@@ -70,9 +69,9 @@
     }
 
     private ReadResult await(Consumer<Consumer<ReadResult>> call) throws Exception {
-        CompletableFuture<ReadResult> answer = new CompletableFuture<>();
-        loop.execute(() -> call.accept(answer::complete));
-        return answer.get(10, TimeUnit.SECONDS);
+        CompletableFuture<ReadResult> result = new CompletableFuture<>();
+        loop.execute(() -> call.accept(result::complete));
+        return result.get(10, TimeUnit.SECONDS);
     }
 
     @Test
@@ -86,10 +85,11 @@
     }
 
     /**
-     * A node polls the store in case no watch or other node has announced a new version. Such a poll accepts a list
-     * that is seconds old, which costs a tenth of a current one. */
+     * A node polls the store in case neither a watch nor another node announced a new version. Such a poll accepts a
+     * list that is seconds old, which costs a tenth of a current one.
+     */
     @Test
-    void recentReadAllowsAStaleList() throws Exception {
+    void staleListIsRequestedOnlyWhenAllowed() throws Exception {
         await(a -> configuration.read(Consistency.STALE_ALLOWED, a));
         await(a -> configuration.read(Consistency.LINEARIZABLE, a));
         assertEquals(List.of("/objects/config?serializable=1", "/objects/config"), requestedUris);
