--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/AnswerDelivery.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/AnswerDelivery.java
@@ -31,7 +31,8 @@
         builder.set(CallHeaders.REQUEST_ID, call.requestId());
         ResponseHeaders headers = builder.build();
         StreamedResponse resumable = ResumableAnswer.of(forwarder, call, response, member);
-        OptionalLong contentLength = ContentLengthCheck.expectedLength(call.headers().method(), headers);
+        OptionalLong contentLength =
+                ContentLengthCheck.expectedLength(call.headers().method(), headers);
         ResponseLengthGuard body = new ResponseLengthGuard(
                 call.requestId(), resumable.body(), contentLength, forwarder.invariants(), this::recordFailure);
         return resumable.withHeaders(headers).withBody(body).toHttpResponse();
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/KeyedResponseRecorder.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/KeyedResponseRecorder.java
@@ -72,7 +72,8 @@
                 // still has to be read.
                 observedBody.subscribe(new BoundedDrain());
             } else {
-                responseWithHeaders.complete(new StreamedResponse(receivedHeaders, observedBody, split.trailers()).toHttpResponse());
+                responseWithHeaders.complete(
+                        new StreamedResponse(receivedHeaders, observedBody, split.trailers()).toHttpResponse());
             }
             return null;
         });
@@ -138,7 +139,8 @@
         if (!complete || tooLarge || headerBytes > MAX_STORED_BYTES) {
             return new Settlement.Keep(new KeyState.Ran(status));
         }
-        return new Settlement.Keep(new KeyState.Answered(new StoredResponse(status, storedHeaders, body.toByteArray())));
+        return new Settlement.Keep(
+                new KeyState.Answered(new StoredResponse(status, storedHeaders, body.toByteArray())));
     }
 
     private List<StoredResponse.Header> headersToStore() {
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerRun.java
@@ -84,8 +84,8 @@
         }
         owner.checkSendAllowed(request.requestId());
         owner.metrics().callStarted();
-        Exchange newExchange =
-                owner.backendClient().execute(
+        Exchange newExchange = owner.backendClient()
+                .execute(
                         exchangeTimeout.trackProgress(newBackendRequest()),
                         request.headDeadline().remainingMillis(owner.time()));
         exchangeTimeout.start(newExchange);
@@ -110,10 +110,11 @@
     }
 
     private HttpRequest newBackendRequest() {
-        RequestHeadersBuilder headers =request.httpRequest().headers().toBuilder();
+        RequestHeadersBuilder headers = request.httpRequest().headers().toBuilder();
         CallHeaders.removeInternal(headers);
         Optional<Deadline> callerDeadline = switch (request.transferLimit()) {
-            case TransferLimit.CompletionDeadline(Deadline completionDeadline) -> Optional.of(completionDeadline.earlier(request.headDeadline()));
+            case TransferLimit.CompletionDeadline(Deadline completionDeadline) ->
+                Optional.of(completionDeadline.earlier(request.headDeadline()));
             case TransferLimit.StallTimeout(long stallMillis, Optional<Deadline> progressCallerDeadline) ->
                 progressCallerDeadline;
         };
@@ -134,7 +135,8 @@
             outcome.complete(new Outcome.Unknown<>("the answer was another request's"));
             return;
         }
-        if (responseHeaders.status().equals(HttpStatus.SERVICE_UNAVAILABLE) && responseHeaders.contains(CallHeaders.SHED)) {
+        if (responseHeaders.status().equals(HttpStatus.SERVICE_UNAVAILABLE)
+                && responseHeaders.contains(CallHeaders.SHED)) {
             permit.closeAfterShed();
             // The connection can be reused only after the body was read to its end.
             split.body().subscribe();
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerService.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/OwnerService.java
@@ -47,10 +47,10 @@
         if (!instance.equals(headers.get(CallHeaders.INSTANCE)) || requestId.isEmpty()) {
             return toHttpResponse(requestId, new Outcome.RefusedNotRun<>(RefusalReason.NO_MEMBER, Optional.empty()));
         }
-        Attempt attempt =
-                owner.start(
+        Attempt attempt = owner.start(
                 toOwnerRequest(requestId, request.subscribeOn(ctx.eventLoop().withoutContext())));
-        HttpResponse response = HttpResponse.of(attempt.outcome().thenApply(outcome -> toHttpResponse(requestId, outcome)));
+        HttpResponse response =
+                HttpResponse.of(attempt.outcome().thenApply(outcome -> toHttpResponse(requestId, outcome)));
         response.whenComplete().whenComplete((done, failure) -> {
             if (failure != null) {
                 attempt.cancel().run();
@@ -67,7 +67,8 @@
             case "BULK" -> TrafficClass.BULK;
             default -> TrafficClass.READ;
         };
-        Deadline headDeadline = Deadline.afterMillis(time, headers.getLong(CallHeaders.RESPONSE_START_TIMEOUT_MILLIS, 0));
+        Deadline headDeadline =
+                Deadline.afterMillis(time, headers.getLong(CallHeaders.RESPONSE_START_TIMEOUT_MILLIS, 0));
         long timeoutMillis = headers.getLong(CallHeaders.TIMEOUT_MILLIS, -1);
         long stallMillis = headers.getLong(CallHeaders.STALL_TIMEOUT_MILLIS, -1);
         Optional<Deadline> callerDeadline =
@@ -87,9 +88,10 @@
                 yield answer.withHeaders(headers.build()).toHttpResponse();
             }
             case Outcome.RefusedNotRun<StreamedResponse>(RefusalReason reason, Optional<Long> retryAfter) -> {
-                ResponseHeadersBuilder headers = responseHead(HttpStatus.SERVICE_UNAVAILABLE, CallHeaders.OUTCOME_NOT_RUN, requestId, reason.word());
-                retryAfter.ifPresent(millis ->
-                        headers.setLong(HttpHeaderNames.RETRY_AFTER, (millis + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND));
+                ResponseHeadersBuilder headers = responseHead(
+                        HttpStatus.SERVICE_UNAVAILABLE, CallHeaders.OUTCOME_NOT_RUN, requestId, reason.word());
+                retryAfter.ifPresent(millis -> headers.setLong(
+                        HttpHeaderNames.RETRY_AFTER, (millis + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND));
                 yield HttpResponse.of(headers.build());
             }
             case Outcome.Unknown<StreamedResponse>(String detail) ->
--- a/org.berylwick.daemon/src/org/berylwick/daemon/call/PeerSender.java
+++ b/org.berylwick.daemon/src/org/berylwick/daemon/call/PeerSender.java
@@ -21,7 +21,8 @@
 
     /**
      * Maximum time by which the head deadline of the owner is earlier than that of the entry, so that a refusal by the
-     * owner still arrives in time. For short timeouts it is the timeout divided by {@link #HOP_MARGIN_DIVISOR}. */
+     * owner still arrives in time. For short timeouts it is the timeout divided by {@link #HOP_MARGIN_DIVISOR}.
+     */
     private static final long MAX_HOP_MARGIN_MILLIS = 5;
 
     private static final int HOP_MARGIN_DIVISOR = 10;
@@ -59,13 +60,15 @@
             }
         }
         ExchangeTimeout exchangeTimeout = new ExchangeTimeout(call.limit(), time);
-        Exchange exchange = peerClients.execute(member.address(), exchangeTimeout.trackProgress(call.newRequest(headers.build())), headTimeoutMillis);
+        Exchange exchange = peerClients.execute(
+                member.address(), exchangeTimeout.trackProgress(call.newRequest(headers.build())), headTimeoutMillis);
         exchangeTimeout.start(exchange);
         exchange.response().whenComplete().whenComplete((done, failure) -> loadTracker.close());
         SplitHttpResponse split = exchange.response().split();
         CompletableFuture<Outcome<StreamedResponse>> outcome = split.headers()
-                .handle((responseHeaders, failure) ->
-                        failure == null ? outcomeOf(call, loadTracker, responseHeaders, split, exchange, exchangeTimeout) : outcomeOf(failure));
+                .handle((responseHeaders, failure) -> failure == null
+                        ? outcomeOf(call, loadTracker, responseHeaders, split, exchange, exchangeTimeout)
+                        : outcomeOf(failure));
         return new Attempt(outcome, () -> {
             if (!outcome.isDone()) {
                 exchange.response().abort();
@@ -107,7 +110,8 @@
             }
             default -> {
                 split.body().abort();
-                return new Outcome.Unknown<>(responseHeaders.get(CallHeaders.REASON, responseHeaders.status().toString()));
+                return new Outcome.Unknown<>(responseHeaders.get(
+                        CallHeaders.REASON, responseHeaders.status().toString()));
             }
         }
     }
--- a/org.berylwick.node/src/org/berylwick/node/Node.java
+++ b/org.berylwick.node/src/org/berylwick/node/Node.java
@@ -267,7 +267,6 @@
     }
 
     /** Returns whether fewer than {@link #READERS_PER_ZONE} eligible nodes of this zone precede this one as readers. */
-
     private boolean isStoreReader() {
         long now = System.nanoTime();
         long silenceTimeoutNanos = gossip.silenceTimeoutNanos();
--- a/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
+++ b/org.berylwick.node/src/org/berylwick/node/member/NodeStateCodec.java
@@ -140,7 +140,6 @@
     }
 
     /** Writes a string with its length in one byte; only the first 255 bytes of a longer string are written. */
-
     private static void writeString(String text, ByteBuf out) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         int length = Math.min(bytes.length, 255);
--- a/org.berylwick.test/tst/org/berylwick/daemon/call/HeaderTest.java
+++ b/org.berylwick.test/tst/org/berylwick/daemon/call/HeaderTest.java
@@ -122,8 +122,7 @@
         // Requests to the owner's port that lack internal headers do not come from a daemon and must not be run.
         assertEquals("503", statusOf(owner.peerAddress(), "/orders/1", "x-request-id: q\r\n"));
         assertEquals("503", statusOf(owner.peerAddress(), "/orders/1", "berylwick-instance: a\r\n"));
-        assertEquals(
-                "503", statusOf(owner.peerAddress(), "/orders/1", "berylwick-instance: a\r\nx-request-id: q\r\n"));
+        assertEquals("503", statusOf(owner.peerAddress(), "/orders/1", "berylwick-instance: a\r\nx-request-id: q\r\n"));
         assertEquals(List.of(), server.requests());
     }
 }
--- a/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/MembershipGossip.java
@@ -69,7 +69,8 @@
      * Merges records into the membership table, together with the current local record, and queues the changed ones for
      * the other links.
      *
-     * @param source link on which the records were received; null if they originate from this daemon */
+     * @param source link on which the records were received; null if they originate from this daemon
+     */
     void merge(Collection<Member> records, PeerLink source) {
         MembershipView before = table.view();
         List<Member> others = new ArrayList<>();
@@ -160,7 +161,8 @@
     /**
      * Handles reports of the version installed on members.
      *
-     * <p>Reports on unknown incarnations, and on members known to have a newer version, are ignored. */
+     * <p>Reports on unknown incarnations, and on members known to have a newer version, are ignored.
+     */
     void onReports(VersionReports reports, PeerLink source) {
         refreshIndex();
         List<Member> records = new ArrayList<>();
--- a/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
+++ b/org.berylwick/src/org/berylwick/internal/spread/Spreader.java
@@ -112,7 +112,8 @@
      * Submits an event; may be called from any thread.
      *
      * <p>If the queue is full the event is dropped and counted. Heartbeats recover the state that it would have
-     * conveyed. */
+     * conveyed.
+     */
     public void submit(SpreadEvent event) {
         if (eventQueue.offer(event) == Ring.Offer.FULL) {
             metrics.onEventRefused();
@@ -251,7 +252,8 @@
     }
 
     private void onVersionNotice(PeerLink link, VersionNotice notice) {
-        VersionDeltaEncoder.toVersionId(notice).ifPresent(id -> link.peer.ifPresent(p -> versionListener.onPeerVersion(p, id)));
+        VersionDeltaEncoder.toVersionId(notice)
+                .ifPresent(id -> link.peer.ifPresent(p -> versionListener.onPeerVersion(p, id)));
         updatePeerVersion(link, notice.getVersion());
     }
 
@@ -268,7 +270,9 @@
             return;
         }
         link.advertisedVersion = id.number();
-        link.send(PeerMessage.newBuilder().setVersion(VersionDeltaEncoder.toNotice(id)).build());
+        link.send(PeerMessage.newBuilder()
+                .setVersion(VersionDeltaEncoder.toNotice(id))
+                .build());
     }
 
     private void sendDueHeartbeats() {
@@ -322,7 +326,8 @@
             join();
         }
         if (nextProbe.isPast(time)) {
-            nextProbe = Deadline.afterMillis(time, tuning.probeIntervalMillis() / 2 + random.nextLong(tuning.probeIntervalMillis()));
+            nextProbe = Deadline.afterMillis(
+                    time, tuning.probeIntervalMillis() / 2 + random.nextLong(tuning.probeIntervalMillis()));
             List<Member> others = table.view().all().stream()
                     .filter(m -> !m.instance().equals(self.instance()))
                     .toList();
