--- a/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
+++ b/org.berylwick.node/src/org/berylwick/node/transport/HttpConnection.java
@@ -140,7 +140,7 @@
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         if (!(message instanceof HttpObject object) || object.decoderResult().isFailure()) {
             ReferenceCountUtil.release(message);
-            fail("malformed HTTP response");
+            fail("unreadable answer");
             return;
         }
         if (responseHandler == null) {
@@ -251,12 +251,12 @@
         // The decoder takes any close of the connection for the end of a close-delimited response. After a reset the
         // response is truncated, so the end that the decoder then reports must not count as its end.
         connectionFailed = true;
-        fail("connection failed: " + cause.getMessage());
+        fail("connection broke: " + cause.getMessage());
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        fail(responseHead == null ? "connection closed before the response" : "connection closed during the response");
+        fail(responseHead == null ? "closed before an answer" : "closed within an answer");
         onClosed.accept(this);
     }
 
