--- a/org.berylwick.test/tst/org/berylwick/testing/KnownRedTest.java
+++ b/org.berylwick.test/tst/org/berylwick/testing/KnownRedTest.java
@@ -17,6 +17,11 @@
     private static final String TEST_FAILURES = "[ERROR] There are test failures.\n";
     private static final String LINE = "SlowTest.waits | lost wake-up | 12 | ./check | hangs once in ten runs\n";
 
+    private static final String ERRORS_ALONE = "[ERROR] Tests run: 9, Failures: 0, Errors: 1, Skipped: 0\n"
+            + "[ERROR] Failed to execute goal org.apache.maven.plugins:maven-surefire-plugin:3.5.6:test on project x: \n";
+    private static final String OTHER_GOAL =
+            "[ERROR] Failed to execute goal org.apache.maven.plugins:maven-jar-plugin:3.4.1:jar on project x: \n";
+
     @TempDir
     private Path folder;
 
@@ -58,6 +63,19 @@
         assertTrue(run.printed().contains("KNOWN RED: SlowTest.waits"), run.printed());
     }
 
+    /** Guards against a listed test that fails the build because Surefire names no test failures for errors alone. */
+    @Test
+    void listedTestThatEndedWithAnErrorIsPassedOver() throws IOException, InterruptedException {
+        report("SlowTest", red("SlowTest", "waits", "error"));
+        Run run = run(LINE, ERRORS_ALONE);
+        assertEquals(0, run.exit(), run.printed());
+        assertEquals(
+                1, run(LINE, ERRORS_ALONE + "There was a timeout in the fork").exit());
+        assertEquals(1, run(LINE, ERRORS_ALONE + OTHER_GOAL).exit());
+        report("OtherTest", red("OtherTest", "waits", "error"));
+        assertEquals(1, run(LINE, ERRORS_ALONE).exit());
+    }
+
     @Test
     void anotherTestOfTheSameClassFails() throws IOException, InterruptedException {
         report("SlowTest", red("SlowTest", "waits", "failure") + red("SlowTest", "waitsLonger", "failure"));
